--- a/placement/baselines.go
+++ b/placement/baselines.go
@@ -6,67 +6,68 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// The baselines share machine choice, load order, limits and reasons with the
-// adaptive planner and differ only in what stays loaded and what is evicted.
+// The baselines use the machine choice, load order, limits and reasons of the adaptive planner.
+// They differ only in what stays loaded and what is evicted.
 
-// NewAlwaysLoaded returns a planner that wants one replica of every allotted
-// model all the time and evicts the longest idle one when a model with waiting
-// requests finds no memory.
+// NewAlwaysLoaded returns a planner that always wants one replica of every allotted model. If a
+// model with waiting requests finds no memory, it evicts the model that has been idle longest.
 func NewAlwaysLoaded() Planner { return newBaseline(alwaysLoaded{}) }
 
-// NewFixedKeepAlive returns a planner that unloads a model once it was idle for
-// keepAlive, whatever the model, and evicts the longest idle one at need.
+// NewFixedKeepAlive returns a planner that unloads any model after it has been idle for
+// keepAlive. If memory is needed, it evicts the model that has been idle longest.
 func NewFixedKeepAlive(keepAlive time.Duration) Planner {
-	return newBaseline(&fixedKeepAlive{keep: fixedSchedule(keepAlive)})
+	return newBaseline(&fixedKeepAlive{keepSchedule: fixedSchedule(keepAlive)})
 }
 
-// NewLRU returns a planner that unloads only to make room, the longest idle
-// model first.
+// NewLRU returns a planner that unloads only to free memory, the model that has been idle
+// longest first.
 func NewLRU() Planner {
-	return newBaseline(&fixedKeepAlive{keep: fixedSchedule(forever)})
+	return newBaseline(&fixedKeepAlive{keepSchedule: fixedSchedule(unlimitedKeepAlive)})
 }
 
-// newBaseline wires a retention into the shared machinery.
-func newBaseline(keep retention) Planner {
-	shared := newPlanner(Config{}.withDefaults(), keep)
+// newBaseline returns a planner with default configuration and the given retention.
+func newBaseline(rule retention) Planner {
+	shared := newPlanner(Config{}.withDefaults(), rule)
 	return &shared
 }
 
 // longestIdleFirst orders evictions by idle time alone.
 type longestIdleFirst struct{}
 
-// value implements retention.
-func (longestIdleFirst) value(_ *track, _ *settings.Policy, idle, _ time.Duration) float64 {
+// keepValue implements retention.
+func (longestIdleFirst) keepValue(_ *modelHistory, _ *settings.Policy, idle, _ time.Duration) float64 {
 	return 1 / (1 + idle.Seconds())
 }
 
-// expects implements retention: the baselines foretell nothing.
-func (longestIdleFirst) expects(*track, *settings.Policy, cost, time.Time) bool { return false }
+// expectsWakeUp implements retention. The baselines predict no wake-ups.
+func (longestIdleFirst) expectsWakeUp(*modelHistory, *settings.Policy, cost, time.Time) bool {
+	return false
+}
 
-// alwaysLoaded keeps everything.
+// alwaysLoaded keeps every model loaded.
 type alwaysLoaded struct{ longestIdleFirst }
 
-// foreverSchedule is shared: schedules are read only.
-var foreverSchedule = fixedSchedule(forever)
+// unlimitedSchedule is shared by all models, since schedules are read only.
+var unlimitedSchedule = fixedSchedule(unlimitedKeepAlive)
 
 // schedule implements retention.
-func (alwaysLoaded) schedule(*track, *settings.Policy, cost) *schedule {
-	return &foreverSchedule
+func (alwaysLoaded) schedule(*modelHistory, *settings.Policy, cost) *keepSchedule {
+	return &unlimitedSchedule
 }
 
-// standing implements retention.
-func (alwaysLoaded) standing(*settings.Policy) int { return 1 }
+// alwaysLoadedReplicas implements retention.
+func (alwaysLoaded) alwaysLoadedReplicas(*settings.Policy) int { return 1 }
 
-// fixedKeepAlive keeps everything for one time.
+// fixedKeepAlive keeps every model for the same idle time.
 type fixedKeepAlive struct {
 	longestIdleFirst
-	keep schedule
+	keepSchedule keepSchedule
 }
 
 // schedule implements retention.
-func (f *fixedKeepAlive) schedule(*track, *settings.Policy, cost) *schedule {
-	return &f.keep
+func (f *fixedKeepAlive) schedule(*modelHistory, *settings.Policy, cost) *keepSchedule {
+	return &f.keepSchedule
 }
 
-// standing implements retention.
-func (*fixedKeepAlive) standing(*settings.Policy) int { return 0 }
+// alwaysLoadedReplicas implements retention.
+func (*fixedKeepAlive) alwaysLoadedReplicas(*settings.Policy) int { return 0 }
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -11,15 +11,15 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// size is the size of a zone for benchmarks.
-type size struct {
+// zoneSize is the size of a zone for benchmarks.
+type zoneSize struct {
 	name                      string
 	machines, bases, adapters int
 }
 
-// sizes are the dental service's of today, its multiples, one zone of the
+// zoneSizes are the dental service's of today, its multiples, one zone of the
 // two-year size, and all zones of that size planned as one.
-var sizes = []size{
+var zoneSizes = []zoneSize{
 	{"today", 12, 50, 60},
 	{"today4x", 48, 200, 240},
 	{"today16x", 192, 800, 960},
@@ -27,9 +27,9 @@
 	{"whole", 1600, 62, 1600},
 }
 
-// benchmarkWorld returns a zone in which about an eighth of the models are busy
+// newBenchmarkZone returns a zone in which about an eighth of the models are busy
 // and many more loaded, and a planner that has seen it for ten minutes.
-func benchmarkWorld(s size) (*State, *AdaptivePlanner, *rand.Rand) {
+func newBenchmarkZone(s zoneSize) (*State, *AdaptivePlanner, *rand.Rand) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var models []settings.Model
 	for i := range s.bases {
@@ -44,17 +44,17 @@
 	}
 	state := testState(testSnapshot(1, models...), s.machines)
 	planner := NewPlanner(Config{})
-	engine := engines{slowness: 1, ready: map[loadKey]time.Time{}}
+	engine := fakeEngines{loadTimeFactor: 1, completesAt: map[loadKey]time.Time{}}
 	for range 600 {
-		benchmarkDemand(&state, random, len(state.Settings.Models)/100)
-		engine.order(&state, planner.Plan(state))
+		changeDemand(&state, random, len(state.Settings.Models)/100)
+		engine.apply(&state, planner.Plan(state))
 		engine.advance(&state, time.Second)
 	}
 	return &state, planner, random
 }
 
-// benchmarkDemand lets some models wake up and most waking ones rest again.
-func benchmarkDemand(state *State, random *rand.Rand, changes int) {
+// changeDemand lets some models wake up and most waking ones rest again.
+func changeDemand(state *State, random *rand.Rand, changes int) {
 	for range max(changes, 1) {
 		id := state.Settings.Models[random.IntN(len(state.Settings.Models))].ID
 		if random.IntN(8) == 0 {
@@ -68,23 +68,23 @@
 // BenchmarkPlan measures one planning round while one in a hundred models
 // changes its demand each second.
 func BenchmarkPlan(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range zoneSizes {
 		b.Run(s.name, func(b *testing.B) {
-			state, planner, random := benchmarkWorld(s)
-			engine := engines{slowness: 1, ready: map[loadKey]time.Time{}}
+			state, planner, random := newBenchmarkZone(s)
+			engine := fakeEngines{loadTimeFactor: 1, completesAt: map[loadKey]time.Time{}}
 			b.ReportAllocs()
 			actions := 0
 			for b.Loop() {
 				plan := planner.Plan(*state)
 				actions += len(plan.Actions)
 				b.StopTimer()
-				benchmarkDemand(state, random, len(state.Settings.Models)/100)
-				engine.order(state, plan)
+				changeDemand(state, random, len(state.Settings.Models)/100)
+				engine.apply(state, plan)
 				engine.advance(state, time.Second)
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(actions)/float64(b.N), "actions/op")
-			b.ReportMetric(float64(len(state.Settings.Models))*float64(unsafe.Sizeof(track{})), "learned-bytes")
+			b.ReportMetric(float64(len(state.Settings.Models))*float64(unsafe.Sizeof(modelHistory{})), "learned-bytes")
 		})
 	}
 }
@@ -92,9 +92,9 @@
 // BenchmarkPlanBurst measures a round in which a tenth of all models has just
 // woken up at once.
 func BenchmarkPlanBurst(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range zoneSizes {
 		b.Run(s.name, func(b *testing.B) {
-			state, planner, _ := benchmarkWorld(s)
+			state, planner, _ := newBenchmarkZone(s)
 			for i := range state.Settings.Models {
 				if i%10 == 0 {
 					state.Demand[state.Settings.Models[i].ID] = Demand{Waiting: 3, Arrivals: 3, EarliestDeadline: 20 * time.Second}
@@ -120,10 +120,10 @@
 // BenchmarkPlanReading measures a round in which a fifth of all models get long prompts,
 // on engines that carry out one order at a time and are full of idle models.
 func BenchmarkPlanReading(b *testing.B) {
-	for _, s := range sizes[:3] {
+	for _, s := range zoneSizes[:3] {
 		b.Run(s.name, func(b *testing.B) {
-			state, _, _ := benchmarkWorld(s)
-			config := fairConfig()
+			state, _, _ := newBenchmarkZone(s)
+			config := serialOrderConfig()
 			planner := NewPlanner(config)
 			for i := range state.Settings.Models {
 				if i%5 == 0 {
@@ -149,7 +149,7 @@
 	state.Store = StoreState{StartsPerSecond: 42, Concurrency: 150, Speed: 1, Burst: 15}
 	for i := range machines {
 		for k := range 2 {
-			hold(&state, i, cluster.ModelID(fmt.Sprintf("base-%04d", (2*i+k)%300)))
+			addLoadedReplica(&state, i, cluster.ModelID(fmt.Sprintf("base-%04d", (2*i+k)%300)))
 		}
 	}
 	for i := range waiting {
--- a/placement/check_test.go
+++ b/placement/check_test.go
@@ -7,8 +7,8 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// checker verifies that plans keep their promises, from the state alone.
-type checker struct {
+// invariantChecker verifies that plans keep their promises, from the state alone.
+type invariantChecker struct {
 	state *State
 	plan  Plan
 	// remoteStarts counts the remote loads of all plans so far.
@@ -17,12 +17,12 @@
 }
 
 // fail notes a violation.
-func (c *checker) fail(format string, arguments ...any) {
+func (c *invariantChecker) fail(format string, arguments ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
 // check verifies one plan made from the state.
-func (c *checker) check(state *State, plan Plan) []string {
+func (c *invariantChecker) check(state *State, plan Plan) []string {
 	c.state, c.plan, c.violations = state, plan, nil
 	free := map[cluster.MachineID]int64{}
 	held := map[cluster.ModelID]int{}
@@ -77,7 +77,7 @@
 
 // checkStore verifies the store's limits; loads in the ledger count whatever
 // their tier, so the concurrency bound only applies to plans that add some.
-func (c *checker) checkStore(loading, starts int) {
+func (c *invariantChecker) checkStore(loading, starts int) {
 	c.remoteStarts += starts
 	elapsed := c.state.Now.Sub(start).Seconds()
 	if bound := max(1, c.state.Store.StartsPerSecond) + c.state.Store.StartsPerSecond*elapsed; float64(c.remoteStarts) > bound+1e-6 {
@@ -89,7 +89,7 @@
 }
 
 // checkLoad verifies one load against the rules of its machine and model.
-func (c *checker) checkLoad(machine *Machine, action Action, planned map[loadKey]bool) {
+func (c *invariantChecker) checkLoad(machine *Machine, action Action, planned map[loadKey]bool) {
 	model := c.state.Settings.Model(action.Model)
 	switch {
 	case model == nil:
@@ -118,7 +118,7 @@
 
 // needed reports whether the model or one of its adapters has work, a minimum
 // or an expected wake-up.
-func (c *checker) needed(id cluster.ModelID) bool {
+func (c *invariantChecker) needed(id cluster.ModelID) bool {
 	for i := range c.state.Settings.Models {
 		model := &c.state.Settings.Models[i]
 		demand := c.state.Demand[model.ID]
@@ -138,7 +138,7 @@
 }
 
 // checkUnload verifies one unload.
-func (c *checker) checkUnload(machine *Machine, action Action) {
+func (c *invariantChecker) checkUnload(machine *Machine, action Action) {
 	slot := c.slot(machine, action.Model)
 	if slot == nil || slot.Unknown || slot.State == cluster.ReplicaUnloading {
 		c.fail("unload of %s that %s does not hold for certain", action.Model, machine.ID)
@@ -164,7 +164,7 @@
 
 // outranked reports whether a model with waiting requests or a minimum has a
 // larger priority.
-func (c *checker) outranked(priority int) bool {
+func (c *invariantChecker) outranked(priority int) bool {
 	return slices.ContainsFunc(c.plan.Decisions, func(d Decision) bool {
 		model := c.state.Settings.Model(d.Model)
 		return d.Wanted > 0 && model.Policy.Priority > priority
@@ -172,7 +172,7 @@
 }
 
 // holders lists the machines that hold the model in any state.
-func (c *checker) holders(id cluster.ModelID) (holders []cluster.MachineID) {
+func (c *invariantChecker) holders(id cluster.ModelID) (holders []cluster.MachineID) {
 	for i := range c.state.Machines {
 		if c.slot(&c.state.Machines[i], id) != nil {
 			holders = append(holders, c.state.Machines[i].ID)
@@ -181,7 +181,7 @@
 	return holders
 }
 
-func (c *checker) machine(id cluster.MachineID) *Machine {
+func (c *invariantChecker) machine(id cluster.MachineID) *Machine {
 	at := slices.IndexFunc(c.state.Machines, func(m Machine) bool { return m.ID == id })
 	if at < 0 {
 		return nil
@@ -189,7 +189,7 @@
 	return &c.state.Machines[at]
 }
 
-func (c *checker) slot(machine *Machine, id cluster.ModelID) *Slot {
+func (c *invariantChecker) slot(machine *Machine, id cluster.ModelID) *Slot {
 	at := slices.IndexFunc(machine.Replicas, func(s Slot) bool { return s.Model == id })
 	if at < 0 {
 		return nil
@@ -197,9 +197,9 @@
 	return &machine.Replicas[at]
 }
 
-func (c *checker) limit(id cluster.ModelID) int { return c.state.Allotment.Limit(id) }
+func (c *invariantChecker) limit(id cluster.ModelID) int { return c.state.Allotment.Limit(id) }
 
-func (c *checker) candidates(id cluster.ModelID) []cluster.MachineID {
+func (c *invariantChecker) candidates(id cluster.ModelID) []cluster.MachineID {
 	for _, model := range c.state.Allotment.Models {
 		if model.Model == id {
 			return model.Candidates
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -8,76 +8,81 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Scores of machines are seconds of expected waiting; smaller is better.
+// Scores of machines are expected waits in seconds. A smaller score is better.
 const (
-	// rackScore is added for each replica of the model in the same rack; chosen, not measured.
+	// rackScore is added for each replica of the model in the same rack, so that replicas
+	// spread over racks unless a load there is faster by more than this.
 	rackScore = 3.0
-	// loadScore is added in proportion to the machine's used request slots, or to the requests
-	// that a replica should serve at most; chosen, not measured.
-	loadScore = 2.0
-	// workScore is added for the share of its time that the machine reads prompts: a
-	// tenth more, for as long as the replica lasts, is worth a load that takes a second
-	// longer. Where a request waits for the replica it is waitingWorkScore: longer than
-	// that its prompt hardly waits for others, and the load shall not.
-	workScore        = 10.0
-	waitingWorkScore = 1.0
-	// fitScore prefers machines that the load fills better, which keeps large free memory for
-	// large models; chosen, not measured.
-	fitScore = 0.5
-	// unloadScore and drainScore are added while memory is still being freed by idle replicas or
-	// by ones with running requests; chosen, not measured.
+	// occupancyScore is added in proportion to the used request slots of the machine, or to the
+	// target number of requests of a replica if that is smaller. A full machine is therefore
+	// chosen only if others are slower by more than this.
+	occupancyScore = 2.0
+	// runningPrefillScore is added in proportion to the share of its time that the machine
+	// spends on prefill. A tenth more of that share, over the lifetime of a replica, outweighs
+	// a load that is one second faster. Where a request waits for the replica,
+	// waitingPrefillScore is used: its prompt hardly waits longer than that for other prompts,
+	// so a slower load is not worth it.
+	runningPrefillScore = 10.0
+	waitingPrefillScore = 1.0
+	// freeMemoryScore prefers machines with less free memory after the load, so that large free
+	// memory stays available for large models. It is smaller than the other scores and mainly
+	// decides between otherwise equal machines.
+	freeMemoryScore = 0.5
+	// unloadScore is added while idle replicas free the memory. drainScore is added while
+	// replicas with running requests do, which takes longer than unloading an idle replica.
 	unloadScore = 1.0
 	drainScore  = 10.0
-	// storeScore is added when the load has to wait for the store; chosen, not measured.
+	// storeScore is added if the load has to wait for the weight store, so that an eviction on
+	// a machine with a cached copy may come first.
 	storeScore = 5.0
 )
 
-// choice is the outcome of scoring the machines for one load.
-type choice struct {
-	// class of the load that is being placed.
-	class class
-	// top holds the best machines that can take the load now, best first.
-	top []scored
-	// later is the best machine that can take it once unloads under way are
-	// done, or none; its score counts the wait.
-	later      int32
-	laterScore float64
-	// storeBlocked is the best machine that only the store's limit forbids.
+// machineChoice is the result of scoring the machines for one load.
+type machineChoice struct {
+	// class is the class of the load.
+	class loadClass
+	// ranked holds the best machines that can take the load now, best first.
+	ranked []scoredMachine
+	// afterUnload is the best machine that can take the load after the running unloads, or
+	// noIndex. Its score includes the wait.
+	afterUnload      int32
+	afterUnloadScore float64
+	// storeBlocked is the best machine that is excluded only by the store's limit, or noIndex.
 	storeBlocked      int32
 	storeBlockedScore float64
-	filtered          [filterCauses]int
+	filtered          [filterCauseCount]int
 }
 
-// scored is one machine that can take a load.
-type scored struct {
-	machine int32
-	need    need
-	score   float64
+// scoredMachine is a machine that can take a load, with its score.
+type scoredMachine struct {
+	machine      int32
+	requirements loadRequirements
+	score        float64
 }
 
-// need is what a load takes on one machine.
-type need struct {
+// loadRequirements describes what a load needs on one machine.
+type loadRequirements struct {
 	bytes int64
-	// withBase is set when the base model has to be loaded first, baseLoading
-	// when that is under way.
+	// withBase is set if the base model has to be loaded first, and baseLoading if that load is
+	// under way.
 	withBase       bool
 	baseLoading    bool
 	tier, baseTier cluster.Tier
-	expected       time.Duration
-	remote         int
+	expectedTime   time.Duration
+	storeLoads     int
 }
 
-// filterCauses is the number of causes that leave out machines.
-const filterCauses = 10
+// filterCauseCount is the number of causes for which machines are excluded.
+const filterCauseCount = 10
 
-// filters lists the causes in the order in which they are tested.
-var filters = [filterCauses]Cause{
+// filterCausesInOrder lists the causes by filter index.
+var filterCausesInOrder = [filterCauseCount]Cause{
 	CauseNotCandidate, CauseNoMachine, CauseUnsealed, CauseMachineLeaves,
 	CauseHolds, CauseBaseMissing, CauseNoMemory, CauseStoreLimit, CauseBusy,
-	CauseMachineNeeded,
+	CauseKeptForLocalLoads,
 }
 
-// Indexes into filters.
+// Indexes into filterCausesInOrder.
 const (
 	filterNotCandidate = iota
 	filterPool
@@ -88,103 +93,103 @@
 	filterMemory
 	filterStore
 	filterBusy
-	filterNeeded
+	filterKeptForLocalLoads
 )
 
-// choose scores the machines that may hold one more replica of the model.
-func (r *round) choose(i int32, why class) *choice {
-	c := &r.choice
-	c.class = why
-	c.top = c.top[:0]
-	c.later, c.storeBlocked = none, none
-	c.filtered = [filterCauses]int{}
+// chooseMachine scores the machines that may hold one more replica of the model.
+func (r *round) chooseMachine(i int32, class loadClass) *machineChoice {
+	choice := &r.choice
+	choice.class = class
+	choice.ranked = choice.ranked[:0]
+	choice.afterUnload, choice.storeBlocked = noIndex, noIndex
+	choice.filtered = [filterCauseCount]int{}
 	model := &r.models[i]
 	if len(model.candidates) == 0 {
 		for m := range r.machines {
-			r.consider(c, i, int32(m))
+			r.evaluateMachine(choice, i, int32(m))
 		}
-		return c
+		return choice
 	}
-	c.filtered[filterNotCandidate] = len(r.machines)
+	choice.filtered[filterNotCandidate] = len(r.machines)
 	for _, id := range model.candidates {
 		if m, ok := r.findMachine(id); ok {
-			c.filtered[filterNotCandidate]--
-			r.consider(c, i, m)
+			choice.filtered[filterNotCandidate]--
+			r.evaluateMachine(choice, i, m)
 		}
 	}
-	return c
+	return choice
 }
 
-// consider filters and scores one machine.
-func (r *round) consider(c *choice, i, m int32) {
-	if filter := r.filter(i, m); filter >= 0 {
-		c.filtered[filter]++
+// evaluateMachine filters and scores one machine.
+func (r *round) evaluateMachine(choice *machineChoice, i, m int32) {
+	if filter := r.failedFilter(i, m); filter >= 0 {
+		choice.filtered[filter]++
 		return
 	}
-	needs, ok := r.needOn(i, m)
+	needs, ok := r.requirementsOn(i, m)
 	if !ok {
-		c.filtered[filterBase]++
+		choice.filtered[filterBase]++
 		return
 	}
-	score := r.score(i, m, &needs) + r.workScore(m, c.class)
+	score := r.machineScore(i, m, &needs) + r.prefillScore(m, choice.class)
 	machine := &r.machines[m]
 	if r.lacksAdapterSlot(i, m) {
-		c.filtered[filterMemory]++
+		choice.filtered[filterMemory]++
 		return
 	}
-	if needs.bytes > machine.free-r.reserve(m, c.class) {
-		c.filtered[filterMemory]++
-		score += machine.unloadWait()
-		if needs.bytes <= machine.soon-r.reserve(m, c.class) && (c.later == none || score < c.laterScore) {
-			c.later, c.laterScore = m, score
+	if needs.bytes > machine.free-r.reservedBytes(m, choice.class) {
+		choice.filtered[filterMemory]++
+		score += machine.unloadDelayScore()
+		if needs.bytes <= machine.freeAfterUnloads-r.reservedBytes(m, choice.class) && (choice.afterUnload == noIndex || score < choice.afterUnloadScore) {
+			choice.afterUnload, choice.afterUnloadScore = m, score
 		}
 		return
 	}
-	if needs.remote > 0 && !r.storeAllows(c.class) {
-		c.filtered[filterStore]++
-		if c.storeBlocked == none || score < c.storeBlockedScore {
-			c.storeBlocked, c.storeBlockedScore = m, score
+	if needs.storeLoads > 0 && !r.storeAllows(choice.class) {
+		choice.filtered[filterStore]++
+		if choice.storeBlocked == noIndex || score < choice.storeBlockedScore {
+			choice.storeBlocked, choice.storeBlockedScore = m, score
 		}
 		return
 	}
-	if needs.remote > 0 && !r.storeLoadPays(i, m, r.remoteTime(i, &needs)) {
-		c.filtered[filterNeeded]++
+	if needs.storeLoads > 0 && !r.storeLoadIsWorthwhile(i, m, r.remoteLoadTime(i, &needs)) {
+		choice.filtered[filterKeptForLocalLoads]++
 		return
 	}
-	c.insert(scored{machine: m, need: needs, score: score}, r.config.Candidates)
+	choice.insert(scoredMachine{machine: m, requirements: needs, score: score}, r.config.Candidates)
 }
 
-// lacksAdapterSlot reports whether the model is an adapter and the machine has
-// no place left for one.
+// lacksAdapterSlot reports whether the model is an adapter and all adapter slots of the machine
+// are in use.
 func (r *round) lacksAdapterSlot(i, m int32) bool {
 	slots := r.state.Machines[m].AdapterSlots
-	return slots > 0 && r.catalogue.entries[i].base != none && r.machines[m].adapters >= slots
+	return slots > 0 && r.catalogue.entries[i].base != noIndex && r.machines[m].adapters >= slots
 }
 
-// prewarmReserve is the part of a machine's memory that prewarming leaves free for models with
-// waiting requests; its size is chosen, not measured.
-const prewarmReserve = 0.1
+// prewarmReserveShare is the share of a machine's memory that prewarming leaves free, so that
+// models with waiting requests find memory without an eviction.
+const prewarmReserveShare = 0.1
 
-// reserve is the memory that loads of the class leave free.
-func (r *round) reserve(m int32, why class) int64 {
-	if why != classPrewarm {
+// reservedBytes returns the memory that loads of the class must leave free on the machine.
+func (r *round) reservedBytes(m int32, class loadClass) int64 {
+	if class != classPrewarm {
 		return 0
 	}
-	return int64(prewarmReserve * float64(r.state.Machines[m].MemoryBytes))
+	return int64(prewarmReserveShare * float64(r.state.Machines[m].MemoryBytes))
 }
 
-// unloadWait is the score of waiting for unloads, shorter for idle replicas
-// than for those that finish requests first.
-func (m *machineRound) unloadWait() float64 {
+// unloadDelayScore returns the score of waiting for the running unloads. It is smaller for idle
+// replicas than for ones that finish requests first.
+func (m *machineState) unloadDelayScore() float64 {
 	if m.draining {
 		return drainScore
 	}
 	return unloadScore
 }
 
-// filter returns the first filter that leaves the machine out whatever its free
-// memory, or -1.
-func (r *round) filter(i, m int32) int {
+// failedFilter returns the index of the first filter other than memory that excludes the
+// machine, or -1.
+func (r *round) failedFilter(i, m int32) int {
 	machine := &r.machines[m]
 	switch {
 	case machine.pool != r.catalogue.entries[i].pool:
@@ -193,7 +198,7 @@
 		return filterUnsealed
 	case r.state.Machines[m].Leaving:
 		return filterLeaving
-	case r.holds(m, i) || r.planned(m, i):
+	case r.holds(m, i) || r.loadPlanned(m, i):
 		return filterHolds
 	case r.state.Machines[m].Busy:
 		return filterBusy
@@ -201,16 +206,16 @@
 	return -1
 }
 
-// needOn returns what the load takes on the machine; false when the base model
-// is not there and may not be loaded there.
-func (r *round) needOn(i, m int32) (need, bool) {
+// requirementsOn returns what the load needs on the machine. It returns false if the base model
+// is not on the machine and may not be loaded there.
+func (r *round) requirementsOn(i, m int32) (loadRequirements, bool) {
 	entry, machine := &r.catalogue.entries[i], &r.state.Machines[m]
-	result := need{bytes: entry.model.Policy.Memory, tier: machine.Cached[entry.model.ID]}
-	result.expected = r.loadTime(i, result.tier)
-	if result.tier == cluster.TierRemote && !(r.config.AdaptersUnlimited && entry.base != none) {
-		result.remote++
+	result := loadRequirements{bytes: entry.model.Policy.Memory, tier: machine.Cached[entry.model.ID]}
+	result.expectedTime = r.loadTime(i, result.tier)
+	if result.tier == cluster.TierRemote && !(r.config.AdaptersUnlimited && entry.base != noIndex) {
+		result.storeLoads++
 	}
-	if entry.base == none {
+	if entry.base == noIndex {
 		return result, entry.model.Base == ""
 	}
 	switch r.baseState(m, entry.base) {
@@ -226,39 +231,38 @@
 	result.withBase = true
 	result.bytes += base.model.Policy.Memory
 	result.baseTier = machine.Cached[base.model.ID]
-	result.expected += r.loadTime(entry.base, result.baseTier)
+	result.expectedTime += r.loadTime(entry.base, result.baseTier)
 	if result.baseTier == cluster.TierRemote {
-		result.remote++
+		result.storeLoads++
 	}
 	return result, true
 }
 
-// baseState tells of a base model on a machine that an adapter may join.
-type baseState uint8
+// basePresence is the state of a base model on a machine that an adapter may join.
+type basePresence uint8
 
 const (
-	// baseAbsent means that it may be loaded there.
-	baseAbsent baseState = iota
+	// baseAbsent means that the base model may be loaded on the machine.
+	baseAbsent basePresence = iota
 	baseLoading
 	baseReady
 	baseBlocked
 )
 
-// baseState returns whether the base model is on the machine, may be loaded
-// there, or neither.
-func (r *round) baseState(m, base int32) baseState {
-	if r.planned(m, base) {
+// baseState returns whether the base model is on the machine, may be loaded there, or neither.
+func (r *round) baseState(m, base int32) basePresence {
+	if r.loadPlanned(m, base) {
 		return baseLoading
 	}
-	for i := range r.slotsOf(m) {
-		ref := &r.slotsOf(m)[i]
-		if ref.model != base {
+	for i := range r.replicasOn(m) {
+		replica := &r.replicasOn(m)[i]
+		if replica.model != base {
 			continue
 		}
 		switch {
-		case !ref.useful:
+		case !replica.serving:
 			return baseBlocked
-		case ref.slot.State != cluster.ReplicaLoaded || ref.slot.Unknown:
+		case replica.slot.State != cluster.ReplicaLoaded || replica.slot.Unknown:
 			return baseLoading
 		}
 		return baseReady
@@ -273,74 +277,75 @@
 	return baseAbsent
 }
 
-// planned reports whether this round already loads the model on the machine.
-func (r *round) planned(m, model int32) bool {
-	return slices.Contains(r.loads, placed{machine: m, model: model})
+// loadPlanned reports whether this round already loads the model on the machine.
+func (r *round) loadPlanned(m, model int32) bool {
+	return slices.Contains(r.plannedLoads, plannedLoad{machine: m, model: model})
 }
 
-// score rates a machine that passed the filters.
-func (r *round) score(i, m int32, needs *need) float64 {
+// machineScore returns the score of a machine that passed the filters.
+func (r *round) machineScore(i, m int32, needs *loadRequirements) float64 {
 	machine := &r.state.Machines[m]
 	slots := machine.Slots
 	if slots <= 0 {
 		slots = r.config.DefaultSlots
 	}
-	score := needs.expected.Seconds() * float64(1+r.machines[m].loading)
-	score += loadScore * float64(machine.Load.Running+machine.Load.Queued) / bounded(float64(slots), r.config.TargetRunning)
-	for s := r.models[i].first; s != none; s = r.slots[s].next {
-		ref := &r.slots[s]
-		if !ref.unloading && machine.Rack != "" && r.state.Machines[ref.machine].Rack == machine.Rack {
+	score := needs.expectedTime.Seconds() * float64(1+r.machines[m].loading)
+	score += occupancyScore * float64(machine.Load.Running+machine.Load.Queued) / capAt(float64(slots), r.config.TargetRunning)
+	for s := r.models[i].firstReplica; s != noIndex; s = r.replicas[s].next {
+		replica := &r.replicas[s]
+		if !replica.unloading && machine.Rack != "" && r.state.Machines[replica.machine].Rack == machine.Rack {
 			score += rackScore
 		}
 	}
 	if machine.MemoryBytes > 0 {
-		score += fitScore * float64(r.machines[m].free-needs.bytes) / float64(machine.MemoryBytes)
+		score += freeMemoryScore * float64(r.machines[m].free-needs.bytes) / float64(machine.MemoryBytes)
 	}
 	return score
 }
 
-// workScore rates what a machine reads already, for a load of the class.
-func (r *round) workScore(m int32, why class) float64 {
-	weight := workScore
-	if why <= classLoad {
-		weight = waitingWorkScore
+// prefillScore returns the score for the present prefill load of a machine, for a load of the
+// class.
+func (r *round) prefillScore(m int32, class loadClass) float64 {
+	weight := runningPrefillScore
+	if class <= classRunning {
+		weight = waitingPrefillScore
 	}
-	return weight * min(r.machines[m].reading, 1)
+	return weight * min(r.machines[m].prefillShare, 1)
 }
 
-// insert keeps the best few machines in order.
-func (c *choice) insert(next scored, limit int) {
-	at, _ := slices.BinarySearchFunc(c.top, next, func(a, b scored) int {
+// insert adds a machine to the ranking and keeps the best ones up to the limit.
+func (c *machineChoice) insert(next scoredMachine, limit int) {
+	at, _ := slices.BinarySearchFunc(c.ranked, next, func(a, b scoredMachine) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.machine, b.machine))
 	})
 	if at >= limit {
 		return
 	}
-	c.top = slices.Insert(c.top, at, next)
-	if len(c.top) > limit {
-		c.top = c.top[:limit]
+	c.ranked = slices.Insert(c.ranked, at, next)
+	if len(c.ranked) > limit {
+		c.ranked = c.ranked[:limit]
 	}
 }
 
-// explain adds the candidates and filters of a choice to a reason.
-func (r *round) explain(reason *Reason, c *choice) {
-	if len(c.top) > 0 {
-		reason.Candidates = make([]Candidate, len(c.top))
+// addChoice adds the ranked machines and the exclusion counts of a choice to a reason.
+func (r *round) addChoice(reason *Reason, choice *machineChoice) {
+	if len(choice.ranked) > 0 {
+		reason.Candidates = make([]Candidate, len(choice.ranked))
 	}
-	for i, option := range c.top {
+	for i, option := range choice.ranked {
 		reason.Candidates[i] = Candidate{
-			Machine: r.state.Machines[option.machine].ID, Tier: option.need.tier,
-			ExpectedTime: option.need.expected, FreeBytes: r.machines[option.machine].free, Score: option.score,
+			Machine: r.state.Machines[option.machine].ID, Tier: option.requirements.tier,
+			ExpectedTime: option.requirements.expectedTime, FreeBytes: r.machines[option.machine].free, Score: option.score,
 		}
 	}
-	for filter, count := range c.filtered {
+	for filter, count := range choice.filtered {
 		if count > 0 {
-			reason.Filtered = append(reason.Filtered, FilterCount{Cause: filters[filter], Count: count})
+			reason.Filtered = append(reason.Filtered, FilterCount{Cause: filterCausesInOrder[filter], Count: count})
 		}
 	}
 }
 
-// findMachine returns the index of a machine by its identifier.
+// findMachine returns the index of a machine by its ID, or false.
 func (r *round) findMachine(id cluster.MachineID) (int32, bool) {
 	m, ok := slices.BinarySearchFunc(r.state.Machines, id, func(machine Machine, id cluster.MachineID) int {
 		return cmp.Compare(machine.ID, id)
--- a/placement/engines_test.go
+++ b/placement/engines_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// TestIdleModelsStay until their memory is wanted.
-func TestIdleModelsStay(t *testing.T) {
+// TestIdleModelStaysUntilMemoryIsNeeded until their memory is wanted.
+func TestIdleModelStaysUntilMemoryIsNeeded(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("a", nil), testModel("b", nil)), 1)
-	hold(&state, 0, "a")
+	addLoadedReplica(&state, 0, "a")
 	planner := NewPlanner(engineConfig())
 	planner.Plan(state)
 	state.Now = state.Now.Add(24 * time.Hour)
@@ -59,11 +59,11 @@
 
 // TestAdapterPlacesAreKept: an adapter goes to a machine with a place for it; with
 // none, the least valuable idle adapter makes way.
-func TestAdapterPlacesAreKept(t *testing.T) {
+func TestAdapterSlotLimitIsKept(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("base", nil), adapterOf("base", "x"), adapterOf("base", "y")), 1)
 	state.Machines[0].AdapterSlots = 1
-	hold(&state, 0, "base")
-	hold(&state, 0, "x")
+	addLoadedReplica(&state, 0, "base")
+	addLoadedReplica(&state, 0, "x")
 	state.Demand["y"] = Demand{Waiting: 1}
 	planner := NewPlanner(engineConfig())
 	expectActions(t, planner.Plan(state), "unload x on machine-0000")
@@ -71,17 +71,17 @@
 	state.Now = state.Now.Add(time.Second)
 	expectActions(t, planner.Plan(state), "load y on machine-0000")
 	state.Demand["x"], state.Demand["y"] = Demand{Running: 1}, Demand{Waiting: 1}
-	hold(&state, 0, "x")
+	addLoadedReplica(&state, 0, "x")
 	expectActions(t, NewPlanner(engineConfig()).Plan(state))
 }
 
 // TestAdaptersNeedNoStore: adapters are loaded though the store allows no load.
-func TestAdaptersNeedNoStore(t *testing.T) {
+func TestAdapterLoadsDespiteStoreLimit(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("base", nil), adapterOf("base", "x")), 1)
 	state.Store = StoreState{StartsPerSecond: 0.0001, Concurrency: 1, Speed: 1}
-	hold(&state, 0, "base")
+	addLoadedReplica(&state, 0, "base")
 	planner := NewPlanner(engineConfig())
-	planner.store.allowance = 0
+	planner.store.startTokens = 0
 	state.Demand["x"] = Demand{Waiting: 1}
 	planner.Plan(state)
 	state.Now = state.Now.Add(time.Millisecond)
@@ -89,7 +89,7 @@
 }
 
 // TestBusyMachineTakesNoOrder: the plan passes it by.
-func TestBusyMachineTakesNoOrder(t *testing.T) {
+func TestBusyMachineGetsNoAction(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("a", nil)), 2)
 	state.Machines[0].Busy = true
 	state.Demand["a"] = Demand{Waiting: 1}
@@ -98,16 +98,16 @@
 
 // TestSaturatedReplicaGetsHelp: running requests that hold each other up take the
 // memory of an idle model, though nothing waits, and growth is bounded.
-func TestSaturatedReplicaGetsHelp(t *testing.T) {
+func TestSaturatedReplicaEvictsIdleModels(t *testing.T) {
 	many := func(m *settings.Model) { m.Policy.MaxReplicas = 8 }
 	state := testState(testSnapshot(1, testModel("hot", many), testModel("idle", many)), 6)
 	for i := range state.Machines {
 		state.Machines[i].MemoryBytes = 10 * gigabyte
 		if i > 0 {
-			hold(&state, i, "idle")
+			addLoadedReplica(&state, i, "idle")
 		}
 	}
-	hold(&state, 0, "hot")
+	addLoadedReplica(&state, 0, "hot")
 	state.Demand["hot"] = Demand{Running: 60}
 	plan := NewPlanner(engineConfig()).Plan(state)
 	unloads := 0
@@ -123,18 +123,18 @@
 
 // TestBaseTakesItsAdaptersAlong: the unload of a base model needs no unloads of its
 // adapters.
-func TestBaseTakesItsAdaptersAlong(t *testing.T) {
+func TestBaseUnloadIncludesItsAdapters(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("base", nil), adapterOf("base", "x"), testModel("rare", nil)), 1)
 	state.Machines[0].MemoryBytes = 12 * gigabyte
-	hold(&state, 0, "base")
-	hold(&state, 0, "x")
+	addLoadedReplica(&state, 0, "base")
+	addLoadedReplica(&state, 0, "x")
 	state.Demand["rare"] = Demand{Waiting: 1}
 	expectActions(t, NewPlanner(engineConfig()).Plan(state), "unload base on machine-0000")
 }
 
 // TestAdapterAwaitsItsBase: an adapter waits for the base model that a busy engine is
 // loading, and has it loaded elsewhere only when that engine has no place for it.
-func TestAdapterAwaitsItsBase(t *testing.T) {
+func TestAdapterWaitsForLoadingBase(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("base", func(m *settings.Model) { m.Policy.MaxReplicas = 8 }), adapterOf("base", "x"), adapterOf("base", "y")), 3)
 	for i := range state.Machines {
 		state.Machines[i].AdapterSlots = 1
@@ -143,7 +143,7 @@
 	planner := NewPlanner(engineConfig())
 	plan := planner.Plan(state)
 	expectActions(t, plan, "load base on machine-0000")
-	hold(&state, 0, "base").State = cluster.ReplicaLoading
+	addLoadedReplica(&state, 0, "base").State = cluster.ReplicaLoading
 	state.Machines[0].Busy = true
 	for range 5 {
 		state.Now = state.Now.Add(300 * time.Millisecond)
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -7,60 +7,61 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// victim is one replica that may be evicted, together with the adapters on its
-// machine when it is a base model, and the loss of doing so.
+// victim is one replica that may be evicted, with the loss that this causes. For a base model
+// it includes the adapters on the same machine.
 type victim struct {
 	slot  int32
 	bytes int64
 	loss  float64
 }
 
-// evictFor unloads the replicas of least value on the machine where that
-// serves the request best, when it is worth more than the best score without
-// an eviction: a machine that has the checkpoint cached may be worth it though
-// another has free memory. It reports whether it planned one.
-func (r *round) evictFor(request *request, c *choice, now float64) bool {
+// evictFor plans the eviction for a load request on the machine where wait and loss together
+// cost least, if that costs less than the best score without an eviction. A machine with a
+// cached checkpoint may be worth an eviction even though another has free memory. It reports
+// whether it planned one.
+func (r *round) evictFor(request *loadRequest, choice *machineChoice, delay float64) bool {
 	i := request.model
-	m, needs := r.bestEviction(request, now)
-	if m == none {
+	m, needs := r.bestEviction(request, delay)
+	if m == noIndex {
 		return false
 	}
 	r.selectVictims(request, m, needs.bytes)
-	for s := r.machines[m].from; s < r.machines[m].to; s++ {
-		if r.slots[s].taken && !r.slots[s].unloading && !r.goesWithBase(&r.slots[s]) {
-			r.evict(&r.slots[s], request)
+	for s := r.machines[m].firstReplica; s < r.machines[m].endReplica; s++ {
+		if r.replicas[s].selected && !r.replicas[s].unloading && !r.unloadedWithBase(&r.replicas[s]) {
+			r.evict(&r.replicas[s], request)
 		}
 	}
-	r.claim(m, needs.bytes)
+	r.reserveMemory(m, needs.bytes)
 	reason := r.reason(i, CauseNoMemory, keyMemory)
-	r.explain(&reason, c)
+	r.addChoice(&reason, choice)
 	r.models[i].reason = reason
 	return true
 }
 
-// bestEviction returns the machine where the wait of the request's work plus
-// the loss of the victims is least, or none when that is not better than now.
-func (r *round) bestEviction(request *request, now float64) (int32, need) {
+// bestEviction returns the machine where the wait of the load request plus the loss of the
+// victims costs least, or noIndex if that is no less than the given delay without an eviction.
+func (r *round) bestEviction(request *loadRequest, delay float64) (int32, loadRequirements) {
 	i := request.model
-	best, bestNeed, bestCost := none, need{}, r.delayCost(request, now)
+	best, bestNeed, bestCost := noIndex, loadRequirements{}, r.delayCost(request, delay)
 	for m := range r.machines {
-		if r.machines[m].pool != r.catalogue.entries[i].pool || !r.mayHold(i, int32(m)) {
+		if r.machines[m].pool != r.catalogue.entries[i].pool || !r.passesFilters(i, int32(m)) {
 			continue
 		}
-		needs, ok := r.needOn(i, int32(m))
-		if !ok || needs.bytes <= r.machines[m].soon && !r.lacksAdapterSlot(i, int32(m)) {
+		needs, ok := r.requirementsOn(i, int32(m))
+		if !ok || needs.bytes <= r.machines[m].freeAfterUnloads && !r.lacksAdapterSlot(i, int32(m)) {
 			continue
 		}
-		blocked := needs.remote > 0 && !r.storeAllows(request.class)
-		if blocked && request.class >= classReading {
-			// Nothing waits for it: what makes way would be missed until the store allows it.
+		blocked := needs.storeLoads > 0 && !r.storeAllows(request.class)
+		if blocked && request.class >= classPrefill {
+			// No request waits for this load, but the evicted model would be missing until the
+			// store allows the load.
 			continue
 		}
-		if needs.remote > 0 && !r.storeLoadPays(i, int32(m), r.remoteTime(i, &needs)) {
-			r.choice.filtered[filterNeeded]++
+		if needs.storeLoads > 0 && !r.storeLoadIsWorthwhile(i, int32(m), r.remoteLoadTime(i, &needs)) {
+			r.choice.filtered[filterKeptForLocalLoads]++
 			continue
 		}
-		wait := r.score(i, int32(m), &needs) + r.workScore(int32(m), request.class) + unloadScore
+		wait := r.machineScore(i, int32(m), &needs) + r.prefillScore(int32(m), request.class) + unloadScore
 		if blocked {
 			wait += storeScore
 		}
@@ -75,96 +76,96 @@
 	return best, bestNeed
 }
 
-// waitCost is what it costs the model's requests to wait so many seconds, in
-// the unit of the retention's values.
+// waitCost returns the cost of the given wait for the model's requests, in the unit of
+// retention.keepValue.
 func (r *round) waitCost(i int32, seconds float64) float64 {
 	entry := &r.catalogue.entries[i]
-	requests := max(float64(r.models[i].demand.Waiting), entry.track.requestsAtWake())
-	return (minimumWeight + entry.model.Policy.ColdStartWeight) * requests * tailSeconds(seconds)
+	requests := max(float64(r.models[i].demand.Waiting), entry.history.requestsPerWakeUp())
+	return (minObjectiveWeight + entry.model.Policy.ColdStartWeight) * requests * coldStartCostOfSeconds(seconds)
 }
 
-// delayCost is what it costs when the request is served in so many seconds.
-func (r *round) delayCost(request *request, seconds float64) float64 {
+// delayCost returns the cost of serving the load request after the given number of seconds.
+func (r *round) delayCost(request *loadRequest, seconds float64) float64 {
 	switch request.class {
-	case classReading:
-		return r.readingCost(request.model, r.models[request.model].useful, seconds)
-	case classCopy:
-		return r.copyCost(request.model, seconds)
+	case classPrefill:
+		return r.prefillPauseCost(request.model, r.models[request.model].serving, seconds)
+	case classMissingCopy:
+		return r.missingCopyCost(request.model, seconds)
 	}
 	return r.waitCost(request.model, seconds)
 }
 
-// mayHold reports whether the machine passes every filter but memory.
-func (r *round) mayHold(i, m int32) bool {
+// passesFilters reports whether the machine passes every filter except memory.
+func (r *round) passesFilters(i, m int32) bool {
 	candidates := r.models[i].candidates
 	if len(candidates) > 0 && !slices.Contains(candidates, r.state.Machines[m].ID) {
 		return false
 	}
-	return r.filter(i, m) < 0
+	return r.failedFilter(i, m) < 0
 }
 
-// evict unloads one replica. A base model follows its adapters in a later
-// round, once they are gone.
-func (r *round) evict(ref *slotRound, request *request) {
-	if r.baseInUse(ref.machine, ref.model) && !r.config.UnloadDropsAdapters {
+// evict plans the unload of one replica. A base model with adapters is unloaded in a later
+// round, after they are gone.
+func (r *round) evict(replica *replicaState, request *loadRequest) {
+	if r.baseInUse(replica.machine, replica.model) && !r.config.UnloadDropsAdapters {
 		return
 	}
-	reason := r.reason(ref.model, CauseEvicted, keyColdStartWeight)
+	reason := r.reason(replica.model, CauseEvicted, keyColdStartWeight)
 	reason.Waiting = r.models[request.model].demand.Waiting
-	reason.Idle = r.catalogue.entries[ref.model].track.idle(r.state.Now)
-	r.models[ref.model].reason = reason
-	r.unloadSlot(ref, reason)
+	reason.Idle = r.catalogue.entries[replica.model].history.idle(r.state.Now)
+	r.models[replica.model].reason = reason
+	r.addUnload(replica, reason)
 }
 
-// goesWithBase reports whether an adapter needs no unload of its own, because its
-// base model is taken from the same machine and takes it along.
-func (r *round) goesWithBase(ref *slotRound) bool {
-	base := none
-	if ref.model != none {
-		base = r.catalogue.entries[ref.model].base
+// unloadedWithBase reports whether an adapter needs no unload of its own because its base model
+// is evicted from the same machine and includes it.
+func (r *round) unloadedWithBase(replica *replicaState) bool {
+	base := noIndex
+	if replica.model != noIndex {
+		base = r.catalogue.entries[replica.model].base
 	}
-	if base == none || !r.config.UnloadDropsAdapters {
+	if base == noIndex || !r.config.UnloadDropsAdapters {
 		return false
 	}
-	for _, user := range r.slotsOf(ref.machine) {
-		if user.model == base && user.taken {
+	for _, dependent := range r.replicasOn(replica.machine) {
+		if dependent.model == base && dependent.selected {
 			return true
 		}
 	}
 	return false
 }
 
-// selectVictims marks the replicas on the machine whose unload frees the bytes
-// at the least loss; false when that can't be reached.
-func (r *round) selectVictims(request *request, m int32, bytes int64) (loss float64, enough bool) {
+// selectVictims selects replicas on the machine that free the given bytes, those with the
+// smallest loss per byte first. It returns false if they can't free enough.
+func (r *round) selectVictims(request *loadRequest, m int32, bytes int64) (loss float64, enough bool) {
 	r.victims = r.victims[:0]
-	for s := r.machines[m].from; s < r.machines[m].to; s++ {
-		r.slots[s].taken = false
+	for s := r.machines[m].firstReplica; s < r.machines[m].endReplica; s++ {
+		r.replicas[s].selected = false
 		if r.evictable(request, s) {
-			r.victims = append(r.victims, r.victimOf(s))
+			r.victims = append(r.victims, r.newVictim(s))
 		}
 	}
 	if r.lacksAdapterSlot(request.model, m) {
-		return r.selectAdapter()
+		return r.selectAdapterVictim()
 	}
 	slices.SortFunc(r.victims, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(a.loss/float64(a.bytes), b.loss/float64(b.bytes)), cmp.Compare(a.slot, b.slot))
 	})
-	short := bytes - r.machines[m].soon
-	for k := 0; k < len(r.victims) && short > 0; k++ {
-		short -= r.take(r.victims[k].slot)
+	missing := bytes - r.machines[m].freeAfterUnloads
+	for k := 0; k < len(r.victims) && missing > 0; k++ {
+		missing -= r.selectWithAdapters(r.victims[k].slot)
 		loss += r.victims[k].loss
 	}
-	return loss, short <= 0
+	return loss, missing <= 0
 }
 
-// selectAdapter marks the adapter of least value among the victims, to make a
-// place for another one.
-func (r *round) selectAdapter() (loss float64, enough bool) {
+// selectAdapterVictim selects the adapter with the smallest loss among the victims, to free an
+// adapter slot.
+func (r *round) selectAdapterVictim() (loss float64, enough bool) {
 	best := -1
 	for k := range r.victims {
-		ref := &r.slots[r.victims[k].slot]
-		if r.catalogue.entries[ref.model].base == none {
+		replica := &r.replicas[r.victims[k].slot]
+		if r.catalogue.entries[replica.model].base == noIndex {
 			continue
 		}
 		if best < 0 || r.victims[k].loss < r.victims[best].loss {
@@ -174,109 +175,110 @@
 	if best < 0 {
 		return 0, false
 	}
-	r.take(r.victims[best].slot)
+	r.selectWithAdapters(r.victims[best].slot)
 	return r.victims[best].loss, true
 }
 
-// take marks a replica, and the adapters that go with it, and returns the bytes
-// that this frees beyond what was marked or unloading before.
-func (r *round) take(s int32) (freed int64) {
-	ref := &r.slots[s]
-	users := r.slotsOf(ref.machine)
-	for i := range users {
-		user := &users[i]
-		goes := user == ref || user.model != none && r.catalogue.entries[user.model].base == ref.model
-		if !goes || user.taken {
+// selectWithAdapters selects a replica and its dependent adapters. It returns the bytes that
+// this frees in addition to those of replicas already selected or unloading.
+func (r *round) selectWithAdapters(s int32) (freed int64) {
+	replica := &r.replicas[s]
+	replicas := r.replicasOn(replica.machine)
+	for i := range replicas {
+		dependent := &replicas[i]
+		included := dependent == replica || dependent.model != noIndex && r.catalogue.entries[dependent.model].base == replica.model
+		if !included || dependent.selected {
 			continue
 		}
-		user.taken = true
-		if !user.unloading {
-			freed += user.slot.Bytes
+		dependent.selected = true
+		if !dependent.unloading {
+			freed += dependent.slot.Bytes
 		}
 	}
 	return freed
 }
 
-// victimOf values one replica and the adapters that go with it.
-func (r *round) victimOf(s int32) victim {
-	ref := &r.slots[s]
+// newVictim returns the bytes and the loss of one replica and its dependent adapters.
+func (r *round) newVictim(s int32) victim {
+	replica := &r.replicas[s]
 	result := victim{slot: s}
-	users := r.slotsOf(ref.machine)
-	for i := range users {
-		user := &users[i]
-		goes := user == ref || user.model != none && r.catalogue.entries[user.model].base == ref.model
-		if goes && !user.unloading {
-			result.bytes += user.slot.Bytes
-			result.loss += r.lossOf(user)
+	replicas := r.replicasOn(replica.machine)
+	for i := range replicas {
+		dependent := &replicas[i]
+		included := dependent == replica || dependent.model != noIndex && r.catalogue.entries[dependent.model].base == replica.model
+		if included && !dependent.unloading {
+			result.bytes += dependent.slot.Bytes
+			result.loss += r.evictionLoss(dependent)
 		}
 	}
 	result.bytes = max(result.bytes, 1)
 	return result
 }
 
-// lossOf values one replica by the planner's retention. All replicas of a model that
-// would be loaded from the same tier are of one value while their number stays the same.
-func (r *round) lossOf(ref *slotRound) float64 {
-	entry := &r.catalogue.entries[ref.model]
-	tier := r.state.Machines[ref.machine].Cached[entry.model.ID]
-	known := &r.models[ref.model].losses[tier]
-	useful := r.models[ref.model].useful
-	if known.bytes == ref.slot.Bytes && known.bytes != 0 && known.useful == useful {
-		return known.loss
+// evictionLoss returns the loss of evicting one replica. The result is cached: it is equal for
+// all replicas of a model with the same size and tier as long as their number stays the same.
+func (r *round) evictionLoss(replica *replicaState) float64 {
+	entry := &r.catalogue.entries[replica.model]
+	tier := r.state.Machines[replica.machine].Cached[entry.model.ID]
+	cached := &r.models[replica.model].lossByTier[tier]
+	useful := r.models[replica.model].serving
+	if cached.bytes == replica.slot.Bytes && cached.bytes != 0 && cached.useful == useful {
+		return cached.loss
 	}
-	known.bytes, known.useful = ref.slot.Bytes, useful
+	cached.bytes, cached.useful = replica.slot.Bytes, useful
 	if r.config.OneOrder {
-		known.loss = r.absenceCost(ref, tier) + r.drainCost(ref.model)
+		cached.loss = r.evictionCost(replica, tier) + r.drainCost(replica.model)
 	} else {
-		reload := r.loadTime(ref.model, tier)
-		known.loss = r.retention.value(entry.track, &entry.model.Policy, entry.track.idle(r.state.Now), reload)
+		reload := r.loadTime(replica.model, tier)
+		cached.loss = r.retention.keepValue(entry.history, &entry.model.Policy, entry.history.idle(r.state.Now), reload)
 	}
-	return known.loss
+	return cached.loss
 }
 
-// knownLoss is the loss of a replica of so many bytes, one of so many.
-type knownLoss struct {
+// cachedLoss is the loss of one replica, valid for its size and for the number of serving
+// replicas.
+type cachedLoss struct {
 	bytes  int64
 	useful int
 	loss   float64
 }
 
-// evictable reports whether the slot may make room for the request: it is
-// loaded, no minimum protects it, its model has no work of equal or higher
-// priority, and the same holds for the adapters that depend on it there.
-func (r *round) evictable(request *request, s int32) bool {
-	ref := &r.slots[s]
-	if !r.evictableAlone(request, ref) || r.catalogue.entries[request.model].base == ref.model {
+// evictable reports whether the replica may make room for the load request: it is loaded, no
+// minimum protects it, and its model has no requests of equal or higher priority. The same must
+// hold for the adapters that depend on it on the machine.
+func (r *round) evictable(request *loadRequest, s int32) bool {
+	replica := &r.replicas[s]
+	if !r.evictableWithoutAdapters(request, replica) || r.catalogue.entries[request.model].base == replica.model {
 		return false
 	}
-	users := r.slotsOf(ref.machine)
-	for i := range users {
-		user := &users[i]
+	replicas := r.replicasOn(replica.machine)
+	for i := range replicas {
+		dependent := &replicas[i]
 		switch {
-		case user.model == none:
-			if r.baseInUse(ref.machine, ref.model) {
+		case dependent.model == noIndex:
+			if r.baseInUse(replica.machine, replica.model) {
 				return false
 			}
-		case r.catalogue.entries[user.model].base != ref.model || user.unloading:
-		case !r.evictableAlone(request, user):
+		case r.catalogue.entries[dependent.model].base != replica.model || dependent.unloading:
+		case !r.evictableWithoutAdapters(request, dependent):
 			return false
 		}
 	}
 	return true
 }
 
-// evictableAlone is evictable without regard to adapters.
-func (r *round) evictableAlone(request *request, ref *slotRound) bool {
-	if ref.model == none || !ref.useful || ref.slot.State != cluster.ReplicaLoaded || !r.mayUnload(ref) {
+// evictableWithoutAdapters is evictable without the check of dependent adapters.
+func (r *round) evictableWithoutAdapters(request *loadRequest, replica *replicaState) bool {
+	if replica.model == noIndex || !replica.serving || replica.slot.State != cluster.ReplicaLoaded || !r.mayUnload(replica) {
 		return false
 	}
-	model, entry := &r.models[ref.model], &r.catalogue.entries[ref.model]
+	model, entry := &r.models[replica.model], &r.catalogue.entries[replica.model]
 	policy := &entry.model.Policy
-	if model.useful <= min(r.minimum(ref.model), model.limit) {
+	if model.serving <= min(r.minReplicas(replica.model), model.limit) {
 		return false
 	}
-	running := r.state.Machines[ref.machine].Load.PerModel[entry.model.ID]
-	if model.demand.Waiting+model.demand.Running+running == 0 || r.givesWay(request, ref.model) {
+	running := r.state.Machines[replica.machine].Load.PerModel[entry.model.ID]
+	if model.demand.Waiting+model.demand.Running+running == 0 || r.isPreemptible(request, replica.model) {
 		return true
 	}
 	return policy.Priority < r.catalogue.entries[request.model].model.Policy.Priority
--- a/placement/absence_test.go
+++ b/placement/eviction_cost_test.go
@@ -11,7 +11,7 @@
 // row takes the place of a rare model that comes back in time, from this or another
 // engine's disk, or that another engine has loaded. It doesn't take that of one that the
 // weight store alone has: its next caller would wait for 13 s.
-func TestWhatAReplicaForPromptsDisplaces(t *testing.T) {
+func TestPrefillReplicaEvictsOnlyQuicklyReloadedModel(t *testing.T) {
 	for name, test := range map[string]struct {
 		// here and there are where the rare model's weights are on the disk, and loaded
 		// whether the third engine holds it too.
@@ -25,7 +25,7 @@
 		"here and everywhere": {here: true, there: true, loaded: true, want: []string{"unload rare on machine-0001"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			state, planner := absenceState()
+			state, planner := evictionState()
 			if test.here {
 				state.Machines[1].Cached["rare"] = cluster.TierDisk
 			}
@@ -34,13 +34,13 @@
 			}
 			if test.loaded {
 				state.Machines[2].MemoryBytes = 10 * gigabyte
-				hold(&state, 2, "rare")
+				addLoadedReplica(&state, 2, "rare")
 			}
-			ask(&state, planner, 20, "rare")
+			requestEachSecond(&state, planner, 20, "rare")
 			state.Demand["rare"] = Demand{}
 			var plan Plan
 			for range 10 {
-				plan = read(&state, planner, "booking", 200*time.Millisecond, prompts(1, longPrompt))
+				plan = planWithDemand(&state, planner, "booking", 200*time.Millisecond, promptDemand(1, longPrompt))
 				if len(plan.Actions) > 0 {
 					break
 				}
@@ -50,9 +50,9 @@
 	}
 }
 
-// absenceState returns three engines, the first two with a place for one model each. The
+// evictionState returns three engines, the first two with a place for one model each. The
 // first holds booking, the second, which has booking's weights at hand, a rare model.
-func absenceState() (State, *AdaptivePlanner) {
+func evictionState() (State, *AdaptivePlanner) {
 	state, planner := readingState(3, testModel("rare", nil))
 	for i := range state.Machines {
 		state.Machines[i].MemoryBytes = 10 * gigabyte
@@ -66,20 +66,20 @@
 		}
 		return 800 * time.Millisecond
 	}
-	hold(&state, 1, "rare")
+	addLoadedReplica(&state, 1, "rare")
 	return state, planner
 }
 
 // TestVictimIsTheOneThatComesBackInTime: of two idle models asked for as often, the one
 // whose callers would still be answered in time makes way.
-func TestVictimIsTheOneThatComesBackInTime(t *testing.T) {
-	state, planner := absenceState()
+func TestVictimIsModelThatReloadsWithinObjective(t *testing.T) {
+	state, planner := evictionState()
 	state.Machines[0].Replicas, state.Machines[0].MemoryBytes = nil, gigabyte
 	state.Machines[1].MemoryBytes = 20 * gigabyte
 	entries := append(state.Settings.Models, testModel("strict", nil))
 	state.Settings = testSnapshot(2, entries...)
 	state.Allotment = testAllotment(state.Settings)
-	hold(&state, 1, "strict")
+	addLoadedReplica(&state, 1, "strict")
 	state.Machines[1].Cached["rare"], state.Machines[1].Cached["strict"] = cluster.TierDisk, cluster.TierDisk
 	for range 20 {
 		state.Now = state.Now.Add(time.Second)
@@ -88,14 +88,14 @@
 		planner.Plan(state)
 	}
 	clear(state.Demand)
-	plan := read(&state, planner, "booking", 200*time.Millisecond, Demand{Waiting: 1, Arrivals: 1})
+	plan := planWithDemand(&state, planner, "booking", 200*time.Millisecond, Demand{Waiting: 1, Arrivals: 1})
 	expectActions(t, plan, "unload rare on machine-0001")
 }
 
 // TestLostCopyDisplacesWhatComesBackQuickly: after the only engine with a model's weights
 // has gone, the model is loaded ahead of its next request in place of one that lies on the
 // same engine's disk, not of one that the store alone has; the one asked for most is first.
-func TestLostCopyDisplacesWhatComesBackQuickly(t *testing.T) {
+func TestLostModelReplacesOnlyQuicklyReloadedModel(t *testing.T) {
 	for name, test := range map[string]struct {
 		onDisk bool
 		want   []string
@@ -104,7 +104,7 @@
 		"only in the store": {false, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			state, planner := absenceState()
+			state, planner := evictionState()
 			entries := append(state.Settings.Models, testModel("gone", nil), testModel("gone-seldom", nil))
 			state.Settings = testSnapshot(2, entries...)
 			state.Allotment = testAllotment(state.Settings)
@@ -116,14 +116,14 @@
 			lost := state.Machines[2]
 			lost.MemoryBytes = 20 * gigabyte
 			state.Machines = append(state.Machines[:2:2], lost)
-			hold(&state, 2, "gone")
-			hold(&state, 2, "gone-seldom")
+			addLoadedReplica(&state, 2, "gone")
+			addLoadedReplica(&state, 2, "gone-seldom")
 			for second := range 20 {
 				asked := []cluster.ModelID{"gone"}
 				if second%5 == 0 {
 					asked = append(asked, "gone-seldom", "rare")
 				}
-				ask(&state, planner, 1, asked...)
+				requestEachSecond(&state, planner, 1, asked...)
 			}
 			state.Machines = state.Machines[:2]
 			state.Now = state.Now.Add(time.Second)
@@ -145,7 +145,7 @@
 // TestReplicaForPromptsGivesWay: a request that waits for a model takes the place of a
 // busy model's second replica, which ends its streams first, on the only engine that has
 // the model's weights at hand; never that of its only one, or of one that what runs needs.
-func TestReplicaForPromptsGivesWay(t *testing.T) {
+func TestPrefillReplicaIsEvictedForWaitingRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		second  bool
 		running int
@@ -156,9 +156,9 @@
 		"only replica":        {false, 2, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			state, planner := absenceState()
+			state, planner := evictionState()
 			state.Machines[1].Replicas = nil
-			hold(&state, 1, "booking")
+			addLoadedReplica(&state, 1, "booking")
 			state.Machines[1].Cached["rare"] = cluster.TierDisk
 			if !test.second {
 				state.Machines[0].Replicas, state.Machines[0].MemoryBytes = nil, gigabyte
@@ -174,7 +174,7 @@
 
 // TestNothingMakesWayForABlockedLoad: while the weight store lets no load begin, nothing is
 // unloaded for a replica that no request waits for.
-func TestNothingMakesWayForABlockedLoad(t *testing.T) {
+func TestNoEvictionForLoadBlockedByStore(t *testing.T) {
 	for name, test := range map[string]struct {
 		concurrency int
 		want        []string
@@ -183,7 +183,7 @@
 		"the store is busy": {1, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			state, planner := absenceState()
+			state, planner := evictionState()
 			clear(state.Machines[1].Cached)
 			state.Machines[0].Cached["booking"], state.Machines[1].Cached["rare"] = cluster.TierDisk, cluster.TierDisk
 			state.LoadTime = func(cluster.ModelID, cluster.Tier) time.Duration { return time.Second }
@@ -193,7 +193,7 @@
 			state.Machines = append(state.Machines, loading)
 			var plan Plan
 			for range 12 {
-				plan = read(&state, planner, "booking", 200*time.Millisecond, prompts(1, longPrompt))
+				plan = planWithDemand(&state, planner, "booking", 200*time.Millisecond, promptDemand(1, longPrompt))
 				if len(plan.Actions) > 0 {
 					break
 				}
--- a/placement/fleet_bench_test.go
+++ b/placement/fleet_bench_test.go
@@ -23,7 +23,7 @@
 			held := s.models * 9 / 10
 			for i := range s.machines {
 				for k := range 2 {
-					hold(&state, i, cluster.ModelID(fmt.Sprintf("base-%04d", (2*i+k)%held)))
+					addLoadedReplica(&state, i, cluster.ModelID(fmt.Sprintf("base-%04d", (2*i+k)%held)))
 				}
 			}
 			for i := range s.models / 10 {
--- a/placement/learn_test.go
+++ b/placement/learning_test.go
@@ -19,16 +19,16 @@
 		learned.add(start.Add(time.Duration(i)*2*time.Hour + time.Duration(i%3)*time.Minute))
 	}
 	next := start.Add(24 * time.Hour)
-	if chance := learned.chance(next.Add(time.Minute)); chance < 0.4 {
+	if chance := learned.probability(next.Add(time.Minute)); chance < 0.4 {
 		t.Errorf("chance at the period = %.2f", chance)
 	}
-	if chance := learned.chance(next.Add(-time.Hour)); chance != 0 {
+	if chance := learned.probability(next.Add(-time.Hour)); chance != 0 {
 		t.Errorf("chance between = %.2f", chance)
 	}
 }
 
-// TestClockStepsBack plans across a clock that is set back.
-func TestClockStepsBack(t *testing.T) {
+// TestClockStepBackKeepsStartTokensInBounds plans across a clock that is set back.
+func TestClockStepBackKeepsStartTokensInBounds(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("booking", nil)), 1)
 	planner := NewPlanner(Config{})
 	for _, minutes := range []int{0, 10, 20, 5, 15} {
@@ -39,14 +39,14 @@
 		state.Now = state.Now.Add(time.Minute)
 		planner.Plan(state)
 	}
-	if held := planner.store.allowance; held < 0 || held > 2 {
+	if held := planner.store.startTokens; held < 0 || held > 2 {
 		t.Errorf("allowance of store starts = %v", held)
 	}
 }
 
-// TestWindowsFollowObjective learns idle times of one minute, every so often of
+// TestScheduleFollowsObjective learns idle times of one minute, every so often of
 // an hour.
-func TestWindowsFollowObjective(t *testing.T) {
+func TestScheduleFollowsObjective(t *testing.T) {
 	cases := []struct {
 		name      string
 		everyLong int
@@ -61,7 +61,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			var gaps gapHistogram
+			var gaps idleHistogram
 			for i := range 40 {
 				if i%test.everyLong == 0 {
 					gaps.add(time.Hour)
@@ -69,54 +69,54 @@
 					gaps.add(time.Minute)
 				}
 			}
-			plan := gaps.plan(objective{
+			plan := gaps.optimalSchedule(keepObjective{
 				weight: test.weight, exchange: 1, requests: 1, limit: 4 * time.Hour,
-				cost: cost{coldStart: 20 * time.Second, share: 0.5},
+				cost: cost{coldStart: 20 * time.Second, acceleratorShare: 0.5},
 			})
 			if kept := plan.keepAlive(); kept < test.keepAlive || kept > test.keepAlive*5/4+time.Second {
 				t.Errorf("keep-alive %v, want about %v", kept, test.keepAlive)
 			}
-			if next, wakes := plan.next(10 * time.Minute); wakes != test.wakes || wakes && (next > time.Hour || next < 50*time.Minute) {
+			if next, wakes := plan.nextWindowStart(10 * time.Minute); wakes != test.wakes || wakes && (next > time.Hour || next < 50*time.Minute) {
 				t.Errorf("expected wake-up %v at %v, want %v", wakes, next, test.wakes)
 			}
 		})
 	}
 }
 
-// sharedStore is a weight store that bears so many loads at full speed and slows all
+// simulatedStore is a weight store that bears so many loads at full speed and slows all
 // down in proportion beyond.
-type sharedStore struct {
-	bears float64
-	left  []float64
+type simulatedStore struct {
+	fullSpeedLoads float64
+	secondsLeft    []float64
 }
 
-// pass lets time pass and returns the loads that were done, by index.
-func (s *sharedStore) pass(seconds float64) []int {
-	speed := min(1, s.bears/max(float64(len(s.left)), 1))
+// runFor lets time pass and returns the loads that were done, by index.
+func (s *simulatedStore) runFor(seconds float64) []int {
+	speed := min(1, s.fullSpeedLoads/max(float64(len(s.secondsLeft)), 1))
 	var done []int
-	for i := range s.left {
-		s.left[i] -= seconds * speed
-		if s.left[i] <= 0 {
+	for i := range s.secondsLeft {
+		s.secondsLeft[i] -= seconds * speed
+		if s.secondsLeft[i] <= 0 {
 			done = append(done, i)
 		}
 	}
 	return done
 }
 
-// learnCapacity runs so many loads on a store, as many at once as the model allows,
+// learnConcurrency runs so many loads on a store, as many at once as the model allows,
 // and returns the model. Every load on a slow machine takes twice as long.
-func learnCapacity(bears float64, loads int, seconds float64, slowEvery int) *storeModel {
+func learnConcurrency(fullSpeedLoads float64, loads int, seconds float64, slowEvery int) *storeModel {
 	const step = 10 * time.Millisecond
 	store := newStoreModel(Config{}.withDefaults())
-	world := &sharedStore{bears: bears}
+	simulated := &simulatedStore{fullSpeedLoads: fullSpeedLoads}
 	var keys []loadKey
 	now, begun, finished := start, 0, 0
-	bytes := int64(seconds * store.rate[cluster.TierRemote])
+	bytes := int64(seconds * store.bytesPerSecond[cluster.TierRemote])
 	for finished < loads {
-		store.begin(now, StoreState{StartsPerSecond: 100, Concurrency: 100, Bears: 4, Speed: 1})
-		for _, i := range slices.Backward(world.pass(step.Seconds())) {
-			store.finished(keys[i], now)
-			keys, world.left = slices.Delete(keys, i, i+1), slices.Delete(world.left, i, i+1)
+		store.beginRound(now, StoreState{StartsPerSecond: 100, Concurrency: 100, Bears: 4, Speed: 1})
+		for _, i := range slices.Backward(simulated.runFor(step.Seconds())) {
+			store.observeFinished(keys[i], now)
+			keys, simulated.secondsLeft = slices.Delete(keys, i, i+1), slices.Delete(simulated.secondsLeft, i, i+1)
 			finished++
 		}
 		for len(keys) < store.concurrency() {
@@ -126,12 +126,12 @@
 			if slowEvery > 0 && begun%slowEvery == 0 {
 				left *= 2
 			}
-			store.ordered(key, pendingLoad{
-				tier: cluster.TierRemote, shares: true, bytes: bytes, ordered: now, expected: time.Duration(seconds * float64(time.Second)),
+			store.addPending(key, pendingLoad{
+				tier: cluster.TierRemote, usesStore: true, bytes: bytes, ordered: now, expected: time.Duration(seconds * float64(time.Second)),
 			})
-			keys, world.left = append(keys, key), append(world.left, left)
+			keys, simulated.secondsLeft = append(keys, key), append(simulated.secondsLeft, left)
 		}
-		store.underWay = len(keys)
+		store.runningLoads = len(keys)
 		now = now.Add(step)
 	}
 	return &store
@@ -140,11 +140,11 @@
 // TestStoreCapacityIsLearned: nothing states how many loads a store bears at once, and
 // within ten loads, or four rounds of them where it bears more, it is known to within
 // a fifth or one load.
-func TestStoreCapacityIsLearned(t *testing.T) {
+func TestStoreConcurrencyIsLearned(t *testing.T) {
 	for _, bears := range []float64{2, 3, 4, 6, 8, 12, 25} {
 		for _, seconds := range []float64{0.7, 3, 6} {
 			loads := max(10, 4*int(bears))
-			got := float64(learnCapacity(bears, loads, seconds, 0).concurrency())
+			got := float64(learnConcurrency(bears, loads, seconds, 0).concurrency())
 			if off := math.Abs(got - bears); off > max(1, bears/5) {
 				t.Errorf("a store that bears %v loads of %v s: %v learned after %d", bears, seconds, got, loads)
 			}
@@ -154,52 +154,52 @@
 
 // TestSlowMachineIsNoSlowStore: single loads that are slow because of their machine
 // don't lower what the store is believed to bear by more than a load.
-func TestSlowMachineIsNoSlowStore(t *testing.T) {
-	if got := learnCapacity(4, 60, 6, 5).concurrency(); got < 3 {
+func TestSlowMachineDoesNotLowerStoreConcurrency(t *testing.T) {
+	if got := learnConcurrency(4, 60, 6, 5).concurrency(); got < 3 {
 		t.Errorf("%d loads at once learned, want 4", got)
 	}
 }
 
 // TestLoneSlowLoadsTellTheRate: a load that shares the store with no other says nothing
 // of how many the store bears, but how fast it is.
-func TestLoneSlowLoadsTellTheRate(t *testing.T) {
+func TestLoneSlowLoadsLowerOnlyTheRate(t *testing.T) {
 	store := newStoreModel(Config{}.withDefaults())
 	now := start
-	first := store.expected(cluster.TierRemote, gigabyte)
+	first := store.expectedTime(cluster.TierRemote, gigabyte)
 	for range 20 {
 		key := loadKey{machine: "machine-0000", model: "booking"}
-		store.begin(now, StoreState{StartsPerSecond: 2, Concurrency: 8, Speed: 1})
-		expected := store.expected(cluster.TierRemote, gigabyte)
-		store.ordered(key, pendingLoad{tier: cluster.TierRemote, shares: true, bytes: gigabyte, ordered: now, expected: expected})
-		store.underWay = 1
+		store.beginRound(now, StoreState{StartsPerSecond: 2, Concurrency: 8, Speed: 1})
+		expected := store.expectedTime(cluster.TierRemote, gigabyte)
+		store.addPending(key, pendingLoad{tier: cluster.TierRemote, usesStore: true, bytes: gigabyte, ordered: now, expected: expected})
+		store.runningLoads = 1
 		now = now.Add(4 * first)
-		store.begin(now, StoreState{StartsPerSecond: 2, Concurrency: 8, Speed: 1})
-		store.finished(key, now)
-		store.underWay = 0
+		store.beginRound(now, StoreState{StartsPerSecond: 2, Concurrency: 8, Speed: 1})
+		store.observeFinished(key, now)
+		store.runningLoads = 0
 	}
 	if got := store.concurrency(); got != 8 {
 		t.Errorf("%d loads at once after lone slow loads, want 8", got)
 	}
-	if got := store.expected(cluster.TierRemote, gigabyte); got < 3*first {
+	if got := store.expectedTime(cluster.TierRemote, gigabyte); got < 3*first {
 		t.Errorf("%v expected after loads of %v", got, 4*first)
 	}
 }
 
 // TestAdaptersTellNothingOfTheStore: adapters come past the store's limits, in no time,
 // also while it is overloaded.
-func TestAdaptersTellNothingOfTheStore(t *testing.T) {
+func TestAdapterLoadsLeaveStoreConcurrencyUnchanged(t *testing.T) {
 	base := testModel("base", func(m *settings.Model) { m.Policy.MaxReplicas = 9 })
 	state := testState(testSnapshot(1, base, adapterOf("base", "adapter")), 2)
-	hold(&state, 0, "base")
+	addLoadedReplica(&state, 0, "base")
 	state.Store = StoreState{StartsPerSecond: 9, Concurrency: 99, Bears: 4, Speed: 1}
 	state.Demand["adapter"] = Demand{Waiting: 1, Arrivals: 1}
 	planner := NewPlanner(engineConfig())
-	engine := engines{slowness: 1, ready: map[loadKey]time.Time{}}
+	engine := fakeEngines{loadTimeFactor: 1, completesAt: map[loadKey]time.Time{}}
 	plan := planner.Plan(state)
 	expectActions(t, plan, "load adapter on machine-0000")
-	engine.order(&state, plan)
+	engine.apply(&state, plan)
 	for range 4 {
-		planner.store.underWay = 9
+		planner.store.runningLoads = 9
 		engine.advance(&state, time.Second)
 		plan = planner.Plan(state)
 	}
@@ -210,24 +210,24 @@
 
 // TestSmallLoadsAreNotSlow: of a load that takes little more than what any load takes,
 // whatever its size, a store that nothing is stated of must not seem overloaded.
-func TestSmallLoadsAreNotSlow(t *testing.T) {
+func TestSmallLoadsDoNotLowerStoreConcurrency(t *testing.T) {
 	store := newStoreModel(Config{}.withDefaults())
 	now := start
 	for range 10 {
 		var keys []loadKey
-		store.begin(now, StoreState{StartsPerSecond: 9, Concurrency: 8, Speed: 1})
+		store.beginRound(now, StoreState{StartsPerSecond: 9, Concurrency: 8, Speed: 1})
 		for i := range 4 {
 			key := loadKey{machine: cluster.MachineID(strconv.Itoa(i)), model: "small"}
-			store.ordered(key, pendingLoad{
-				tier: cluster.TierRemote, shares: true, bytes: 1e6, ordered: now, expected: store.expected(cluster.TierRemote, 1e6),
+			store.addPending(key, pendingLoad{
+				tier: cluster.TierRemote, usesStore: true, bytes: 1e6, ordered: now, expected: store.expectedTime(cluster.TierRemote, 1e6),
 			})
 			keys = append(keys, key)
 		}
-		store.underWay = len(keys)
+		store.runningLoads = len(keys)
 		now = now.Add(loadOverhead)
-		store.begin(now, StoreState{StartsPerSecond: 9, Concurrency: 8, Speed: 1})
+		store.beginRound(now, StoreState{StartsPerSecond: 9, Concurrency: 8, Speed: 1})
 		for _, key := range keys {
-			store.finished(key, now)
+			store.observeFinished(key, now)
 		}
 	}
 	if got := store.concurrency(); got != 8 {
--- a/placement/place.go
+++ b/placement/place.go
@@ -9,63 +9,64 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// class orders loads by why they are wanted.
-type class uint8
+// loadClass orders loads by their cause. Smaller classes come first.
+type loadClass uint8
 
 const (
-	classWaiting class = iota
+	classWaiting loadClass = iota
 	classMinimum
-	classLoad
-	// classReading is for replicas that take prompts off others before any waits.
-	classReading
-	// classCopy is for models that were asked for and lie on no machine any more.
-	classCopy
+	classRunning
+	// classPrefill is for replicas that share the prefill of a busy model before requests wait.
+	classPrefill
+	// classMissingCopy is for models with recent requests of which no machine has a copy any
+	// more.
+	classMissingCopy
 	classPrewarm
-	classStanding
+	classAlwaysLoaded
 )
 
-// request is one replica that should be loaded.
-type request struct {
+// loadRequest asks for one more replica of a model.
+type loadRequest struct {
 	model    int32
-	class    class
+	class    loadClass
 	priority int
-	// score is waiting work and deadline urgency per second of load time, grown while
-	// the model gets no replica.
+	// score is the waiting work and deadline urgency per second of load time. It grows while
+	// the model has no replica.
 	score float64
 }
 
-// placed is one load planned in this round.
-type placed struct{ machine, model int32 }
+// plannedLoad is one load planned in this round.
+type plannedLoad struct{ machine, model int32 }
 
-// maxRequests bounds the loads that one round considers; the rest wait for the
-// next round, as they would for the weight store.
-const maxRequests = 256
+// maxRequestsPerRound limits the loads that one round considers. The rest wait for the next
+// round, as they would for the weight store.
+const maxRequestsPerRound = 256
 
-// place plans the loads in the order of their worth.
-func (r *round) place() {
+// planLoads plans the loads in the order of class, priority and score.
+func (r *round) planLoads() {
 	for i := range r.models {
-		r.enterRequests(int32(i))
+		r.addRequests(int32(i))
 	}
 	slices.SortFunc(r.requests, compareRequests)
-	if len(r.requests) > maxRequests {
-		r.requests = r.requests[:maxRequests]
+	if len(r.requests) > maxRequestsPerRound {
+		r.requests = r.requests[:maxRequestsPerRound]
 	}
 	for k := range r.requests {
-		r.placeOne(&r.requests[k])
+		r.planRequest(&r.requests[k])
 	}
 }
 
-// waitForSeals explains why no loads are planned yet.
-func (r *round) waitForSeals() {
+// explainUnsealed records that no loads are planned yet because machines are unsealed.
+func (r *round) explainUnsealed() {
 	for i := range r.models {
-		if r.models[i].want > r.models[i].useful {
+		if r.models[i].wanted > r.models[i].serving {
 			r.models[i].reason = r.reason(int32(i), CauseUnsealed, "")
 		}
 	}
 }
 
-// compareRequests orders loads: class, then priority, then score.
-func compareRequests(a, b request) int {
+// compareRequests orders load requests by class, then priority, then score.
+func compareRequests(a, b loadRequest) int {
 	return cmp.Or(
 		cmp.Compare(a.class, b.class),
 		cmp.Compare(b.priority, a.priority),
@@ -74,83 +75,85 @@
 	)
 }
 
-// enterRequests enters a request for each missing replica of the model.
-func (r *round) enterRequests(i int32) {
+// addRequests adds a request for each missing replica of the model.
+func (r *round) addRequests(i int32) {
 	model, entry := &r.models[i], &r.catalogue.entries[i]
-	missing := model.want - model.useful
+	missing := model.wanted - model.serving
 	for k := range missing {
-		next := request{
+		next := loadRequest{
 			model: i, class: r.classOf(i, k), priority: entry.model.Policy.Priority,
-			score: r.worth(i) / float64(k+1),
+			score: r.requestScore(i) / float64(k+1),
 		}
 		if k == 0 && next.class == classWaiting {
-			next.score *= entry.track.unserved.growth(r.state.Now)
+			next.score *= entry.history.starvation.scoreFactor(r.state.Now)
 		}
-		if next.class == classCopy {
-			next.score = r.rateOf(i)
+		if next.class == classMissingCopy {
+			next.score = r.arrivalRateOf(i)
 		}
 		r.requests = append(r.requests, next)
-		if next.class == classReading {
-			// What one can't be loaded for, others can't either; the next round is soon.
+		if next.class == classPrefill {
+			// If the first of these replicas can't be loaded, neither can the others, and the
+			// next round follows soon.
 			return
 		}
 	}
 }
 
-// classOf returns the class of a model's k-th missing replica.
-func (r *round) classOf(i int32, k int) class {
+// classOf returns the class of the model's missing replica number k, counted from zero.
+func (r *round) classOf(i int32, k int) loadClass {
 	model := &r.models[i]
 	switch {
-	case model.readingAlone(k):
-		return classReading
+	case model.neededOnlyForPrefill(k):
+		return classPrefill
 	case model.demand.Waiting > 0:
 		return classWaiting
-	case model.useful+k < r.minimum(i):
+	case model.serving+k < r.minReplicas(i):
 		return classMinimum
 	case model.lacksCopy:
-		return classCopy
+		return classMissingCopy
 	case model.prewarm:
 		return classPrewarm
 	case model.demand.Running > 0:
-		return classLoad
+		return classRunning
 	}
-	return classStanding
+	return classAlwaysLoaded
 }
 
-// slackHorizon is the deadline slack at which urgency has halved; chosen, not measured.
-const slackHorizon = 10 * time.Second
+// slackHalfLife is the slack before the deadline at which the added urgency has halved.
+// Requests with much more slack than this rank as if they had no deadline.
+const slackHalfLife = 10 * time.Second
 
-// worth is the waiting work of a model per second of its expected load, raised
-// as the slack until the earliest deadline shrinks and lowered when even an
-// immediate load would come too late for it.
-func (r *round) worth(i int32) float64 {
+// requestScore returns the waiting work of a model per second of its expected load. It rises as
+// the slack before the earliest deadline shrinks, and falls if even an immediate load would
+// miss that deadline.
+func (r *round) requestScore(i int32) float64 {
 	model, entry := &r.models[i], &r.catalogue.entries[i]
-	load := r.coldStart(i)
+	loadTime := r.coldStart(i)
 	urgency := 1.0
 	if model.demand.Waiting > 0 && model.demand.EarliestDeadline > 0 {
-		slack := model.demand.EarliestDeadline - load
+		slack := model.demand.EarliestDeadline - loadTime
 		if slack >= 0 {
-			urgency += float64(slackHorizon) / float64(slackHorizon+slack)
+			urgency += float64(slackHalfLife) / float64(slackHalfLife+slack)
 		} else {
 			urgency /= 2
 		}
 	}
 	work := float64(model.demand.Waiting) + 0.1*float64(model.demand.Running) + 0.1
-	return work * urgency * (0.5 + entry.model.Policy.ColdStartWeight) / load.Seconds()
+	return work * urgency * (0.5 + entry.model.Policy.ColdStartWeight) / loadTime.Seconds()
 }
 
-// storeAllows reports whether one more remote load of the class may start.
-// Loads that no request needs now leave half of the store to those that do.
-func (r *round) storeAllows(why class) bool {
+// storeAllows reports whether one more remote load of the class may start. Loads that no
+// request needs now leave half of the store's concurrency free.
+func (r *round) storeAllows(class loadClass) bool {
 	concurrency, starts := r.store.concurrency(), 1.0
-	if why >= classReading {
+	if class >= classPrefill {
 		concurrency, starts = max(concurrency/2, 1), 2
 	}
-	return r.store.allowance >= min(starts, r.store.burst()) && r.remoteLoads < concurrency
+	return r.store.startTokens >= min(starts, r.store.startBurst()) && r.remoteLoads < concurrency
 }
 
-// placeOne plans one load or records why it has to wait.
-func (r *round) placeOne(request *request) {
+// planRequest plans one load or records why it has to wait.
+func (r *round) planRequest(request *loadRequest) {
 	i := request.model
 	model := &r.models[i]
 	if model.held >= model.limit {
@@ -161,150 +164,150 @@
 		model.reason = r.reason(i, cause, keyMaxReplicas)
 		return
 	}
-	if r.storeBars(request) && int(r.catalogue.entries[i].pool) < len(r.pools) {
+	if r.waitsForStore(request) && int(r.catalogue.entries[i].pool) < len(r.pools) {
 		model.reason = r.reason(i, CauseStoreLimit, "")
 		pool := r.pools[r.catalogue.entries[i].pool]
 		model.reason.Filtered = []FilterCount{{Cause: CauseStoreLimit, Count: pool.machines}}
 		return
 	}
-	c := r.choose(i, request.class)
-	now := c.bestNow()
+	choice := r.chooseMachine(i, request.class)
+	delay := choice.bestScore()
 	wait := r.bestWait(request)
-	if wait.kind != waitNone && wait.seconds < now {
-		now = wait.seconds
+	if wait.kind != waitKindNone && wait.seconds < delay {
+		delay = wait.seconds
 	} else {
-		wait.kind = waitNone
+		wait.kind = waitKindNone
 	}
 	switch {
-	case c.later != none && c.laterScore < now:
-		r.await(i, c)
-	case r.mayEvict(request.class) && r.evictFor(request, c, now):
-	case wait.kind == waitBase:
-		r.awaitBase(i, wait.machine)
-	case wait.kind == waitBusy:
-		r.awaitBusy(i, &wait, c)
-	case len(c.top) > 0:
-		r.load(request, c)
+	case choice.afterUnload != noIndex && choice.afterUnloadScore < delay:
+		r.reserveFreedMemory(i, choice)
+	case r.mayEvict(request.class) && r.evictFor(request, choice, delay):
+	case wait.kind == waitKindBase:
+		r.reserveBesideBase(i, wait.machine)
+	case wait.kind == waitKindBusy:
+		r.queueOnBusyMachine(i, &wait, choice)
+	case len(choice.ranked) > 0:
+		r.planLoad(request, choice)
 	default:
-		r.block(i, c)
+		r.explainBlocked(i, choice)
 	}
 }
 
-// storeBars reports whether a model that only the weight store has must wait for it,
-// whatever the machines hold.
-func (r *round) storeBars(request *request) bool {
+// waitsForStore reports whether a model without a cached copy must wait for the weight store,
+// whichever machine is chosen.
+func (r *round) waitsForStore(request *loadRequest) bool {
 	entry := &r.catalogue.entries[request.model]
-	return entry.base == none && r.models[request.model].tier == cluster.TierRemote && !r.storeAllows(request.class)
+	return entry.base == noIndex && r.models[request.model].bestTier == cluster.TierRemote && !r.storeAllows(request.class)
 }
 
-// mayEvict reports whether a load of the class may take idle replicas' memory.
-func (r *round) mayEvict(why class) bool {
-	return why <= classMinimum || r.config.EvictForLoad && why <= classCopy
+// mayEvict reports whether a load of the class may evict idle replicas.
+func (r *round) mayEvict(class loadClass) bool {
+	return class <= classMinimum || r.config.EvictForLoad && class <= classMissingCopy
 }
 
-// bestNow is the best score without an eviction, infinite when there is none.
-func (c *choice) bestNow() float64 {
+// bestScore returns the best score without an eviction, or infinity if there is none.
+func (c *machineChoice) bestScore() float64 {
 	switch {
-	case len(c.top) > 0:
-		return c.top[0].score
-	case c.storeBlocked != none:
+	case len(c.ranked) > 0:
+		return c.ranked[0].score
+	case c.storeBlocked != noIndex:
 		return c.storeBlockedScore + storeScore
 	}
 	return math.Inf(1)
 }
 
-// await keeps memory that is being freed for the model.
-func (r *round) await(i int32, c *choice) {
-	needs, _ := r.needOn(i, c.later)
-	r.claim(c.later, needs.bytes)
+// reserveFreedMemory reserves memory for the model where unloads are freeing it.
+func (r *round) reserveFreedMemory(i int32, choice *machineChoice) {
+	needs, _ := r.requirementsOn(i, choice.afterUnload)
+	r.reserveMemory(choice.afterUnload, needs.bytes)
 	reason := r.reason(i, CauseNoMemory, keyMemory)
-	r.explain(&reason, c)
+	r.addChoice(&reason, choice)
 	r.models[i].reason = reason
 }
 
-// load plans the load on the best machine. Engines take an adapter only once
-// its base model is loaded: until then the adapter's memory is kept for it and,
-// when need be, the base model is loaded.
-func (r *round) load(request *request, c *choice) {
-	i, best := request.model, c.top[0]
+// planLoad plans the load on the best machine. An engine accepts an adapter only after its base
+// model is loaded. Until then, planLoad reserves memory for the adapter and plans the load of
+// the base model if that is not under way.
+func (r *round) planLoad(request *loadRequest, choice *machineChoice) {
+	i, best := request.model, choice.ranked[0]
 	reason := r.loadReason(request)
-	r.explain(&reason, c)
-	if best.need.withBase {
-		r.loadOn(r.catalogue.entries[i].base, best.machine, best.need.baseTier, reason)
+	r.addChoice(&reason, choice)
+	if best.requirements.withBase {
+		r.addLoad(r.catalogue.entries[i].base, best.machine, best.requirements.baseTier, reason)
 	}
-	if best.need.withBase || best.need.baseLoading {
-		r.claim(best.machine, r.catalogue.entries[i].model.Policy.Memory)
+	if best.requirements.withBase || best.requirements.baseLoading {
+		r.reserveMemory(best.machine, r.catalogue.entries[i].model.Policy.Memory)
 		r.models[i].reason = r.reason(i, CauseBaseMissing, "")
 		return
 	}
-	r.loadOn(i, best.machine, best.need.tier, reason)
+	r.addLoad(i, best.machine, best.requirements.tier, reason)
 }
 
-// loadReason explains a load.
-func (r *round) loadReason(request *request) Reason {
+// loadReason returns the reason of a load.
+func (r *round) loadReason(request *loadRequest) Reason {
 	reason := r.models[request.model].reason
 	switch request.class {
 	case classWaiting:
 		reason = r.reason(request.model, CauseDemand, keyPriority)
-	case classMinimum, classStanding:
+	case classMinimum, classAlwaysLoaded:
 		reason = r.reason(request.model, CauseMinimum, keyMinReplicas)
 	}
 	return reason
 }
 
-// loadOn enters the action, reserves its memory and counts it.
-func (r *round) loadOn(i, m int32, tier cluster.Tier, reason Reason) {
+// addLoad adds a load to the plan, reserves its memory and updates the counts.
+func (r *round) addLoad(i, m int32, tier cluster.Tier, reason Reason) {
 	policy := &r.catalogue.entries[i].model.Policy
 	id, machine := r.catalogue.entries[i].model.ID, r.state.Machines[m].ID
 	expected := r.loadTime(i, tier)
 	r.plan.Actions = append(r.plan.Actions, Action{
 		Kind: cluster.OrderLoad, Machine: machine, Model: id, Base: r.catalogue.entries[i].model.Base,
 		Version: policy.Version, Bytes: policy.Memory, Pool: policy.EnginePool, Tier: tier,
-		ExpectedTime: expected, Founded: r.catalogue.entries[i].stated[tier] > 0 || r.store.observed[tier], Reason: reason,
+		ExpectedTime: expected, Founded: r.catalogue.entries[i].statedLoadTimes[tier] > 0 || r.store.rateObserved[tier], Reason: reason,
 	})
-	r.loads = append(r.loads, placed{machine: m, model: i})
-	r.claim(m, policy.Memory)
+	r.plannedLoads = append(r.plannedLoads, plannedLoad{machine: m, model: i})
+	r.reserveMemory(m, policy.Memory)
 	r.machines[m].loading++
-	if r.catalogue.entries[i].base != none {
+	if r.catalogue.entries[i].base != noIndex {
 		r.machines[m].adapters++
 	} else {
-		r.machines[m].reading += r.models[i].reading.part(r.models[i].useful + 1)
+		r.machines[m].prefillShare += r.models[i].prefill.sharePerReplica(r.models[i].serving + 1)
 	}
 	r.models[i].held++
 	r.models[i].planned++
-	r.models[i].useful++
-	shares := tier == cluster.TierRemote && !(r.config.AdaptersUnlimited && r.catalogue.entries[i].base != none)
-	if shares {
+	r.models[i].serving++
+	usesStore := tier == cluster.TierRemote && !(r.config.AdaptersUnlimited && r.catalogue.entries[i].base != noIndex)
+	if usesStore {
 		r.remoteLoads++
-		r.store.allowance--
-		r.keepBusy(m)
+		r.store.startTokens--
+		r.excludeFromLocalLoads(m)
 	}
-	r.store.ordered(loadKey{machine: machine, model: id}, pendingLoad{
-		tier: tier, shares: shares, bytes: policy.Memory, ordered: r.state.Now, expected: expected, seen: r.rounds,
+	r.store.addPending(loadKey{machine: machine, model: id}, pendingLoad{
+		tier: tier, usesStore: usesStore, bytes: policy.Memory, ordered: r.state.Now, expected: expected, lastSeenRound: r.roundCount,
 	})
 }
 
-// claim keeps memory of a machine from the loads that come later in the round.
-func (r *round) claim(m int32, bytes int64) {
+// reserveMemory reserves memory of a machine, which later loads of the round can't use.
+func (r *round) reserveMemory(m int32, bytes int64) {
 	r.machines[m].free -= bytes
-	r.machines[m].soon -= bytes
+	r.machines[m].freeAfterUnloads -= bytes
 }
 
-// block records why a load has to wait.
-func (r *round) block(i int32, c *choice) {
+// explainBlocked records why a load has to wait.
+func (r *round) explainBlocked(i int32, choice *machineChoice) {
 	reason := r.reason(i, CauseNoMachine, keyEnginePool)
 	switch {
-	case c.storeBlocked != none:
+	case choice.storeBlocked != noIndex:
 		reason = r.reason(i, CauseStoreLimit, "")
-		needs, _ := r.needOn(i, c.storeBlocked)
-		r.claim(c.storeBlocked, needs.bytes)
-	case c.filtered[filterNeeded] > 0:
-		reason = r.reason(i, CauseMachineNeeded, "")
-	case c.filtered[filterMemory] > 0:
+		needs, _ := r.requirementsOn(i, choice.storeBlocked)
+		r.reserveMemory(choice.storeBlocked, needs.bytes)
+	case choice.filtered[filterKeptForLocalLoads] > 0:
+		reason = r.reason(i, CauseKeptForLocalLoads, "")
+	case choice.filtered[filterMemory] > 0:
 		reason = r.reason(i, CauseNoMemory, keyMemory)
-	case c.filtered[filterBase] > 0:
+	case choice.filtered[filterBase] > 0:
 		reason = r.reason(i, CauseBaseMissing, keyMaxReplicas)
 	}
-	r.explain(&reason, c)
+	r.addChoice(&reason, choice)
 	r.models[i].reason = reason
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -10,8 +10,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// TestPlanReasons compares whole plans, with their reasons, to golden files.
-func TestPlanReasons(t *testing.T) {
+// TestPlanMatchesGoldenFile compares whole plans, with their reasons, to golden files.
+func TestPlanMatchesGoldenFile(t *testing.T) {
 	adapter := testModel("recall-letters", func(m *settings.Model) {
 		m.Kind, m.Base, m.Policy.Memory = settings.KindAdapter, "assistant", gigabyte
 	})
@@ -36,7 +36,7 @@
 		}},
 		{"adapter_joins_base", func() State {
 			state := testState(models(adapter), 2)
-			hold(&state, 1, "assistant")
+			addLoadedReplica(&state, 1, "assistant")
 			state.Demand["recall-letters"] = Demand{Waiting: 1, Arrivals: 1}
 			return state
 		}},
@@ -48,8 +48,8 @@
 		}},
 		{"allotment_lowered", func() State {
 			state := testState(models(), 2)
-			hold(&state, 0, "booking")
-			hold(&state, 1, "booking")
+			addLoadedReplica(&state, 0, "booking")
+			addLoadedReplica(&state, 1, "booking")
 			state.Allotment.Models[1].MaxReplicas = 1
 			state.Machines[0].Load.PerModel = map[cluster.ModelID]int{"booking": 1}
 			state.Demand["booking"] = Demand{Running: 1}
@@ -58,14 +58,14 @@
 		{"evict_idle", func() State {
 			state := testState(models(), 1)
 			state.Machines[0].MemoryBytes = 15 * gigabyte
-			hold(&state, 0, "assistant")
+			addLoadedReplica(&state, 0, "assistant")
 			state.Demand["booking"] = Demand{Waiting: 1, Arrivals: 1}
 			return state
 		}},
 		{"never_evict_busy", func() State {
 			state := testState(models(), 1)
 			state.Machines[0].MemoryBytes = 15 * gigabyte
-			hold(&state, 0, "assistant")
+			addLoadedReplica(&state, 0, "assistant")
 			state.Demand["assistant"] = Demand{Running: 1}
 			state.Demand["booking"] = Demand{Waiting: 1, Arrivals: 1}
 			return state
@@ -73,27 +73,27 @@
 		{"store_limit", func() State {
 			state := testState(models(), 2)
 			state.Store.Concurrency = 1
-			hold(&state, 0, "assistant").State = cluster.ReplicaLoading
+			addLoadedReplica(&state, 0, "assistant").State = cluster.ReplicaLoading
 			state.Demand["booking"] = Demand{Waiting: 1, Arrivals: 1}
 			return state
 		}},
 		{"new_version", func() State {
 			state := testState(models(), 2)
-			hold(&state, 0, "booking").Version = "0"
+			addLoadedReplica(&state, 0, "booking").Version = "0"
 			state.Allotment.Models[1].MaxReplicas = 1
 			state.Demand["booking"] = Demand{Running: 1}
 			return state
 		}},
 		{"machine_leaves", func() State {
 			state := testState(models(), 2)
-			hold(&state, 0, "booking")
+			addLoadedReplica(&state, 0, "booking")
 			state.Machines[0].Leaving = true
 			state.Demand["booking"] = Demand{Running: 1}
 			return state
 		}},
 		{"removed_model", func() State {
 			state := testState(models(), 1)
-			hold(&state, 0, "old-model").Bytes = gigabyte
+			addLoadedReplica(&state, 0, "old-model").Bytes = gigabyte
 			return state
 		}},
 		{"unsealed_machine", func() State {
@@ -115,12 +115,12 @@
 	}
 }
 
-// TestIdleModelIsUnloaded follows a model from its first request to its unload
+// TestIdleModelIsUnloadedAfterKeepAlive follows a model from its first request to its unload
 // under the fixed keep-alive that applies without samples.
-func TestIdleModelIsUnloaded(t *testing.T) {
+func TestIdleModelIsUnloadedAfterKeepAlive(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("booking", nil)), 1)
 	planner := NewPlanner(Config{})
-	engine := engines{slowness: 1, ready: map[loadKey]time.Time{}}
+	engine := fakeEngines{loadTimeFactor: 1, completesAt: map[loadKey]time.Time{}}
 	state.Demand["booking"] = Demand{Waiting: 1, Arrivals: 1}
 	var unloaded time.Duration
 	for state.Now.Sub(start) < 10*time.Minute && unloaded == 0 {
@@ -133,13 +133,13 @@
 				}
 			}
 		}
-		engine.order(&state, plan)
+		engine.apply(&state, plan)
 		engine.advance(&state, time.Second)
 		if len(state.Machines[0].Replicas) > 0 && state.Machines[0].Replicas[0].State == cluster.ReplicaLoaded {
 			delete(state.Demand, "booking")
 		}
 	}
-	load := planner.store.expected(cluster.TierRemote, 10*gigabyte)
+	load := planner.store.expectedTime(cluster.TierRemote, 10*gigabyte)
 	if want := 5*time.Minute + load; unloaded < want || unloaded > want+2*time.Second {
 		t.Errorf("unloaded after %v, want %v", unloaded, want)
 	}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -7,8 +7,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// AdaptivePlanner learns each model's idle times and loads, keeps and evicts
-// models by the policies' objective. It is not safe for concurrent use.
+// AdaptivePlanner learns the idle times and load times of each model, and keeps and evicts
+// models by the objective of their policies. It is not safe for concurrent use.
 type AdaptivePlanner struct{ planner }
 
 // NewPlanner returns the adaptive planner.
@@ -17,47 +17,47 @@
 	return &AdaptivePlanner{planner: newPlanner(config, adaptiveRetention{config: config})}
 }
 
-// retention decides how long idle models stay loaded and which of them goes
-// first when memory is needed. The planners differ only in it.
+// retention decides how long idle models stay loaded and which of them is evicted first. It is
+// the only difference between the planners.
 type retention interface {
-	// schedule returns the windows of idle time in which the model is worth
-	// being loaded.
-	schedule(track *track, policy *settings.Policy, cost cost) *schedule
-	// expects reports whether a wake-up is likely enough at a time for the model
-	// to be worth being loaded then.
-	expects(track *track, policy *settings.Policy, cost cost, at time.Time) bool
-	// standing returns how many replicas are wanted whatever the demand.
-	standing(policy *settings.Policy) int
-	// value of keeping an idle replica loaded, a second of its reload time at
-	// the policy's objective being the unit; the smallest is evicted first.
-	value(track *track, policy *settings.Policy, idle, reload time.Duration) float64
+	// schedule returns the windows of idle time in which the model should be loaded.
+	schedule(track *modelHistory, policy *settings.Policy, cost cost) *keepSchedule
+	// expectsWakeUp reports whether a wake-up at the given time is likely enough for the model
+	// to be loaded then.
+	expectsWakeUp(track *modelHistory, policy *settings.Policy, cost cost, at time.Time) bool
+	// alwaysLoadedReplicas returns how many replicas are wanted regardless of demand.
+	alwaysLoadedReplicas(policy *settings.Policy) int
+	// keepValue returns the value of keeping an idle replica loaded, in the unit of one second
+	// of its reload time at the policy's objective. The replica with the smallest value is
+	// evicted first.
+	keepValue(track *modelHistory, policy *settings.Policy, idle, reload time.Duration) float64
 }
 
-// cost is what a cold start and a second of idleness take for one model.
+// cost describes what a cold start and an idle replica of one model cost.
 type cost struct {
 	// coldStart is the expected load time.
 	coldStart time.Duration
-	// share is the part of a machine's accelerators that an idle replica takes.
-	share float64
+	// acceleratorShare is the part of a machine's accelerators that an idle replica occupies.
+	acceleratorShare float64
 }
 
-// planner is the machinery that all planners share.
+// planner is the part that all planners have in common.
 type planner struct {
-	config    Config
-	retention retention
-	catalogue catalogue
-	store     storeModel
-	round     round
-	rounds    uint64
-	busy      busyShare
-	// token and tokenSince tell for how long the present controller has held
-	// its cell.
+	config       Config
+	retention    retention
+	catalogue    catalogue
+	store        storeModel
+	round        round
+	roundCount   uint64
+	busyMachines busyShare
+	// token is the fencing token of the present controller, and tokenSince the time at which it
+	// was first seen.
 	token      cluster.FencingToken
 	tokenSince time.Time
 }
 
-func newPlanner(config Config, keep retention) planner {
-	return planner{config: config, retention: keep, store: newStoreModel(config)}
+func newPlanner(config Config, rule retention) planner {
+	return planner{config: config, retention: rule, store: newStoreModel(config)}
 }
 
 // Plan implements Planner.
@@ -65,36 +65,36 @@
 	if state.Settings == nil {
 		return Plan{}
 	}
-	p.rounds++
+	p.roundCount++
 	if state.Token != p.token || p.tokenSince.IsZero() {
 		p.token, p.tokenSince = state.Token, state.Now
 	}
-	p.catalogue.follow(state.Settings, state.Now, state.LoadTime)
-	p.store.begin(state.Now, state.Store)
+	p.catalogue.update(state.Settings, state.Now, state.LoadTime)
+	p.store.beginRound(state.Now, state.Store)
 	r := &p.round
-	r.begin(p, &state)
-	r.learn()
-	r.want()
-	r.release()
-	if r.settling() {
-		r.waitForSeals()
+	r.reset(p, &state)
+	r.observeRound()
+	r.decideReplicas()
+	r.planUnloads()
+	if r.awaitsSeals() {
+		r.explainUnsealed()
 	} else {
-		r.place()
+		r.planLoads()
 	}
 	return r.finish()
 }
 
-// Withdraw takes back a load of the last plan whose order was not given.
+// Withdraw undoes a load of the last plan whose order was not given.
 func (p *planner) Withdraw(a *Action) {
 	if a.Kind != cluster.OrderLoad {
 		return
 	}
-	counted := a.Tier == cluster.TierRemote && !(p.config.AdaptersUnlimited && a.Base != "")
-	p.store.withdraw(loadKey{machine: a.Machine, model: a.Model}, counted)
+	usesStore := a.Tier == cluster.TierRemote && !(p.config.AdaptersUnlimited && a.Base != "")
+	p.store.withdrawLoad(loadKey{machine: a.Machine, model: a.Model}, usesStore)
 }
 
-// catalogue is the planner's index of the settings snapshot with the learned
-// state of each model, aligned with Snapshot.Models.
+// catalogue indexes the settings snapshot and holds the learned state of each model. Its
+// entries are aligned with Snapshot.Models.
 type catalogue struct {
 	snapshot *settings.Snapshot
 	index    map[cluster.ModelID]int32
@@ -105,21 +105,21 @@
 // entry is one model of the catalogue.
 type entry struct {
 	model *settings.Model
-	// base is the index of an adapter's base model, none for base models.
+	// base is the index of an adapter's base model, noIndex for base models.
 	base int32
 	// pool is the index of the policy's engine pool.
-	pool  int32
-	track *track
-	// stated is how long loads are stated to take, by tier; zero for not.
-	stated [TierCount]time.Duration
+	pool    int32
+	history *modelHistory
+	// statedLoadTimes holds the stated load times by tier. Zero means that none is stated.
+	statedLoadTimes [TierCount]time.Duration
 }
 
-// none marks an absent index.
-const none = int32(-1)
+// noIndex marks an absent index.
+const noIndex = int32(-1)
 
-// follow rebuilds the index when the snapshot changed and keeps what was
-// learned of the models that remain.
-func (c *catalogue) follow(snapshot *settings.Snapshot, now time.Time, loadTime LoadTime) {
+// update rebuilds the index if the snapshot changed. It keeps the learned state of models that
+// remain.
+func (c *catalogue) update(snapshot *settings.Snapshot, now time.Time, loadTime LoadTime) {
 	if c.snapshot == snapshot {
 		return
 	}
@@ -128,10 +128,10 @@
 	for i := range snapshot.Models {
 		model := &snapshot.Models[i]
 		index[model.ID] = int32(i)
-		entries[i] = entry{model: model, base: none, pool: c.pool(model.Policy.EnginePool), track: c.trackOf(model.ID, now)}
-		for tier := range entries[i].stated {
+		entries[i] = entry{model: model, base: noIndex, pool: c.poolIndex(model.Policy.EnginePool), history: c.historyOf(model.ID, now)}
+		for tier := range entries[i].statedLoadTimes {
 			if loadTime != nil {
-				entries[i].stated[tier] = loadTime(model.ID, cluster.Tier(tier))
+				entries[i].statedLoadTimes[tier] = loadTime(model.ID, cluster.Tier(tier))
 			}
 		}
 	}
@@ -143,18 +143,18 @@
 	c.snapshot, c.index, c.entries = snapshot, index, entries
 }
 
-// trackOf returns the kept track of a model or a new one.
-func (c *catalogue) trackOf(id cluster.ModelID, now time.Time) *track {
+// historyOf returns the history of a known model, or a new one.
+func (c *catalogue) historyOf(id cluster.ModelID, now time.Time) *modelHistory {
 	if i, ok := c.index[id]; ok {
-		kept := c.entries[i].track
-		kept.scheduleStale = true
-		return kept
+		history := c.entries[i].history
+		history.scheduleStale = true
+		return history
 	}
-	return &track{model: id, idleSince: now, scheduleStale: true}
+	return &modelHistory{model: id, idleSince: now, scheduleStale: true}
 }
 
-// pool returns the index of an engine pool's name, adding it when new.
-func (c *catalogue) pool(name string) int32 {
+// poolIndex returns the index of an engine pool by name and adds the pool if it is new.
+func (c *catalogue) poolIndex(name string) int32 {
 	for i, known := range c.pools {
 		if known == name {
 			return int32(i)
@@ -164,10 +164,10 @@
 	return int32(len(c.pools) - 1)
 }
 
-// find returns the index of a model, or none.
-func (c *catalogue) find(id cluster.ModelID) int32 {
+// indexOf returns the index of a model, or noIndex.
+func (c *catalogue) indexOf(id cluster.ModelID) int32 {
 	if i, ok := c.index[id]; ok {
 		return i
 	}
-	return none
+	return noIndex
 }
--- a/placement/reading_test.go
+++ b/placement/prefill_test.go
@@ -10,7 +10,7 @@
 
 // longPrompt is a prompt that takes a quarter of a second to read: two in a row pause every
 // stream of the engine for as long as callers bear.
-const longPrompt = defaultReadTokens / 4
+const longPrompt = defaultPrefillTokensPerSecond / 4
 
 // readingState returns machines with room for two models each; the first holds booking.
 func readingState(machines int, models ...settings.Model) (State, *AdaptivePlanner) {
@@ -25,23 +25,23 @@
 	for i := range state.Settings.Models {
 		state.Settings.Models[i].Policy.MaxReplicas = 100
 	}
-	hold(&state, 0, "booking")
+	addLoadedReplica(&state, 0, "booking")
 	config := engineConfig()
 	config.OneOrder = true
 	return state, NewPlanner(config)
 }
 
-// prompts is the demand of so many prompts of equal length, all being served.
-func prompts(count, tokens int) Demand {
+// promptDemand is the demand of so many prompts of equal length, all being served.
+func promptDemand(count, tokens int) Demand {
 	return Demand{
 		Running: min(count, 1), Arrivals: count, PromptTokens: count * tokens,
 		PromptSquares: float64(count) * float64(tokens) * float64(tokens),
 	}
 }
 
-// read has prompts come for a model, the same number in each step, and returns the last
+// planWithDemand has prompts come for a model, the same number in each step, and returns the last
 // plan.
-func read(state *State, planner *AdaptivePlanner, id cluster.ModelID, step time.Duration, each ...Demand) Plan {
+func planWithDemand(state *State, planner *AdaptivePlanner, id cluster.ModelID, step time.Duration, each ...Demand) Plan {
 	var plan Plan
 	for _, demand := range each {
 		state.Now = state.Now.Add(step)
@@ -53,16 +53,16 @@
 
 // TestReadingBoundFollowsPause: the longer a prompt against the pause that callers bear,
 // the less of its time an engine may read.
-func TestReadingBoundFollowsPause(t *testing.T) {
+func TestPrefillShareLimitFollowsPause(t *testing.T) {
 	for _, test := range []struct{ prompt, pause, low, high float64 }{
-		{0.02, 0.5, mostReading - 0.01, mostReading},
+		{0.02, 0.5, maxPrefillShare - 0.01, maxPrefillShare},
 		{0.1, 0.5, 0.48, 0.52},
 		{0.25, 0.5, 0.18, 0.22},
 		{0.25, 1, 0.47, 0.51},
-		{0.25, 0.3, leastReading, leastReading + 0.01},
-		{2, 0.5, leastReading, leastReading + 0.01},
+		{0.25, 0.3, minPrefillShare, minPrefillShare + 0.01},
+		{2, 0.5, minPrefillShare, minPrefillShare + 0.01},
 	} {
-		if got := readingBound(test.prompt, test.pause); got < test.low || got > test.high {
+		if got := prefillShareLimit(test.prompt, test.pause); got < test.low || got > test.high {
 			t.Errorf("bound %.3f for prompts of %v s and pauses of %v s, want %v to %v", got, test.prompt, test.pause, test.low, test.high)
 		}
 	}
@@ -71,17 +71,17 @@
 // TestReplicaComesBeforeTheQueue: four prompts of a quarter of a second each second are a
 // whole engine's reading. The second replica comes within 1.5 s, before any request waits
 // and though one runs at a time.
-func TestReplicaComesBeforeTheQueue(t *testing.T) {
+func TestPrefillLoadAddsReplicaBeforeQueueing(t *testing.T) {
 	state, planner := readingState(4)
 	planner.Plan(state)
-	plan := read(&state, planner, "booking", 250*time.Millisecond, prompts(1, longPrompt), prompts(1, longPrompt),
-		prompts(1, longPrompt), prompts(1, longPrompt), prompts(1, longPrompt), prompts(1, longPrompt))
+	plan := planWithDemand(&state, planner, "booking", 250*time.Millisecond, promptDemand(1, longPrompt), promptDemand(1, longPrompt),
+		promptDemand(1, longPrompt), promptDemand(1, longPrompt), promptDemand(1, longPrompt), promptDemand(1, longPrompt))
 	if len(plan.Actions) == 0 {
 		t.Fatal("no replica is planned")
 	}
 	action := &plan.Actions[0]
-	if action.Kind != cluster.OrderLoad || action.Reason.Cause != CauseReading {
-		t.Errorf("planned %v for %q, want a load for %q", action.Kind, action.Reason.Cause, CauseReading)
+	if action.Kind != cluster.OrderLoad || action.Reason.Cause != CausePrefill {
+		t.Errorf("planned %v for %q, want a load for %q", action.Kind, action.Reason.Cause, CausePrefill)
 	}
 	if action.Reason.Reading <= action.Reason.ReadingBound || action.Reason.ReadingBound == 0 {
 		t.Errorf("reading %.2f and bound %.2f in the reason", action.Reason.Reading, action.Reason.ReadingBound)
@@ -90,42 +90,42 @@
 
 // TestShortPromptsNeedNoReplica: as many requests with prompts of a fortieth of a second
 // make no long pause.
-func TestShortPromptsNeedNoReplica(t *testing.T) {
+func TestShortPromptsAddNoReplica(t *testing.T) {
 	state, planner := readingState(4)
 	for range 40 {
-		expectActions(t, read(&state, planner, "booking", 250*time.Millisecond, prompts(1, longPrompt/10)))
+		expectActions(t, planWithDemand(&state, planner, "booking", 250*time.Millisecond, promptDemand(1, longPrompt/10)))
 	}
 }
 
 // TestChanceMeetingNeedsNoReplica: two long prompts of a rare model that come in the same
 // moment, once in ten seconds, are no reason for a second replica.
-func TestChanceMeetingNeedsNoReplica(t *testing.T) {
+func TestCoincidingPromptsAddNoReplica(t *testing.T) {
 	state, planner := readingState(4)
 	for range 6 {
-		expectActions(t, read(&state, planner, "booking", 100*time.Millisecond, prompts(2, longPrompt)))
-		expectActions(t, read(&state, planner, "booking", 9900*time.Millisecond, Demand{}))
+		expectActions(t, planWithDemand(&state, planner, "booking", 100*time.Millisecond, promptDemand(2, longPrompt)))
+		expectActions(t, planWithDemand(&state, planner, "booking", 9900*time.Millisecond, Demand{}))
 	}
 }
 
 // TestReadingIsForgottenSlowly: the gaps between a busy model's prompts take no replica
 // away, a time without any does.
-func TestReadingIsForgottenSlowly(t *testing.T) {
+func TestPrefillLoadDecaysSlowly(t *testing.T) {
 	state, planner := readingState(1)
 	for range 20 {
-		read(&state, planner, "booking", 500*time.Millisecond, prompts(2, longPrompt))
+		planWithDemand(&state, planner, "booking", 500*time.Millisecond, promptDemand(2, longPrompt))
 	}
-	if wanted := read(&state, planner, "booking", 3*time.Second, Demand{}).Wanted["booking"]; wanted < 3 {
+	if wanted := planWithDemand(&state, planner, "booking", 3*time.Second, Demand{}).Wanted["booking"]; wanted < 3 {
 		t.Errorf("%d replicas wanted after a gap of 3 s, want 3 or more", wanted)
 	}
-	read(&state, planner, "booking", 30*time.Second, Demand{})
-	if needs := planner.round.models[planner.catalogue.find("booking")].reading.needs(); needs > 1 {
+	planWithDemand(&state, planner, "booking", 30*time.Second, Demand{})
+	if needs := planner.round.models[planner.catalogue.indexOf("booking")].prefill.replicasNeeded(); needs > 1 {
 		t.Errorf("%d replicas needed after 30 s without a prompt", needs)
 	}
 }
 
 // TestBaseReadsForItsAdapters: prompts of many adapters, each rare, are read by the engine
 // of their base model.
-func TestBaseReadsForItsAdapters(t *testing.T) {
+func TestBaseIncludesAdapterPrefill(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	var models []settings.Model
 	for _, name := range names {
@@ -136,13 +136,13 @@
 	for range 4 {
 		for _, name := range names {
 			clear(state.Demand)
-			read(&state, planner, cluster.ModelID(name), 125*time.Millisecond, prompts(1, longPrompt))
+			planWithDemand(&state, planner, cluster.ModelID(name), 125*time.Millisecond, promptDemand(1, longPrompt))
 		}
 	}
-	if needs := planner.round.models[planner.catalogue.find("booking")].reading.needs(); needs < 2 {
+	if needs := planner.round.models[planner.catalogue.indexOf("booking")].prefill.replicasNeeded(); needs < 2 {
 		t.Errorf("the base model needs %d replicas for all its adapters' prompts", needs)
 	}
-	if needs := planner.round.models[planner.catalogue.find("a")].reading.needs(); needs > 1 {
+	if needs := planner.round.models[planner.catalogue.indexOf("a")].prefill.replicasNeeded(); needs > 1 {
 		t.Errorf("an adapter needs %d replicas for a prompt a second", needs)
 	}
 }
@@ -150,7 +150,7 @@
 // TestReplicaGoesWhereLeastIsRead: of two engines alike, the new replica of a busy model
 // goes to the one whose models have few prompts to read, though the other one's memory
 // would be filled better. A load from the weight store elsewhere costs more than that.
-func TestReplicaGoesWhereLeastIsRead(t *testing.T) {
+func TestReplicaGoesToMachineWithLeastPrefill(t *testing.T) {
 	for name, test := range map[string]struct {
 		copies []int
 		want   cluster.MachineID
@@ -166,16 +166,16 @@
 			for _, i := range test.copies {
 				state.Machines[i].Cached["booking"] = cluster.TierDisk
 			}
-			hold(&state, 2, "chat")
+			addLoadedReplica(&state, 2, "chat")
 			planner.Plan(state)
 			for range 8 {
 				state.Now = state.Now.Add(250 * time.Millisecond)
-				state.Demand["chat"] = prompts(1, longPrompt/4)
+				state.Demand["chat"] = promptDemand(1, longPrompt/4)
 				planner.Plan(state)
 			}
 			var plan Plan
 			for range 10 {
-				if plan = read(&state, planner, "booking", 200*time.Millisecond, prompts(1, longPrompt)); len(plan.Actions) > 0 {
+				if plan = planWithDemand(&state, planner, "booking", 200*time.Millisecond, promptDemand(1, longPrompt)); len(plan.Actions) > 0 {
 					break
 				}
 			}
@@ -188,14 +188,14 @@
 
 // TestStatedPauseCounts: the same prompts need more replicas where callers bear only short
 // pauses, and no second one where they bear long ones.
-func TestStatedPauseCounts(t *testing.T) {
+func TestReplicasFollowLongestPause(t *testing.T) {
 	needs := func(pause time.Duration) int {
 		state, planner := readingState(1)
 		state.LongestPause = pause
 		for range 40 {
-			read(&state, planner, "booking", 250*time.Millisecond, prompts(1, longPrompt/2))
+			planWithDemand(&state, planner, "booking", 250*time.Millisecond, promptDemand(1, longPrompt/2))
 		}
-		return planner.round.models[planner.catalogue.find("booking")].reading.needs()
+		return planner.round.models[planner.catalogue.indexOf("booking")].prefill.replicasNeeded()
 	}
 	short, usual, stated, long := needs(300*time.Millisecond), needs(0), needs(500*time.Millisecond), needs(1500*time.Millisecond)
 	if usual != stated || short <= usual || long > 1 {
@@ -205,7 +205,7 @@
 
 // TestWaitingRequestTakesTheQuickLoad: a model that a request waits for is loaded where its
 // weights are at hand, however much is read there, not from the weight store elsewhere.
-func TestWaitingRequestTakesTheQuickLoad(t *testing.T) {
+func TestWaitingRequestPrefersLocalLoad(t *testing.T) {
 	state, planner := readingState(2, testModel("rare", nil))
 	state.LoadTime = func(_ cluster.ModelID, tier cluster.Tier) time.Duration {
 		if tier == cluster.TierRemote {
@@ -217,7 +217,7 @@
 	state.Machines[0].Cached["rare"] = cluster.TierDisk
 	planner.Plan(state)
 	for range 20 {
-		read(&state, planner, "booking", 250*time.Millisecond, prompts(1, longPrompt))
+		planWithDemand(&state, planner, "booking", 250*time.Millisecond, promptDemand(1, longPrompt))
 	}
 	state.Demand["rare"] = Demand{Waiting: 1, Arrivals: 1, Objective: 2500 * time.Millisecond}
 	plan := planner.Plan(state)
--- a/placement/property_test.go
+++ b/placement/property_test.go
@@ -86,8 +86,8 @@
 	state.Allotment = &changed
 }
 
-// planners under test, by name.
-var planners = []struct {
+// plannersUnderTest under test, by name.
+var plannersUnderTest = []struct {
 	name string
 	make func() Planner
 }{
@@ -96,25 +96,25 @@
 	{"lru", NewLRU},
 }
 
-// TestPlansKeepPromises runs random worlds and verifies every plan, and that a
+// TestRandomPlansKeepInvariants runs random worlds and verifies every plan, and that a
 // second planner given the same states makes the same plans.
-func TestPlansKeepPromises(t *testing.T) {
-	for _, planner := range planners {
+func TestRandomPlansKeepInvariants(t *testing.T) {
+	for _, planner := range plannersUnderTest {
 		t.Run(planner.name, func(t *testing.T) {
-			rapid.Check(t, func(t *rapid.T) { runWorld(t, planner.make) })
+			rapid.Check(t, func(t *rapid.T) { checkRandomWorld(t, planner.make) })
 		})
 	}
 }
 
-// runWorld plays one random world.
-func runWorld(t *rapid.T, newPlanner func() Planner) {
+// checkRandomWorld plays one random world.
+func checkRandomWorld(t *rapid.T, newPlanner func() Planner) {
 	state := testState(testSnapshot(1, drawModels(t)...), rapid.IntRange(1, 4).Draw(t, "machines"))
 	for i := range state.Machines {
 		state.Machines[i].Pool = rapid.SampledFrom([]string{"assistant", "booking"}).Draw(t, "machine pool")
 	}
 	first, second := newPlanner(), newPlanner()
-	engine := engines{slowness: rapid.Float64Range(0.5, 4).Draw(t, "slowness"), ready: map[loadKey]time.Time{}}
-	var check checker
+	engine := fakeEngines{loadTimeFactor: rapid.Float64Range(0.5, 4).Draw(t, "slowness"), completesAt: map[loadKey]time.Time{}}
+	var check invariantChecker
 	for range rapid.IntRange(5, 60).Draw(t, "rounds") {
 		drawStep(t, &state)
 		plan := first.Plan(state)
@@ -124,7 +124,7 @@
 		if violations := check.check(&state, plan); len(violations) > 0 {
 			t.Fatalf("%s\nplan %+v\nmachines %+v", strings.Join(violations, "\n"), plan.Actions, state.Machines)
 		}
-		engine.order(&state, plan)
+		engine.apply(&state, plan)
 		engine.advance(&state, time.Duration(rapid.IntRange(1, 15).Draw(t, "seconds"))*time.Second)
 	}
 	requireServed(t, &state, first, &engine)
@@ -132,7 +132,7 @@
 
 // requireServed heals the world and requires that the first model with an
 // allotment and a machine big enough in its pool gets loaded.
-func requireServed(t *rapid.T, state *State, planner Planner, engine *engines) {
+func requireServed(t *rapid.T, state *State, planner Planner, engine *fakeEngines) {
 	id := state.Settings.Models[0].ID
 	model := state.Settings.Model(id)
 	state.Allotment = testAllotment(state.Settings)
@@ -155,7 +155,7 @@
 		return
 	}
 	for range 1200 {
-		engine.order(state, planner.Plan(*state))
+		engine.apply(state, planner.Plan(*state))
 		engine.advance(state, time.Second)
 		for m := range state.Machines {
 			for _, slot := range state.Machines[m].Replicas {
@@ -168,8 +168,8 @@
 	t.Fatalf("%s is never loaded; last decisions %+v", id, planner.Plan(*state).Decisions)
 }
 
-// TestCheckerFindsDefects plants one defect after the other in a good plan.
-func TestCheckerFindsDefects(t *testing.T) {
+// TestCheckerReportsPlantedDefect plants one defect after the other in a good plan.
+func TestCheckerReportsPlantedDefect(t *testing.T) {
 	adapter := testModel("recall", func(m *settings.Model) {
 		m.Kind, m.Base, m.Policy.Memory = settings.KindAdapter, "assistant", gigabyte
 	})
@@ -191,12 +191,12 @@
 		{"does not hold", func(_ *State, a *Action) { a.Kind = cluster.OrderUnload }},
 		{"under recall", func(s *State, a *Action) {
 			a.Kind = cluster.OrderUnload
-			hold(s, 0, "assistant")
-			hold(s, 0, "recall")
+			addLoadedReplica(s, 0, "assistant")
+			addLoadedReplica(s, 0, "recall")
 		}},
 		{"evicted for an equal", func(s *State, a *Action) {
 			a.Kind, a.Reason.Cause = cluster.OrderUnload, CauseEvicted
-			hold(s, 0, "assistant")
+			addLoadedReplica(s, 0, "assistant")
 		}},
 	}
 	for _, test := range cases {
@@ -204,13 +204,13 @@
 			state := testState(testSnapshot(1, testModel("assistant", nil), adapter), 2)
 			state.Demand["assistant"] = Demand{Waiting: 1}
 			state.Demand["recall"] = Demand{Waiting: 1}
-			good := checker{remoteStarts: 1}
+			good := invariantChecker{remoteStarts: 1}
 			if found := good.check(&state, Plan{Actions: []Action{load}}); len(found) > 0 {
 				t.Fatalf("good plan refused: %v", found)
 			}
 			action := load
 			test.change(&state, &action)
-			bad := checker{remoteStarts: 1}
+			bad := invariantChecker{remoteStarts: 1}
 			found := strings.Join(bad.check(&state, Plan{Actions: []Action{action}}), "\n")
 			if !strings.Contains(found, test.defect) {
 				t.Errorf("found %q", found)
--- a/placement/release.go
+++ b/placement/release.go
@@ -9,11 +9,11 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// release plans the unloads that need no load to justify them.
-func (r *round) release() {
+// planUnloads plans the unloads that are due whether or not a load needs the memory.
+func (r *round) planUnloads() {
 	r.releaseRemoved()
-	// Adapters come first, so that a base model that only they keep is seen to
-	// be free in a later round.
+	// Adapters are unloaded first. A base model that is kept only for them is released in a
+	// later round.
 	for i := range r.models {
 		if r.models[i].held > 0 {
 			r.releaseModel(int32(i))
@@ -21,25 +21,25 @@
 	}
 }
 
-// releaseRemoved unloads models that left the tree.
+// releaseRemoved unloads models that were removed from the settings.
 func (r *round) releaseRemoved() {
-	for i := range r.slots {
-		ref := &r.slots[i]
-		if ref.model == none && r.mayUnload(ref) {
-			r.unload(ref, r.reason(none, CauseRemoved, ""))
+	for i := range r.replicas {
+		replica := &r.replicas[i]
+		if replica.model == noIndex && r.mayUnload(replica) {
+			r.unloadWithAdapters(replica, r.reason(noIndex, CauseRemoved, ""))
 		}
 	}
 }
 
-// releaseModel plans the unloads of one model: above the allotment, of an old
-// version, to free the count for a replacement, and idle ones.
+// releaseModel plans the unloads of one model: replicas above the allotment, outdated replicas,
+// and surplus idle ones.
 func (r *round) releaseModel(i int32) {
 	model := &r.models[i]
 	if r.state.Allotment != nil {
-		r.releaseExcess(i)
+		r.releaseAboveAllotment(i)
 	}
-	r.releaseReplaced(i)
-	surplus := model.useful - model.keep
+	r.releaseOutdated(i)
+	surplus := model.serving - model.retained
 	if surplus <= 0 || r.config.RetainIdle {
 		return
 	}
@@ -47,49 +47,49 @@
 	if reason.Cause != CauseIdle {
 		reason = r.reason(i, CauseIdle, keyMaxReplicas)
 	}
-	r.releaseUseful(i, surplus, reason)
+	r.releaseSurplus(i, surplus, reason)
 }
 
-// releaseExcess unloads what exceeds the allotment, whatever its use: another
-// zone waits for the share.
-func (r *round) releaseExcess(i int32) {
+// releaseAboveAllotment unloads replicas above the allotment even if they are in use, because
+// another zone waits for the share.
+func (r *round) releaseAboveAllotment(i int32) {
 	model := &r.models[i]
 	reason := r.reason(i, CauseAllotmentFull, keyMaxReplicas)
 	if model.limit == 0 {
 		reason = r.reason(i, CauseNotAllotted, "zones")
 	}
 	for excess := model.confirmed - model.limit; excess > 0; excess-- {
-		if !r.unloadCheapest(i, reason, func(*slotRound) bool { return true }) {
+		if !r.unloadCheapest(i, reason, func(*replicaState) bool { return true }) {
 			return
 		}
 	}
 	if len(model.candidates) == 0 {
 		return
 	}
-	for s := model.first; s != none; s = r.slots[s].next {
-		ref := &r.slots[s]
-		if !slices.Contains(model.candidates, r.state.Machines[ref.machine].ID) && r.mayUnload(ref) {
-			r.unload(ref, r.reason(i, CauseNotAllotted, "zones"))
+	for s := model.firstReplica; s != noIndex; s = r.replicas[s].next {
+		replica := &r.replicas[s]
+		if !slices.Contains(model.candidates, r.state.Machines[replica.machine].ID) && r.mayUnload(replica) {
+			r.unloadWithAdapters(replica, r.reason(i, CauseNotAllotted, "zones"))
 		}
 	}
 }
 
-// releaseReplaced unloads replicas of an old version or on leaving machines:
-// once nothing wants them, or one at a time when the allotment leaves no room
-// for the replacement beside them.
-func (r *round) releaseReplaced(i int32) {
+// releaseOutdated unloads replicas of an old version or on leaving machines. It does so once
+// enough other replicas serve, or one at a time if the allotment leaves no room for a
+// replacement beside them.
+func (r *round) releaseOutdated(i int32) {
 	model := &r.models[i]
-	satisfied := model.useful >= max(model.want, min(model.keep, 1))
+	satisfied := model.serving >= max(model.wanted, min(model.retained, 1))
 	blocked := model.held >= model.limit && model.unloading == 0
 	if !satisfied && !blocked {
 		return
 	}
-	for s := model.first; s != none; s = r.slots[s].next {
-		ref := &r.slots[s]
-		if ref.useful || ref.unloading || !r.mayUnload(ref) {
+	for s := model.firstReplica; s != noIndex; s = r.replicas[s].next {
+		replica := &r.replicas[s]
+		if replica.serving || replica.unloading || !r.mayUnload(replica) {
 			continue
 		}
-		leaving := r.state.Machines[ref.machine].Leaving
+		leaving := r.state.Machines[replica.machine].Leaving
 		if leaving && satisfied {
 			continue // The machine goes by itself.
 		}
@@ -97,19 +97,18 @@
 		if leaving {
 			reason = r.reason(i, CauseMachineLeaves, "")
 		}
-		r.unload(ref, reason)
+		r.unloadWithAdapters(replica, reason)
 		if !satisfied {
 			return
 		}
 	}
 }
 
-// releaseUseful unloads surplus replicas that are loaded and that nothing
-// depends on.
-func (r *round) releaseUseful(i int32, surplus int, reason Reason) {
+// releaseSurplus unloads surplus loaded replicas that no adapter depends on.
+func (r *round) releaseSurplus(i int32, surplus int, reason Reason) {
 	for ; surplus > 0; surplus-- {
-		loaded := func(ref *slotRound) bool {
-			return ref.useful && ref.slot.State == cluster.ReplicaLoaded && !r.baseInUse(ref.machine, i)
+		loaded := func(replica *replicaState) bool {
+			return replica.serving && replica.slot.State == cluster.ReplicaLoaded && !r.baseInUse(replica.machine, i)
 		}
 		if !r.unloadCheapest(i, reason, loaded) {
 			return
@@ -117,30 +116,30 @@
 	}
 }
 
-// unloadCheapest unloads the eligible replica that serves the fewest requests
-// on the busiest machine; it returns false when there is none.
-func (r *round) unloadCheapest(i int32, reason Reason, eligible func(*slotRound) bool) bool {
-	best := none
-	for s := r.models[i].first; s != none; s = r.slots[s].next {
-		ref := &r.slots[s]
-		if !r.mayUnload(ref) || !eligible(ref) {
+// unloadCheapest unloads the eligible replica that runs the fewest requests, and among equals
+// the one on the busiest machine. It returns false if there is none.
+func (r *round) unloadCheapest(i int32, reason Reason, eligible func(*replicaState) bool) bool {
+	best := noIndex
+	for s := r.models[i].firstReplica; s != noIndex; s = r.replicas[s].next {
+		replica := &r.replicas[s]
+		if !r.mayUnload(replica) || !eligible(replica) {
 			continue
 		}
-		if best == none || r.compareUnload(ref, &r.slots[best]) < 0 {
+		if best == noIndex || r.compareUnload(replica, &r.replicas[best]) < 0 {
 			best = s
 		}
 	}
-	if best == none {
+	if best == noIndex {
 		return false
 	}
-	r.unload(&r.slots[best], reason)
+	r.unloadWithAdapters(&r.replicas[best], reason)
 	return true
 }
 
-// compareUnload orders replicas of one model by which is unloaded first.
-func (r *round) compareUnload(a, b *slotRound) int {
-	if a.useful != b.useful {
-		if b.useful {
+// compareUnload orders the replicas of one model by which is unloaded first.
+func (r *round) compareUnload(a, b *replicaState) int {
+	if a.serving != b.serving {
+		if b.serving {
 			return -1
 		}
 		return 1
@@ -153,58 +152,58 @@
 	)
 }
 
-// mayUnload reports whether an unload may be ordered for the slot: its machine
-// is sealed, its state is known and it is not unloading already.
-func (r *round) mayUnload(ref *slotRound) bool {
-	return !ref.unloading && !ref.slot.Unknown && r.state.Machines[ref.machine].Sealed
+// mayUnload reports whether the replica may be ordered to unload: its machine is sealed, its
+// state is known and it is not unloading already.
+func (r *round) mayUnload(replica *replicaState) bool {
+	return !replica.unloading && !replica.slot.Unknown && r.state.Machines[replica.machine].Sealed
 }
 
-// unload plans the unload of one slot. Adapters that use the slot's model go
-// first; the model itself follows in a later round.
-func (r *round) unload(ref *slotRound, reason Reason) {
-	if ref.model != none && r.baseInUse(ref.machine, ref.model) {
-		r.unloadAdapters(ref.machine, ref.model, reason)
+// unloadWithAdapters plans the unload of one replica. If adapters depend on it, they are
+// unloaded first and the replica follows in a later round.
+func (r *round) unloadWithAdapters(replica *replicaState, reason Reason) {
+	if replica.model != noIndex && r.baseInUse(replica.machine, replica.model) {
+		r.unloadAdapters(replica.machine, replica.model, reason)
 		return
 	}
-	r.unloadSlot(ref, reason)
+	r.addUnload(replica, reason)
 }
 
 // unloadAdapters plans the unload of the base model's adapters on the machine.
 func (r *round) unloadAdapters(m, base int32, reason Reason) {
-	slots := r.slotsOf(m)
+	slots := r.replicasOn(m)
 	for i := range slots {
-		ref := &slots[i]
-		if ref.model != none && r.catalogue.entries[ref.model].base == base && r.mayUnload(ref) {
-			r.unloadSlot(ref, reason)
+		replica := &slots[i]
+		if replica.model != noIndex && r.catalogue.entries[replica.model].base == base && r.mayUnload(replica) {
+			r.addUnload(replica, reason)
 		}
 	}
 }
 
-// unloadSlot enters the action and updates the counts.
-func (r *round) unloadSlot(ref *slotRound, reason Reason) {
-	ref.unloading = true
-	r.machines[ref.machine].soon += ref.slot.Bytes
+// addUnload adds an unload to the plan and updates the counts.
+func (r *round) addUnload(replica *replicaState, reason Reason) {
+	replica.unloading = true
+	r.machines[replica.machine].freeAfterUnloads += replica.slot.Bytes
 	action := Action{
-		Kind: cluster.OrderUnload, Machine: r.state.Machines[ref.machine].ID, Model: ref.slot.Model,
-		Version: ref.slot.Version, Bytes: ref.slot.Bytes, DrainTime: defaultDrainTime, Reason: reason,
+		Kind: cluster.OrderUnload, Machine: r.state.Machines[replica.machine].ID, Model: replica.slot.Model,
+		Version: replica.slot.Version, Bytes: replica.slot.Bytes, DrainTime: defaultDrainTime, Reason: reason,
 	}
-	if ref.model != none {
-		model, entry := &r.models[ref.model], &r.catalogue.entries[ref.model]
+	if replica.model != noIndex {
+		model, entry := &r.models[replica.model], &r.catalogue.entries[replica.model]
 		model.unloading++
-		if ref.useful {
-			ref.useful = false
-			model.useful--
+		if replica.serving {
+			replica.serving = false
+			model.serving--
 		}
 		action.Base, action.DrainTime = entry.model.Base, drainTime(&entry.model.Policy)
 	}
 	r.plan.Actions = append(r.plan.Actions, action)
 }
 
-// defaultDrainTime bounds the drain of models that have no policy any more; chosen, not
-// measured.
+// defaultDrainTime limits the drain of replicas whose policy states no drain time, or has been
+// removed with the model, so that each unload ends.
 const defaultDrainTime = 30 * time.Second
 
-// drainTime is the policy's drain time or the default.
+// drainTime returns the policy's drain time, or the default.
 func drainTime(policy *settings.Policy) time.Duration {
 	if policy.DrainTime > 0 {
 		return policy.DrainTime
--- a/placement/retention.go
+++ b/placement/retention.go
@@ -6,84 +6,86 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// adaptiveRetention keeps models by their learned idle times.
+// adaptiveRetention keeps models loaded by their learned idle periods.
 type adaptiveRetention struct{ config Config }
 
-// coldStartStep is the change of the expected load time, as a share, from which a schedule is
-// computed again; chosen, not measured.
-const coldStartStep = 0.25
+// coldStartChangeThreshold is the relative change of the expected load time above which a
+// schedule is computed again. Smaller changes are ignored so that most rounds reuse the
+// schedule.
+const coldStartChangeThreshold = 0.25
 
-// learnedBound is how many of the policy's keep-alives a learned one may last.
-const learnedBound = 16
+// maxLearnedKeepAlives limits a learned keep-alive to this multiple of the policy's keep-alive.
+const maxLearnedKeepAlives = 16
 
-// schedule implements retention: the learned windows when there are enough
-// samples, else the policy's keep-alive.
-func (a adaptiveRetention) schedule(track *track, policy *settings.Policy, cost cost) *schedule {
-	goal := objective{
-		weight: policy.ColdStartWeight, exchange: a.config.ColdStartExchange, requests: track.requestsAtWake(),
-		cost: cost, limit: learnedBound * policy.KeepAlive,
+// schedule implements retention. It returns the learned windows if there are enough samples,
+// and the policy's keep-alive otherwise.
+func (a adaptiveRetention) schedule(history *modelHistory, policy *settings.Policy, cost cost) *keepSchedule {
+	objective := keepObjective{
+		weight: policy.ColdStartWeight, exchange: a.config.ColdStartExchange, requests: history.requestsPerWakeUp(),
+		cost: cost, limit: maxLearnedKeepAlives * policy.KeepAlive,
 	}
-	if !track.scheduleStale && !goal.differs(track.scheduleGoal) {
-		return &track.schedule
+	if !history.scheduleStale && !objective.differs(history.scheduleObjective) {
+		return &history.keepSchedule
 	}
-	track.scheduleStale, track.scheduleGoal = false, goal
-	if float64(track.gaps.total) < a.config.MinSamples {
-		track.schedule = fixedSchedule(policy.KeepAlive)
+	history.scheduleStale, history.scheduleObjective = false, objective
+	if float64(history.idlePeriods.total) < a.config.MinSamples {
+		history.keepSchedule = fixedSchedule(policy.KeepAlive)
 	} else {
-		track.schedule = track.gaps.plan(goal)
+		history.keepSchedule = history.idlePeriods.optimalSchedule(objective)
 	}
-	return &track.schedule
+	return &history.keepSchedule
 }
 
-// expects implements retention.
-func (a adaptiveRetention) expects(track *track, policy *settings.Policy, cost cost, at time.Time) bool {
-	chance := track.recurrence.chance(at)
-	if chance == 0 || policy.KeepAlive == 0 {
+// expectsWakeUp implements retention.
+func (a adaptiveRetention) expectsWakeUp(history *modelHistory, policy *settings.Policy, cost cost, at time.Time) bool {
+	probability := history.recurrence.probability(at)
+	if probability == 0 || policy.KeepAlive == 0 {
 		return false
 	}
-	goal := objective{
-		weight: policy.ColdStartWeight, exchange: a.config.ColdStartExchange, requests: track.requestsAtWake(), cost: cost,
+	objective := keepObjective{
+		weight: policy.ColdStartWeight, exchange: a.config.ColdStartExchange, requests: history.requestsPerWakeUp(), cost: cost,
 	}
-	return chance*goal.saved() > goal.idle(recurrenceSlot.Seconds())
+	return probability*objective.coldStartSaving() > objective.idleCost(lagResolution.Seconds())
 }
 
-// differs reports whether another goal would give a different schedule.
-func (g objective) differs(other objective) bool {
+// differs reports whether the other objective would give a different schedule.
+func (g keepObjective) differs(other keepObjective) bool {
 	change := float64(g.coldStart-other.coldStart) / float64(max(other.coldStart, 1))
-	return g.weight != other.weight || g.limit != other.limit || g.share != other.share ||
-		change > coldStartStep || change < -coldStartStep
+	return g.weight != other.weight || g.limit != other.limit || g.acceleratorShare != other.acceleratorShare ||
+		change > coldStartChangeThreshold || change < -coldStartChangeThreshold
 }
 
-// standing implements retention.
-func (a adaptiveRetention) standing(*settings.Policy) int { return 0 }
+// alwaysLoadedReplicas implements retention.
+func (a adaptiveRetention) alwaysLoadedReplicas(*settings.Policy) int { return 0 }
 
-// minimumWeight is added to objective weights where work or loss is rated, so that a weight of
-// zero still orders it. Chosen, not measured.
-const minimumWeight = 0.05
+// minObjectiveWeight is added to the policy's weight wherever work or loss is valued, so that a
+// weight of zero still gives an order.
+const minObjectiveWeight = 0.05
 
-// value implements retention: the chance that the model is needed within the
-// horizon, times what its reload would cost the requests that then come.
-func (a adaptiveRetention) value(track *track, policy *settings.Policy, idle, reload time.Duration) float64 {
-	now := track.idleSince.Add(idle)
-	chance := max(track.nextUse(idle), track.recurrence.chance(now), track.recurrence.chance(now.Add(recurrenceSlot)))
-	return (minimumWeight + policy.ColdStartWeight) * chance * track.requestsAtWake() * tailCost(reload)
+// keepValue implements retention. It returns the probability that the model is needed within
+// the horizon, times what a reload would cost the requests that come then.
+func (a adaptiveRetention) keepValue(history *modelHistory, policy *settings.Policy, idle, reload time.Duration) float64 {
+	now := history.idleSince.Add(idle)
+	probability := max(history.reuseProbability(idle), history.recurrence.probability(now), history.recurrence.probability(now.Add(lagResolution)))
+	return (minObjectiveWeight + policy.ColdStartWeight) * probability * history.requestsPerWakeUp() * coldStartCost(reload)
 }
 
-// useHorizon is how far ahead an eviction looks; chosen, not measured.
-const useHorizon = 10 * time.Minute
+// reuseHorizon is how far ahead the value of keeping a replica looks: a model that is needed
+// only later than this counts as not needed.
+const reuseHorizon = 10 * time.Minute
 
-// nextUse is the probability that a model idle for the given time is needed
-// within useHorizon, with a prior that falls with the idle time while there
-// are few samples.
-func (t *track) nextUse(idle time.Duration) float64 {
-	bucket, end := gapBucket(idle), gapBucket(idle+useHorizon)
+// reuseProbability returns the probability that a model that has been idle for the given time
+// is needed within reuseHorizon. While there are few samples, a prior that falls with the idle
+// time dominates.
+func (t *modelHistory) reuseProbability(idle time.Duration) float64 {
+	bucket, end := idleBucket(idle), idleBucket(idle+reuseHorizon)
 	var beyond, within float32
-	for i := bucket; i < gapBuckets; i++ {
-		beyond += t.gaps.counts[i]
+	for i := bucket; i < idleBuckets; i++ {
+		beyond += t.idlePeriods.counts[i]
 		if i <= end {
-			within += t.gaps.counts[i]
+			within += t.idlePeriods.counts[i]
 		}
 	}
-	prior := useHorizon.Seconds() / (useHorizon + idle).Seconds()
+	prior := reuseHorizon.Seconds() / (reuseHorizon + idle).Seconds()
 	return (float64(within) + prior) / (float64(beyond) + 1)
 }
--- a/placement/round.go
+++ b/placement/round.go
@@ -8,122 +8,125 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// round holds the working set of one planning round. Its buffers are reused.
+// round holds the working data of one planning round. Its buffers are reused by the next round.
+// In its methods, i is the index of a model in the catalogue and m the index of a machine in
+// State.Machines.
 type round struct {
 	*planner
 	state    *State
-	models   []modelRound
-	machines []machineRound
-	// slots of all machines, those of one machine next to each other.
-	slots    []slotRound
-	requests []request
-	loads    []placed
-	choice   choice
-	victims  []victim
-	pools    []poolSum
-	// remoteLoads under way or planned, over the zone.
+	models   []modelState
+	machines []machineState
+	// replicas holds the replicas of all machines, grouped by machine.
+	replicas     []replicaState
+	requests     []loadRequest
+	plannedLoads []plannedLoad
+	choice       machineChoice
+	victims      []victim
+	pools        []poolTotals
+	// remoteLoads counts the running and planned remote loads in the zone.
 	remoteLoads int
 	unsealed    int
 	plan        Plan
 }
 
-// poolSum adds up the machines of one engine pool.
-type poolSum struct {
+// poolTotals sums the machines of one engine pool.
+type poolTotals struct {
 	machines, slots, accelerators int
 	bytes                         int64
 }
 
-// modelRound is one model's state in a round, aligned with the catalogue.
-type modelRound struct {
+// modelState is the state of one model in a round. Its index is that of the catalogue.
+type modelState struct {
 	demand Demand
-	// adapterWorking and adapterArrivals tell of the demand of a base model's
-	// adapters, now and since the last round.
+	// adapterWorking reports that adapters of this base model have requests now, and
+	// adapterArrivals counts their arrivals since the last round.
 	adapterWorking  bool
 	adapterArrivals int
-	// prompts that arrived since the last round, those of a base model's adapters
-	// included, and the reading that comes a second.
-	prompts    readingSum
-	reading    reading
-	allotted   bool
-	limit      int
-	candidates []cluster.MachineID
-	// tier is the fastest one in which a machine of the pool has the checkpoint, and
-	// atHand counts the machines that have it and could load it soon.
-	tier   cluster.Tier
-	atHand int
-	// first is the head of the model's list in round.slots.
-	first int32
-	// held counts all slots, and loads planned in this round; useful are those
-	// that serve or will serve at the wanted version on a machine that stays.
-	// confirmed ones may be ordered to unload.
-	held, planned, loaded, useful, unloading, confirmed int
-	// want is the count that loads are planned for; keep is the count that
-	// idle replicas are kept up to; reported also counts the need of adapters.
-	want, keep, reported int
-	// loadWants is the part of want that running and waiting requests need; the rest is
-	// due to the prompts that come.
-	loadWants int
-	// prewarm is set when want is only due to an expected wake-up, and lacksCopy when it is
-	// due to no machine having a copy.
+	// promptsArrived sums the prompts since the last round, including those of a base model's
+	// adapters. prefill is the resulting prefill load.
+	promptsArrived promptSum
+	prefill        prefillLoad
+	allotted       bool
+	limit          int
+	candidates     []cluster.MachineID
+	// bestTier is the fastest tier in which a machine of the pool has the checkpoint.
+	// localCopies counts the machines that have it and can load it soon.
+	bestTier    cluster.Tier
+	localCopies int
+	// firstReplica is the head of the model's list in round.replicas.
+	firstReplica int32
+	// held counts all replicas, including the loads planned in this round, which planned
+	// counts. loaded counts the ready ones. serving counts replicas of the wanted version that
+	// serve or will serve, on a machine that stays. unloading counts those being unloaded, and
+	// confirmed those that may be ordered to unload.
+	held, planned, loaded, serving, unloading, confirmed int
+	// wanted is the count for which loads are planned, and retained the count up to which idle
+	// replicas are kept. reported also includes what adapters need of their base model.
+	wanted, retained, reported int
+	// neededForRequests is the part of wanted that running and waiting requests need. The rest
+	// is needed for prefill.
+	neededForRequests int
+	// prewarm is set if the model is wanted only because of an expected wake-up, and lacksCopy
+	// if it is wanted because no machine has a copy.
 	prewarm, lacksCopy bool
 	reason             Reason
-	// losses of an idle replica by tier, as far as they were asked for.
-	losses [TierCount]knownLoss
+	// lossByTier caches the eviction loss of a replica by the tier of its copy.
+	lossByTier [TierCount]cachedLoss
 }
 
-// machineRound is one machine's state in a round, aligned with State.Machines.
-type machineRound struct {
+// machineState is the state of one machine in a round. Its index is that of State.Machines.
+type machineState struct {
 	pool int32
-	// free memory now and once all unloads are done, less claims of this round.
-	free, soon int64
-	// from and to bound the machine's entries in round.slots.
-	from, to int32
-	loading  int
-	// promised is how long the loads take that this round leaves to the machine once
+	// free is the free memory now, and freeAfterUnloads the free memory after all unloads.
+	// Memory reserved in this round is subtracted from both.
+	free, freeAfterUnloads int64
+	// firstReplica and endReplica bound the machine's entries in round.replicas.
+	firstReplica, endReplica int32
+	loading                  int
+	// queuedLoadTime is the duration of the loads that this round leaves to the machine until
 	// its present order is done.
-	promised time.Duration
-	// needed is what neededPerSecond returned in this round.
-	needed      float64
-	neededKnown bool
-	// reading is the share of its time that the machine reads the prompts of the models
-	// that it holds.
-	reading float64
-	// adapters counts those on the machine and those planned in this round.
+	queuedLoadTime time.Duration
+	// exclusiveRate caches the result of exclusiveArrivalRate for this round.
+	exclusiveRate      float64
+	exclusiveRateKnown bool
+	// prefillShare is the share of its time that the machine spends on prefill for its models.
+	prefillShare float64
+	// adapters counts the adapters on the machine and those planned in this round.
 	adapters int
 	usable   bool
-	// draining is set while an unload waits for running requests.
+	// draining is set while an unload waits for running requests to end.
 	draining bool
 }
 
-// slotRound is one slot of the ledger.
-type slotRound struct {
+// replicaState is one replica in a round; slot is its record in the ledger.
+type replicaState struct {
 	slot    *Slot
 	model   int32
 	machine int32
-	// next links the slots of one model.
+	// next links the replicas of one model.
 	next      int32
-	useful    bool
+	serving   bool
 	unloading bool
-	// taken marks the victims of the eviction being weighed.
-	taken bool
+	// selected marks the victims of the eviction that is being evaluated.
+	selected bool
 }
 
-// begin indexes the state.
-func (r *round) begin(p *planner, state *State) {
+// reset starts a round: it clears the working data and indexes the state.
+func (r *round) reset(p *planner, state *State) {
 	r.planner, r.state = p, state
 	r.plan = Plan{}
-	r.requests, r.loads = r.requests[:0], r.loads[:0]
-	r.slots = r.slots[:0]
+	r.requests, r.plannedLoads = r.requests[:0], r.plannedLoads[:0]
+	r.replicas = r.replicas[:0]
 	r.remoteLoads, r.unsealed = 0, 0
 	r.indexModels()
 	r.indexMachines()
 }
 
-// indexModels resets the models and merges in the allotment and the demand.
+// indexModels resets the models and adds their allotment and demand.
 func (r *round) indexModels() {
 	count := len(r.catalogue.entries)
 	if cap(r.models) < count {
-		r.models = make([]modelRound, count)
+		r.models = make([]modelState, count)
 	}
 	r.models = r.models[:count]
 	var allotments []cluster.ModelAllotment
@@ -133,8 +136,8 @@
 	next := 0
 	for i := range r.models {
 		id := r.catalogue.entries[i].model.ID
-		r.models[i] = modelRound{first: none, demand: r.state.Demand[id]}
-		r.models[i].prompts = readingSum{tokens: float64(r.models[i].demand.PromptTokens), squares: r.models[i].demand.PromptSquares}
+		r.models[i] = modelState{firstReplica: noIndex, demand: r.state.Demand[id]}
+		r.models[i].promptsArrived = promptSum{tokens: float64(r.models[i].demand.PromptTokens), squares: r.models[i].demand.PromptSquares}
 		for next < len(allotments) && allotments[next].Model < id {
 			next++
 		}
@@ -145,14 +148,14 @@
 		}
 	}
 	for i := range r.models {
-		r.noteAdapterDemand(i)
+		r.addAdapterDemand(i)
 	}
 }
 
-// noteAdapterDemand passes an adapter's demand on to its base model.
-func (r *round) noteAdapterDemand(i int) {
+// addAdapterDemand adds the demand of an adapter to its base model.
+func (r *round) addAdapterDemand(i int) {
 	base := r.catalogue.entries[i].base
-	if base == none {
+	if base == noIndex {
 		return
 	}
 	demand := &r.models[i].demand
@@ -160,115 +163,115 @@
 		r.models[base].adapterWorking = true
 	}
 	r.models[base].adapterArrivals += demand.Arrivals
-	r.models[base].prompts.tokens += float64(demand.PromptTokens)
-	r.models[base].prompts.squares += demand.PromptSquares
+	r.models[base].promptsArrived.tokens += float64(demand.PromptTokens)
+	r.models[base].promptsArrived.squares += demand.PromptSquares
 }
 
-// indexMachines enters every machine and its slots.
+// indexMachines adds every machine and its replicas.
 func (r *round) indexMachines() {
 	r.machines = r.machines[:0]
 	r.pools = r.pools[:0]
 	for m := range r.state.Machines {
 		machine := &r.state.Machines[m]
-		pool := r.catalogue.pool(machine.Pool)
-		entry := machineRound{
-			pool: pool, free: machine.MemoryBytes, from: int32(len(r.slots)),
+		pool := r.catalogue.poolIndex(machine.Pool)
+		entry := machineState{
+			pool: pool, free: machine.MemoryBytes, firstReplica: int32(len(r.replicas)),
 			usable: machine.Sealed && !machine.Leaving,
 		}
 		for s := range machine.Replicas {
-			r.indexSlot(int32(m), &entry, &machine.Replicas[s])
+			r.indexReplica(int32(m), &entry, &machine.Replicas[s])
 		}
-		entry.soon += entry.free
-		entry.to = int32(len(r.slots))
+		entry.freeAfterUnloads += entry.free
+		entry.endReplica = int32(len(r.replicas))
 		if !machine.Sealed {
 			r.unsealed++
 		}
 		if entry.usable {
-			r.noteCached(pool, machine)
+			r.indexCachedModels(pool, machine)
 		}
 		r.machines = append(r.machines, entry)
-		r.countPool(pool, machine)
+		r.addToPool(pool, machine)
 	}
 }
 
-// noteCached enters the checkpoints that a machine has cached.
-func (r *round) noteCached(pool int32, machine *Machine) {
+// indexCachedModels adds the checkpoints that a machine has cached to their models.
+func (r *round) indexCachedModels(pool int32, machine *Machine) {
 	for id, tier := range machine.Cached {
-		i := r.catalogue.find(id)
-		if i == none || r.catalogue.entries[i].pool != pool {
+		i := r.catalogue.indexOf(id)
+		if i == noIndex || r.catalogue.entries[i].pool != pool {
 			continue
 		}
-		r.models[i].tier = max(r.models[i].tier, tier)
+		r.models[i].bestTier = max(r.models[i].bestTier, tier)
 		if machine.BusyFor <= r.loadTime(i, tier) {
-			r.models[i].atHand++
+			r.models[i].localCopies++
 		}
 	}
 }
 
-// indexSlot enters one slot; a slot holds its memory whatever its state.
-func (r *round) indexSlot(m int32, machine *machineRound, slot *Slot) {
+// indexReplica adds one replica. A replica occupies its memory in every state.
+func (r *round) indexReplica(m int32, machine *machineState, slot *Slot) {
 	machine.free -= slot.Bytes
-	ref := slotRound{slot: slot, model: r.catalogue.find(slot.Model), machine: m, next: none}
-	ref.unloading = slot.State == cluster.ReplicaUnloading
-	if ref.unloading {
-		machine.soon += slot.Bytes
+	replica := replicaState{slot: slot, model: r.catalogue.indexOf(slot.Model), machine: m, next: noIndex}
+	replica.unloading = slot.State == cluster.ReplicaUnloading
+	if replica.unloading {
+		machine.freeAfterUnloads += slot.Bytes
 		machine.draining = machine.draining || r.state.Machines[m].Load.PerModel[slot.Model] > 0
 	}
 	if slot.State == cluster.ReplicaLoading {
 		machine.loading++
-		if r.countsAsRemote(&ref) && r.store.remote(loadKey{machine: r.state.Machines[m].ID, model: slot.Model}) {
+		if r.countsAsRemote(&replica) && r.store.mayUseStore(loadKey{machine: r.state.Machines[m].ID, model: slot.Model}) {
 			r.remoteLoads++
 		}
 	}
-	if ref.model != none {
-		r.countReplica(&ref)
-		if r.catalogue.entries[ref.model].model.Kind == settings.KindAdapter {
+	if replica.model != noIndex {
+		r.countReplica(&replica)
+		if r.catalogue.entries[replica.model].model.Kind == settings.KindAdapter {
 			machine.adapters++
 		}
 	}
-	r.slots = append(r.slots, ref)
+	r.replicas = append(r.replicas, replica)
 }
 
-// countsAsRemote reports whether the load of a slot's model counts against the
-// weight store's limits.
-func (r *round) countsAsRemote(ref *slotRound) bool {
-	return !r.config.AdaptersUnlimited || ref.model == none || r.catalogue.entries[ref.model].base == none
+// countsAsRemote reports whether a load of the replica's model counts against the limits of the
+// weight store.
+func (r *round) countsAsRemote(replica *replicaState) bool {
+	return !r.config.AdaptersUnlimited || replica.model == noIndex || r.catalogue.entries[replica.model].base == noIndex
 }
 
-// countReplica adds a slot to its model's counts and list.
-func (r *round) countReplica(ref *slotRound) {
-	model := &r.models[ref.model]
-	machine := &r.state.Machines[ref.machine]
-	slot := ref.slot
+// countReplica adds a replica to the counts and the list of its model.
+func (r *round) countReplica(replica *replicaState) {
+	model := &r.models[replica.model]
+	machine := &r.state.Machines[replica.machine]
+	slot := replica.slot
 	model.held++
-	if ref.unloading {
+	if replica.unloading {
 		model.unloading++
 	}
 	if slot.State == cluster.ReplicaLoaded && !slot.Unknown {
 		model.loaded++
 	}
-	if r.mayUnload(ref) {
+	if r.mayUnload(replica) {
 		model.confirmed++
 	}
-	fresh := !slot.Unknown || r.state.Now.Sub(slot.Since) < r.config.UnknownGrace
-	if !ref.unloading && fresh && machine.Sealed && !machine.Leaving && r.current(ref) {
-		ref.useful = true
-		model.useful++
+	expectedToServe := !slot.Unknown || r.state.Now.Sub(slot.Since) < r.config.UnknownGrace
+	if !replica.unloading && expectedToServe && machine.Sealed && !machine.Leaving && r.versionCurrent(replica) {
+		replica.serving = true
+		model.serving++
 	}
-	ref.next = model.first
-	model.first = int32(len(r.slots))
+	replica.next = model.firstReplica
+	model.firstReplica = int32(len(r.replicas))
 }
 
-// current reports whether the slot holds the version that the policy names.
-func (r *round) current(ref *slotRound) bool {
-	version := r.catalogue.entries[ref.model].model.Policy.Version
-	return version == "" || ref.slot.Version == version
+// versionCurrent reports whether the replica has the version that the policy names.
+func (r *round) versionCurrent(replica *replicaState) bool {
+	version := r.catalogue.entries[replica.model].model.Policy.Version
+	return version == "" || replica.slot.Version == version
 }
 
-// countPool enters a machine into its pool's sums.
-func (r *round) countPool(pool int32, machine *Machine) {
+// addToPool adds a machine to the totals of its pool.
+func (r *round) addToPool(pool int32, machine *Machine) {
 	for len(r.pools) < len(r.catalogue.pools) {
-		r.pools = append(r.pools, poolSum{})
+		r.pools = append(r.pools, poolTotals{})
 	}
 	slots := machine.Slots
 	if slots <= 0 {
@@ -281,7 +284,7 @@
 	sum.bytes += machine.MemoryBytes
 }
 
-// slotsPerReplica is how many requests one replica in the pool serves at once.
+// slotsPerReplica returns how many requests one replica in the pool runs at once.
 func (r *round) slotsPerReplica(pool int32) float64 {
 	if int(pool) < len(r.pools) && r.pools[pool].machines > 0 {
 		return float64(r.pools[pool].slots) / float64(r.pools[pool].machines)
@@ -289,76 +292,76 @@
 	return float64(r.config.DefaultSlots)
 }
 
-// idleShare is how many accelerators a replica of the given size takes: its
-// part of a machine's memory.
-func (r *round) idleShare(pool int32, bytes int64) float64 {
+// acceleratorShare returns how many accelerators a replica of the given size occupies, in
+// proportion to its share of a machine's memory.
+func (r *round) acceleratorShare(pool int32, bytes int64) float64 {
 	if int(pool) >= len(r.pools) || r.pools[pool].bytes == 0 {
 		return 1
 	}
 	return float64(bytes) / float64(r.pools[pool].bytes) * float64(r.pools[pool].accelerators)
 }
 
-// settling reports whether the controller has only just taken over and still
-// waits for machines to say what they hold.
-func (r *round) settling() bool {
+// awaitsSeals reports whether the controller took over recently and still waits for machines to
+// report their replicas.
+func (r *round) awaitsSeals() bool {
 	return r.unsealed > 0 && r.state.Now.Sub(r.tokenSince) < r.config.SealGrace
 }
 
-// slotsOf returns the machine's slots.
-func (r *round) slotsOf(m int32) []slotRound {
-	return r.slots[r.machines[m].from:r.machines[m].to]
+// replicasOn returns the replicas on the machine.
+func (r *round) replicasOn(m int32) []replicaState {
+	return r.replicas[r.machines[m].firstReplica:r.machines[m].endReplica]
 }
 
-// holds reports whether the machine has a slot of the model in any state.
+// holds reports whether the machine has a replica of the model in any state.
 func (r *round) holds(m, model int32) bool {
-	for i := range r.slotsOf(m) {
-		if r.slotsOf(m)[i].model == model {
+	for i := range r.replicasOn(m) {
+		if r.replicasOn(m)[i].model == model {
 			return true
 		}
 	}
 	return false
 }
 
-// baseInUse reports whether a slot on the machine is, or may be, an adapter of
-// the base model. Slots of models that left the tree may be.
+// baseInUse reports whether a replica on the machine is, or may be, an adapter of the base
+// model. The kind of a replica is unknown if its model was removed from the settings.
 func (r *round) baseInUse(m, base int32) bool {
 	if r.catalogue.entries[base].model.Kind == settings.KindAdapter {
 		return false
 	}
-	for _, ref := range r.slotsOf(m) {
-		if ref.model == none || r.catalogue.entries[ref.model].base == base {
+	for _, replica := range r.replicasOn(m) {
+		if replica.model == noIndex || r.catalogue.entries[replica.model].base == base {
 			return true
 		}
 	}
 	return false
 }
 
-// learn takes in what the ledger and the demand show since the last round.
-func (r *round) learn() {
-	for i := range r.slots {
-		ref := &r.slots[i]
-		key := loadKey{machine: r.state.Machines[ref.machine].ID, model: ref.slot.Model}
-		if ref.slot.State == cluster.ReplicaLoaded && !ref.slot.Unknown {
-			r.store.finished(key, ref.slot.Since)
+// observeRound learns from the changes of the ledger and the demand since the last round.
+func (r *round) observeRound() {
+	for i := range r.replicas {
+		replica := &r.replicas[i]
+		key := loadKey{machine: r.state.Machines[replica.machine].ID, model: replica.slot.Model}
+		if replica.slot.State == cluster.ReplicaLoaded && !replica.slot.Unknown {
+			r.store.observeFinished(key, replica.slot.Since)
 		} else {
-			r.store.keep(key, r.rounds)
+			r.store.markSeen(key, r.roundCount)
 		}
-		if ref.slot.State == cluster.ReplicaLoading && !ref.slot.Unknown {
-			r.store.accepted(key, ref.slot.Since)
+		if replica.slot.State == cluster.ReplicaLoading && !replica.slot.Unknown {
+			r.store.noteAccepted(key, replica.slot.Since)
 		}
 	}
-	r.store.expire(r.rounds)
-	passed := r.busy.observe(r.state)
+	r.store.forgetUnseen(r.roundCount)
+	passed := r.busyMachines.observe(r.state)
 	for i := range r.models {
 		model := &r.models[i]
 		working := model.demand.Waiting+model.demand.Running > 0 || model.adapterWorking
 		arrivals := model.demand.Arrivals + model.adapterArrivals
-		track := r.catalogue.entries[i].track
-		track.observe(r.state.Now, working, arrivals)
-		track.rate.observe(arrivals, passed)
-		track.objective = cmp.Or(model.demand.Objective, track.objective)
-		r.learnReading(int32(i), passed)
-		track.unserved.observe(r.state.Now, model.useful > 0, model.demand.Waiting, model.demand.Arrivals)
+		history := r.catalogue.entries[i].history
+		history.observe(r.state.Now, working, arrivals)
+		history.arrivalRate.observe(arrivals, passed)
+		history.objective = cmp.Or(model.demand.Objective, history.objective)
+		r.observePrefill(int32(i), passed)
+		history.starvation.observe(r.state.Now, model.serving > 0, model.demand.Waiting, model.demand.Arrivals)
 	}
-	r.spreadReading()
+	r.sumPrefillPerMachine()
 }
--- a/placement/store.go
+++ b/placement/store.go
@@ -9,65 +9,68 @@
 )
 
 const (
-	// loadOverhead is the part of a load that does not depend on its size; chosen, not measured.
+	// loadOverhead is the part of a load's duration that does not depend on its size. It also
+	// keeps the expected time of a small load longer than zero.
 	loadOverhead = 500 * time.Millisecond
-	// rateSmoothing is the weight of a new observation in a learned rate: the last three count for
-	// half. Chosen, not measured.
+	// rateSmoothing is the weight of a new observation in a learned rate: the last three make
+	// up about half of the rate.
 	rateSmoothing = 0.2
-	// minStoreSpeed bounds the scaling of expectations by the store's speed; chosen, not measured.
+	// minStoreSpeed is the lowest store speed, as a share of full speed, by which expected load
+	// times are scaled, so that they stay finite if the store is almost stopped.
 	minStoreSpeed = 0.02
 )
 
-// loadKey names one load that a planner ordered.
+// loadKey identifies one load that a planner ordered.
 type loadKey struct {
 	machine cluster.MachineID
 	model   cluster.ModelID
 }
 
-// pendingLoad is an ordered load that was not seen to finish.
+// pendingLoad is an ordered load that has not been seen to finish.
 type pendingLoad struct {
-	// shares is set when the load shares the weight store with others.
-	shares  bool
-	tier    cluster.Tier
-	bytes   int64
-	ordered time.Time
-	// expected time of the load with the store to itself.
+	// usesStore reports that the load shares the weight store with others.
+	usesStore bool
+	tier      cluster.Tier
+	bytes     int64
+	ordered   time.Time
+	// expected is the duration of the load if no other load uses the store.
 	expected time.Duration
-	// area is the store's when the load began.
-	area float64
-	// seen is the last round whose ledger still held the load.
-	seen uint64
+	// loadSeconds is the value of storeModel.loadSeconds when the load began.
+	loadSeconds float64
+	// lastSeenRound is the last round in which the ledger contained the load.
+	lastSeenRound uint64
 }
 
-// storeModel learns how long loads take from each tier and how many the weight
-// store bears at once.
+// storeModel estimates how long loads from each tier take and how many loads the weight store
+// serves at once.
 type storeModel struct {
-	// rate is bytes a second by tier, remote at the store's full speed.
-	rate [TierCount]float64
-	// observed tells whether a rate was learned, or is only assumed.
-	observed [TierCount]bool
-	pending  map[loadKey]pendingLoad
-	capacity storeCapacity
-	// underWay counts the remote loads under way since refilled, and area adds them up
-	// over time in seconds.
-	underWay     int
-	area         float64
-	allowance    float64
-	refilled     time.Time
+	// bytesPerSecond is the load rate by tier; the remote one is at the store's full speed.
+	bytesPerSecond [TierCount]float64
+	// rateObserved reports by tier that the rate comes from observed loads, not from the
+	// configuration.
+	rateObserved [TierCount]bool
+	pending      map[loadKey]pendingLoad
+	sustainable  storeConcurrency
+	// runningLoads counts the running remote loads since refilledAt, and loadSeconds is its
+	// integral over time. startTokens is the content of the token bucket that limits starts.
+	runningLoads int
+	loadSeconds  float64
+	startTokens  float64
+	refilledAt   time.Time
 	speed        float64
 	limit        int
 	startsPerSec float64
 	burstLimit   float64
-	// assumeStarts begins without an allowance.
+	// assumeStarts begins with an empty token bucket.
 	assumeStarts bool
 }
 
 func newStoreModel(config Config) storeModel {
-	return storeModel{rate: config.BytesPerSecond, pending: make(map[loadKey]pendingLoad), speed: 1, assumeStarts: config.AssumeStarts}
+	return storeModel{bytesPerSecond: config.BytesPerSecond, pending: make(map[loadKey]pendingLoad), speed: 1, assumeStarts: config.AssumeStarts}
 }
 
-// begin takes the store's state for a round and refills the start allowance.
-func (s *storeModel) begin(now time.Time, state StoreState) {
+// beginRound takes over the store's state for a round and refills the token bucket of starts.
+func (s *storeModel) beginRound(now time.Time, state StoreState) {
 	s.speed = state.Speed
 	if s.speed <= 0 || s.speed > 1 {
 		s.speed = 1
@@ -75,73 +78,73 @@
 	s.speed = max(s.speed, minStoreSpeed)
 	s.limit = state.Concurrency
 	s.startsPerSec, s.burstLimit = state.StartsPerSecond, state.Burst
-	if s.refilled.IsZero() {
+	if s.refilledAt.IsZero() {
 		if !s.assumeStarts {
-			s.allowance = s.burst()
+			s.startTokens = s.startBurst()
 		}
-		s.capacity.loads = float64(cmp.Or(state.Bears, s.limit))
+		s.sustainable.estimate = float64(cmp.Or(state.Bears, s.limit))
 	} else {
-		passed := max(now.Sub(s.refilled).Seconds(), 0)
-		s.allowance = min(s.burst(), s.allowance+s.startsPerSec*passed)
-		s.area += float64(s.underWay) * passed
+		passed := max(now.Sub(s.refilledAt).Seconds(), 0)
+		s.startTokens = min(s.startBurst(), s.startTokens+s.startsPerSec*passed)
+		s.loadSeconds += float64(s.runningLoads) * passed
 	}
-	s.refilled = now
-	s.capacity.loads = min(max(s.capacity.loads, 1), max(float64(s.limit), 1))
+	s.refilledAt = now
+	s.sustainable.estimate = min(max(s.sustainable.estimate, 1), max(float64(s.limit), 1))
 }
 
-// burst is how many starts the allowance holds at most.
-func (s *storeModel) burst() float64 {
+// startBurst returns the capacity of the token bucket of starts.
+func (s *storeModel) startBurst() float64 {
 	if s.burstLimit > 0 {
 		return max(1, s.burstLimit)
 	}
 	return max(1, s.startsPerSec)
 }
 
-// withdraw gives back what a load took that was not ordered.
-func (s *storeModel) withdraw(key loadKey, counted bool) {
+// withdrawLoad removes a load that was not ordered and returns its start token.
+func (s *storeModel) withdrawLoad(key loadKey, usesStore bool) {
 	if _, planned := s.pending[key]; !planned {
 		return
 	}
 	delete(s.pending, key)
-	if counted {
-		s.allowance = min(s.burst(), s.allowance+1)
+	if usesStore {
+		s.startTokens = min(s.startBurst(), s.startTokens+1)
 	}
 }
 
-// concurrency returns how many remote loads may run at once now: what the store was
-// learned to bear, never more than the limit scaled by the store's speed.
+// concurrency returns how many remote loads may run at once now: the learned estimate, and at
+// most the limit scaled by the store's speed.
 func (s *storeModel) concurrency() int {
 	bySpeed := int(math.Ceil(float64(s.limit) * s.speed))
-	return min(s.limit, s.capacity.concurrent(), bySpeed)
+	return min(s.limit, s.sustainable.maxConcurrent(), bySpeed)
 }
 
-// expected returns how long a load of the given size takes from the tier.
-func (s *storeModel) expected(tier cluster.Tier, bytes int64) time.Duration {
-	seconds := float64(bytes) / s.rate[tier]
+// expectedTime returns the expected duration of a load of the given size from the tier.
+func (s *storeModel) expectedTime(tier cluster.Tier, bytes int64) time.Duration {
+	seconds := float64(bytes) / s.bytesPerSecond[tier]
 	if tier == cluster.TierRemote {
 		seconds /= s.speed
 	}
 	return loadOverhead + time.Duration(seconds*float64(time.Second))
 }
 
-// ordered records a load that the plan contains.
-func (s *storeModel) ordered(key loadKey, load pendingLoad) {
-	load.area = s.area
+// addPending records a load that the plan contains.
+func (s *storeModel) addPending(key loadKey, load pendingLoad) {
+	load.loadSeconds = s.loadSeconds
 	s.pending[key] = load
 }
 
-// accepted notes since when a machine carries out a load.
-func (s *storeModel) accepted(key loadKey, since time.Time) {
+// noteAccepted records the time at which a machine began to carry out a load.
+func (s *storeModel) noteAccepted(key loadKey, since time.Time) {
 	load, ok := s.pending[key]
 	if !ok || !since.After(load.ordered) {
 		return
 	}
-	load.ordered, load.area = since, s.area
+	load.ordered, load.loadSeconds = since, s.loadSeconds
 	s.pending[key] = load
 }
 
-// finished learns from a load seen to be loaded since the given time.
-func (s *storeModel) finished(key loadKey, since time.Time) {
+// observeFinished learns from a load that has been loaded since the given time.
+func (s *storeModel) observeFinished(key loadKey, since time.Time) {
 	load, ok := s.pending[key]
 	if !ok {
 		return
@@ -151,47 +154,48 @@
 	if took <= 0 || load.bytes <= 0 {
 		return
 	}
-	if !load.shares {
+	if !load.usesStore {
 		s.learnRate(load, took)
 		return
 	}
-	shared := max((s.area-load.area)/took.Seconds(), 1)
-	s.capacity.observe(observation{full: load.expected, took: took, shared: shared})
-	if shared < sharedLoads || took < load.expected {
-		// Beside others a load tells what the store bears, not how fast it is.
+	meanConcurrency := max((s.loadSeconds-load.loadSeconds)/took.Seconds(), 1)
+	s.sustainable.observe(loadObservation{fullSpeedTime: load.expected, took: took, meanConcurrency: meanConcurrency})
+	if meanConcurrency < sharedStoreLoads || took < load.expected {
+		// A load that shared the store shows how many loads the store serves, not its speed.
 		s.learnRate(load, took)
 	}
 }
 
-// learnRate moves the tier's rate towards the observed one.
+// learnRate moves the tier's rate towards the rate of the finished load.
 func (s *storeModel) learnRate(load pendingLoad, took time.Duration) {
 	seconds := max((took - loadOverhead).Seconds(), 0.05)
 	observed := float64(load.bytes) / seconds
 	if load.tier == cluster.TierRemote {
 		observed /= s.speed
 	}
-	s.observed[load.tier] = true
-	s.rate[load.tier] += rateSmoothing * (observed - s.rate[load.tier])
+	s.rateObserved[load.tier] = true
+	s.bytesPerSecond[load.tier] += rateSmoothing * (observed - s.bytesPerSecond[load.tier])
 }
 
-// remote reports whether a load in the ledger uses the store, as far as known.
-func (s *storeModel) remote(key loadKey) bool {
+// mayUseStore reports whether a load in the ledger uses the store. It returns true for loads
+// that the planner doesn't know.
+func (s *storeModel) mayUseStore(key loadKey) bool {
 	load, ok := s.pending[key]
 	return !ok || load.tier == cluster.TierRemote
 }
 
-// keep marks the load as still in the ledger; expire forgets those that are not.
-func (s *storeModel) keep(key loadKey, round uint64) {
+// markSeen records that the ledger still contains the load.
+func (s *storeModel) markSeen(key loadKey, round uint64) {
 	if load, ok := s.pending[key]; ok {
-		load.seen = round
+		load.lastSeenRound = round
 		s.pending[key] = load
 	}
 }
 
-// expire forgets loads that the ledger no longer holds.
-func (s *storeModel) expire(round uint64) {
+// forgetUnseen removes loads that the ledger no longer contains.
+func (s *storeModel) forgetUnseen(round uint64) {
 	for key, load := range s.pending {
-		if load.seen+1 < round {
+		if load.lastSeenRound+1 < round {
 			delete(s.pending, key)
 		}
 	}
--- a/placement/occupancy_test.go
+++ b/placement/store_load_gain_test.go
@@ -30,8 +30,8 @@
 	return state, NewPlanner(config)
 }
 
-// ask has the models asked for, once a second for so many seconds, and served elsewhere.
-func ask(state *State, planner *AdaptivePlanner, seconds int, models ...cluster.ModelID) {
+// requestEachSecond has the models asked for, once a second for so many seconds, and served elsewhere.
+func requestEachSecond(state *State, planner *AdaptivePlanner, seconds int, models ...cluster.ModelID) {
 	for range seconds {
 		state.Now = state.Now.Add(time.Second)
 		for _, id := range models {
@@ -45,7 +45,7 @@
 // TestMachineIsKeptForQuickLoads: a load from the store for one late request would keep
 // the machine from the models at hand there that are asked for all the time. Many
 // waiting requests, or a copy of those models elsewhere, make it worth while.
-func TestMachineIsKeptForQuickLoads(t *testing.T) {
+func TestMachineIsKeptForLocalLoads(t *testing.T) {
 	for name, test := range map[string]struct {
 		waiting int
 		spare   bool
@@ -64,7 +64,7 @@
 					state.Machines = append(state.Machines, spare)
 				}
 			}
-			ask(&state, planner, 20, "c1", "c2", "c3", "c4")
+			requestEachSecond(&state, planner, 20, "c1", "c2", "c3", "c4")
 			state.Demand["booking"] = Demand{Waiting: test.waiting, Arrivals: test.waiting, Objective: time.Second}
 			expectActions(t, planner.Plan(state), test.want...)
 		})
@@ -73,13 +73,13 @@
 
 // TestRequestInTimeCountsMore: the same request is worth the load when its answer would
 // be in time.
-func TestRequestInTimeCountsMore(t *testing.T) {
+func TestStoreLoadGainIsHigherWithinObjective(t *testing.T) {
 	gain := func(objective time.Duration) float64 {
 		state, planner := occupancyState()
 		state.Demand["booking"] = Demand{Waiting: 3, Objective: objective}
 		planner.Plan(state)
 		planner.round.state = &state
-		return planner.round.storeLoadGain(planner.catalogue.find("booking"), 6*time.Second)
+		return planner.round.storeLoadGain(planner.catalogue.indexOf("booking"), 6*time.Second)
 	}
 	if late, inTime := gain(time.Second), gain(time.Minute); inTime < 2*late {
 		t.Errorf("gain %.2f late and %.2f in time", late, inTime)
@@ -88,13 +88,13 @@
 
 // TestCopyIsMadeAhead: a model that was asked for and is on no machine any more is loaded
 // where there is room, one never asked for is not.
-func TestCopyIsMadeAhead(t *testing.T) {
+func TestLostModelIsLoadedBeforeNextRequest(t *testing.T) {
 	state, planner := occupancyState()
 	state.Machines[0].Cached = map[cluster.ModelID]cluster.Tier{}
 	state.Store.Concurrency = 1
 	expectActions(t, planner.Plan(state))
-	hold(&state, 0, "booking")
-	ask(&state, planner, 5, "booking")
+	addLoadedReplica(&state, 0, "booking")
+	requestEachSecond(&state, planner, 5, "booking")
 	state.Machines[0].Replicas = nil
 	state.Now = state.Now.Add(time.Second)
 	expectActions(t, planner.Plan(state), "load booking on machine-0000")
@@ -103,13 +103,13 @@
 // TestCrowdedModelGetsAReplica: a model whose replica runs more than it should is worth
 // another one from the store, though its requests are being served; one that has room,
 // or that has a replica under way, is not.
-func TestCrowdedModelGetsAReplica(t *testing.T) {
+func TestOverloadedModelGainsFromStoreLoad(t *testing.T) {
 	gain := func(running int, under bool) float64 {
 		state, planner := occupancyState()
-		hold(&state, 0, "booking")
+		addLoadedReplica(&state, 0, "booking")
 		if under {
 			state.Machines = append(state.Machines, testMachines(2)[1])
-			hold(&state, 1, "booking").State = cluster.ReplicaLoading
+			addLoadedReplica(&state, 1, "booking").State = cluster.ReplicaLoading
 		}
 		for range 10 {
 			state.Now = state.Now.Add(time.Second)
@@ -117,7 +117,7 @@
 			planner.Plan(state)
 		}
 		planner.round.state = &state
-		return planner.round.storeLoadGain(planner.catalogue.find("booking"), 3*time.Second)
+		return planner.round.storeLoadGain(planner.catalogue.indexOf("booking"), 3*time.Second)
 	}
 	if got := gain(5, false); got < 1 {
 		t.Errorf("gain %.2f of a crowded model", got)
--- a/placement/starts_test.go
+++ b/placement/store_starts_test.go
@@ -10,7 +10,7 @@
 
 // TestWithdrawnLoadKeepsItsStart: a load whose order was not given takes nothing of
 // the weight store.
-func TestWithdrawnLoadKeepsItsStart(t *testing.T) {
+func TestWithdrawnLoadReturnsItsStartToken(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("booking", nil)), 1)
 	state.Store = StoreState{StartsPerSecond: 1, Concurrency: 4, Speed: 1}
 	state.Demand["booking"] = Demand{Waiting: 1, Arrivals: 1}
@@ -27,7 +27,7 @@
 
 // TestTakeoverKeepsStoreLimit: with demand for more than the store allows, one
 // planner after the other starts no more loads in any window than are allowed.
-func TestTakeoverKeepsStoreLimit(t *testing.T) {
+func TestTakeoverKeepsStoreStartRate(t *testing.T) {
 	const rate, window, burst = 20.0, 5 * time.Second, 6.0
 	models := make([]settings.Model, 400)
 	for i := range models {
--- a/placement/wait.go
+++ b/placement/wait.go
@@ -6,34 +6,34 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// waitKind is what a load waits for though it could begin elsewhere.
-type waitKind uint8
+// pendingWaitKind is what a load waits for although it could begin on another machine.
+type pendingWaitKind uint8
 
 const (
-	waitNone waitKind = iota
-	// waitBase waits until an adapter's base model is loaded.
-	waitBase
-	// waitBusy waits until a machine that has the checkpoint at hand has carried out
-	// its present order.
-	waitBusy
+	waitKindNone pendingWaitKind = iota
+	// waitKindBase waits until an adapter's base model is loaded.
+	waitKindBase
+	// waitKindBusy waits until a machine with a cached checkpoint has carried out its present
+	// order.
+	waitKindBusy
 )
 
-// wait is the best way to serve a request by ordering nothing yet.
-type wait struct {
-	kind    waitKind
+// pendingWait is the best way to serve a load request without a new order.
+type pendingWait struct {
+	kind    pendingWaitKind
 	machine int32
-	// seconds until the model is expected to be loaded there.
-	seconds float64
-	need    need
+	// seconds is the expected time until the model is loaded on the machine.
+	seconds      float64
+	requirements loadRequirements
 }
 
 // bestWait returns the wait that ends first.
-func (r *round) bestWait(request *request) wait {
-	best := wait{machine: none, seconds: math.Inf(1)}
-	if m, seconds := r.awaitedBase(request.model); m != none {
-		best = wait{kind: waitBase, machine: m, seconds: seconds}
+func (r *round) bestWait(request *loadRequest) pendingWait {
+	best := pendingWait{machine: noIndex, seconds: math.Inf(1)}
+	if m, seconds := r.loadingBase(request.model); m != noIndex {
+		best = pendingWait{kind: waitKindBase, machine: m, seconds: seconds}
 	}
-	if request.class > classReading {
+	if request.class > classPrefill {
 		return best
 	}
 	for m := range r.machines {
@@ -44,42 +44,43 @@
 	return best
 }
 
-// busyWait returns the wait for a busy machine that has the model's checkpoint at
-// hand: a load from there soon may be done before one from the weight store that
-// begins now, and it takes neither the store's nor another machine's time.
-func (r *round) busyWait(request *request, m int32) (wait, bool) {
+// busyWait returns the wait for a busy machine with a cached checkpoint of the model. A load
+// from its cache after the present order may finish before a load from the weight store that
+// begins now, and it occupies neither the store nor another machine.
+func (r *round) busyWait(request *loadRequest, m int32) (pendingWait, bool) {
 	machine, i := &r.state.Machines[m], request.model
 	if machine.BusyFor <= 0 || machine.Cached[r.catalogue.entries[i].model.ID] == cluster.TierRemote {
-		return wait{}, false
+		return pendingWait{}, false
 	}
-	if r.filter(i, m) != filterBusy {
-		return wait{}, false
+	if r.failedFilter(i, m) != filterBusy {
+		return pendingWait{}, false
 	}
-	needs, ok := r.needOn(i, m)
-	if !ok || needs.remote > 0 || r.lacksAdapterSlot(i, m) {
-		return wait{}, false
+	needs, ok := r.requirementsOn(i, m)
+	if !ok || needs.storeLoads > 0 || r.lacksAdapterSlot(i, m) {
+		return pendingWait{}, false
 	}
-	seconds := (machine.BusyFor + r.machines[m].promised).Seconds() + r.score(i, m, &needs) + r.workScore(m, request.class)
-	if needs.bytes > r.machines[m].soon {
+	seconds := (machine.BusyFor + r.machines[m].queuedLoadTime).Seconds() + r.machineScore(i, m, &needs) + r.prefillScore(m, request.class)
+	if needs.bytes > r.machines[m].freeAfterUnloads {
 		if _, enough := r.selectVictims(request, m, needs.bytes); !enough {
-			return wait{}, false
+			return pendingWait{}, false
 		}
 		seconds += unloadScore
 	}
-	return wait{kind: waitBusy, machine: m, seconds: seconds, need: needs}, true
+	return pendingWait{kind: waitKindBusy, machine: m, seconds: seconds, requirements: needs}, true
 }
 
-// awaitBusy leaves a load to a busy machine.
-func (r *round) awaitBusy(i int32, wait *wait, c *choice) {
-	r.claim(wait.machine, wait.need.bytes)
-	r.machines[wait.machine].promised += wait.need.expected
+// queueOnBusyMachine reserves memory and time for a load on a busy machine, which a later round
+// orders.
+func (r *round) queueOnBusyMachine(i int32, wait *pendingWait, c *machineChoice) {
+	r.reserveMemory(wait.machine, wait.requirements.bytes)
+	r.machines[wait.machine].queuedLoadTime += wait.requirements.expectedTime
 	reason := r.reason(i, CauseBusy, "")
-	r.explain(&reason, c)
+	r.addChoice(&reason, c)
 	r.models[i].reason = reason
 }
 
-// loadedIn is in how many seconds a load under way is expected to be done.
-func (r *round) loadedIn(m, model int32, slot *Slot) float64 {
+// remainingLoadTime returns the expected remaining seconds of a running load.
+func (r *round) remainingLoadTime(m, model int32, slot *Slot) float64 {
 	expected, began := r.coldStart(model), slot.Since
 	if load, known := r.store.pending[loadKey{machine: r.state.Machines[m].ID, model: slot.Model}]; known {
 		expected, began = load.expected, load.ordered
@@ -87,34 +88,35 @@
 	return max(expected-r.state.Now.Sub(began), 0).Seconds()
 }
 
-// awaitedBase returns the machine that is loading an adapter's base model, has room for
-// the adapter and is ready first, and in how many seconds it is; none without one. A
-// machine that carries out an order takes no other, so no choice has it.
-func (r *round) awaitedBase(i int32) (int32, float64) {
+// loadingBase returns the machine that will be the first to have loaded an adapter's base model
+// and has room for the adapter, and the seconds until then. It returns noIndex if there is
+// none. Such a machine is carrying out an order, so chooseMachine excludes it.
+func (r *round) loadingBase(i int32) (int32, float64) {
 	base := r.catalogue.entries[i].base
-	best, bestIn := none, math.Inf(1)
-	if base == none {
-		return best, bestIn
+	best, bestSeconds := noIndex, math.Inf(1)
+	if base == noIndex {
+		return best, bestSeconds
 	}
-	for s := r.models[base].first; s != none; s = r.slots[s].next {
-		ref := &r.slots[s]
-		m := ref.machine
-		if ref.slot.State != cluster.ReplicaLoading || !ref.useful || !r.state.Machines[m].Busy {
+	for s := r.models[base].firstReplica; s != noIndex; s = r.replicas[s].next {
+		replica := &r.replicas[s]
+		m := replica.machine
+		if replica.slot.State != cluster.ReplicaLoading || !replica.serving || !r.state.Machines[m].Busy {
 			continue
 		}
 		if r.lacksAdapterSlot(i, m) || r.catalogue.entries[i].model.Policy.Memory > r.machines[m].free || r.holds(m, i) {
 			continue
 		}
-		if in := r.loadedIn(m, base, ref.slot); in < bestIn {
-			best, bestIn = m, in
+		if seconds := r.remainingLoadTime(m, base, replica.slot); seconds < bestSeconds {
+			best, bestSeconds = m, seconds
 		}
 	}
-	return best, bestIn
+	return best, bestSeconds
 }
 
-// awaitBase keeps a place and memory for an adapter where its base model is loading.
-func (r *round) awaitBase(i, m int32) {
-	r.claim(m, r.catalogue.entries[i].model.Policy.Memory)
+// reserveBesideBase reserves an adapter slot and memory for an adapter where its base model is
+// loading.
+func (r *round) reserveBesideBase(i, m int32) {
+	r.reserveMemory(m, r.catalogue.entries[i].model.Policy.Memory)
 	r.machines[m].adapters++
 	r.models[i].reason = r.reason(i, CauseBaseMissing, "")
 }
--- a/placement/wait_test.go
+++ b/placement/wait_test.go
@@ -21,7 +21,7 @@
 // TestBusyMachineWithCheckpointIsAwaited: a machine that is busy for a moment loads
 // from its disk sooner than another from the weight store, whose load would hold up
 // that machine and all other loads from the store.
-func TestBusyMachineWithCheckpointIsAwaited(t *testing.T) {
+func TestLoadWaitsForBrieflyBusyMachineWithCheckpoint(t *testing.T) {
 	planner := NewPlanner(Config{})
 	state := busyWaitState(300 * time.Millisecond)
 	plan := planner.Plan(state)
@@ -42,7 +42,7 @@
 
 // TestLongBusyMachineIsNotAwaited: one that is busy for longer than a load from the
 // weight store takes is not waited for, nor one of which nothing is known.
-func TestLongBusyMachineIsNotAwaited(t *testing.T) {
+func TestLoadDoesNotWaitForLongBusyMachine(t *testing.T) {
 	for name, busyFor := range map[string]time.Duration{"long": time.Minute, "unknown": 0} {
 		t.Run(name, func(t *testing.T) {
 			state := busyWaitState(busyFor)
@@ -56,7 +56,7 @@
 
 // TestBusyMachineIsAwaitedByFewModels: each model that waits for a machine takes its
 // time of it, so that further ones load elsewhere.
-func TestBusyMachineIsAwaitedByFewModels(t *testing.T) {
+func TestFurtherModelsDoNotWaitForSameBusyMachine(t *testing.T) {
 	state := busyWaitState(300 * time.Millisecond)
 	state.Machines[0].MemoryBytes = 400 * gigabyte
 	models := state.Settings.Models
--- a/placement/world_test.go
+++ b/placement/world_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// hold puts a loaded replica on the machine.
-func hold(state *State, machine int, id cluster.ModelID) *Slot {
+// addLoadedReplica puts a loaded replica on the machine.
+func addLoadedReplica(state *State, machine int, id cluster.ModelID) *Slot {
 	model := state.Settings.Model(id)
 	slot := Slot{Model: id, State: cluster.ReplicaLoaded, Since: state.Now}
 	if model != nil {
@@ -88,28 +88,28 @@
 	return &replicas[at]
 }
 
-// engines carry out plans: loads take their expected time times the slowness,
+// fakeEngines carry out plans: loads take their expected time times the slowness,
 // unloads one second.
-type engines struct {
-	slowness float64
-	ready    map[loadKey]time.Time
+type fakeEngines struct {
+	loadTimeFactor float64
+	completesAt    map[loadKey]time.Time
 }
 
-// order enters the plan's actions into the ledger.
-func (e *engines) order(state *State, plan Plan) {
+// apply enters the plan's actions into the ledger.
+func (e *fakeEngines) apply(state *State, plan Plan) {
 	for _, action := range plan.Actions {
 		m := slices.IndexFunc(state.Machines, func(machine Machine) bool { return machine.ID == action.Machine })
 		machine := &state.Machines[m]
 		key := loadKey{machine: action.Machine, model: action.Model}
 		switch action.Kind {
 		case cluster.OrderLoad:
-			slot := hold(state, m, action.Model)
+			slot := addLoadedReplica(state, m, action.Model)
 			slot.State = cluster.ReplicaLoading
-			e.ready[key] = state.Now.Add(time.Duration(e.slowness * float64(action.ExpectedTime)))
+			e.completesAt[key] = state.Now.Add(time.Duration(e.loadTimeFactor * float64(action.ExpectedTime)))
 		case cluster.OrderUnload:
 			at := slices.IndexFunc(machine.Replicas, func(s Slot) bool { return s.Model == action.Model })
 			machine.Replicas[at].State = cluster.ReplicaUnloading
-			e.ready[key] = state.Now.Add(time.Second)
+			e.completesAt[key] = state.Now.Add(time.Second)
 		case cluster.OrderSetPool:
 			machine.Pool = action.Pool
 		}
@@ -117,13 +117,13 @@
 }
 
 // advance moves time on and completes what is due.
-func (e *engines) advance(state *State, step time.Duration) {
+func (e *fakeEngines) advance(state *State, step time.Duration) {
 	state.Now = state.Now.Add(step)
 	for m := range state.Machines {
 		machine := &state.Machines[m]
 		kept := machine.Replicas[:0]
 		for _, slot := range machine.Replicas {
-			due, ok := e.ready[loadKey{machine: machine.ID, model: slot.Model}]
+			due, ok := e.completesAt[loadKey{machine: machine.ID, model: slot.Model}]
 			if ok && !due.After(state.Now) {
 				if slot.State == cluster.ReplicaUnloading {
 					continue
