--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -11,14 +11,14 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// zoneSize is the size of a zone for benchmarks.
+// zoneSize is the size of a zone in benchmarks.
 type zoneSize struct {
 	name                      string
 	machines, bases, adapters int
 }
 
-// zoneSizes are the dental service's of today, its multiples, one zone of the
-// two-year size, and all zones of that size planned as one.
+// zoneSizes lists the size of the dental service, its multiples, one zone of its size expected
+// in two years, and all zones of that size planned as one.
 var zoneSizes = []zoneSize{
 	{"today", 12, 50, 60},
 	{"today4x", 48, 200, 240},
@@ -27,8 +27,8 @@
 	{"whole", 1600, 62, 1600},
 }
 
-// newBenchmarkZone returns a zone in which about an eighth of the models are busy
-// and many more loaded, and a planner that has seen it for ten minutes.
+// newBenchmarkZone returns a zone in which about an eighth of the models have requests and many
+// more are loaded, and a planner that has planned it for ten minutes.
 func newBenchmarkZone(s zoneSize) (*State, *AdaptivePlanner, *rand.Rand) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var models []settings.Model
@@ -53,7 +53,7 @@
 	return &state, planner, random
 }
 
-// changeDemand lets some models wake up and most waking ones rest again.
+// changeDemand gives some models requests and removes those of most others.
 func changeDemand(state *State, random *rand.Rand, changes int) {
 	for range max(changes, 1) {
 		id := state.Settings.Models[random.IntN(len(state.Settings.Models))].ID
@@ -65,8 +65,8 @@
 	}
 }
 
-// BenchmarkPlan measures one planning round while one in a hundred models
-// changes its demand each second.
+// BenchmarkPlan measures a planning round while one in a hundred models changes its demand each
+// second.
 func BenchmarkPlan(b *testing.B) {
 	for _, s := range zoneSizes {
 		b.Run(s.name, func(b *testing.B) {
@@ -89,8 +89,7 @@
 	}
 }
 
-// BenchmarkPlanBurst measures a round in which a tenth of all models has just
-// woken up at once.
+// BenchmarkPlanBurst measures a round in which a tenth of all models wakes up at once.
 func BenchmarkPlanBurst(b *testing.B) {
 	for _, s := range zoneSizes {
 		b.Run(s.name, func(b *testing.B) {
@@ -105,7 +104,7 @@
 	}
 }
 
-// planEachSecond measures rounds that are a second apart.
+// planEachSecond measures rounds that are one second apart.
 func planEachSecond(b *testing.B, planner Planner, state *State) {
 	b.Helper()
 	b.ReportAllocs()
@@ -117,7 +116,7 @@
 	}
 }
 
-// BenchmarkPlanReading measures a round in which a fifth of all models get long prompts,
+// BenchmarkPlanReading measures a round in which a fifth of all models receives long prompts,
 // on engines that carry out one order at a time and are full of idle models.
 func BenchmarkPlanReading(b *testing.B) {
 	for _, s := range zoneSizes[:3] {
@@ -137,8 +136,8 @@
 	}
 }
 
-// BenchmarkPlanStarved measures a round in which many rare models wait for a weight
-// store that lets none begin, on engines that are full of idle models.
+// BenchmarkPlanStarved measures a round in which many rarely used models wait for a weight
+// store that allows no start, on engines that are full of idle models.
 func BenchmarkPlanStarved(b *testing.B) {
 	const machines, models, waiting = 140, 481, 120
 	var catalogue []settings.Model
--- a/placement/check_test.go
+++ b/placement/check_test.go
@@ -7,16 +7,17 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// invariantChecker verifies that plans keep their promises, from the state alone.
+// invariantChecker verifies the invariants of plans from the state alone, independently of the
+// planner's code.
 type invariantChecker struct {
 	state *State
 	plan  Plan
-	// remoteStarts counts the remote loads of all plans so far.
+	// remoteStarts counts the remote loads of all plans.
 	remoteStarts int
 	violations   []string
 }
 
-// fail notes a violation.
+// fail records a violation.
 func (c *invariantChecker) fail(format string, arguments ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
@@ -75,8 +76,8 @@
 	return c.violations
 }
 
-// checkStore verifies the store's limits; loads in the ledger count whatever
-// their tier, so the concurrency bound only applies to plans that add some.
+// checkStore verifies the limits of the store. The tier of loads in the ledger is unknown, so
+// the concurrency limit is applied only to the loads of this plan.
 func (c *invariantChecker) checkStore(loading, starts int) {
 	c.remoteStarts += starts
 	elapsed := c.state.Now.Sub(start).Seconds()
@@ -84,7 +85,7 @@
 		c.fail("%d store starts in %.0f s", c.remoteStarts, elapsed)
 	}
 	if starts > 0 && starts > c.state.Store.Concurrency {
-		c.fail("%d store loads at once", loading+starts)
+		c.fail("%d concurrent store loads exceed the limit", loading+starts)
 	}
 }
 
@@ -100,7 +101,7 @@
 	case machine.Pool != model.Policy.EnginePool:
 		c.fail("load of %s in pool %s", action.Model, machine.Pool)
 	case planned[loadKey{machine.ID, action.Model}] || c.slot(machine, action.Model) != nil:
-		c.fail("second %s on %s", action.Model, machine.ID)
+		c.fail("second replica of %s on %s", action.Model, machine.ID)
 	}
 	if candidates := c.candidates(action.Model); len(candidates) > 0 && !slices.Contains(candidates, machine.ID) {
 		c.fail("%s on %s, not a candidate", action.Model, machine.ID)
@@ -112,12 +113,12 @@
 		}
 	}
 	if !c.needed(action.Model) {
-		c.fail("load of %s that nothing needs: %s", action.Model, action.Reason.Cause)
+		c.fail("load of %s without a need: %s", action.Model, action.Reason.Cause)
 	}
 }
 
-// needed reports whether the model or one of its adapters has work, a minimum
-// or an expected wake-up.
+// needed reports whether the model or one of its adapters has requests, a minimum or an
+// expected wake-up.
 func (c *invariantChecker) needed(id cluster.ModelID) bool {
 	for i := range c.state.Settings.Models {
 		model := &c.state.Settings.Models[i]
@@ -141,11 +142,11 @@
 func (c *invariantChecker) checkUnload(machine *Machine, action Action) {
 	slot := c.slot(machine, action.Model)
 	if slot == nil || slot.Unknown || slot.State == cluster.ReplicaUnloading {
-		c.fail("unload of %s that %s does not hold for certain", action.Model, machine.ID)
+		c.fail("unload of %s, which has no confirmed replica on %s", action.Model, machine.ID)
 	}
 	for _, other := range machine.Replicas {
 		if model := c.state.Settings.Model(other.Model); model != nil && model.Base == action.Model {
-			c.fail("base %s unloaded under %s", action.Model, other.Model)
+			c.fail("base %s unloaded while used by %s", action.Model, other.Model)
 		}
 	}
 	model := c.state.Settings.Model(action.Model)
@@ -154,24 +155,23 @@
 	if action.Reason.Cause == CauseIdle && busy && len(c.holders(action.Model)) <= 1 {
 		c.fail("last replica of busy %s unloaded as idle", action.Model)
 	}
-	if action.Reason.Cause == CauseEvicted && busy && !c.outranked(model.Policy.Priority) {
-		c.fail("busy %s evicted for an equal", action.Model)
+	if action.Reason.Cause == CauseEvicted && busy && !c.higherPriorityWanted(model.Policy.Priority) {
+		c.fail("busy %s evicted for a model of equal priority", action.Model)
 	}
 	if action.Reason.Cause == CauseEvicted && len(c.holders(action.Model)) <= min(model.Policy.MinReplicas, c.limit(action.Model)) {
 		c.fail("%s evicted below its minimum", action.Model)
 	}
 }
 
-// outranked reports whether a model with waiting requests or a minimum has a
-// larger priority.
-func (c *invariantChecker) outranked(priority int) bool {
+// higherPriorityWanted reports whether a wanted model has a higher priority.
+func (c *invariantChecker) higherPriorityWanted(priority int) bool {
 	return slices.ContainsFunc(c.plan.Decisions, func(d Decision) bool {
 		model := c.state.Settings.Model(d.Model)
 		return d.Wanted > 0 && model.Policy.Priority > priority
 	})
 }
 
-// holders lists the machines that hold the model in any state.
+// holders returns the machines that hold the model in any state.
 func (c *invariantChecker) holders(id cluster.ModelID) (holders []cluster.MachineID) {
 	for i := range c.state.Machines {
 		if c.slot(&c.state.Machines[i], id) != nil {
--- a/placement/engines_test.go
+++ b/placement/engines_test.go
@@ -8,8 +8,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// engineConfig is the planner's configuration for engines that keep idle models,
-// drop adapters with their base and count adapters' places.
+// engineConfig returns the configuration for engines that keep idle models, drop adapters with
+// their base model and don't count adapters against the store's limits.
 func engineConfig() Config {
 	return Config{
 		RetainIdle: true, EvictForLoad: true, UnloadDropsAdapters: true, AdaptersUnlimited: true,
@@ -44,7 +44,8 @@
 	}
 }
 
-// TestIdleModelStaysUntilMemoryIsNeeded until their memory is wanted.
+// TestIdleModelStaysUntilMemoryIsNeeded guards against unloads of idle models whose memory no
+// other model needs.
 func TestIdleModelStaysUntilMemoryIsNeeded(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("a", nil), testModel("b", nil)), 1)
 	addLoadedReplica(&state, 0, "a")
@@ -57,8 +58,8 @@
 	expectActions(t, planner.Plan(state), "unload a on machine-0000")
 }
 
-// TestAdapterPlacesAreKept: an adapter goes to a machine with a place for it; with
-// none, the least valuable idle adapter makes way.
+// TestAdapterSlotLimitIsKept: an adapter is loaded only where an adapter slot is free. Without
+// one, the idle adapter with the smallest loss is evicted, and a busy one never is.
 func TestAdapterSlotLimitIsKept(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("base", nil), adapterOf("base", "x"), adapterOf("base", "y")), 1)
 	state.Machines[0].AdapterSlots = 1
@@ -75,7 +76,8 @@
 	expectActions(t, NewPlanner(engineConfig()).Plan(state))
 }
 
-// TestAdaptersNeedNoStore: adapters are loaded though the store allows no load.
+// TestAdapterLoadsDespiteStoreLimit: loads of adapters must not wait for the weight store if
+// its limits don't count them.
 func TestAdapterLoadsDespiteStoreLimit(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("base", nil), adapterOf("base", "x")), 1)
 	state.Store = StoreState{StartsPerSecond: 0.0001, Concurrency: 1, Speed: 1}
@@ -88,7 +90,8 @@
 	expectActions(t, planner.Plan(state), "load x on machine-0000")
 }
 
-// TestBusyMachineTakesNoOrder: the plan passes it by.
+// TestBusyMachineGetsNoAction guards against orders to a machine that is carrying out another
+// one and would refuse them.
 func TestBusyMachineGetsNoAction(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("a", nil)), 2)
 	state.Machines[0].Busy = true
@@ -96,8 +99,9 @@
 	expectActions(t, NewPlanner(engineConfig()).Plan(state), "load a on machine-0001")
 }
 
-// TestSaturatedReplicaGetsHelp: running requests that hold each other up take the
-// memory of an idle model, though nothing waits, and growth is bounded.
+// TestSaturatedReplicaEvictsIdleModels: running requests above the saturation limit must get
+// replicas in the memory of idle models although no request waits, and GrowthFactor must limit
+// their number.
 func TestSaturatedReplicaEvictsIdleModels(t *testing.T) {
 	many := func(m *settings.Model) { m.Policy.MaxReplicas = 8 }
 	state := testState(testSnapshot(1, testModel("hot", many), testModel("idle", many)), 6)
@@ -117,12 +121,12 @@
 		}
 	}
 	if unloads != 2 || len(plan.Actions) != 2 {
-		t.Fatalf("actions %q, want two evictions: one more replica than twice those that are loaded", actionsOf(plan))
+		t.Fatalf("actions %q, want two evictions: GrowthFactor 2 allows 2*1+1 replicas, of which one is loaded", actionsOf(plan))
 	}
 }
 
-// TestBaseTakesItsAdaptersAlong: the unload of a base model needs no unloads of its
-// adapters.
+// TestBaseUnloadIncludesItsAdapters guards against separate unloads of adapters where the
+// unload of their base model removes them.
 func TestBaseUnloadIncludesItsAdapters(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("base", nil), adapterOf("base", "x"), testModel("rare", nil)), 1)
 	state.Machines[0].MemoryBytes = 12 * gigabyte
@@ -132,8 +136,9 @@
 	expectActions(t, NewPlanner(engineConfig()).Plan(state), "unload base on machine-0000")
 }
 
-// TestAdapterAwaitsItsBase: an adapter waits for the base model that a busy engine is
-// loading, and has it loaded elsewhere only when that engine has no place for it.
+// TestAdapterWaitsForLoadingBase: an adapter must wait for the base model that an engine is
+// loading. The base model may be loaded on another engine only if the first one has no free
+// adapter slot.
 func TestAdapterWaitsForLoadingBase(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("base", func(m *settings.Model) { m.Policy.MaxReplicas = 8 }), adapterOf("base", "x"), adapterOf("base", "y")), 3)
 	for i := range state.Machines {
--- a/placement/eviction_cost_test.go
+++ b/placement/eviction_cost_test.go
@@ -7,32 +7,31 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// TestWhatAReplicaForPromptsDisplaces: a second replica of a model whose prompts come in a
-// row takes the place of a rare model that comes back in time, from this or another
-// engine's disk, or that another engine has loaded. It doesn't take that of one that the
-// weight store alone has: its next caller would wait for 13 s.
+// TestPrefillReplicaEvictsOnlyQuicklyReloadedModel: a second replica for prefill may evict a
+// rarely used model that can be reloaded from a disk or is loaded on another engine. It must
+// not evict one that only the weight store has, because its next caller would wait 13 s.
 func TestPrefillReplicaEvictsOnlyQuicklyReloadedModel(t *testing.T) {
 	for name, test := range map[string]struct {
-		// here and there are where the rare model's weights are on the disk, and loaded
-		// whether the third engine holds it too.
-		here, there, loaded bool
-		want                []string
+		// cachedHere and cachedElsewhere state whether the same engine or the third one has the
+		// rare model on disk, and loadedElsewhere whether the third one also has it loaded.
+		cachedHere, cachedElsewhere, loadedElsewhere bool
+		want                                         []string
 	}{
-		"on the same disk":    {here: true, want: []string{"unload rare on machine-0001"}},
-		"on another disk":     {there: true, want: []string{"unload rare on machine-0001"}},
-		"loaded elsewhere":    {loaded: true, want: []string{"unload rare on machine-0001"}},
-		"only in the store":   {},
-		"here and everywhere": {here: true, there: true, loaded: true, want: []string{"unload rare on machine-0001"}},
+		"on the same disk":             {cachedHere: true, want: []string{"unload rare on machine-0001"}},
+		"on another disk":              {cachedElsewhere: true, want: []string{"unload rare on machine-0001"}},
+		"loaded elsewhere":             {loadedElsewhere: true, want: []string{"unload rare on machine-0001"}},
+		"only in the store":            {},
+		"cached and loaded everywhere": {cachedHere: true, cachedElsewhere: true, loadedElsewhere: true, want: []string{"unload rare on machine-0001"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state, planner := evictionState()
-			if test.here {
+			if test.cachedHere {
 				state.Machines[1].Cached["rare"] = cluster.TierDisk
 			}
-			if test.there {
+			if test.cachedElsewhere {
 				state.Machines[2].Cached["rare"] = cluster.TierDisk
 			}
-			if test.loaded {
+			if test.loadedElsewhere {
 				state.Machines[2].MemoryBytes = 10 * gigabyte
 				addLoadedReplica(&state, 2, "rare")
 			}
@@ -50,10 +49,11 @@
 	}
 }
 
-// evictionState returns three engines, the first two with a place for one model each. The
-// first holds booking, the second, which has booking's weights at hand, a rare model.
+// evictionState returns three engines. The first two have memory for one model each: the first
+// holds booking, and the second, which has booking cached, holds a rare model. The third has
+// too little memory for either.
 func evictionState() (State, *AdaptivePlanner) {
-	state, planner := readingState(3, testModel("rare", nil))
+	state, planner := prefillState(3, testModel("rare", nil))
 	for i := range state.Machines {
 		state.Machines[i].MemoryBytes = 10 * gigabyte
 		clear(state.Machines[i].Cached)
@@ -70,8 +70,9 @@
 	return state, planner
 }
 
-// TestVictimIsTheOneThatComesBackInTime: of two idle models asked for as often, the one
-// whose callers would still be answered in time makes way.
+// TestVictimIsModelThatReloadsWithinObjective: of two idle models with the same request rate,
+// the one that can be reloaded within its objective must be evicted. Otherwise callers with a
+// strict objective get late answers.
 func TestVictimIsModelThatReloadsWithinObjective(t *testing.T) {
 	state, planner := evictionState()
 	state.Machines[0].Replicas, state.Machines[0].MemoryBytes = nil, gigabyte
@@ -92,9 +93,10 @@
 	expectActions(t, plan, "unload rare on machine-0001")
 }
 
-// TestLostCopyDisplacesWhatComesBackQuickly: after the only engine with a model's weights
-// has gone, the model is loaded ahead of its next request in place of one that lies on the
-// same engine's disk, not of one that the store alone has; the one asked for most is first.
+// TestLostModelReplacesOnlyQuicklyReloadedModel: when the only engine with a copy of a model is
+// gone, the model is loaded before its next request. The load may evict a model that is on the
+// same engine's disk, but not one that only the weight store has. The lost model with the most
+// requests comes first.
 func TestLostModelReplacesOnlyQuicklyReloadedModel(t *testing.T) {
 	for name, test := range map[string]struct {
 		onDisk bool
@@ -130,7 +132,7 @@
 			plan := planner.Plan(state)
 			expectActions(t, plan, test.want...)
 			if plan.Wanted["gone"] != 1 {
-				t.Errorf("%d of the lost model wanted, want 1", plan.Wanted["gone"])
+				t.Errorf("%d replicas of the lost model wanted, want 1", plan.Wanted["gone"])
 			}
 			if !test.onDisk {
 				return
@@ -142,25 +144,25 @@
 	}
 }
 
-// TestReplicaForPromptsGivesWay: a request that waits for a model takes the place of a
-// busy model's second replica, which ends its streams first, on the only engine that has
-// the model's weights at hand; never that of its only one, or of one that what runs needs.
+// TestPrefillReplicaIsEvictedForWaitingRequest: a waiting request may evict a busy model's
+// replica that was loaded only for prefill, on the only engine that has the requested model
+// cached. It must not evict the only replica, or one that running requests need.
 func TestPrefillReplicaIsEvictedForWaitingRequest(t *testing.T) {
 	for name, test := range map[string]struct {
-		second  bool
-		running int
-		want    []string
+		secondReplica bool
+		running       int
+		want          []string
 	}{
-		"second replica":      {true, 2, []string{"unload booking on machine-0001"}},
-		"needed by what runs": {true, 5, nil},
-		"only replica":        {false, 2, nil},
+		"second replica":             {true, 2, []string{"unload booking on machine-0001"}},
+		"needed by running requests": {true, 5, nil},
+		"only replica":               {false, 2, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state, planner := evictionState()
 			state.Machines[1].Replicas = nil
 			addLoadedReplica(&state, 1, "booking")
 			state.Machines[1].Cached["rare"] = cluster.TierDisk
-			if !test.second {
+			if !test.secondReplica {
 				state.Machines[0].Replicas, state.Machines[0].MemoryBytes = nil, gigabyte
 			}
 			planner.Plan(state)
@@ -172,15 +174,16 @@
 	}
 }
 
-// TestNothingMakesWayForABlockedLoad: while the weight store lets no load begin, nothing is
-// unloaded for a replica that no request waits for.
+// TestNoEvictionForLoadBlockedByStore: while the weight store allows no load, nothing may be
+// unloaded for a replica that no request waits for. Otherwise the evicted model is missing
+// while nothing replaces it.
 func TestNoEvictionForLoadBlockedByStore(t *testing.T) {
 	for name, test := range map[string]struct {
 		concurrency int
 		want        []string
 	}{
-		"the store is free": {8, []string{"unload rare on machine-0001"}},
-		"the store is busy": {1, nil},
+		"store allows a load": {8, []string{"unload rare on machine-0001"}},
+		"store at its limit":  {1, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state, planner := evictionState()
--- a/placement/fleet_bench_test.go
+++ b/placement/fleet_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// BenchmarkPlanFleet measures a round for a fleet of engines that each hold two of the models,
-// in which a tenth of the models wait and as many are in use.
+// BenchmarkPlanFleet measures a round for a fleet of engines that hold two models each. A tenth
+// of the models has waiting requests and another tenth running ones.
 func BenchmarkPlanFleet(b *testing.B) {
 	for _, s := range []struct{ machines, models int }{{1000, 574}, {9755, 574}, {19510, 1148}} {
 		b.Run(fmt.Sprintf("engines=%d", s.machines), func(b *testing.B) {
--- a/placement/learning_test.go
+++ b/placement/learning_test.go
@@ -11,23 +11,24 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// TestRecurrenceFindsPeriod wakes a model every two hours with a few minutes
-// of jitter and looks at the chances around the next wake-up.
+// TestRecurrenceFindsPeriod wakes a model every two hours with a few minutes of jitter. A
+// wake-up must be probable at the next period and not between two.
 func TestRecurrenceFindsPeriod(t *testing.T) {
 	var learned recurrence
 	for i := range 12 {
 		learned.add(start.Add(time.Duration(i)*2*time.Hour + time.Duration(i%3)*time.Minute))
 	}
 	next := start.Add(24 * time.Hour)
-	if chance := learned.probability(next.Add(time.Minute)); chance < 0.4 {
-		t.Errorf("chance at the period = %.2f", chance)
+	if probability := learned.probability(next.Add(time.Minute)); probability < 0.4 {
+		t.Errorf("probability at the period %.2f, want 0.4 or more", probability)
 	}
-	if chance := learned.probability(next.Add(-time.Hour)); chance != 0 {
-		t.Errorf("chance between = %.2f", chance)
+	if probability := learned.probability(next.Add(-time.Hour)); probability != 0 {
+		t.Errorf("probability between two periods %.2f, want 0", probability)
 	}
 }
 
-// TestClockStepBackKeepsStartTokensInBounds plans across a clock that is set back.
+// TestClockStepBackKeepsStartTokensInBounds guards against a clock that is set back emptying or
+// overfilling the token bucket of starts.
 func TestClockStepBackKeepsStartTokensInBounds(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("booking", nil)), 1)
 	planner := NewPlanner(Config{})
@@ -39,58 +40,58 @@
 		state.Now = state.Now.Add(time.Minute)
 		planner.Plan(state)
 	}
-	if held := planner.store.startTokens; held < 0 || held > 2 {
-		t.Errorf("allowance of store starts = %v", held)
+	if startTokens := planner.store.startTokens; startTokens < 0 || startTokens > 2 {
+		t.Errorf("start tokens %v, want 0 to 2", startTokens)
 	}
 }
 
-// TestScheduleFollowsObjective learns idle times of one minute, every so often of
-// an hour.
+// TestScheduleFollowsObjective learns idle periods of one minute with one of an hour in every
+// longEvery, and checks the windows for different weights of cold starts.
 func TestScheduleFollowsObjective(t *testing.T) {
 	cases := []struct {
 		name      string
-		everyLong int
+		longEvery int
 		weight    float64
 		keepAlive time.Duration
-		wakes     bool
+		wakeUp    bool
 	}{
-		{"idle time alone counts", 8, 0, 0, false},
-		{"short idle times are bridged", 8, 0.5, time.Minute, false},
-		{"cold starts alone count", 8, 1, time.Hour, false},
-		{"long idle times end with a wake-up", 1, 0.9, 0, true},
+		{"only idle time has weight", 8, 0, 0, false},
+		{"keep-alive covers short idle times", 8, 0.5, time.Minute, false},
+		{"only cold starts have weight", 8, 1, time.Hour, false},
+		{"window before the wake-up after a long idle time", 1, 0.9, 0, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			var gaps idleHistogram
+			var idlePeriods idleHistogram
 			for i := range 40 {
-				if i%test.everyLong == 0 {
-					gaps.add(time.Hour)
+				if i%test.longEvery == 0 {
+					idlePeriods.add(time.Hour)
 				} else {
-					gaps.add(time.Minute)
+					idlePeriods.add(time.Minute)
 				}
 			}
-			plan := gaps.optimalSchedule(keepObjective{
+			schedule := idlePeriods.optimalSchedule(keepObjective{
 				weight: test.weight, exchange: 1, requests: 1, limit: 4 * time.Hour,
 				cost: cost{coldStart: 20 * time.Second, acceleratorShare: 0.5},
 			})
-			if kept := plan.keepAlive(); kept < test.keepAlive || kept > test.keepAlive*5/4+time.Second {
+			if kept := schedule.keepAlive(); kept < test.keepAlive || kept > test.keepAlive*5/4+time.Second {
 				t.Errorf("keep-alive %v, want about %v", kept, test.keepAlive)
 			}
-			if next, wakes := plan.nextWindowStart(10 * time.Minute); wakes != test.wakes || wakes && (next > time.Hour || next < 50*time.Minute) {
-				t.Errorf("expected wake-up %v at %v, want %v", wakes, next, test.wakes)
+			if next, wakeUp := schedule.nextWindowStart(10 * time.Minute); wakeUp != test.wakeUp || wakeUp && (next > time.Hour || next < 50*time.Minute) {
+				t.Errorf("expected wake-up %v at %v, want %v", wakeUp, next, test.wakeUp)
 			}
 		})
 	}
 }
 
-// simulatedStore is a weight store that bears so many loads at full speed and slows all
-// down in proportion beyond.
+// simulatedStore is a weight store that serves fullSpeedLoads loads at full speed and slows
+// down all of them in proportion beyond that.
 type simulatedStore struct {
 	fullSpeedLoads float64
 	secondsLeft    []float64
 }
 
-// runFor lets time pass and returns the loads that were done, by index.
+// runFor advances the time and returns the indexes of the finished loads.
 func (s *simulatedStore) runFor(seconds float64) []int {
 	speed := min(1, s.fullSpeedLoads/max(float64(len(s.secondsLeft)), 1))
 	var done []int
@@ -103,8 +104,9 @@
 	return done
 }
 
-// learnConcurrency runs so many loads on a store, as many at once as the model allows,
-// and returns the model. Every load on a slow machine takes twice as long.
+// learnConcurrency runs the given number of loads on a simulated store, as many at once as the
+// model allows, and returns the model. If slowEvery is not zero, one in slowEvery loads takes
+// twice as long because its machine is slow.
 func learnConcurrency(fullSpeedLoads float64, loads int, seconds float64, slowEvery int) *storeModel {
 	const step = 10 * time.Millisecond
 	store := newStoreModel(Config{}.withDefaults())
@@ -122,14 +124,14 @@
 		for len(keys) < store.concurrency() {
 			key := loadKey{machine: cluster.MachineID(strconv.Itoa(begun)), model: "booking"}
 			begun++
-			left := seconds
+			secondsLeft := seconds
 			if slowEvery > 0 && begun%slowEvery == 0 {
-				left *= 2
+				secondsLeft *= 2
 			}
 			store.addPending(key, pendingLoad{
 				tier: cluster.TierRemote, usesStore: true, bytes: bytes, ordered: now, expected: time.Duration(seconds * float64(time.Second)),
 			})
-			keys, simulated.secondsLeft = append(keys, key), append(simulated.secondsLeft, left)
+			keys, simulated.secondsLeft = append(keys, key), append(simulated.secondsLeft, secondsLeft)
 		}
 		store.runningLoads = len(keys)
 		now = now.Add(step)
@@ -137,31 +139,31 @@
 	return &store
 }
 
-// TestStoreCapacityIsLearned: nothing states how many loads a store bears at once, and
-// within ten loads, or four rounds of them where it bears more, it is known to within
-// a fifth or one load.
+// TestStoreConcurrencyIsLearned: no setting states how many loads a store serves at full speed.
+// Within ten loads, or four times that number if it is larger, the estimate must be within a
+// fifth or one load of it.
 func TestStoreConcurrencyIsLearned(t *testing.T) {
-	for _, bears := range []float64{2, 3, 4, 6, 8, 12, 25} {
+	for _, fullSpeedLoads := range []float64{2, 3, 4, 6, 8, 12, 25} {
 		for _, seconds := range []float64{0.7, 3, 6} {
-			loads := max(10, 4*int(bears))
-			got := float64(learnConcurrency(bears, loads, seconds, 0).concurrency())
-			if off := math.Abs(got - bears); off > max(1, bears/5) {
-				t.Errorf("a store that bears %v loads of %v s: %v learned after %d", bears, seconds, got, loads)
+			loads := max(10, 4*int(fullSpeedLoads))
+			got := float64(learnConcurrency(fullSpeedLoads, loads, seconds, 0).concurrency())
+			if deviation := math.Abs(got - fullSpeedLoads); deviation > max(1, fullSpeedLoads/5) {
+				t.Errorf("store with full speed for %v loads of %v s: estimate %v after %d loads", fullSpeedLoads, seconds, got, loads)
 			}
 		}
 	}
 }
 
-// TestSlowMachineIsNoSlowStore: single loads that are slow because of their machine
-// don't lower what the store is believed to bear by more than a load.
+// TestSlowMachineDoesNotLowerStoreConcurrency guards against slow machines being taken for an
+// overloaded store: single slow loads may lower the estimate by at most one.
 func TestSlowMachineDoesNotLowerStoreConcurrency(t *testing.T) {
 	if got := learnConcurrency(4, 60, 6, 5).concurrency(); got < 3 {
-		t.Errorf("%d loads at once learned, want 4", got)
+		t.Errorf("estimated concurrency %d, want 3 or more of 4", got)
 	}
 }
 
-// TestLoneSlowLoadsTellTheRate: a load that shares the store with no other says nothing
-// of how many the store bears, but how fast it is.
+// TestLoneSlowLoadsLowerOnlyTheRate: a slow load that shared the store with no other must lower
+// the estimated load rate, not the estimated concurrency.
 func TestLoneSlowLoadsLowerOnlyTheRate(t *testing.T) {
 	store := newStoreModel(Config{}.withDefaults())
 	now := start
@@ -178,15 +180,16 @@
 		store.runningLoads = 0
 	}
 	if got := store.concurrency(); got != 8 {
-		t.Errorf("%d loads at once after lone slow loads, want 8", got)
+		t.Errorf("estimated concurrency %d after lone slow loads, want 8", got)
 	}
 	if got := store.expectedTime(cluster.TierRemote, gigabyte); got < 3*first {
-		t.Errorf("%v expected after loads of %v", got, 4*first)
+		t.Errorf("expected time %v after loads of %v, want at least three quarters of it", got, 4*first)
 	}
 }
 
-// TestAdaptersTellNothingOfTheStore: adapters come past the store's limits, in no time,
-// also while it is overloaded.
+// TestAdapterLoadsLeaveStoreConcurrencyUnchanged: loads of adapters don't use the store's
+// limits, so their short times must not change the estimate, even while the store is
+// overloaded.
 func TestAdapterLoadsLeaveStoreConcurrencyUnchanged(t *testing.T) {
 	base := testModel("base", func(m *settings.Model) { m.Policy.MaxReplicas = 9 })
 	state := testState(testSnapshot(1, base, adapterOf("base", "adapter")), 2)
@@ -204,12 +207,12 @@
 		plan = planner.Plan(state)
 	}
 	if plan.Store.Limit != 4 {
-		t.Fatalf("%d loads at once after an adapter's load, want 4", plan.Store.Limit)
+		t.Fatalf("estimated concurrency %d after loading an adapter, want 4", plan.Store.Limit)
 	}
 }
 
-// TestSmallLoadsAreNotSlow: of a load that takes little more than what any load takes,
-// whatever its size, a store that nothing is stated of must not seem overloaded.
+// TestSmallLoadsDoNotLowerStoreConcurrency: the duration of a small load is mostly the fixed
+// overhead. Such loads must not make the store seem overloaded.
 func TestSmallLoadsDoNotLowerStoreConcurrency(t *testing.T) {
 	store := newStoreModel(Config{}.withDefaults())
 	now := start
@@ -231,6 +234,6 @@
 		}
 	}
 	if got := store.concurrency(); got != 8 {
-		t.Errorf("%d loads at once, want 8", got)
+		t.Errorf("estimated concurrency %d after small loads, want 8", got)
 	}
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -10,7 +10,9 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// TestPlanMatchesGoldenFile compares whole plans, with their reasons, to golden files.
+// TestPlanMatchesGoldenFile compares complete plans, including their reasons, with golden
+// files. It guards against unintended changes of decisions, of reasons and of the field names
+// that are written out.
 func TestPlanMatchesGoldenFile(t *testing.T) {
 	adapter := testModel("recall-letters", func(m *settings.Model) {
 		m.Kind, m.Base, m.Policy.Memory = settings.KindAdapter, "assistant", gigabyte
@@ -115,8 +117,9 @@
 	}
 }
 
-// TestIdleModelIsUnloadedAfterKeepAlive follows a model from its first request to its unload
-// under the fixed keep-alive that applies without samples.
+// TestIdleModelIsUnloadedAfterKeepAlive follows a model from its first request to its unload.
+// Without idle samples, the fixed keep-alive of the policy must apply, counted from the end of
+// the load.
 func TestIdleModelIsUnloadedAfterKeepAlive(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("booking", nil)), 1)
 	planner := NewPlanner(Config{})
@@ -129,7 +132,7 @@
 			if action.Kind == cluster.OrderUnload {
 				unloaded = state.Now.Sub(start)
 				if action.Reason.Cause != CauseIdle || action.Reason.Setting != keyKeepAlive {
-					t.Errorf("unload reason = %+v", action.Reason)
+					t.Errorf("unload reason %+v, want idle past keep-alive", action.Reason)
 				}
 			}
 		}
--- a/placement/prefill_test.go
+++ b/placement/prefill_test.go
@@ -8,12 +8,12 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// longPrompt is a prompt that takes a quarter of a second to read: two in a row pause every
-// stream of the engine for as long as callers bear.
+// longPrompt is a number of tokens whose prefill takes a quarter of a second: two in succession
+// pause every stream of the engine for the longest time that callers accept.
 const longPrompt = defaultPrefillTokensPerSecond / 4
 
-// readingState returns machines with room for two models each; the first holds booking.
-func readingState(machines int, models ...settings.Model) (State, *AdaptivePlanner) {
+// prefillState returns machines with memory for two models each. The first one holds booking.
+func prefillState(machines int, models ...settings.Model) (State, *AdaptivePlanner) {
 	state := testState(testSnapshot(1, append(models, testModel("booking", nil))...), machines)
 	for i := range state.Machines {
 		state.Machines[i].MemoryBytes = 20 * gigabyte
@@ -31,7 +31,8 @@
 	return state, NewPlanner(config)
 }
 
-// promptDemand is the demand of so many prompts of equal length, all being served.
+// promptDemand returns the demand of the given number of prompts of equal length, which run
+// without waiting.
 func promptDemand(count, tokens int) Demand {
 	return Demand{
 		Running: min(count, 1), Arrivals: count, PromptTokens: count * tokens,
@@ -39,11 +40,11 @@
 	}
 }
 
-// planWithDemand has prompts come for a model, the same number in each step, and returns the last
-// plan.
-func planWithDemand(state *State, planner *AdaptivePlanner, id cluster.ModelID, step time.Duration, each ...Demand) Plan {
+// planWithDemand makes one plan for each demand of the model, a step apart, and returns the
+// last plan.
+func planWithDemand(state *State, planner *AdaptivePlanner, id cluster.ModelID, step time.Duration, demands ...Demand) Plan {
 	var plan Plan
-	for _, demand := range each {
+	for _, demand := range demands {
 		state.Now = state.Now.Add(step)
 		state.Demand[id] = demand
 		plan = planner.Plan(*state)
@@ -51,8 +52,8 @@
 	return plan
 }
 
-// TestReadingBoundFollowsPause: the longer a prompt against the pause that callers bear,
-// the less of its time an engine may read.
+// TestPrefillShareLimitFollowsPause: the longer a prefill takes in relation to the accepted
+// pause, the smaller the share of its time that an engine may spend on prefill.
 func TestPrefillShareLimitFollowsPause(t *testing.T) {
 	for _, test := range []struct{ prompt, pause, low, high float64 }{
 		{0.02, 0.5, maxPrefillShare - 0.01, maxPrefillShare},
@@ -63,54 +64,54 @@
 		{2, 0.5, minPrefillShare, minPrefillShare + 0.01},
 	} {
 		if got := prefillShareLimit(test.prompt, test.pause); got < test.low || got > test.high {
-			t.Errorf("bound %.3f for prompts of %v s and pauses of %v s, want %v to %v", got, test.prompt, test.pause, test.low, test.high)
+			t.Errorf("prefill share limit %.3f for prompts of %v s and pauses of %v s, want %v to %v", got, test.prompt, test.pause, test.low, test.high)
 		}
 	}
 }
 
-// TestReplicaComesBeforeTheQueue: four prompts of a quarter of a second each second are a
-// whole engine's reading. The second replica comes within 1.5 s, before any request waits
-// and though one runs at a time.
+// TestPrefillLoadAddsReplicaBeforeQueueing: four prompts of a quarter of a second each second
+// occupy a whole engine with prefill. The second replica must be planned within 1.5 s, before
+// any request waits and although only one runs at a time.
 func TestPrefillLoadAddsReplicaBeforeQueueing(t *testing.T) {
-	state, planner := readingState(4)
+	state, planner := prefillState(4)
 	planner.Plan(state)
 	plan := planWithDemand(&state, planner, "booking", 250*time.Millisecond, promptDemand(1, longPrompt), promptDemand(1, longPrompt),
 		promptDemand(1, longPrompt), promptDemand(1, longPrompt), promptDemand(1, longPrompt), promptDemand(1, longPrompt))
 	if len(plan.Actions) == 0 {
-		t.Fatal("no replica is planned")
+		t.Fatal("no action planned, want the load of a second replica")
 	}
 	action := &plan.Actions[0]
 	if action.Kind != cluster.OrderLoad || action.Reason.Cause != CausePrefill {
 		t.Errorf("planned %v for %q, want a load for %q", action.Kind, action.Reason.Cause, CausePrefill)
 	}
 	if action.Reason.Reading <= action.Reason.ReadingBound || action.Reason.ReadingBound == 0 {
-		t.Errorf("reading %.2f and bound %.2f in the reason", action.Reason.Reading, action.Reason.ReadingBound)
+		t.Errorf("prefill load %.2f and limit %.2f in the reason, want a load above a limit", action.Reason.Reading, action.Reason.ReadingBound)
 	}
 }
 
-// TestShortPromptsNeedNoReplica: as many requests with prompts of a fortieth of a second
-// make no long pause.
+// TestShortPromptsAddNoReplica: the same number of prompts of a fortieth of a second causes no
+// long pauses, so it must add no replica.
 func TestShortPromptsAddNoReplica(t *testing.T) {
-	state, planner := readingState(4)
+	state, planner := prefillState(4)
 	for range 40 {
 		expectActions(t, planWithDemand(&state, planner, "booking", 250*time.Millisecond, promptDemand(1, longPrompt/10)))
 	}
 }
 
-// TestChanceMeetingNeedsNoReplica: two long prompts of a rare model that come in the same
-// moment, once in ten seconds, are no reason for a second replica.
+// TestCoincidingPromptsAddNoReplica: two long prompts of a rarely used model that arrive
+// together once in ten seconds are no sustained load and must add no replica.
 func TestCoincidingPromptsAddNoReplica(t *testing.T) {
-	state, planner := readingState(4)
+	state, planner := prefillState(4)
 	for range 6 {
 		expectActions(t, planWithDemand(&state, planner, "booking", 100*time.Millisecond, promptDemand(2, longPrompt)))
 		expectActions(t, planWithDemand(&state, planner, "booking", 9900*time.Millisecond, Demand{}))
 	}
 }
 
-// TestReadingIsForgottenSlowly: the gaps between a busy model's prompts take no replica
-// away, a time without any does.
+// TestPrefillLoadDecaysSlowly: a gap between the prompts of a busy model must not remove its
+// replicas, and a longer time without prompts must.
 func TestPrefillLoadDecaysSlowly(t *testing.T) {
-	state, planner := readingState(1)
+	state, planner := prefillState(1)
 	for range 20 {
 		planWithDemand(&state, planner, "booking", 500*time.Millisecond, promptDemand(2, longPrompt))
 	}
@@ -118,20 +119,20 @@
 		t.Errorf("%d replicas wanted after a gap of 3 s, want 3 or more", wanted)
 	}
 	planWithDemand(&state, planner, "booking", 30*time.Second, Demand{})
-	if needs := planner.round.models[planner.catalogue.indexOf("booking")].prefill.replicasNeeded(); needs > 1 {
-		t.Errorf("%d replicas needed after 30 s without a prompt", needs)
+	if needed := planner.round.models[planner.catalogue.indexOf("booking")].prefill.replicasNeeded(); needed > 1 {
+		t.Errorf("%d replicas needed after 30 s without a prompt, want 1 or fewer", needed)
 	}
 }
 
-// TestBaseReadsForItsAdapters: prompts of many adapters, each rare, are read by the engine
-// of their base model.
+// TestBaseIncludesAdapterPrefill: the engine of a base model prefills the prompts of all its
+// adapters, so many adapters with few prompts each must add replicas of the base model.
 func TestBaseIncludesAdapterPrefill(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	var models []settings.Model
 	for _, name := range names {
 		models = append(models, adapterOf("booking", name))
 	}
-	state, planner := readingState(1, models...)
+	state, planner := prefillState(1, models...)
 	planner.Plan(state)
 	for range 4 {
 		for _, name := range names {
@@ -140,30 +141,30 @@
 		}
 	}
 	if needs := planner.round.models[planner.catalogue.indexOf("booking")].prefill.replicasNeeded(); needs < 2 {
-		t.Errorf("the base model needs %d replicas for all its adapters' prompts", needs)
+		t.Errorf("the base model needs %d replicas for the prompts of all adapters, want 2 or more", needs)
 	}
 	if needs := planner.round.models[planner.catalogue.indexOf("a")].prefill.replicasNeeded(); needs > 1 {
-		t.Errorf("an adapter needs %d replicas for a prompt a second", needs)
+		t.Errorf("an adapter needs %d replicas for one prompt per second, want 1 or fewer", needs)
 	}
 }
 
-// TestReplicaGoesWhereLeastIsRead: of two engines alike, the new replica of a busy model
-// goes to the one whose models have few prompts to read, though the other one's memory
-// would be filled better. A load from the weight store elsewhere costs more than that.
+// TestReplicaGoesToMachineWithLeastPrefill: of two equal engines, the new replica of a busy
+// model must go to the one with less prefill, although it leaves more memory unused there. A
+// load from the weight store on a third engine costs more than that.
 func TestReplicaGoesToMachineWithLeastPrefill(t *testing.T) {
 	for name, test := range map[string]struct {
-		copies []int
-		want   cluster.MachineID
+		cachedOn []int
+		want     cluster.MachineID
 	}{
-		"alike":           {[]int{0, 2, 3}, "machine-0003"},
-		"copy at the one": {[]int{0, 2}, "machine-0002"},
+		"copies on both engines":          {[]int{0, 2, 3}, "machine-0003"},
+		"copy only where prefill is high": {[]int{0, 2}, "machine-0002"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			state, planner := readingState(4, testModel("chat", nil))
+			state, planner := prefillState(4, testModel("chat", nil))
 			for i := range state.Machines {
 				clear(state.Machines[i].Cached)
 			}
-			for _, i := range test.copies {
+			for _, i := range test.cachedOn {
 				state.Machines[i].Cached["booking"] = cluster.TierDisk
 			}
 			addLoadedReplica(&state, 2, "chat")
@@ -186,11 +187,11 @@
 	}
 }
 
-// TestStatedPauseCounts: the same prompts need more replicas where callers bear only short
-// pauses, and no second one where they bear long ones.
+// TestReplicasFollowLongestPause: the same prompts need more replicas if callers accept only
+// short pauses, and no second one if they accept long pauses.
 func TestReplicasFollowLongestPause(t *testing.T) {
 	needs := func(pause time.Duration) int {
-		state, planner := readingState(1)
+		state, planner := prefillState(1)
 		state.LongestPause = pause
 		for range 40 {
 			planWithDemand(&state, planner, "booking", 250*time.Millisecond, promptDemand(1, longPrompt/2))
@@ -203,10 +204,10 @@
 	}
 }
 
-// TestWaitingRequestTakesTheQuickLoad: a model that a request waits for is loaded where its
-// weights are at hand, however much is read there, not from the weight store elsewhere.
+// TestWaitingRequestPrefersLocalLoad: a model with a waiting request must be loaded where it is
+// cached, however much prefill that engine has, not from the weight store elsewhere.
 func TestWaitingRequestPrefersLocalLoad(t *testing.T) {
-	state, planner := readingState(2, testModel("rare", nil))
+	state, planner := prefillState(2, testModel("rare", nil))
 	state.LoadTime = func(_ cluster.ModelID, tier cluster.Tier) time.Duration {
 		if tier == cluster.TierRemote {
 			return 4 * time.Second
--- a/placement/property_test.go
+++ b/placement/property_test.go
@@ -13,7 +13,7 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// drawModels makes base models and adapters with varied policies.
+// drawModels draws base models and adapters with varied policies.
 func drawModels(t *rapid.T) []settings.Model {
 	var models []settings.Model
 	bases := rapid.IntRange(1, 4).Draw(t, "bases")
@@ -35,7 +35,7 @@
 	return models
 }
 
-// drawPolicy varies counts, priority, objective and version.
+// drawPolicy draws replica counts, priority, objective, keep-alive and version of a policy.
 func drawPolicy(t *rapid.T, m *settings.Model) {
 	m.Policy.MaxReplicas = rapid.IntRange(1, 3).Draw(t, "max")
 	m.Policy.MinReplicas = rapid.IntRange(0, 1).Draw(t, "min") * rapid.IntRange(0, 1).Draw(t, "min given")
@@ -45,7 +45,7 @@
 	m.Policy.Version = rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")
 }
 
-// drawStep changes the world a little: demand, machines, allotment, store.
+// drawStep changes one part of the state: demand, a machine, the allotment or the store.
 func drawStep(t *rapid.T, state *State) {
 	model := state.Settings.Models[rapid.IntRange(0, len(state.Settings.Models)-1).Draw(t, "model")].ID
 	switch rapid.IntRange(0, 7).Draw(t, "step") {
@@ -73,7 +73,8 @@
 	}
 }
 
-// drawAllotment replaces one model's share; states may share the old record.
+// drawAllotment changes one model's allotment in a copy, since earlier states may share the old
+// record.
 func drawAllotment(t *rapid.T, state *State) {
 	changed := *state.Allotment
 	changed.Models = append([]cluster.ModelAllotment(nil), changed.Models...)
@@ -86,7 +87,7 @@
 	state.Allotment = &changed
 }
 
-// plannersUnderTest under test, by name.
+// plannersUnderTest lists the planners that must keep the invariants.
 var plannersUnderTest = []struct {
 	name string
 	make func() Planner
@@ -96,8 +97,9 @@
 	{"lru", NewLRU},
 }
 
-// TestRandomPlansKeepInvariants runs random worlds and verifies every plan, and that a
-// second planner given the same states makes the same plans.
+// TestRandomPlansKeepInvariants verifies each plan in random sequences of states. A second
+// planner with the same states must make the same plans: map order or leftover buffers could
+// make them differ.
 func TestRandomPlansKeepInvariants(t *testing.T) {
 	for _, planner := range plannersUnderTest {
 		t.Run(planner.name, func(t *testing.T) {
@@ -106,7 +108,7 @@
 	}
 }
 
-// checkRandomWorld plays one random world.
+// checkRandomWorld runs one random sequence of states.
 func checkRandomWorld(t *rapid.T, newPlanner func() Planner) {
 	state := testState(testSnapshot(1, drawModels(t)...), rapid.IntRange(1, 4).Draw(t, "machines"))
 	for i := range state.Machines {
@@ -127,31 +129,31 @@
 		engine.apply(&state, plan)
 		engine.advance(&state, time.Duration(rapid.IntRange(1, 15).Draw(t, "seconds"))*time.Second)
 	}
-	requireServed(t, &state, first, &engine)
+	requireLoaded(t, &state, first, &engine)
 }
 
-// requireServed heals the world and requires that the first model with an
-// allotment and a machine big enough in its pool gets loaded.
-func requireServed(t *rapid.T, state *State, planner Planner, engine *fakeEngines) {
+// requireLoaded restores allotment, store and machines, and requires that the first model gets
+// loaded if a machine of its pool exists and no minimum competes with it.
+func requireLoaded(t *rapid.T, state *State, planner Planner, engine *fakeEngines) {
 	id := state.Settings.Models[0].ID
 	model := state.Settings.Model(id)
 	state.Allotment = testAllotment(state.Settings)
 	state.Store = StoreState{StartsPerSecond: 2, Concurrency: 8, Speed: 1}
 	clear(state.Demand)
 	state.Demand[id] = Demand{Waiting: 1, Arrivals: 1}
-	possible := false
+	loadable := false
 	for m := range state.Machines {
 		machine := &state.Machines[m]
 		machine.Sealed, machine.Leaving = true, false
-		possible = possible || machine.Pool == model.Policy.EnginePool
+		loadable = loadable || machine.Pool == model.Policy.EnginePool
 		for s := range machine.Replicas {
 			machine.Replicas[s].Unknown = false
 		}
 	}
 	for i := range state.Settings.Models {
-		possible = possible && state.Settings.Models[i].Policy.MinReplicas == 0
+		loadable = loadable && state.Settings.Models[i].Policy.MinReplicas == 0
 	}
-	if !possible {
+	if !loadable {
 		return
 	}
 	for range 1200 {
@@ -168,7 +170,8 @@
 	t.Fatalf("%s is never loaded; last decisions %+v", id, planner.Plan(*state).Decisions)
 }
 
-// TestCheckerReportsPlantedDefect plants one defect after the other in a good plan.
+// TestCheckerReportsPlantedDefect plants one defect at a time in a valid plan, so that a
+// checker that overlooks it can't make the property test pass.
 func TestCheckerReportsPlantedDefect(t *testing.T) {
 	adapter := testModel("recall", func(m *settings.Model) {
 		m.Kind, m.Base, m.Policy.Memory = settings.KindAdapter, "assistant", gigabyte
@@ -183,18 +186,18 @@
 		{"unsealed", func(s *State, _ *Action) { s.Machines[0].Sealed = false }},
 		{"leaving", func(s *State, _ *Action) { s.Machines[0].Leaving = true }},
 		{"without its base", func(_ *State, a *Action) { a.Model = "recall" }},
-		{"nothing needs", func(s *State, _ *Action) { clear(s.Demand) }},
+		{"without a need", func(s *State, _ *Action) { clear(s.Demand) }},
 		{"no cause", func(_ *State, a *Action) { a.Reason.Cause = "" }},
 		{"pool", func(s *State, _ *Action) { s.Machines[0].Pool = "booking" }},
 		{"store starts", func(s *State, _ *Action) { s.Store.StartsPerSecond = -1 }},
 		{"not a candidate", func(s *State, _ *Action) { s.Allotment.Models[0].Candidates = []cluster.MachineID{"machine-0001"} }},
-		{"does not hold", func(_ *State, a *Action) { a.Kind = cluster.OrderUnload }},
-		{"under recall", func(s *State, a *Action) {
+		{"no confirmed replica", func(_ *State, a *Action) { a.Kind = cluster.OrderUnload }},
+		{"while used by recall", func(s *State, a *Action) {
 			a.Kind = cluster.OrderUnload
 			addLoadedReplica(s, 0, "assistant")
 			addLoadedReplica(s, 0, "recall")
 		}},
-		{"evicted for an equal", func(s *State, a *Action) {
+		{"evicted for a model of equal priority", func(s *State, a *Action) {
 			a.Kind, a.Reason.Cause = cluster.OrderUnload, CauseEvicted
 			addLoadedReplica(s, 0, "assistant")
 		}},
@@ -206,14 +209,14 @@
 			state.Demand["recall"] = Demand{Waiting: 1}
 			good := invariantChecker{remoteStarts: 1}
 			if found := good.check(&state, Plan{Actions: []Action{load}}); len(found) > 0 {
-				t.Fatalf("good plan refused: %v", found)
+				t.Fatalf("valid plan reported: %v", found)
 			}
 			action := load
 			test.change(&state, &action)
 			bad := invariantChecker{remoteStarts: 1}
 			found := strings.Join(bad.check(&state, Plan{Actions: []Action{action}}), "\n")
 			if !strings.Contains(found, test.defect) {
-				t.Errorf("found %q", found)
+				t.Errorf("violations %q lack the planted defect", found)
 			}
 		})
 	}
--- a/placement/starvation_test.go
+++ b/placement/starvation_test.go
@@ -7,9 +7,9 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// TestPassedOverModelComesFirst: where the store lets one load begin, a large model that
-// was asked for four times over 8 s comes before a small one that is worth more, though
-// its callers left in between; one that was asked for thrice does not.
+// TestStarvedModelIsLoadedBeforeHigherScore guards against a large model being passed over for
+// ever because small ones score higher. After four requests over more than 8 s it must come
+// first, even if its callers left in between. After three requests it must not.
 func TestStarvedModelIsLoadedBeforeHigherScore(t *testing.T) {
 	large := testModel("large", func(m *settings.Model) { m.Policy.Memory = 30 * gigabyte })
 	for requests, want := range map[int]string{3: "load small on machine-0000", 4: "load large on machine-0000"} {
@@ -36,19 +36,20 @@
 	}
 }
 
-// TestReplicaEndsStarving: what waited is forgotten once a replica serves or will serve.
+// TestServingReplicaResetsStarvation guards against a score that stays raised after the model
+// has got a replica.
 func TestServingReplicaResetsStarvation(t *testing.T) {
-	var waits starvation
+	var starvation starvation
 	now := start
 	for range 20 {
 		now = now.Add(time.Second)
-		waits.observe(now, false, 1, 1)
+		starvation.observe(now, false, 1, 1)
 	}
-	if grown := waits.scoreFactor(now); grown < 4 {
-		t.Errorf("worth grew by %v in 19 s, want four times or more", grown)
+	if factor := starvation.scoreFactor(now); factor < 4 {
+		t.Errorf("score factor %v after 19 s of waiting, want 4 or more", factor)
 	}
-	waits.observe(now, true, 1, 1)
-	if grown := waits.scoreFactor(now); grown != 1 {
-		t.Errorf("worth grown by %v with a replica", grown)
+	starvation.observe(now, true, 1, 1)
+	if factor := starvation.scoreFactor(now); factor != 1 {
+		t.Errorf("score factor %v with a replica, want 1", factor)
 	}
 }
--- a/placement/store_load_gain_test.go
+++ b/placement/store_load_gain_test.go
@@ -7,9 +7,9 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// occupancyState returns machines that carry out one order at a time; the first has
-// copies of four models, each asked for once a second, and room for another.
-func occupancyState() (State, *AdaptivePlanner) {
+// oneOrderState returns a machine that carries out one order at a time. It has copies of four
+// models on disk and free memory for another one.
+func oneOrderState() (State, *AdaptivePlanner) {
 	models := []cluster.ModelID{"booking", "c1", "c2", "c3", "c4"}
 	state := testState(testSnapshot(1, testModel("booking", nil)), 1)
 	entries := state.Settings.Models
@@ -30,7 +30,8 @@
 	return state, NewPlanner(config)
 }
 
-// requestEachSecond has the models asked for, once a second for so many seconds, and served elsewhere.
+// requestEachSecond gives each model one arrival per second for the given number of seconds,
+// served elsewhere.
 func requestEachSecond(state *State, planner *AdaptivePlanner, seconds int, models ...cluster.ModelID) {
 	for range seconds {
 		state.Now = state.Now.Add(time.Second)
@@ -42,22 +43,22 @@
 	clear(state.Demand)
 }
 
-// TestMachineIsKeptForQuickLoads: a load from the store for one late request would keep
-// the machine from the models at hand there that are asked for all the time. Many
-// waiting requests, or a copy of those models elsewhere, make it worth while.
+// TestMachineIsKeptForLocalLoads: a load from the store for one late request must not occupy a
+// machine whose cached models are requested all the time. It is worthwhile for many waiting
+// requests, or if other machines have copies of those models.
 func TestMachineIsKeptForLocalLoads(t *testing.T) {
 	for name, test := range map[string]struct {
-		waiting int
-		spare   bool
-		want    []string
+		waiting         int
+		copiesElsewhere bool
+		want            []string
 	}{
 		"one request":      {1, false, nil},
 		"many requests":    {400, false, []string{"load booking on machine-0000"}},
 		"copies elsewhere": {4, true, []string{"load booking on machine-0000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			state, planner := occupancyState()
-			if test.spare {
+			state, planner := oneOrderState()
+			if test.copiesElsewhere {
 				for range 3 {
 					spare := state.Machines[0]
 					spare.ID, spare.MemoryBytes = spare.ID+"-spare", 0
@@ -71,25 +72,25 @@
 	}
 }
 
-// TestRequestInTimeCountsMore: the same request is worth the load when its answer would
-// be in time.
+// TestStoreLoadGainIsHigherWithinObjective: waiting requests must count more if the load lets
+// them be answered within their objective.
 func TestStoreLoadGainIsHigherWithinObjective(t *testing.T) {
 	gain := func(objective time.Duration) float64 {
-		state, planner := occupancyState()
+		state, planner := oneOrderState()
 		state.Demand["booking"] = Demand{Waiting: 3, Objective: objective}
 		planner.Plan(state)
 		planner.round.state = &state
 		return planner.round.storeLoadGain(planner.catalogue.indexOf("booking"), 6*time.Second)
 	}
 	if late, inTime := gain(time.Second), gain(time.Minute); inTime < 2*late {
-		t.Errorf("gain %.2f late and %.2f in time", late, inTime)
+		t.Errorf("gain %.2f late and %.2f in time, want at least twice as much in time", late, inTime)
 	}
 }
 
-// TestCopyIsMadeAhead: a model that was asked for and is on no machine any more is loaded
-// where there is room, one never asked for is not.
+// TestLostModelIsLoadedBeforeNextRequest: a model with recent requests of which no machine has
+// a copy any more is loaded where memory is free. One without requests is not.
 func TestLostModelIsLoadedBeforeNextRequest(t *testing.T) {
-	state, planner := occupancyState()
+	state, planner := oneOrderState()
 	state.Machines[0].Cached = map[cluster.ModelID]cluster.Tier{}
 	state.Store.Concurrency = 1
 	expectActions(t, planner.Plan(state))
@@ -100,14 +101,14 @@
 	expectActions(t, planner.Plan(state), "load booking on machine-0000")
 }
 
-// TestCrowdedModelGetsAReplica: a model whose replica runs more than it should is worth
-// another one from the store, though its requests are being served; one that has room,
-// or that has a replica under way, is not.
+// TestOverloadedModelGainsFromStoreLoad: a model whose replica runs more requests than its
+// target gains from another replica although no request waits. One below the target, or with a
+// replica that is loading, does not.
 func TestOverloadedModelGainsFromStoreLoad(t *testing.T) {
-	gain := func(running int, under bool) float64 {
-		state, planner := occupancyState()
+	gain := func(running int, loading bool) float64 {
+		state, planner := oneOrderState()
 		addLoadedReplica(&state, 0, "booking")
-		if under {
+		if loading {
 			state.Machines = append(state.Machines, testMachines(2)[1])
 			addLoadedReplica(&state, 1, "booking").State = cluster.ReplicaLoading
 		}
@@ -120,9 +121,9 @@
 		return planner.round.storeLoadGain(planner.catalogue.indexOf("booking"), 3*time.Second)
 	}
 	if got := gain(5, false); got < 1 {
-		t.Errorf("gain %.2f of a crowded model", got)
+		t.Errorf("gain %.2f of an overloaded model, want 1 or more", got)
 	}
-	if idle, coming := gain(1, false), gain(5, true); idle != 0 || coming != 0 {
-		t.Errorf("gain %.2f with room, %.2f with a replica under way, want none", idle, coming)
+	if idle, withLoading := gain(1, false), gain(5, true); idle != 0 || withLoading != 0 {
+		t.Errorf("gain %.2f below the target, %.2f with a loading replica, want 0", idle, withLoading)
 	}
 }
--- a/placement/store_starts_test.go
+++ b/placement/store_starts_test.go
@@ -8,8 +8,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// TestWithdrawnLoadKeepsItsStart: a load whose order was not given takes nothing of
-// the weight store.
+// TestWithdrawnLoadReturnsItsStartToken guards against loads without an order using up the
+// start tokens of the weight store, which would block later loads.
 func TestWithdrawnLoadReturnsItsStartToken(t *testing.T) {
 	state := testState(testSnapshot(1, testModel("booking", nil)), 1)
 	state.Store = StoreState{StartsPerSecond: 1, Concurrency: 4, Speed: 1}
@@ -25,8 +25,9 @@
 	}
 }
 
-// TestTakeoverKeepsStoreLimit: with demand for more than the store allows, one
-// planner after the other starts no more loads in any window than are allowed.
+// TestTakeoverKeepsStoreStartRate guards against a new planner starting with a full token
+// bucket right after its predecessor has used its own. With more demand than the store allows,
+// no window may contain more starts than the limit.
 func TestTakeoverKeepsStoreStartRate(t *testing.T) {
 	const rate, window, burst = 20.0, 5 * time.Second, 6.0
 	models := make([]settings.Model, 400)
@@ -52,17 +53,17 @@
 		}
 	}
 	for i := range starts {
-		n := 0
+		count := 0
 		for _, at := range starts[i:] {
 			if at.Sub(starts[i]) < window {
-				n++
+				count++
 			}
 		}
-		if bound := rate*window.Seconds() + burst + 1; float64(n) > bound {
-			t.Fatalf("%d loads began within %v, %v allowed", n, window, bound)
+		if limit := rate*window.Seconds() + burst + 1; float64(count) > limit {
+			t.Fatalf("%d loads began within %v, want at most %v", count, window, limit)
 		}
 	}
 	if len(starts) < 150 {
-		t.Errorf("%d loads began in 10 s", len(starts))
+		t.Errorf("%d loads began in 10 s, want 150 or more", len(starts))
 	}
 }
--- a/placement/wait_test.go
+++ b/placement/wait_test.go
@@ -8,8 +8,8 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// busyWaitState returns machines of 40 GB of which the first has the checkpoint of
-// booking on its disk and carries out an order for so long.
+// busyWaitState returns machines with 40 GB. The first one has the checkpoint of booking on its
+// disk and carries out an order for the given time.
 func busyWaitState(busyFor time.Duration) State {
 	state := testState(testSnapshot(1, testModel("assistant", nil), testModel("booking", nil)), 2)
 	state.Machines[0].Cached["booking"] = cluster.TierDisk
@@ -18,9 +18,9 @@
 	return state
 }
 
-// TestBusyMachineWithCheckpointIsAwaited: a machine that is busy for a moment loads
-// from its disk sooner than another from the weight store, whose load would hold up
-// that machine and all other loads from the store.
+// TestLoadWaitsForBrieflyBusyMachineWithCheckpoint: a machine that is busy for a moment can
+// load from its disk sooner than another one from the weight store. The store load would also
+// occupy that machine and delay other loads from the store.
 func TestLoadWaitsForBrieflyBusyMachineWithCheckpoint(t *testing.T) {
 	planner := NewPlanner(Config{})
 	state := busyWaitState(300 * time.Millisecond)
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestLongBusyMachineIsNotAwaited: one that is busy for longer than a load from the
-// weight store takes is not waited for, nor one of which nothing is known.
+// TestLoadDoesNotWaitForLongBusyMachine: no load may wait for a machine that is busy for longer
+// than a load from the weight store takes, or for an unknown time.
 func TestLoadDoesNotWaitForLongBusyMachine(t *testing.T) {
 	for name, busyFor := range map[string]time.Duration{"long": time.Minute, "unknown": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestBusyMachineIsAwaitedByFewModels: each model that waits for a machine takes its
-// time of it, so that further ones load elsewhere.
+// TestFurtherModelsDoNotWaitForSameBusyMachine: each model that waits for a busy machine adds
+// to its queue, so further models must be loaded on other machines.
 func TestFurtherModelsDoNotWaitForSameBusyMachine(t *testing.T) {
 	state := busyWaitState(300 * time.Millisecond)
 	state.Machines[0].MemoryBytes = 400 * gigabyte
@@ -68,7 +68,7 @@
 	state.Settings = testSnapshot(2, models...)
 	state.Allotment = testAllotment(state.Settings)
 	plan := NewPlanner(Config{}).Plan(state)
-	if n := len(plan.Actions); n == 0 || n == 7 {
-		t.Fatalf("%d loads begin elsewhere, want some of seven: %v", n, actionsOf(plan))
+	if loads := len(plan.Actions); loads == 0 || loads == 7 {
+		t.Fatalf("%d loads begin elsewhere, want some of seven: %v", loads, actionsOf(plan))
 	}
 }
--- a/placement/world_simulation_test.go
+++ b/placement/world_simulation_test.go
@@ -10,7 +10,7 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// The times of the worlds of asked and starving models.
+// Durations in the simulated worlds.
 const (
 	worldStep            = 200 * time.Millisecond
 	worldUnloadTime      = 300 * time.Millisecond
@@ -20,10 +20,10 @@
 	worldMaxRunTime      = 2 * time.Second
 )
 
-// worldPeakFactor is how much more often hot models are asked for at their peak.
+// worldPeakFactor is the factor by which the request rate of hot models rises at their peak.
 const worldPeakFactor = 2.0
 
-// The sizes of the worlds: an engine holds at least two models.
+// Sizes in the simulated worlds. A machine holds at least two models.
 const (
 	worldMachineBytes        = 200 * gigabyte
 	worldMaxModelBytes       = 72 * gigabyte
@@ -34,19 +34,21 @@
 // worldModel is one model with its callers.
 type worldModel struct {
 	id, base cluster.ModelID
-	// perSecond requests come while the model is asked for, each running for so long.
+	// perSecond is the request rate while callers are active, and runTime the run time of each
+	// request.
 	perSecond float64
 	runTime   time.Duration
 	hot       bool
-	// firstCall and rest bound when a rare model's callers come, and come again.
+	// firstCall is the start of the present session of an intermittent model's callers, and
+	// restTime the pause before the next one.
 	firstCall time.Time
 	restTime  time.Duration
-	next      time.Time
+	nextCall  time.Time
 	waiting   []worldRequest
 	running   []time.Time
-	// arrivals since the last plan.
+	// arrivals counts the requests since the last plan.
 	arrivals int
-	// served answers of the present session.
+	// served counts the answers of the present session.
 	served     int
 	waitRecord waitRecord
 }
@@ -54,15 +56,15 @@
 // worldRequest is one waiting request.
 type worldRequest struct{ arrived, deadline time.Time }
 
-// waitRecord follows one spell in which a model is asked for while it is not loaded.
+// waitRecord follows one period in which a model has waiting requests and no replica.
 type waitRecord struct {
 	started      time.Time
 	requestTimes []time.Time
-	// ahead are the models that waited at its beginning, or soon after.
-	ahead map[cluster.ModelID]bool
+	// waitingBefore holds the models that were waiting when the period began, or soon after.
+	waitingBefore map[cluster.ModelID]bool
 }
 
-// starvationWorld is engines with fewer places than models, in virtual time.
+// starvationWorld simulates engines that hold fewer models than are in use, in virtual time.
 type starvationWorld struct {
 	random      *rand.Rand
 	config      Config
@@ -75,18 +77,18 @@
 	peak        time.Time
 	diskCopies  int
 	completesAt map[loadKey]time.Time
-	// served counts answers of hot and of other models, prompt those within half of the
-	// callers' patience, lost the requests that passed their deadline.
+	// served counts the answers of hot and of other models, servedPromptly those within half of
+	// the callers' patience, and lost the requests that passed their deadline.
 	served, servedPromptly, lost map[bool]int
 	starved                      []string
-	// promptTokens is how long the prompts of hot models are, zero for none.
+	// promptTokens is the prompt length of hot models, zero for no prompts.
 	promptTokens int
-	// withheld is a model whose loads are never ordered.
+	// withheld is a model whose loads are never ordered, empty for none.
 	withheld cluster.ModelID
 }
 
-// newStarvationWorld draws a world: three to eight engines, up to five times as many
-// models as they have places, and hot models that need at most half of these.
+// newStarvationWorld draws a world: three to eight engines, up to five times as many models as
+// they can hold, and hot models that need at most half of the engines' memory.
 func newStarvationWorld(seed uint64) *starvationWorld {
 	w := &starvationWorld{
 		random: rand.New(rand.NewPCG(seed, 24)), completesAt: map[loadKey]time.Time{},
@@ -113,8 +115,8 @@
 	return w
 }
 
-// serialOrderConfig is the planner's configuration for engines that carry out one order at a
-// time and keep idle models.
+// serialOrderConfig returns the configuration for engines that carry out one order at a time
+// and keep idle models.
 func serialOrderConfig() Config {
 	return Config{
 		RetainIdle: true, EvictForLoad: true, OneOrder: true, UnloadDropsAdapters: true, AdaptersUnlimited: true,
@@ -122,12 +124,12 @@
 	}
 }
 
-// between draws a number, both ends included.
+// between draws a number from low to high, both included.
 func (w *starvationWorld) between(low, high int) int { return low + w.random.IntN(high-low+1) }
 
-// drawModels draws base models and adapters of some of them. The first ones are hot:
-// at their peak they need so many places.
-func (w *starvationWorld) drawModels(bases, hotPlaces int) []settings.Model {
+// drawModels draws base models, and adapters for some of them. The first models are hot: at
+// their peak they need at most maxHotReplicas replicas together.
+func (w *starvationWorld) drawModels(bases, maxHotReplicas int) []settings.Model {
 	var models []settings.Model
 	add := func(id, base string, bytes int64, callers worldModel) {
 		models = append(models, testModel(id, func(m *settings.Model) {
@@ -139,18 +141,18 @@
 		callers.id, callers.base = cluster.ModelID(id), cluster.ModelID(base)
 		w.models = append(w.models, callers)
 	}
-	adapted := w.random.Float64() * 0.5
+	adapterProbability := w.random.Float64() * 0.5
 	for i := range bases {
 		id := fmt.Sprintf("base-%02d", i)
 		bytes := worldMinModelBytes + w.random.Int64N(worldMaxModelBytes-worldMinModelBytes)
-		if w.hotReplicas < hotPlaces {
-			places := w.between(1, hotPlaces-w.hotReplicas)
-			w.hotReplicas += places
-			add(id, "", bytes, w.drawHot(places))
+		if w.hotReplicas < maxHotReplicas {
+			replicas := w.between(1, maxHotReplicas-w.hotReplicas)
+			w.hotReplicas += replicas
+			add(id, "", bytes, w.drawHot(replicas))
 			continue
 		}
 		add(id, "", bytes, w.drawIntermittent())
-		if w.random.Float64() >= adapted {
+		if w.random.Float64() >= adapterProbability {
 			continue
 		}
 		for k := range w.between(1, 3) {
@@ -160,16 +162,16 @@
 	return models
 }
 
-// drawHot draws callers that ask all the time, so often that the planner's own target
-// is so many replicas at their peak.
-func (w *starvationWorld) drawHot(places int) worldModel {
+// drawHot draws callers that are always active, at a rate for which the planner's target at the
+// peak is the given number of replicas.
+func (w *starvationWorld) drawHot(replicas int) worldModel {
 	m := worldModel{hot: true, runTime: w.drawRun(), firstCall: start}
-	running := float64(places) * w.config.targetRunning(float64(w.slots))
+	running := float64(replicas) * w.config.targetRunning(float64(w.slots))
 	m.perSecond = running / worldPeakFactor / m.runTime.Seconds()
 	return m
 }
 
-// drawIntermittent draws callers that ask now and then, for as long as it takes to get four
+// drawIntermittent draws callers that are active in sessions, each until they have got four
 // answers.
 func (w *starvationWorld) drawIntermittent() worldModel {
 	return worldModel{
@@ -182,8 +184,8 @@
 	return time.Duration(w.between(200, int(worldMaxRunTime.Milliseconds()))) * time.Millisecond
 }
 
-// drawEngines gives engines their size and, in half of the worlds, disks that hold
-// some of the models.
+// drawEngines sets the size of the engines and, in half of the worlds, gives them disks with
+// copies of some models.
 func (w *starvationWorld) drawEngines() {
 	if w.random.IntN(2) == 0 {
 		w.diskCopies = w.between(2, 12)
@@ -200,7 +202,7 @@
 	}
 }
 
-// loadTime states how long loads take, as the configuration of engines does.
+// loadTime returns the stated load time, as the settings of engines do.
 func (w *starvationWorld) loadTime(id cluster.ModelID, tier cluster.Tier) time.Duration {
 	policy := w.state.Settings.Model(id)
 	switch {
@@ -212,7 +214,7 @@
 	return time.Duration(float64(worldMaxLoadTime) * float64(policy.Policy.Memory) / float64(worldMaxModelBytes))
 }
 
-// run plays the world for a time.
+// run simulates the world for the given time.
 func (w *starvationWorld) run(d time.Duration) {
 	for end := w.state.Now.Add(d); w.state.Now.Before(end); {
 		w.state.Now = w.state.Now.Add(worldStep)
@@ -227,34 +229,35 @@
 	}
 }
 
-// arrive lets requests come and those past their deadline go.
+// arrive adds the requests that are due and removes those past their deadline.
 func (w *starvationWorld) arrive(m *worldModel) {
 	now := w.state.Now
-	if m.next.Before(m.firstCall) {
-		m.next = m.firstCall
+	if m.nextCall.Before(m.firstCall) {
+		m.nextCall = m.firstCall
 	}
-	for !m.next.After(now) {
-		m.waiting = append(m.waiting, worldRequest{arrived: m.next, deadline: m.next.Add(w.patience)})
+	for !m.nextCall.After(now) {
+		m.waiting = append(m.waiting, worldRequest{arrived: m.nextCall, deadline: m.nextCall.Add(w.patience)})
 		m.arrivals++
-		m.waitRecord.requestTimes = append(m.waitRecord.requestTimes, m.next)
+		m.waitRecord.requestTimes = append(m.waitRecord.requestTimes, m.nextCall)
 		rate := m.perSecond
 		if m.hot && now.After(w.peak) && now.Before(w.peak.Add(10*time.Second)) {
 			rate *= worldPeakFactor
 		}
-		m.next = m.next.Add(time.Duration((0.5 + w.random.Float64()) / rate * float64(time.Second)))
+		m.nextCall = m.nextCall.Add(time.Duration((0.5 + w.random.Float64()) / rate * float64(time.Second)))
 	}
-	before := len(m.waiting)
+	countBefore := len(m.waiting)
 	m.waiting = slices.DeleteFunc(m.waiting, func(r worldRequest) bool { return !r.deadline.After(now) })
-	w.lost[m.hot] += before - len(m.waiting)
+	w.lost[m.hot] += countBefore - len(m.waiting)
 }
 
-// serve ends what has run long enough and begins what a replica has a slot for.
+// serve ends the requests that have run long enough and starts waiting ones on free request
+// slots.
 func (w *starvationWorld) serve(m *worldModel) {
 	now := w.state.Now
-	before := len(m.running)
+	countBefore := len(m.running)
 	m.running = slices.DeleteFunc(m.running, func(end time.Time) bool { return !end.After(now) })
-	w.served[m.hot] += before - len(m.running)
-	m.served += before - len(m.running)
+	w.served[m.hot] += countBefore - len(m.running)
+	m.served += countBefore - len(m.running)
 	for slots := w.slotsOf(m.id); len(m.waiting) > 0 && len(m.running) < slots; m.waiting = m.waiting[1:] {
 		m.running = append(m.running, now.Add(m.runTime))
 		if now.Add(m.runTime).Sub(m.waiting[0].arrived) <= w.patience/2 {
@@ -266,7 +269,7 @@
 	}
 }
 
-// slotsOf returns how many requests are served at once the model.
+// slotsOf returns how many requests the model's replicas run at once.
 func (w *starvationWorld) slotsOf(id cluster.ModelID) (slots int) {
 	for i := range w.state.Machines {
 		if w.holds(&w.state.Machines[i], id, cluster.ReplicaLoaded) {
@@ -280,7 +283,7 @@
 	return slices.ContainsFunc(machine.Replicas, func(s Slot) bool { return s.Model == id && s.State == state })
 }
 
-// plan makes the plan of the present demand.
+// plan returns the plan for the present demand.
 func (w *starvationWorld) plan() Plan {
 	now := w.state.Now
 	clear(w.state.Demand)
@@ -305,16 +308,16 @@
 		machine := &w.state.Machines[i]
 		machine.Busy, machine.BusyFor = false, 0
 		for _, slot := range machine.Replicas {
-			if ready, under := w.completesAt[loadKey{machine: machine.ID, model: slot.Model}]; under {
-				machine.Busy, machine.BusyFor = true, max(machine.BusyFor, ready.Sub(now))
+			if due, pending := w.completesAt[loadKey{machine: machine.ID, model: slot.Model}]; pending {
+				machine.Busy, machine.BusyFor = true, max(machine.BusyFor, due.Sub(now))
 			}
 		}
 	}
 	return w.planner.Plan(w.state)
 }
 
-// order carries out the first order of the plan for each engine. An unload waits for
-// what runs.
+// order carries out the plan's first order for each engine. An unload waits for running
+// requests.
 func (w *starvationWorld) order(plan Plan) {
 	given := map[cluster.MachineID]bool{}
 	for k := range plan.Actions {
@@ -337,7 +340,7 @@
 	}
 }
 
-// lastRun is when what runs of a model is done.
+// lastRun returns the time at which the last running request of a model ends.
 func (w *starvationWorld) lastRun(id cluster.ModelID) time.Time {
 	last := w.state.Now
 	for i := range w.models {
@@ -357,29 +360,30 @@
 func (w *starvationWorld) finishOrders() {
 	for i := range w.state.Machines {
 		machine := &w.state.Machines[i]
-		gone := map[cluster.ModelID]bool{}
+		unloaded := map[cluster.ModelID]bool{}
 		for k := range machine.Replicas {
 			slot := &machine.Replicas[k]
 			key := loadKey{machine: machine.ID, model: slot.Model}
-			due, under := w.completesAt[key]
-			if !under || due.After(w.state.Now) {
+			due, pending := w.completesAt[key]
+			if !pending || due.After(w.state.Now) {
 				continue
 			}
 			delete(w.completesAt, key)
 			if slot.State == cluster.ReplicaUnloading {
-				gone[slot.Model] = true
+				unloaded[slot.Model] = true
 				continue
 			}
 			slot.State, slot.Since = cluster.ReplicaLoaded, due
 			w.leaveCopy(machine, slot.Model)
 		}
 		machine.Replicas = slices.DeleteFunc(machine.Replicas, func(s Slot) bool {
-			return gone[s.Model] || gone[w.state.Settings.Model(s.Model).Base]
+			return unloaded[s.Model] || unloaded[w.state.Settings.Model(s.Model).Base]
 		})
 	}
 }
 
-// leaveCopy puts a loaded model on the engine's disk in place of another one.
+// leaveCopy puts a loaded model on the engine's disk and removes another one if the disk is
+// full.
 func (w *starvationWorld) leaveCopy(machine *Machine, id cluster.ModelID) {
 	if w.diskCopies == 0 || w.state.Settings.Model(id).Base != "" {
 		return
--- a/placement/world_test.go
+++ b/placement/world_test.go
@@ -12,10 +12,10 @@
 
 const gigabyte = int64(1e9)
 
-// start is the fixed beginning of every test.
+// start is the time at which every test begins.
 var start = time.Date(2026, time.March, 2, 8, 0, 0, 0, time.UTC)
 
-// testModel returns a base model with usual policy values.
+// testModel returns a base model with common policy values.
 func testModel(id string, change func(*settings.Model)) settings.Model {
 	model := settings.Model{
 		ID: cluster.ModelID(id), Kind: settings.KindModel, Path: "/" + id, Team: "/",
@@ -34,13 +34,13 @@
 	return model
 }
 
-// testSnapshot compiles models into a snapshot.
+// testSnapshot returns a settings snapshot with the models.
 func testSnapshot(revision int64, models ...settings.Model) *settings.Snapshot {
 	slices.SortFunc(models, func(a, b settings.Model) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return settings.NewSnapshot(settings.Stamp{History: "test", Revision: revision}, models, nil, nil)
 }
 
-// testAllotment allots every model up to its maximum on any machine.
+// testAllotment allots each model up to its maximum, on any machine.
 func testAllotment(snapshot *settings.Snapshot) *cluster.Allotment {
 	allotment := &cluster.Allotment{Zone: "zone-a", Revision: 7, SettingsRevision: snapshot.Stamp.Revision}
 	for i := range snapshot.Models {
@@ -51,8 +51,7 @@
 	return allotment
 }
 
-// testMachines returns sealed machines of 40 GB in the assistant pool, two in
-// each rack.
+// testMachines returns sealed machines with 40 GB in the pool "assistant", two in each rack.
 func testMachines(count int) []Machine {
 	machines := make([]Machine, count)
 	for i := range machines {
@@ -65,7 +64,7 @@
 	return machines
 }
 
-// testState returns a state at the start with nothing loaded.
+// testState returns a state at the start time with nothing loaded.
 func testState(snapshot *settings.Snapshot, machines int) State {
 	return State{
 		Now: start, Zone: "zone-a", Token: 5, Settings: snapshot, Allotment: testAllotment(snapshot),
@@ -88,8 +87,8 @@
 	return &replicas[at]
 }
 
-// fakeEngines carry out plans: loads take their expected time times the slowness,
-// unloads one second.
+// fakeEngines carries out plans. A load takes its expected time multiplied by loadTimeFactor,
+// and an unload takes one second.
 type fakeEngines struct {
 	loadTimeFactor float64
 	completesAt    map[loadKey]time.Time
@@ -116,7 +115,7 @@
 	}
 }
 
-// advance moves time on and completes what is due.
+// advance moves the time forward and completes the orders that are due.
 func (e *fakeEngines) advance(state *State, step time.Duration) {
 	state.Now = state.Now.Add(step)
 	for m := range state.Machines {
