--- a/placement/choose.go
+++ b/placement/choose.go
@@ -69,7 +69,8 @@
 	baseLoading    bool
 	tier, baseTier cluster.Tier
 	expectedTime   time.Duration
-	storeLoads     int
+	// storeLoads counts the loads that use the weight store.
+	storeLoads int
 }
 
 // filterCauseCount is the number of causes for which machines are excluded.
@@ -78,7 +79,7 @@
 // filterCausesInOrder lists the causes by filter index.
 var filterCausesInOrder = [filterCauseCount]Cause{
 	CauseNotCandidate, CauseNoMachine, CauseUnsealed, CauseMachineLeaves,
-	CauseHolds, CauseBaseMissing, CauseNoMemory, CauseStoreLimit, CauseBusy,
+	CauseAlreadyHolds, CauseBaseMissing, CauseNoMemory, CauseStoreLimit, CauseMachineBusy,
 	CauseKeptForLocalLoads,
 }
 
@@ -88,7 +89,7 @@
 	filterPool
 	filterUnsealed
 	filterLeaving
-	filterHolds
+	filterAlreadyHolds
 	filterBase
 	filterMemory
 	filterStore
@@ -199,7 +200,7 @@
 	case r.state.Machines[m].Leaving:
 		return filterLeaving
 	case r.holds(m, i) || r.loadPlanned(m, i):
-		return filterHolds
+		return filterAlreadyHolds
 	case r.state.Machines[m].Busy:
 		return filterBusy
 	}
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -10,6 +10,7 @@
 // victim is one replica that may be evicted, with the loss that this causes. For a base model
 // it includes the adapters on the same machine.
 type victim struct {
+	// slot is the index of the replica in round.replicas.
 	slot  int32
 	bytes int64
 	loss  float64
@@ -42,7 +43,7 @@
 // victims costs least, or noIndex if that is no less than the given delay without an eviction.
 func (r *round) bestEviction(request *loadRequest, delay float64) (int32, loadRequirements) {
 	i := request.model
-	best, bestNeed, bestCost := noIndex, loadRequirements{}, r.delayCost(request, delay)
+	best, bestRequirements, bestCost := noIndex, loadRequirements{}, r.delayCost(request, delay)
 	for m := range r.machines {
 		if r.machines[m].pool != r.catalogue.entries[i].pool || !r.passesFilters(i, int32(m)) {
 			continue
@@ -65,15 +66,15 @@
 		if blocked {
 			wait += storeScore
 		}
-		waiting := r.delayCost(request, wait)
-		if waiting >= bestCost {
+		waitingCost := r.delayCost(request, wait)
+		if waitingCost >= bestCost {
 			continue
 		}
-		if loss, enough := r.selectVictims(request, int32(m), needs.bytes); enough && waiting+loss < bestCost {
-			best, bestNeed, bestCost = int32(m), needs, waiting+loss
+		if loss, enough := r.selectVictims(request, int32(m), needs.bytes); enough && waitingCost+loss < bestCost {
+			best, bestRequirements, bestCost = int32(m), needs, waitingCost+loss
 		}
 	}
-	return best, bestNeed
+	return best, bestRequirements
 }
 
 // waitCost returns the cost of the given wait for the model's requests, in the unit of
@@ -221,11 +222,11 @@
 	entry := &r.catalogue.entries[replica.model]
 	tier := r.state.Machines[replica.machine].Cached[entry.model.ID]
 	cached := &r.models[replica.model].lossByTier[tier]
-	useful := r.models[replica.model].serving
-	if cached.bytes == replica.slot.Bytes && cached.bytes != 0 && cached.useful == useful {
+	serving := r.models[replica.model].serving
+	if cached.bytes == replica.slot.Bytes && cached.bytes != 0 && cached.serving == serving {
 		return cached.loss
 	}
-	cached.bytes, cached.useful = replica.slot.Bytes, useful
+	cached.bytes, cached.serving = replica.slot.Bytes, serving
 	if r.config.OneOrder {
 		cached.loss = r.evictionCost(replica, tier) + r.drainCost(replica.model)
 	} else {
@@ -238,9 +239,9 @@
 // cachedLoss is the loss of one replica, valid for its size and for the number of serving
 // replicas.
 type cachedLoss struct {
-	bytes  int64
-	useful int
-	loss   float64
+	bytes   int64
+	serving int
+	loss    float64
 }
 
 // evictable reports whether the replica may make room for the load request: it is loaded, no
--- a/placement/idle_histogram.go
+++ b/placement/idle_histogram.go
@@ -51,7 +51,7 @@
 	return starts
 }()
 
-// survivorWeights returns, for each bucket, the weight of the idle periods that reach its
+// survivorWeights stores in out, for each bucket, the weight of the idle periods that reach its
 // start. Entry idleBuckets is zero.
 func (h *idleHistogram) survivorWeights(out *[idleBuckets + 1]float32) {
 	out[idleBuckets] = 0
--- a/placement/keep_schedule.go
+++ b/placement/keep_schedule.go
@@ -81,7 +81,7 @@
 }
 
 // coldStartReference is the duration of a cold start that costs twice its seconds. The cost
-// grows faster than the duration because long waits matter most.
+// grows faster than the duration, so that the planner shortens the longest waits first.
 const coldStartReference = 10 * time.Second
 
 // coldStartCost returns the cost of one cold start in seconds.
--- a/placement/place.go
+++ b/placement/place.go
@@ -143,7 +143,7 @@
 }
 
 // storeAllows reports whether one more remote load of the class may start. Loads that no
-// request needs now leave half of the store's concurrency free.
+// request needs now leave half of the store's concurrency, and one start token, to the others.
 func (r *round) storeAllows(class loadClass) bool {
 	concurrency, starts := r.store.concurrency(), 1.0
 	if class >= classPrefill {
--- a/placement/release.go
+++ b/placement/release.go
@@ -91,7 +91,7 @@
 		}
 		leaving := r.state.Machines[replica.machine].Leaving
 		if leaving && satisfied {
-			continue // The machine goes by itself.
+			continue // The replica ends with its machine.
 		}
 		reason := r.reason(i, CauseVersion, keyVersion)
 		if leaving {
--- a/placement/round.go
+++ b/placement/round.go
@@ -46,9 +46,11 @@
 	// adapters. prefill is the resulting prefill load.
 	promptsArrived promptSum
 	prefill        prefillLoad
-	allotted       bool
-	limit          int
-	candidates     []cluster.MachineID
+	// allotted reports that the allotment names the model. limit is the maximum number of
+	// replicas by the allotment, and candidates are its machines for the model, all if empty.
+	allotted   bool
+	limit      int
+	candidates []cluster.MachineID
 	// bestTier is the fastest tier in which a machine of the pool has the checkpoint.
 	// localCopies counts the machines that have it and can load it soon.
 	bestTier    cluster.Tier
@@ -82,9 +84,10 @@
 	free, freeAfterUnloads int64
 	// firstReplica and endReplica bound the machine's entries in round.replicas.
 	firstReplica, endReplica int32
-	loading                  int
-	// queuedLoadTime is the duration of the loads that this round leaves to the machine until
-	// its present order is done.
+	// loading counts the running and planned loads on the machine.
+	loading int
+	// queuedLoadTime is the duration of the loads that this round leaves to the machine for the
+	// time after its present order.
 	queuedLoadTime time.Duration
 	// exclusiveRate caches the result of exclusiveArrivalRate for this round.
 	exclusiveRate      float64
@@ -93,7 +96,8 @@
 	prefillShare float64
 	// adapters counts the adapters on the machine and those planned in this round.
 	adapters int
-	usable   bool
+	// usable reports that the machine is sealed and not leaving.
+	usable bool
 	// draining is set while an unload waits for running requests to end.
 	draining bool
 }
--- a/placement/types.go
+++ b/placement/types.go
@@ -176,11 +176,11 @@
 	CauseRunning           Cause = "running requests"
 	CauseAdapter           Cause = "needed by an adapter"
 	CauseUnsealed          Cause = "machine not sealed"
-	CauseHolds             Cause = "machine already holds the model"
+	CauseAlreadyHolds      Cause = "machine already holds the model"
 	CauseNotCandidate      Cause = "machine not a candidate of the allotment"
 	CauseNoCopy            Cause = "no machine has a copy"
 	CauseKeptForLocalLoads Cause = "machines kept for quicker loads"
-	CauseBusy              Cause = "machine carries out another order"
+	CauseMachineBusy       Cause = "machine carries out another order"
 	CausePrefill           Cause = "prompts to read"
 )
 
--- a/placement/wait.go
+++ b/placement/wait.go
@@ -71,11 +71,11 @@
 
 // queueOnBusyMachine reserves memory and time for a load on a busy machine, which a later round
 // orders.
-func (r *round) queueOnBusyMachine(i int32, wait *pendingWait, c *machineChoice) {
+func (r *round) queueOnBusyMachine(i int32, wait *pendingWait, choice *machineChoice) {
 	r.reserveMemory(wait.machine, wait.requirements.bytes)
 	r.machines[wait.machine].queuedLoadTime += wait.requirements.expectedTime
-	reason := r.reason(i, CauseBusy, "")
-	r.addChoice(&reason, c)
+	reason := r.reason(i, CauseMachineBusy, "")
+	r.addChoice(&reason, choice)
 	r.models[i].reason = reason
 }
 
--- a/placement/wait_test.go
+++ b/placement/wait_test.go
@@ -29,8 +29,8 @@
 		t.Fatalf("actions %v, want to wait for the machine with the checkpoint", actionsOf(plan))
 	}
 	at := slices.IndexFunc(plan.Decisions, func(d Decision) bool { return d.Model == "booking" })
-	if at < 0 || plan.Decisions[at].Reason.Cause != CauseBusy {
-		t.Fatalf("decisions %+v, want the cause %q", plan.Decisions, CauseBusy)
+	if at < 0 || plan.Decisions[at].Reason.Cause != CauseMachineBusy {
+		t.Fatalf("decisions %+v, want the cause %q", plan.Decisions, CauseMachineBusy)
 	}
 	state.Now = state.Now.Add(300 * time.Millisecond)
 	state.Machines[0].Busy, state.Machines[0].BusyFor = false, 0
