--- a/routing/work/bench_test.go
+++ b/routing/work/bench_test.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// largeEstimator has observed 1,600 engines.
-func largeEstimator() (*Estimator, *world) {
-	w := newWorld(uneven().rates, 1600, uneven().factors)
+// largeEstimator returns an estimator that has observed 1,600 engines for ten seconds.
+func largeEstimator() (*Estimator, *simulator) {
+	sim := newSimulator(unevenService().rates, 1600, unevenService().factors)
 	e := NewEstimator(Config{})
-	w.run(e, 10*time.Second)
-	return e, w
+	sim.run(e, 10*time.Second)
+	return e, sim
 }
 
-// BenchmarkReadTime: a choice asks for each of up to 140 engines, and may take 20 us.
-func BenchmarkReadTime(b *testing.B) {
-	e, w := largeEstimator()
+// BenchmarkPrefillEstimate measures one prefill estimate. A routing decision asks for up to 140
+// engines within a budget of 20 us.
+func BenchmarkPrefillEstimate(b *testing.B) {
+	e, sim := largeEstimator()
 	p := Prompt{Tokens: 9190, Kept: 6300}
-	engines, models := len(w.speeds), len(w.factors)
+	engines, models := len(sim.speeds), len(sim.factors)
 	var ids []Observation
 	for i := range 140 {
 		ids = append(ids, Observation{Engine: engineID(i * engines / 140), Model: modelID(i % models)})
@@ -30,7 +31,7 @@
 	}
 }
 
-// BenchmarkFit is one fit of rates, with what is usual of 1,600 engines.
+// BenchmarkFit measures one fit of the rates, including the normalization over 1,600 engines.
 func BenchmarkFit(b *testing.B) {
 	e, _ := largeEstimator()
 	for b.Loop() {
@@ -38,16 +39,16 @@
 	}
 }
 
-// BenchmarkObserve includes the fits of rates.
+// BenchmarkObserve measures one observation, with its share of the fits.
 func BenchmarkObserve(b *testing.B) {
-	e, w := largeEstimator()
+	e, sim := largeEstimator()
 	o := Observation{Model: modelID(0), Prompt: Prompt{Tokens: 9190}, First: 300 * time.Millisecond}
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		w.now = w.now.Add(time.Millisecond)
+		sim.now = sim.now.Add(time.Millisecond)
 		o.Engine = engineID(i)
-		e.Observe(w.now, o)
+		e.Observe(sim.now, o)
 		i = (i + 1) % 60
 	}
 }
--- a/routing/work/config.go
+++ b/routing/work/config.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// Config holds what is assumed of a service until its engines were observed. Zero fields take
-// their defaults.
+// Config holds the prior estimates for a service, which apply until its engines were observed.
+// Zero fields take their defaults.
 type Config struct {
-	// TokensPerMillisecond that an engine reads.
+	// TokensPerMillisecond is the prefill rate of an engine.
 	TokensPerMillisecond float64
-	// PairTime is what a million pairs of tokens adds to reading.
+	// PairTime is the additional prefill time for a million token pairs in attention.
 	PairTime time.Duration
-	// Overhead is the time to a first event that no reading explains.
+	// Overhead is the time to the first event apart from prefill.
 	Overhead time.Duration
-	// MaxEngines and MaxModels bound how many are remembered; the longest unobserved are
-	// forgotten first.
+	// MaxEngines and MaxModels bound the engines and models remembered; the least recently
+	// observed are evicted first.
 	MaxEngines, MaxModels int
 }
 
-// Defaults of a configuration.
+// Defaults of Config.
 const (
-	// defaultTokensPerMillisecond lies between engines with models of 8 to 70 billion
-	// parameters on current accelerators, that read 10 to 60 tokens a ms; eight
-	// observations outweigh it.
+	// defaultTokensPerMillisecond lies in the range of 10 to 60 tokens/ms that current
+	// accelerators reach with models of 8 to 70 billion parameters. Eight observations outweigh
+	// it.
 	defaultTokensPerMillisecond = 25
-	// defaultPairTime is attention's part at such a rate: it takes as long as the rest at
-	// some 50,000 tokens.
+	// defaultPairTime is the cost of attention at the default rate: it takes as long as the rest
+	// of prefill at a prompt of about 50,000 tokens.
 	defaultPairTime = time.Millisecond
-	// defaultOverhead is a decoding step, a hop there and a hop back. Chosen, not measured.
+	// defaultOverhead is the default of Config.Overhead: one decoding step and a network round
+	// trip.
 	defaultOverhead = 10 * time.Millisecond
-	// defaultMaxEngines and defaultMaxModels are above the largest deployments, of 1,600 each;
-	// an engine or a model takes 2 KB at most.
+	// defaultMaxEngines and defaultMaxModels exceed the largest deployments, which have 1,600
+	// engines and 1,600 models; each takes at most 2 KB.
 	defaultMaxEngines = 2048
 	defaultMaxModels  = 2048
 )
 
-// UsualTokensPerSecond is how many tokens a second the reading of prompts is counted in where
-// it is told as tokens: those of an engine with a model of some 50 billion parameters.
+// UsualTokensPerSecond converts prefill time to tokens where prefill work is reported as a token
+// count: it is the rate of an engine with a model of about 50 billion parameters.
 const UsualTokensPerSecond = 35_000
 
-// withDefaults fills in the fields that are zero.
+// withDefaults returns the configuration with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	if c.TokensPerMillisecond <= 0 {
 		c.TokensPerMillisecond = defaultTokensPerMillisecond
--- a/routing/work/decode.go
+++ b/routing/work/decode.go
@@ -8,49 +8,53 @@
 )
 
 const (
-	// assumedStep is a decoding step with a model of some 50 billion parameters on
-	// current accelerators, alone.
-	assumedStep = 5 * time.Millisecond
-	// stepGrowth is the part by which each further request slows a step: engines are bound by
-	// reading weights, so that 64 requests slow it by a quarter. It is too little to be
-	// learned from pauses that reading lengthens many times.
-	stepGrowth = 0.004
-	// stepSamples are the pauses that the step goes by.
-	stepSamples = 128
-	// stepQuantile is the part of pauses that are taken to have no reading in them: engines
-	// read for less than half of the time, or they would keep up with no demand.
+	// defaultStep is the duration of a decoding step of one request alone, with a model of
+	// about 50 billion parameters on current accelerators.
+	defaultStep = 5 * time.Millisecond
+	// stepGrowthPerRequest is the share by which each further running request lengthens a step.
+	// Decoding is bound by reading weights, so 64 requests lengthen it by a quarter only. That is
+	// too little to be learned from pauses, which prefill lengthens many times.
+	stepGrowthPerRequest = 0.004
+	// maxStepSamples is the number of recent pauses that the estimate uses.
+	maxStepSamples = 128
+	// stepQuantile is the quantile of pauses taken to be free of prefill: an engine that spent
+	// more than half of its time on prefill could not keep up with its demand.
 	stepQuantile = 0.25
 )
 
-// steps learns how long a decoding step takes at the usual engine with the usual model.
+// steps estimates the duration of a decoding step on the reference engine with the reference
+// model.
 type steps struct {
-	// usual is the step in ms, alone.
-	usual float64
-	// recent holds what the last pauses make it, and next is the place of the next one.
+	// baseline is the duration of a step of one request alone, in ms.
+	baseline float64
+	// recent is a ring of the baselines that the last pauses imply, and next its write index.
 	recent []float64
 	next   int
+	// sorted is scratch space for the quantile.
 	sorted []float64
 }
 
+// add takes the baseline that one pause implies and updates the estimate at intervals.
 func (s *steps) add(step float64) {
-	if len(s.recent) < stepSamples {
+	if len(s.recent) < maxStepSamples {
 		s.recent = append(s.recent, step)
 	} else {
 		s.recent[s.next] = step
 	}
-	s.next = (s.next + 1) % stepSamples
-	if s.next%firstFits != 0 {
+	s.next = (s.next + 1) % maxStepSamples
+	if s.next%initialRefitAfter != 0 {
 		return
 	}
 	s.sorted = append(s.sorted[:0], s.recent...)
 	slices.Sort(s.sorted)
-	s.usual = s.sorted[int(stepQuantile*float64(len(s.sorted)))]
+	s.baseline = s.sorted[int(stepQuantile*float64(len(s.sorted)))]
 }
 
-// ObservePause takes the time between two events of a stream of an engine that runs a
-// number of requests, the second event holding some tokens. A stream stands still while the
-// engine reads a prompt, and nobody outside knows when that is; so the step is learned for
-// the service, from the shorter pauses, and scaled by what reading shows of engine and model.
+// ObservePause takes the time between two events of a stream, the second of which carries the
+// given number of tokens, from an engine that runs the given number of requests. A stream pauses
+// while the engine prefills a prompt, and clients can't tell when it does. The step is therefore
+// learned for the whole service from the shorter pauses and scaled by the engine's speed and the
+// model's factor, which are learned from prefill.
 func (e *Estimator) ObservePause(now time.Time, engine cluster.MachineID, model cluster.ModelID, running int, pause time.Duration, tokens int) {
 	if tokens <= 0 || pause <= 0 {
 		return
@@ -59,13 +63,14 @@
 	e.steps.add(milliseconds(pause) / float64(tokens) / e.stepScale(engine, model, running))
 }
 
-// StepTime is how long the engine takes for a token of each request that runs there, while it
-// reads nothing.
+// StepTime returns the time that the engine needs to produce one token for each of its running
+// requests while it prefills nothing.
 func (e *Estimator) StepTime(engine cluster.MachineID, model cluster.ModelID, running int) time.Duration {
-	return duration(e.steps.usual * e.stepScale(engine, model, running))
+	return duration(e.steps.baseline * e.stepScale(engine, model, running))
 }
 
-// stepScale is a step against one of the usual engine with the usual model, alone.
+// stepScale returns the duration of a step relative to a step of one request alone on the
+// reference engine with the reference model.
 func (e *Estimator) stepScale(engine cluster.MachineID, model cluster.ModelID, running int) float64 {
-	return e.factor(model) * (1 + stepGrowth*float64(max(running-1, 0))) / e.Speed(engine)
+	return e.factor(model) * (1 + stepGrowthPerRequest*float64(max(running-1, 0))) / e.Speed(engine)
 }
--- a/routing/work/doc.go
+++ b/routing/work/doc.go
@@ -1,21 +1,23 @@
-// Package work estimates what requests cost model engines and what engines can do.
+// Package work estimates the prefill and decoding times of requests on model engines.
 //
-// An engine reads prompts and decodes answers. The time to read one is
+// An engine prefills a prompt and then decodes its answer. The prefill time is modelled as
 //
-//	factor(model) x (tokens x a + pairs of tokens x b) / speed(engine)
+//	factor(model) x (tokens x a + token pairs x b) / speed(engine)
 //
-// where a and b are learned for a service, the factor for a base model and the speed for an
-// engine, all from how long after their send the first events of attempts came. The speed is
-// relative to the engine of the service that is usual, the factor to the model that is usual
-// among requests.
+// The rates a and b are learned for a service, the factor for a base model and the speed for an
+// engine, all from the times between the send of an attempt and its first event. A speed is
+// relative to the reference engine, whose speed is the median of the service; a factor is
+// relative to the reference model, whose factor is the median over requests.
 //
-// What is believed of other work at an engine, or of the prompts that it keeps, is often
-// wrong, so all estimates are medians: a and b minimise the absolute relative error over the
-// last minute, a factor is the median of the model's last observations and a speed that of
-// the engine's, in which one counts the more the less of its time was other work's. Factors
-// and speeds start at 1 and leave it only as observations outnumber what is assumed. An engine that turns slow is noticed by its last five observations within
-// seconds, and forgotten as fast; two of five move nothing.
+// Nodes often misjudge the other work on an engine and the prompts in its cache, so all estimates
+// are robust against outliers. The rates a and b minimise the absolute relative error over the
+// last minute. A factor is the median over the model's last observations. A speed is the weighted
+// median over the engine's last observations, where an observation weighs more the smaller the
+// part of its time is that other work took. Factors and speeds start at 1 and move away from it
+// only as observations outweigh the prior. An engine that slows down is detected from its last
+// five observations within seconds, and so is its recovery; two outliers among the five have no
+// effect.
 //
-// The package is pure: it takes the time with each observation, has no goroutine, and equal
+// The package is pure: it takes the time with each observation, starts no goroutine, and equal
 // observations in equal order give equal estimates.
 package work
--- a/routing/work/engine.go
+++ b/routing/work/engine.go
@@ -8,146 +8,152 @@
 )
 
 const (
-	// engineSamples are the observations that an engine's usual speed goes by: an error of a
-	// tenth where single ones are off by a third.
-	engineSamples = 24
-	// engineAssumed is the number of observations, at the usual speed, that are assumed of an
-	// engine: no single wild value moves it.
-	engineAssumed = 2
-	// engineMemory is how long an engine's observations count: engines that are asked every
-	// five seconds keep as many as the others.
-	engineMemory = 2 * time.Minute
-	// spellSamples are the last observations that tell whether an engine is out of its usual
-	// speed, and spellLeast how many of them have to be: at two a second three are slow 1.5 s
-	// after it turned slow, and half a second of noise makes two.
-	spellSamples = 5
-	spellLeast   = 3
-	// spellWindow is the age from which on they don't tell of the present any more, and so how
-	// long an engine that nobody asks stays believed to be slow; chosen, not measured.
-	spellWindow = 4 * time.Second
-	// spellLog is how far observations lie from the usual speed, in its logarithm, to be out of
-	// it: a ratio of 2.2. Trouble slows engines three times and more; three in five of a calm
-	// engine are off by this much about once in a thousand.
-	spellLog = 0.8
-	// spellOwn is the part of the time to a first event that must be the prompt's own for it to
-	// show a spell in which the engine is faster: what was believed before it, and was not, looks
-	// the same.
-	spellOwn = 0.5
-	// spellLimit is when a speed that was out of the usual becomes the usual: later than
-	// passing trouble ends.
-	spellLimit = 12 * time.Second
+	// maxEngineSamples is the number of observations that an engine's baseline speed is computed
+	// from. They give an error of a tenth where single observations are off by a third.
+	maxEngineSamples = 24
+	// enginePriorWeight is the weight, in observations, of the prior that an engine has the
+	// reference speed. It keeps a single outlier from moving the speed.
+	enginePriorWeight = 2
+	// engineSampleAge is how long an engine's observations count, so that an engine with one
+	// request in five seconds keeps as many of them as the others.
+	engineSampleAge = 2 * time.Minute
+	// deviationSamples is the number of last observations that are checked for a deviation from
+	// the baseline speed, and minDeviatingSamples the number of them that must show it. At two
+	// observations a second, three show it 1.5 s after an engine slowed down, and half a second
+	// of noise affects only two.
+	deviationSamples    = 5
+	minDeviatingSamples = 3
+	// deviationWindow is the age at which observations no longer tell the current speed; it is
+	// also how long an engine that gets no requests is still taken to deviate.
+	deviationWindow = 4 * time.Second
+	// deviationLog is the distance from the baseline speed, in its logarithm, at which an
+	// observation deviates: a ratio of 2.2. Faults slow engines by a factor of three and more;
+	// three of five observations of a healthy engine exceed the threshold once in about 1,000
+	// cases.
+	deviationLog = 0.8
+	// minOwnShare is the least share of the time to the first event that the prompt itself must
+	// account for if the observation is to show a faster engine: overestimated work ahead of the
+	// prompt looks the same.
+	minOwnShare = 0.5
+	// maxDeviation is how long a deviation lasts before its speed becomes the baseline: longer
+	// than transient faults last.
+	maxDeviation = 12 * time.Second
 )
 
-// engine is what was learned of an engine's speed.
+// engine is the state learned of one engine's speed.
 type engine struct {
 	id cluster.MachineID
-	// since is the time from which on attempts tell of this life of the engine.
-	since int64
-	// observed is the time of the last observation, of count ones.
-	observed int64
-	count    int64
-	recent   history
-	// speed is its usual one against the usual engine's, and log its logarithm.
-	speed, log float64
-	// spell is the speed that the last observations showed, from spellBegan to spellUntil.
-	inSpell                bool
-	spell                  float64
-	spellBegan, spellUntil int64
+	// validSince is the earliest send time of attempts to the engine's current incarnation, in
+	// nanoseconds since the Unix epoch.
+	validSince int64
+	// lastObserved is the time of the last observation, and observations their number.
+	lastObserved int64
+	observations int64
+	recent       history
+	// speed is the baseline speed relative to the reference engine, and logSpeed its logarithm.
+	speed, logSpeed float64
+	// deviationSpeed is the speed that the last observations showed. It applies from
+	// deviationStart to deviationExpiry while deviating is set.
+	deviating                       bool
+	deviationSpeed                  float64
+	deviationStart, deviationExpiry int64
 }
 
-func newEngine(id cluster.MachineID, since int64) *engine {
-	return &engine{id: id, since: since, speed: 1}
+func newEngine(id cluster.MachineID, validSince int64) *engine {
+	return &engine{id: id, validSince: validSince, speed: 1}
 }
 
-// at returns the speed that is believed at a time.
-func (e *engine) at(nanos int64) float64 {
-	if e.inSpell && nanos >= e.spellBegan && nanos <= e.spellUntil {
-		return e.spell
+// speedAt returns the estimated speed at a time in nanoseconds since the Unix epoch.
+func (e *engine) speedAt(nanos int64) float64 {
+	if e.deviating && nanos >= e.deviationStart && nanos <= e.deviationExpiry {
+		return e.deviationSpeed
 	}
-	if nanos-e.observed > int64(engineMemory) {
+	if nanos-e.lastObserved > int64(engineSampleAge) {
 		return 1
 	}
 	return e.speed
 }
 
-// learn takes an observation.
-func (e *engine) learn(s sample, r rates) {
-	if e.inSpell && s.at > e.spellUntil {
-		e.inSpell = false
+// addSample updates the speed from an observation.
+func (e *engine) addSample(s sample, r rates) {
+	if e.deviating && s.at > e.deviationExpiry {
+		e.deviating = false
 	}
-	s.spell = e.inSpell
-	e.recent.dropBefore(s.at - int64(engineMemory))
-	e.recent.add(s, engineSamples)
-	e.observed = max(e.observed, s.at)
-	e.count++
+	s.duringDeviation = e.deviating
+	e.recent.dropBefore(s.at - int64(engineSampleAge))
+	e.recent.add(s, maxEngineSamples)
+	e.lastObserved = max(e.lastObserved, s.at)
+	e.observations++
 
-	e.relearn(r)
-	e.learnSpell(r)
+	e.updateBaseline(r)
+	e.detectDeviation(r)
 }
 
-// relearn takes the usual speed from what is remembered from outside of spells, by the
-// present rates.
-func (e *engine) relearn(r rates) {
-	var scratch [engineSamples + 1]estimate
-	estimates := append(scratch[:0], estimate{weight: engineAssumed})
+// updateBaseline computes the baseline speed from the samples outside of deviations, by the
+// current rates.
+func (e *engine) updateBaseline(r rates) {
+	var scratch [maxEngineSamples + 1]estimate
+	estimates := append(scratch[:0], estimate{weight: enginePriorWeight})
 	for i := range e.recent.samples {
-		if s := &e.recent.samples[i]; !s.spell {
-			estimates = append(estimates, estimate{log: r.speedLog(s), weight: r.own(s)})
+		if s := &e.recent.samples[i]; !s.duringDeviation {
+			estimates = append(estimates, estimate{log: r.logSpeed(s), weight: r.ownShare(s)})
 		}
 	}
-	e.set(weightedMedian(estimates))
+	e.setLogSpeed(weightedMedian(estimates))
 }
 
-// learnSpell judges by the last observations whether the engine is out of its usual speed.
-func (e *engine) learnSpell(r rates) {
-	var scratch [2][spellSamples]float64
+// detectDeviation decides by the last observations whether the engine deviates from its baseline
+// speed.
+func (e *engine) detectDeviation(r rates) {
+	var scratch [2][deviationSamples]float64
 	slow, fast := scratch[0][:0], scratch[1][:0]
-	oldest := e.observed - int64(spellWindow)
-	for i := max(len(e.recent.samples)-spellSamples, 0); i < len(e.recent.samples); i++ {
+	oldest := e.lastObserved - int64(deviationWindow)
+	for i := max(len(e.recent.samples)-deviationSamples, 0); i < len(e.recent.samples); i++ {
 		s := &e.recent.samples[i]
 		if s.at < oldest {
 			continue
 		}
-		switch log := r.speedLog(s); {
-		case log < e.log-spellLog:
+		switch log := r.logSpeed(s); {
+		case log < e.logSpeed-deviationLog:
 			slow = append(slow, log)
-		case log > e.log+spellLog && r.own(s) > spellOwn:
+		case log > e.logSpeed+deviationLog && r.ownShare(s) > minOwnShare:
 			fast = append(fast, log)
 		}
 	}
 	switch {
-	case len(slow) >= spellLeast:
-		e.stay(median(slow))
-	case len(fast) >= spellLeast:
-		e.stay(median(fast))
+	case len(slow) >= minDeviatingSamples:
+		e.extendDeviation(median(slow))
+	case len(fast) >= minDeviatingSamples:
+		e.extendDeviation(median(fast))
 	default:
-		e.inSpell = false
+		e.deviating = false
 	}
 }
 
-// stay begins a spell or goes on with one.
-func (e *engine) stay(log float64) {
-	if !e.inSpell {
-		e.inSpell, e.spellBegan = true, e.observed
+// extendDeviation begins or extends a deviation.
+func (e *engine) extendDeviation(log float64) {
+	if !e.deviating {
+		e.deviating, e.deviationStart = true, e.lastObserved
 	}
-	e.spell = math.Exp(min(max(log, -maxLog), maxLog))
-	e.spellUntil = e.observed + int64(spellWindow)
-	if e.observed-e.spellBegan > int64(spellLimit) {
-		e.adopt()
+	e.deviationSpeed = math.Exp(min(max(log, -maxLog), maxLog))
+	e.deviationExpiry = e.lastObserved + int64(deviationWindow)
+	if e.lastObserved-e.deviationStart > int64(maxDeviation) {
+		e.adoptDeviation()
 	}
 }
 
-// adopt makes the speed of a spell that lasts the usual one.
-func (e *engine) adopt() {
-	e.inSpell = false
-	e.recent.dropBefore(e.spellBegan)
+// adoptDeviation makes the speed of a lasting deviation the baseline.
+func (e *engine) adoptDeviation() {
+	e.deviating = false
+	e.recent.dropBefore(e.deviationStart)
 	for i := range e.recent.samples {
-		e.recent.samples[i].spell = false
+		e.recent.samples[i].duringDeviation = false
 	}
-	e.set(math.Log(e.spell))
+	e.setLogSpeed(math.Log(e.deviationSpeed))
 }
 
-func (e *engine) set(log float64) {
-	e.log = min(max(log, -maxLog), maxLog)
-	e.speed = math.Exp(e.log)
+// setLogSpeed sets the baseline speed, within its bounds.
+func (e *engine) setLogSpeed(log float64) {
+	e.logSpeed = min(max(log, -maxLog), maxLog)
+	e.speed = math.Exp(e.logSpeed)
 }
--- a/routing/work/estimator.go
+++ b/routing/work/estimator.go
@@ -7,36 +7,36 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Observation is how long after its send the first event of an attempt came.
+// Observation is a measured time to the first event of an attempt.
 type Observation struct {
 	Engine cluster.MachineID
-	// Model is the base model; adapters count as their base.
+	// Model is the base model; an adapter counts as its base.
 	Model  cluster.ModelID
 	Prompt Prompt
-	// Ahead is the reading that the engine was believed to have before it at the send, at the
-	// engine's own speed.
+	// Ahead is the prefill time that was estimated to be queued on the engine at the send, at
+	// the engine's own speed.
 	Ahead time.Duration
 	// First is the time from the send to the first event.
 	First time.Duration
 }
 
 const (
-	// fitSamples are the observations that rates are fitted to.
-	fitSamples = 384
-	// fitSpacing is the least time between two of them once there are enough, so that they
-	// span most of a minute.
-	fitSpacing = 100 * time.Millisecond
-	// fitEvery is how many of them come between two fits, so that one comes in three seconds: it
-	// takes 0.2 ms with 60 engines and 3 ms with 1,600.
-	fitEvery = 32
-	// firstFits is how many come between two fits as long as there are few.
-	firstFits = 8
-	// fewSamples is the number up to which there are few.
-	fewSamples = 64
+	// maxFitSamples is the number of observations that the rates are fitted to.
+	maxFitSamples = 384
+	// minFitSpacing is the least time between two of these observations once there are
+	// maxFitSamples of them, so that they span most of a minute.
+	minFitSpacing = 100 * time.Millisecond
+	// refitAfter is the number of new observations after which the rates are fitted again. That
+	// gives a fit every three seconds, which takes 0.2 ms with 60 engines and 3 ms with 1,600.
+	refitAfter = 32
+	// initialRefitAfter replaces refitAfter up to initialSamples observations.
+	initialRefitAfter = 8
+	// initialSamples is the number of observations up to which the rates are fitted more often.
+	initialSamples = 64
 )
 
-// Estimator learns, for the engines of one service, how fast they read prompts. It is not
-// safe for concurrent use.
+// Estimator learns the prefill and decoding speeds of the engines of one service. It is not safe
+// for concurrent use.
 type Estimator struct {
 	cfg     Config
 	prior   rates
@@ -45,46 +45,46 @@
 	models  map[cluster.ModelID]*model
 	// now is the time of the last observation, in nanoseconds since the Unix epoch.
 	now int64
-	// fitted holds the observations that rates are fitted to, and unfitted counts those since
-	// the last fit.
-	fitted   history
-	unfitted int
-	steps    steps
+	// fitHistory holds the observations that the rates are fitted to, and sinceFit counts those
+	// that came after the last fit.
+	fitHistory history
+	sinceFit   int
+	steps      steps
 }
 
-// NewEstimator returns an estimator that goes by what is assumed of the service.
+// NewEstimator returns an estimator that starts from the priors in the configuration.
 func NewEstimator(cfg Config) *Estimator {
 	cfg = cfg.withDefaults()
-	prior := rates{overhead: milliseconds(cfg.Overhead), token: 1 / cfg.TokensPerMillisecond, pair: milliseconds(cfg.PairTime)}
+	prior := rates{overhead: milliseconds(cfg.Overhead), perToken: 1 / cfg.TokensPerMillisecond, perMillionPairs: milliseconds(cfg.PairTime)}
 	return &Estimator{
 		cfg: cfg, prior: prior, rates: prior,
 		engines: make(map[cluster.MachineID]*engine), models: make(map[cluster.ModelID]*model),
-		steps: steps{usual: milliseconds(assumedStep)},
+		steps: steps{baseline: milliseconds(defaultStep)},
 	}
 }
 
-// ReadTime is how long the engine reads the prompt, alone, by what was learned.
+// ReadTime returns the estimated prefill time of the prompt on the engine, without other work.
 func (e *Estimator) ReadTime(engine cluster.MachineID, model cluster.ModelID, p Prompt) time.Duration {
-	read := e.rates.token*p.fresh() + e.rates.pair*p.pairs()
-	return duration(e.factor(model) * read / e.Speed(engine))
+	prefill := e.rates.perToken*p.uncached() + e.rates.perMillionPairs*p.pairs()
+	return duration(e.factor(model) * prefill / e.Speed(engine))
 }
 
-// Overhead is the time to a first event that no reading explains.
+// Overhead returns the estimated time to the first event apart from prefill.
 func (e *Estimator) Overhead(engine cluster.MachineID) time.Duration {
 	return duration(e.rates.overhead / e.Speed(engine))
 }
 
-// Speed is that of an engine against the usual one of its service: 1 is usual, 0.5 takes
-// twice as long.
+// Speed returns the engine's speed relative to the reference engine of its service: at 0.5 the
+// same work takes twice as long. An unknown engine has speed 1.
 func (e *Estimator) Speed(engine cluster.MachineID) float64 {
 	known, found := e.engines[engine]
 	if !found {
 		return 1
 	}
-	return known.at(e.now)
+	return known.speedAt(e.now)
 }
 
-// factor is the time that reading takes with a model against the usual one.
+// factor returns the prefill time with a model relative to the reference model.
 func (e *Estimator) factor(id cluster.ModelID) float64 {
 	if known, found := e.models[id]; found {
 		return known.factor
@@ -92,154 +92,154 @@
 	return 1
 }
 
-// Observe takes an observation. One of an attempt that was sent before the engine's present
-// life is passed over.
+// Observe updates the estimates from an observation. It ignores an attempt that was sent to an
+// earlier incarnation of the engine.
 func (e *Estimator) Observe(now time.Time, o Observation) {
 	if o.First <= 0 || o.Prompt.Tokens <= 0 {
 		return
 	}
 	e.now = max(e.now, now.UnixNano())
 	engine := e.engine(o.Engine)
-	if now.Add(-o.First).UnixNano() < engine.since {
+	if now.Add(-o.First).UnixNano() < engine.validSince {
 		return
 	}
 	model := e.model(o.Model)
 	s := sample{
-		at: now.UnixNano(), fresh: float32(o.Prompt.fresh()), pairs: float32(o.Prompt.pairs()),
-		took: float32(milliseconds(o.First)), engine: engine, model: model,
+		at: now.UnixNano(), uncached: float32(o.Prompt.uncached()), pairs: float32(o.Prompt.pairs()),
+		elapsed: float32(milliseconds(o.First)), engine: engine, model: model,
 	}
-	s.ahead = float32(milliseconds(max(o.Ahead, 0)) * engine.at(now.Add(-o.First).UnixNano()))
-	model.observed = max(model.observed, s.at)
-	if !engine.inSpell || !model.known() {
-		model.learn(s, e.rates)
+	s.ahead = float32(milliseconds(max(o.Ahead, 0)) * engine.speedAt(now.Add(-o.First).UnixNano()))
+	model.lastObserved = max(model.lastObserved, s.at)
+	if !engine.deviating || !model.known() {
+		model.addSample(s, e.rates)
 	}
-	engine.learn(s, e.rates)
-	if !engine.inSpell || len(e.fitted.samples) < fewSamples {
-		e.take(s)
+	engine.addSample(s, e.rates)
+	if !engine.deviating || len(e.fitHistory.samples) < initialSamples {
+		e.addToFit(s)
 	}
 }
 
-// take keeps an observation for the fit of rates, which it does when it is due.
-func (e *Estimator) take(s sample) {
-	count := len(e.fitted.samples)
-	if count >= fitSamples && s.at-e.fitted.samples[count-1].at < int64(fitSpacing) {
+// addToFit adds an observation to those that the rates are fitted to, and fits them when due.
+func (e *Estimator) addToFit(s sample) {
+	count := len(e.fitHistory.samples)
+	if count >= maxFitSamples && s.at-e.fitHistory.samples[count-1].at < int64(minFitSpacing) {
 		return
 	}
-	e.fitted.add(s, fitSamples)
-	e.unfitted++
-	due := fitEvery
-	if count < fewSamples {
-		due = firstFits
+	e.fitHistory.add(s, maxFitSamples)
+	e.sinceFit++
+	due := refitAfter
+	if count < initialSamples {
+		due = initialRefitAfter
 	}
-	if e.unfitted < due {
+	if e.sinceFit < due {
 		return
 	}
-	e.unfitted = 0
+	e.sinceFit = 0
 	e.fit()
 }
 
-// fit learns the rates. Before, what is usual among models and engines goes over into the
-// rates: else all factors, or all speeds, could grow together with them.
+// fit updates the rates. It first moves the medians of factors and speeds into the rates;
+// otherwise all factors, or all speeds, could drift together against the rates.
 func (e *Estimator) fit() {
-	e.centreModels()
-	e.centreEngines()
-	e.rates = e.rates.fit(e.fitted.samples, e.prior)
+	e.normalizeFactors()
+	e.normalizeSpeeds()
+	e.rates = e.rates.fit(e.fitHistory.samples, e.prior)
 }
 
-// centreModels makes 1 the factor that is usual among the requests.
-func (e *Estimator) centreModels() {
+// normalizeFactors scales the factors so that their median over the requests is 1.
+func (e *Estimator) normalizeFactors() {
 	for _, model := range e.models {
-		model.relearn(e.rates)
+		model.updateFactor(e.rates)
 	}
-	logs := make([]float64, 0, len(e.fitted.samples))
-	for i := range e.fitted.samples {
-		logs = append(logs, e.fitted.samples[i].model.log)
+	logs := make([]float64, 0, len(e.fitHistory.samples))
+	for i := range e.fitHistory.samples {
+		logs = append(logs, e.fitHistory.samples[i].model.logFactor)
 	}
-	usual := median(logs)
+	logMedian := median(logs)
 	for _, model := range e.models {
 		if len(model.recent.samples) > 0 {
-			model.set(model.log - usual)
+			model.setLogFactor(model.logFactor - logMedian)
 		}
 	}
-	e.rates.token *= math.Exp(usual)
-	e.rates.pair *= math.Exp(usual)
+	e.rates.perToken *= math.Exp(logMedian)
+	e.rates.perMillionPairs *= math.Exp(logMedian)
 }
 
-// centreEngines makes 1 the speed that is usual among the engines.
-func (e *Estimator) centreEngines() {
+// normalizeSpeeds scales the speeds so that their median over the engines is 1.
+func (e *Estimator) normalizeSpeeds() {
 	logs := make([]float64, 0, len(e.engines))
 	for _, engine := range e.engines {
-		if engine.count == 0 {
+		if engine.observations == 0 {
 			continue
 		}
-		engine.relearn(e.rates)
-		if engine.count >= spellLeast {
-			logs = append(logs, engine.log)
+		engine.updateBaseline(e.rates)
+		if engine.observations >= minDeviatingSamples {
+			logs = append(logs, engine.logSpeed)
 		}
 	}
-	usual := median(logs)
+	logMedian := median(logs)
 	for _, engine := range e.engines {
-		if engine.count > 0 {
-			engine.set(engine.log - usual)
+		if engine.observations > 0 {
+			engine.setLogSpeed(engine.logSpeed - logMedian)
 		}
 	}
-	e.rates.overhead *= math.Exp(-usual)
-	e.rates.token *= math.Exp(-usual)
-	e.rates.pair *= math.Exp(-usual)
+	e.rates.overhead *= math.Exp(-logMedian)
+	e.rates.perToken *= math.Exp(-logMedian)
+	e.rates.perMillionPairs *= math.Exp(-logMedian)
 }
 
-// Forget drops what was learned of an engine that is gone. Attempts that were sent before
-// tell nothing of another that comes under its address.
+// Forget resets an engine that is gone. Observations of attempts that were sent before then are
+// ignored for a new engine at the same address.
 func (e *Estimator) Forget(id cluster.MachineID) {
 	if _, found := e.engines[id]; found {
 		e.engines[id] = newEngine(id, e.now)
 	}
 }
 
-// engine returns what is known of an engine.
+// engine returns the state of an engine and creates it if necessary.
 func (e *Estimator) engine(id cluster.MachineID) *engine {
 	known, found := e.engines[id]
 	if found {
 		return known
 	}
 	if len(e.engines) >= e.cfg.MaxEngines {
-		e.dropEngine()
+		e.evictEngine()
 	}
 	known = newEngine(id, math.MinInt64)
 	e.engines[id] = known
 	return known
 }
 
-// model returns what is known of a model.
+// model returns the state of a model and creates it if necessary.
 func (e *Estimator) model(id cluster.ModelID) *model {
 	known, found := e.models[id]
 	if found {
 		return known
 	}
 	if len(e.models) >= e.cfg.MaxModels {
-		e.dropModel()
+		e.evictModel()
 	}
 	known = newModel(id)
 	e.models[id] = known
 	return known
 }
 
-// dropEngine forgets the engine that was not observed for longest.
-func (e *Estimator) dropEngine() {
+// evictEngine removes the engine whose last observation is the oldest.
+func (e *Estimator) evictEngine() {
 	var oldest *engine
 	for _, known := range e.engines {
-		if oldest == nil || known.observed < oldest.observed || known.observed == oldest.observed && known.id < oldest.id {
+		if oldest == nil || known.lastObserved < oldest.lastObserved || known.lastObserved == oldest.lastObserved && known.id < oldest.id {
 			oldest = known
 		}
 	}
 	delete(e.engines, oldest.id)
 }
 
-// dropModel forgets the model that was not observed for longest.
-func (e *Estimator) dropModel() {
+// evictModel removes the model whose last observation is the oldest.
+func (e *Estimator) evictModel() {
 	var oldest *model
 	for _, known := range e.models {
-		if oldest == nil || known.observed < oldest.observed || known.observed == oldest.observed && known.id < oldest.id {
+		if oldest == nil || known.lastObserved < oldest.lastObserved || known.lastObserved == oldest.lastObserved && known.id < oldest.id {
 			oldest = known
 		}
 	}
--- a/routing/work/prompt.go
+++ b/routing/work/prompt.go
@@ -1,23 +1,25 @@
 package work
 
-// Prompt is what of a prompt an engine has to read.
+// Prompt describes the prefill work of a prompt.
 type Prompt struct {
-	// Tokens of the whole prompt, and Kept those that the engine is expected to keep.
+	// Tokens is the length of the whole prompt, and Kept the length of the prefix that the engine
+	// is expected to have in its cache.
 	Tokens, Kept int
 }
 
-// fresh returns the tokens to be read.
-func (p Prompt) fresh() float64 { return float64(max(p.Tokens-p.kept(), 0)) }
+// uncached returns the number of tokens to prefill.
+func (p Prompt) uncached() float64 { return float64(max(p.Tokens-p.cached(), 0)) }
 
-// kept bounds what is kept by the prompt: its last token is always read.
-func (p Prompt) kept() int { return min(max(p.Kept, 0), max(p.Tokens-1, 0)) }
+// cached returns the expected cached length, bounded by the prompt: an engine always computes the
+// last token.
+func (p Prompt) cached() int { return min(max(p.Kept, 0), max(p.Tokens-1, 0)) }
 
-// pairs returns how many millions of pairs of tokens attention looks at: each token that is
-// read with all before it.
+// pairs returns the number of token pairs that attention computes, in millions: each uncached
+// token with all tokens before it.
 func (p Prompt) pairs() float64 {
-	return p.fresh() * (float64(p.kept()) + p.fresh()/2) / tokensPerPairUnit
+	return p.uncached() * (float64(p.cached()) + p.uncached()/2) / pairsPerUnit
 }
 
-// tokensPerPairUnit is the number of pairs of tokens that rates count as one, so that the
-// rate of pairs is of the order of a ms.
-const tokensPerPairUnit = 1e6
+// pairsPerUnit is the number of token pairs that the rates count as one, so that the rate for
+// pairs is about a millisecond.
+const pairsPerUnit = 1e6
--- a/routing/work/sample.go
+++ b/routing/work/sample.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// sample is an observation as it is remembered. It holds what was asked and not what
-// follows from it, so that each estimate goes by the present value of the others.
+// sample is a remembered observation. It holds the inputs of the estimates and no results, so that
+// each estimate is computed with the current values of the others.
 type sample struct {
-	// at is when the first event came, in nanoseconds since the Unix epoch.
+	// at is the time of the first event, in nanoseconds since the Unix epoch.
 	at int64
-	// fresh tokens and millions of pairs that were to be read.
-	fresh, pairs float32
-	// ahead is the reading before it, in ms of the usual engine.
+	// uncached is the number of tokens to prefill and pairs that of token pairs, in millions.
+	uncached, pairs float32
+	// ahead is the prefill time queued ahead of the prompt, in ms on the reference engine.
 	ahead float32
-	// took is the time to the first event, in ms.
-	took float32
-	// engine and model that it was observed of.
+	// elapsed is the time to the first event, in ms.
+	elapsed float32
+	// engine and model are those that served the attempt.
 	engine *engine
 	model  *model
-	// spell marks one that was made while the engine was believed to be out of its usual.
-	spell bool
+	// duringDeviation is set if the engine was taken to deviate from its baseline speed.
+	duringDeviation bool
 }
 
-// history holds the last samples, oldest first.
+// history holds the last samples, the oldest first.
 type history struct {
 	samples []sample
 }
 
-// add appends a sample and drops the oldest beyond the bound.
+// add appends a sample and drops the oldest ones beyond the bound.
 func (h *history) add(s sample, bound int) {
 	if len(h.samples) >= bound {
 		h.samples = slices.Delete(h.samples, 0, len(h.samples)-bound+1)
@@ -37,7 +37,7 @@
 	h.samples = append(h.samples, s)
 }
 
-// dropBefore drops the samples from before a time.
+// dropBefore drops the samples older than a time in nanoseconds since the Unix epoch.
 func (h *history) dropBefore(at int64) {
 	kept := 0
 	for kept < len(h.samples) && h.samples[kept].at < at {
@@ -46,11 +46,11 @@
 	h.samples = slices.Delete(h.samples, 0, kept)
 }
 
-// estimate is a value that an observation shows, in logarithms, and its weight.
+// estimate is the logarithm of a value that an observation implies, and its weight.
 type estimate struct{ log, weight float64 }
 
-// weightedMedian returns the median of estimates, which it sorts. Of two in the middle it
-// returns that which is nearer to zero.
+// weightedMedian returns the weighted median of the estimates, which it sorts. If two values
+// qualify it returns the one nearer to zero.
 func weightedMedian(estimates []estimate) float64 {
 	slices.SortFunc(estimates, func(a, b estimate) int { return cmp.Compare(a.log, b.log) })
 	half := 0.0
@@ -71,7 +71,7 @@
 	return 0
 }
 
-// median returns the median of values, which it sorts; zero without any.
+// median returns the median of the values, which it sorts, or zero without values.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
