--- a/routing/poison/bench_test.go
+++ b/routing/poison/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkFingerprint is what a request pays whose fingerprint is taken.
+// BenchmarkFingerprint measures the fingerprint of a request by the size of its body.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, bytes := range []int{0, 1 << 10, 4 << 10, 1 << 20} {
 		b.Run(fmt.Sprintf("%d bytes", bytes), func(b *testing.B) {
--- a/routing/poison/callers.go
+++ b/routing/poison/callers.go
@@ -3,94 +3,96 @@
 import "time"
 
 const (
-	// callerEnds machines in a row, each under a request that was sent after the end before,
-	// hold a caller back: one that sends a different harmful request each time is known by
-	// nothing else. Machines that fail together count once.
-	callerEnds = 3
-	// callerHold is how long a caller waits after such an end; each further one doubles it
-	// up to longestCallerHold. With a thousand harmful requests in 8 s before six machines,
-	// other callers keep 80 in 100 of theirs.
-	callerHold        = time.Second
-	longestCallerHold = time.Minute
-	// callerMemory is how long after the last end, or after the hold for it, the next one
-	// counts as in a row with it: machines that fail by themselves do so minutes apart. maxCallers bounds the callers that are remembered,
-	// at about 100 bytes each.
-	callerMemory = 30 * time.Second
-	maxCallers   = 4096
+	// throttleAfterEnds is the number of consecutive machine ends after which a caller is
+	// throttled. Each end must come under a request that was sent after the previous end, so
+	// machines that fail together count once. A caller that sends a different harmful request
+	// each time can be recognized by nothing else.
+	throttleAfterEnds = 3
+	// initialCallerHold is the delay of a caller's next request after the end that throttles it;
+	// each further end doubles it, up to maxCallerHold. With 1,000 harmful requests in 8 s to six
+	// machines, other callers still complete 80% of theirs.
+	initialCallerHold = time.Second
+	maxCallerHold     = time.Minute
+	// callerStateTTL is how long after the last end, or after the hold that it caused, another
+	// end still counts as consecutive: machines that fail for other reasons do so minutes apart.
+	// maxCallers bounds the remembered callers, which take about 100 bytes each.
+	callerStateTTL = 30 * time.Second
+	maxCallers     = 4096
 )
 
-// callerState is what one caller's requests did lately.
+// callerState is the recent record of one caller.
 type callerState struct {
-	// ends counts machines that ended in a row, the last one at last.
-	ends int
-	last time.Time
-	// heldUntil is until when nothing of the caller is sent.
+	// consecutiveEnds counts machine ends without a complete answer in between; lastEnd is the
+	// time of the last one.
+	consecutiveEnds int
+	lastEnd         time.Time
+	// heldUntil is the time until which no request of the caller is sent.
 	heldUntil time.Time
 }
 
-// Callers holds callers back under whose requests machines end one after the other, until
-// one of their requests is answered whole. It is a pure state machine and not safe for
-// concurrent use.
+// Callers throttles callers whose consecutive requests end machines, until one of their requests
+// is answered completely. It is a pure state machine and not safe for concurrent use.
 type Callers struct{ states map[uint64]*callerState }
 
 // NewCallers returns an empty table.
 func NewCallers() *Callers { return &Callers{states: map[uint64]*callerState{}} }
 
-// Ended notes that a machine ended under a request of the caller that was sent at a time.
+// Ended records that a machine ended while it ran a request of the caller that was sent at the
+// given time.
 func (c *Callers) Ended(now time.Time, caller uint64, sent time.Time) {
 	state := c.states[caller]
 	if state == nil {
-		c.makeRoom()
+		c.evict()
 		state = &callerState{}
 		c.states[caller] = state
 	}
-	if !sent.After(state.last) {
+	if !sent.After(state.lastEnd) {
 		return
 	}
-	if now.Sub(state.heldUntil) >= callerMemory && now.Sub(state.last) >= callerMemory {
-		state.ends = 0
+	if now.Sub(state.heldUntil) >= callerStateTTL && now.Sub(state.lastEnd) >= callerStateTTL {
+		state.consecutiveEnds = 0
 	}
-	state.ends++
-	state.last = now
-	if over := state.ends - callerEnds; over >= 0 {
-		state.heldUntil = now.Add(min(callerHold<<min(over, 16), longestCallerHold))
+	state.consecutiveEnds++
+	state.lastEnd = now
+	if doublings := state.consecutiveEnds - throttleAfterEnds; doublings >= 0 {
+		state.heldUntil = now.Add(min(initialCallerHold<<min(doublings, 16), maxCallerHold))
 	}
 }
 
-// Answered notes that a request of the caller was answered whole.
+// Answered records that a request of the caller was answered completely.
 func (c *Callers) Answered(caller uint64) { delete(c.states, caller) }
 
-// Doubtful reports whether the caller's requests run one at a time, and how long the next
-// one must wait.
+// Doubtful reports whether the caller is throttled, which limits it to one request at a time, and
+// how long the next one must wait.
 func (c *Callers) Doubtful(now time.Time, caller uint64) (wait time.Duration, doubtful bool) {
 	state := c.states[caller]
-	if state == nil || state.ends < callerEnds {
+	if state == nil || state.consecutiveEnds < throttleAfterEnds {
 		return 0, false
 	}
 	return max(state.heldUntil.Sub(now), 0), true
 }
 
-// makeRoom drops the caller with the fewest ends, of several the one of the oldest, when
-// there are too many.
-func (c *Callers) makeRoom() {
+// evict removes the caller with the fewest consecutive ends if the table is full; of several, the
+// one with the oldest last end.
+func (c *Callers) evict() {
 	if len(c.states) < maxCallers {
 		return
 	}
-	var least uint64
-	var found *callerState
+	var evicted uint64
+	var candidate *callerState
 	for caller, state := range c.states {
-		older := found != nil && state.ends == found.ends && state.last.Before(found.last)
-		if found == nil || state.ends < found.ends || older {
-			least, found = caller, state
+		older := candidate != nil && state.consecutiveEnds == candidate.consecutiveEnds && state.lastEnd.Before(candidate.lastEnd)
+		if candidate == nil || state.consecutiveEnds < candidate.consecutiveEnds || older {
+			evicted, candidate = caller, state
 		}
 	}
-	delete(c.states, least)
+	delete(c.states, evicted)
 }
 
-// Sweep forgets callers whose last end is long ago.
+// Sweep removes callers whose last end is older than callerStateTTL.
 func (c *Callers) Sweep(now time.Time) {
 	for caller, state := range c.states {
-		if now.Sub(state.heldUntil) >= callerMemory && now.Sub(state.last) >= callerMemory {
+		if now.Sub(state.heldUntil) >= callerStateTTL && now.Sub(state.lastEnd) >= callerStateTTL {
 			delete(c.states, caller)
 		}
 	}
--- a/routing/poison/doc.go
+++ b/routing/poison/doc.go
@@ -1,4 +1,4 @@
-// Package poison recognizes requests that end the machines which run them: poison
-// requests, also called queries of death. A request is known by what it asks for, not by
-// its identifier, because it comes again under another one and at any node.
+// Package poison detects poison requests, also known as queries of death: requests that crash the
+// machines that run them. It recognizes a request by a fingerprint of its content, because a retry
+// comes under another request ID and possibly to another node.
 package poison
--- a/routing/poison/fingerprint.go
+++ b/routing/poison/fingerprint.go
@@ -8,36 +8,37 @@
 	"github.com/rotisserie/eris"
 )
 
-// FingerprintBytes is the length of a Fingerprint. 96 bits over the whole content keep
-// collisions beyond reach, by chance and by intent, at half of a digest's bytes in memory and
-// between nodes.
+// FingerprintBytes is the length of a Fingerprint. Its 12 bytes over the whole content make
+// accidental and deliberate collisions infeasible, at half the size of a SHA-256 digest in memory
+// and in messages between nodes.
 const FingerprintBytes = 16
 
-// headBytes of a fingerprint are its Head.
+// headBytes is the length of the Head at the start of a fingerprint.
 const headBytes = 4
 
-// Fingerprint tells what a request asks for: equal for one that comes again. The zero value
-// means that it is not known.
+// Fingerprint identifies the content of a request: a retry has the same one. The zero value means
+// that the fingerprint is not known.
 type Fingerprint [FingerprintBytes]byte
 
-// Head is the part of a fingerprint that leaves the body's bytes out: only bodies of requests
-// whose heads are known need be read for it. It costs 0.4 us, a body of 1 MiB 0.81 ms.
+// Head is the part of a fingerprint that leaves out the bytes of the body. It takes 0.4 us to
+// compute, against 0.81 ms for a body of 1 MiB, so only bodies of requests with a known Head are
+// hashed.
 type Head [headBytes]byte
 
-// Head returns the fingerprint's part that leaves the body out.
+// Head returns the part of the fingerprint that leaves out the bytes of the body.
 func (f Fingerprint) Head() Head { return Head(f[:headBytes]) }
 
-// Content is what a Fingerprint is over. Identifiers, deadlines and whatever else differs
-// from one try to the next stay out of it.
+// Content is the input of a Fingerprint. It excludes identifiers, deadlines and everything else
+// that differs between retries.
 type Content struct {
 	// Caller is the credential of the caller, empty where there is none.
 	Caller string
-	// Method, Host and Target, the path with its query, of the request.
+	// Method, Host and Target are those of the request; Target is the path with the query.
 	Method, Host, Target string
 	Body                 []byte
 }
 
-// Head returns the fingerprint's part that leaves the body out, but for its length.
+// Head returns the part of the fingerprint that covers the length of the body but not its bytes.
 func (c *Content) Head() Head {
 	var buffer [headBuffer]byte
 	sum := sha256.Sum256(c.appendHead(buffer[:0]))
@@ -59,11 +60,12 @@
 	return f
 }
 
-// headBuffer holds all but the body of most requests.
+// headBuffer is the buffer size that holds everything but the body for most requests, so that they
+// need no allocation.
 const headBuffer = 256
 
-// appendHead appends all but the body's bytes. Each part goes in with its length, so that no
-// bytes can move from one part to the next.
+// appendHead appends everything but the bytes of the body. Each part is preceded by its length, so
+// that different divisions of the same bytes into parts give different fingerprints.
 func (c *Content) appendHead(to []byte) []byte {
 	for _, part := range [...]string{c.Caller, c.Method, c.Host, c.Target} {
 		to = binary.BigEndian.AppendUint64(to, uint64(len(part)))
@@ -72,10 +74,11 @@
 	return binary.BigEndian.AppendUint64(to, uint64(len(c.Body)))
 }
 
-// IsZero reports whether the fingerprint is not known.
+// IsZero reports whether the fingerprint is unknown.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
-// String returns the form used in keys, logs and commands; empty for one not known.
+// String returns the form used in keys, logs and commands, which is empty for an unknown
+// fingerprint.
 func (f Fingerprint) String() string {
 	if f.IsZero() {
 		return ""
@@ -83,11 +86,11 @@
 	return hex.EncodeToString(f[:])
 }
 
-// ParseFingerprint reads the form written by String.
+// ParseFingerprint parses the form written by String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != FingerprintBytes {
-		return Fingerprint{}, eris.Errorf("%q is no fingerprint of %d bytes in hexadecimal digits", text, FingerprintBytes)
+		return Fingerprint{}, eris.Errorf("%q is not a fingerprint of %d bytes in hexadecimal digits", text, FingerprintBytes)
 	}
 	return Fingerprint(data), nil
 }
--- a/routing/poison/fingerprint_test.go
+++ b/routing/poison/fingerprint_test.go
@@ -6,9 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestFingerprintTellsContents: parts that differ, or lie differently in the same bytes, give
-// different fingerprints, and equal contents equal ones that survive their text.
-func TestFingerprintTellsContents(t *testing.T) {
+// TestFingerprintDistinguishesContents checks that contents that differ, also only in how the same
+// bytes are divided into parts, have different fingerprints, and that a fingerprint survives String
+// and ParseFingerprint.
+func TestFingerprintDistinguishesContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Content {
 			part := rapid.SampledFrom([]string{"", "a", "aa", "b", "ab", "/"})
@@ -24,16 +25,16 @@
 		}
 		read, err := ParseFingerprint(a.Fingerprint().String())
 		if err != nil || read != a.Fingerprint() || read.IsZero() {
-			t.Fatalf("read %v: %v", read, err)
+			t.Fatalf("parsed as %v: %v", read, err)
 		}
 	})
 }
 
-// TestFingerprintUnread: text that is no fingerprint is an error, not a fingerprint.
-func TestFingerprintUnread(t *testing.T) {
+// TestInvalidFingerprintIsRejected checks that invalid text is an error and gives no fingerprint.
+func TestInvalidFingerprintIsRejected(t *testing.T) {
 	for _, text := range []string{"", "00", "xx", "000102030405060708090a0b0c0d0e0f10"} {
 		if read, err := ParseFingerprint(text); err == nil || !read.IsZero() {
-			t.Errorf("%q is read as %v", text, read)
+			t.Errorf("%q is parsed as %v", text, read)
 		}
 	}
 }
--- a/routing/poison/record.go
+++ b/routing/poison/record.go
@@ -6,23 +6,23 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// maxEnds bounds the machines in each list of a Record, 16 times about 20 bytes: several
-// times what a conviction needs, so that some may be taken back.
+// maxEnds bounds the machines in each list of a Record, which take about 20 bytes each. It is
+// several times the number of ends that blocks a request, so that some can be cleared.
 const maxEnds = 16
 
-// Record is what is known of one request that was at machines when they ended. Records of
-// one request are joined by union, so that late, doubled and reordered news do no harm. Its
-// lists are sorted and never changed in place.
+// Record is what is known of one request that machines ran when they ended. Records of one request
+// are merged by union, so that delayed, duplicated and reordered messages have no effect. Its lists
+// are sorted and never modified in place.
 type Record struct {
 	Content Fingerprint
-	// Ends are the machines that ended while they had the request.
+	// Ends are the machines that ended while they ran the request.
 	Ends []cluster.MachineID
-	// Cleared are those for whose end the request is not blamed: it was answered whole
-	// later, the machine answered later, or an operator pardoned it.
+	// Cleared are the machines whose end is not attributed to the request: the request was
+	// answered completely later, the machine answered later, or an operator cleared the request.
 	Cleared []cluster.MachineID
 }
 
-// StandingEnds lists the machines for whose end the request is to blame.
+// StandingEnds lists the machines whose end is attributed to the request.
 func (r *Record) StandingEnds() []cluster.MachineID {
 	var standing []cluster.MachineID
 	for _, machine := range r.Ends {
@@ -33,43 +33,43 @@
 	return standing
 }
 
-// Standing counts the ends for which the request is to blame.
+// Standing returns the number of ends that are attributed to the request.
 func (r *Record) Standing() int { return len(r.StandingEnds()) }
 
-// Joined returns the union of two records of one request, and whether it says more than r.
-func (r *Record) Joined(other *Record) (Record, bool) {
+// Merged returns the union of two records of one request, and whether it differs from r.
+func (r *Record) Merged(other *Record) (Record, bool) {
 	joined := Record{Content: r.Content, Ends: union(r.Ends, other.Ends), Cleared: union(r.Cleared, other.Cleared)}
 	joined.trim()
 	return joined, !slices.Equal(joined.Ends, r.Ends) || !slices.Equal(joined.Cleared, r.Cleared)
 }
 
-// trim keeps the lists within their bound: ends that were taken back go first, of these the
-// least names, so that all nodes keep the same.
+// trim bounds the lists. It drops cleared ends first, in the order of their IDs, so that all nodes
+// keep the same ones.
 func (r *Record) trim() {
 	if len(r.Ends) <= maxEnds && len(r.Cleared) <= maxEnds {
 		return
 	}
 	dropped := max(len(r.Ends), len(r.Cleared)) - maxEnds
-	var settled []cluster.MachineID
+	var clearedEnds []cluster.MachineID
 	for _, machine := range r.Ends {
-		if len(settled) < dropped && contains(r.Cleared, machine) {
-			settled = append(settled, machine)
+		if len(clearedEnds) < dropped && contains(r.Cleared, machine) {
+			clearedEnds = append(clearedEnds, machine)
 		}
 	}
-	isSettled := func(machine cluster.MachineID) bool { return contains(settled, machine) }
-	r.Ends = slices.DeleteFunc(slices.Clone(r.Ends), isSettled)
-	r.Cleared = slices.DeleteFunc(slices.Clone(r.Cleared), isSettled)
+	isDropped := func(machine cluster.MachineID) bool { return contains(clearedEnds, machine) }
+	r.Ends = slices.DeleteFunc(slices.Clone(r.Ends), isDropped)
+	r.Cleared = slices.DeleteFunc(slices.Clone(r.Cleared), isDropped)
 	r.Ends = r.Ends[:min(len(r.Ends), maxEnds)]
 	r.Cleared = r.Cleared[:min(len(r.Cleared), maxEnds)]
 }
 
-// contains reports whether a sorted list holds a machine.
+// contains reports whether a sorted list contains a machine.
 func contains(sorted []cluster.MachineID, machine cluster.MachineID) bool {
 	_, found := slices.BinarySearch(sorted, machine)
 	return found
 }
 
-// union returns the union of two sorted lists; one that holds the other is returned itself.
+// union returns the union of two sorted lists. It returns a itself if a contains b.
 func union(a, b []cluster.MachineID) []cluster.MachineID {
 	missing := 0
 	for _, machine := range b {
@@ -91,8 +91,8 @@
 	return joined
 }
 
-// Valid returns the record as it may be joined: records from elsewhere may be unsorted,
-// doubled or too long.
+// Valid returns the record in the form that can be merged. A record received from another node may
+// be unsorted, too long or contain duplicates.
 func (r *Record) Valid() Record {
 	sorted := func(list []cluster.MachineID) []cluster.MachineID {
 		list = slices.Clone(list)
--- a/routing/poison/record_test.go
+++ b/routing/poison/record_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { propertytest.Main(m) }
 
-// drawRecord draws a record of one request over few machines.
+// drawRecord draws a record of one request with few machines.
 func drawRecord(t *rapid.T, name string) Record {
 	machine := rapid.SampledFrom([]cluster.MachineID{"a", "b", "c", "d", "e"})
 	record := Record{
@@ -22,25 +22,26 @@
 	return record.Valid()
 }
 
-// TestRecordsJoin: news that come late, twice or in another order make no difference.
-func TestRecordsJoin(t *testing.T) {
+// TestRecordsMergeInAnyOrder checks that records merge to the same result in any order, grouping
+// and number of repetitions, as messages between nodes can be delayed, reordered and duplicated.
+func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
-		join := func(records ...Record) Record {
+		merge := func(records ...Record) Record {
 			joined := records[0]
 			for i := range records[1:] {
-				joined, _ = joined.Joined(&records[i+1])
+				joined, _ = joined.Merged(&records[i+1])
 			}
 			return joined
 		}
-		want := join(a, b, c)
-		for _, order := range [][]Record{{c, b, a}, {b, a, c, a, b}, {a, join(b, c)}, {join(c, a), b, b}} {
-			if got := join(order...); !equalRecords(&got, &want) {
+		want := merge(a, b, c)
+		for _, order := range [][]Record{{c, b, a}, {b, a, c, a, b}, {a, merge(b, c)}, {merge(c, a), b, b}} {
+			if got := merge(order...); !equalRecords(&got, &want) {
 				t.Fatalf("joined %+v, want %+v", got, want)
 			}
 		}
-		if _, more := want.Joined(&b); more {
-			t.Fatal("what is known already is told as news")
+		if _, more := want.Merged(&b); more {
+			t.Fatal("a record that adds nothing is reported as a change")
 		}
 	})
 }
@@ -50,9 +51,9 @@
 		(len(a.Ends) == 0 || reflect.DeepEqual(a.Ends, b.Ends)) && (len(a.Cleared) == 0 || reflect.DeepEqual(a.Cleared, b.Cleared))
 }
 
-// TestRecordsAreBounded: of a record from elsewhere that is too long, the ends that stand
-// are kept.
-func TestRecordsAreBounded(t *testing.T) {
+// TestTrimKeepsAttributedEnds checks that a record from another node that is too long is trimmed,
+// and keeps the ends that are not cleared.
+func TestTrimKeepsAttributedEnds(t *testing.T) {
 	var long Record
 	for i := range 10 * maxEnds {
 		id := cluster.MachineID(rune('A' + i))
@@ -63,6 +64,6 @@
 	}
 	valid := long.Valid()
 	if len(valid.Ends) > maxEnds || len(valid.Cleared) > maxEnds || valid.Standing() < 3 {
-		t.Errorf("%d ends and %d cleared, %d stand", len(valid.Ends), len(valid.Cleared), valid.Standing())
+		t.Errorf("%d ends and %d cleared, %d attributed", len(valid.Ends), len(valid.Cleared), valid.Standing())
 	}
 }
--- a/routing/poison/table.go
+++ b/routing/poison/table.go
@@ -10,49 +10,51 @@
 
 // Defaults of Config.
 const (
-	// DefaultEnds machines that ended under a request convict it. One or two may have ended
-	// by themselves, or under a request that ran beside it; each more costs a machine with
-	// all that runs there.
+	// DefaultEnds is the number of machine ends that blocks a request. One or two machines may have
+	// failed for other reasons or by another request that they ran; each further end costs a
+	// machine with all its running requests.
 	DefaultEnds = 3
-	// DefaultSuspicion is how long ends are remembered that convict nobody: longer than
-	// callers go on repeating one request.
+	// DefaultSuspicion is how long ends are remembered that don't block a request: longer than
+	// callers keep retrying one request.
 	DefaultSuspicion = 10 * time.Minute
-	// DefaultConviction is how long a convicted request is refused: about as long as it
-	// takes until somebody has changed the machines' software or the request.
+	// DefaultConviction is how long a request stays blocked: about the time until somebody has
+	// fixed the machines' software or the request.
 	DefaultConviction = time.Hour
-	// DefaultMaxRecords bounds the table: at about 300 bytes a record, 1.2 MB.
+	// DefaultMaxRecords bounds the table: at about 300 bytes a record, it takes 1.2 MB.
 	DefaultMaxRecords = 4096
 )
 
-// Bounds of what is remembered of machines.
+// Bounds of the state kept of machines and attempts.
 const (
-	// breakWindow is for how long a broken run waits for the news that its machine ended: a
-	// machine's entry in the store goes after three missed heartbeats, 3 to 5 s.
-	breakWindow = 8 * time.Second
-	// leftWindow is the same for a run that this node gave up itself: the machine may have
-	// ended by it before it dropped it.
-	leftWindow = time.Second
-	// wholeMemory is for how long a request that was answered whole is taken to be harmless,
-	// whatever ends meanwhile: what is asked for often is at most machines that end. A new
-	// version of the machines' software under which it is harmful is found out as much later.
-	wholeMemory = time.Minute
-	// maxWhole bounds such requests, at about 80 bytes each: those of more than a minute at
-	// 10 a second.
-	maxWhole = 1024
-	// testAfter is how long after its conviction a request is tried once more: the machines
-	// that ended with it have had time to come back, and what else ended them to show.
-	testAfter = time.Second
-	// maxBroken bounds the runs that wait for such news, at about 100 bytes each.
-	maxBroken = 1024
+	// failedAttemptWindow is how long after a failed attempt the end of its machine is attributed
+	// to it. The machine's entry in the store is deleted after three missed heartbeats, which
+	// takes 3 to 5 s.
+	failedAttemptWindow = 8 * time.Second
+	// abandonedAttemptWindow is the same for an attempt that this node cancelled: the machine
+	// may end because of it before it handles the cancellation.
+	abandonedAttemptWindow = time.Second
+	// completedTTL is how long a request that was answered completely counts as harmless,
+	// whichever machines end meanwhile: a frequent request is running on most machines that end.
+	// If a new version of the machines' software makes it harmful, that is detected so much later.
+	completedTTL = time.Minute
+	// maxCompleted bounds these requests, at about 80 bytes each: they cover more than a minute
+	// at 10 requests a second.
+	maxCompleted = 1024
+	// probeDelay is how long after it was blocked a request may be sent once more as a probe: by
+	// then the machines that ended are back, and other causes of their end have become visible.
+	probeDelay = time.Second
+	// maxPendingAttempts bounds the attempts that wait for the end of their machine, at about
+	// 100 bytes each.
+	maxPendingAttempts = 1024
 )
 
-// Config tunes a Table. A zero field takes the default above.
+// Config configures a Table. A zero field takes the default above.
 type Config struct {
-	// Ends is how many machines must have ended under a request to convict it. Less than zero
-	// refuses none.
+	// Ends is the number of machine ends that blocks a request. A negative value disables
+	// blocking.
 	Ends int
-	// Suspicion and Conviction are how long a record is kept that convicts nobody, and one
-	// that does.
+	// Suspicion is how long a record is kept whose request is not blocked, and Conviction how
+	// long a request is blocked.
 	Suspicion, Conviction time.Duration
 	MaxRecords            int
 }
@@ -65,131 +67,134 @@
 	return c
 }
 
-// Off reports whether no request is refused.
+// Off reports whether blocking is disabled.
 func (c Config) Off() bool { return c.Ends < 0 }
 
-// Convicts reports whether a record forbids that its request is sent.
+// Convicts reports whether the record blocks its request.
 func (c Config) Convicts(record *Record) bool {
 	return !c.Off() && record.Standing() >= c.withDefaults().Ends
 }
 
-// entry is a record with what this node knows besides.
+// entry is a record with the local state of this node.
 type entry struct {
 	Record
-	// changed is when the record last said more than before, convicted since when it
-	// convicts, zero while it doesn't.
-	changed, convicted time.Time
-	// test is set while this node may send the convicted request once more.
-	test bool
+	// changed is the time of the record's last change. blockedSince is the time at which the
+	// request was blocked, zero if it is not.
+	changed, blockedSince time.Time
+	// probeGranted is set while this node may send the blocked request once as a probe.
+	probeGranted bool
 }
 
-// brokenRun is a run that ended without an answer at a machine of which it isn't known
-// whether it ended.
-type brokenRun struct {
+// pendingAttempt is an attempt that ended without an answer, while it is not known whether its
+// machine ended too.
+type pendingAttempt struct {
 	content Fingerprint
 	machine cluster.MachineID
-	until   time.Time
+	expires time.Time
 }
 
-// Table is what one node knows of suspects and convicted requests. It is a pure state
-// machine and not safe for concurrent use.
+// Table is one node's knowledge of suspected and blocked requests. It is a pure state machine and
+// not safe for concurrent use.
 type Table struct {
 	config  Config
 	entries map[Fingerprint]*entry
-	// heads counts the entries by the heads of their fingerprints.
-	heads  map[Head]int
-	broken []brokenRun
-	// ended are the machines that are known to have ended, and when this was learned.
+	// heads counts the entries by the Head of their fingerprint.
+	heads   map[Head]int
+	pending []pendingAttempt
+	// ended holds the machines that are known to have ended, with the time at which this node
+	// learned it.
 	ended map[cluster.MachineID]time.Time
-	// whole are the requests that were answered whole, and when last.
-	whole map[Fingerprint]time.Time
-	// wholeOrder holds them in the order in which they came, once it is full from wholeNext on.
-	wholeOrder []Fingerprint
-	wholeNext  int
-	// news are the requests whose records say more than Table.News last told; verdicts
-	// those that were newly convicted.
-	news, verdicts []Fingerprint
-	// sweepAt is when records are next looked through for those that are over.
-	sweepAt time.Time
+	// completed holds the requests that were answered completely, with the time of the last answer.
+	completed map[Fingerprint]time.Time
+	// completedOrder is a ring of these requests in the order of their first answer. Once it is
+	// full, completedNext is the index of the oldest.
+	completedOrder []Fingerprint
+	completedNext  int
+	// updated lists the requests whose records changed since the last call of News, and
+	// newlyBlocked those that were blocked since the last call of Verdicts.
+	updated, newlyBlocked []Fingerprint
+	// nextSweep is when expired records are removed next.
+	nextSweep time.Time
 }
 
 // NewTable returns an empty table.
 func NewTable(config Config) *Table {
-	return &Table{config: config.withDefaults(), entries: map[Fingerprint]*entry{}, heads: map[Head]int{}, ended: map[cluster.MachineID]time.Time{}, whole: map[Fingerprint]time.Time{}}
+	return &Table{config: config.withDefaults(), entries: map[Fingerprint]*entry{}, heads: map[Head]int{}, ended: map[cluster.MachineID]time.Time{}, completed: map[Fingerprint]time.Time{}}
 }
 
-// KnowsHead reports whether something may be known of a request, so that its fingerprint is
-// needed.
+// KnowsHead reports whether the table may have a record of a request with this Head, so that the
+// request's whole fingerprint is needed.
 func (t *Table) KnowsHead(head Head) bool { return t.heads[head] > 0 }
 
-// forget takes an entry out.
-func (t *Table) forget(content Fingerprint) {
+// remove deletes an entry.
+func (t *Table) remove(content Fingerprint) {
 	delete(t.entries, content)
 	if t.heads[content.Head()]--; t.heads[content.Head()] <= 0 {
 		delete(t.heads, content.Head())
 	}
 }
 
-// Empty reports whether nothing is known.
+// Empty reports whether the table has no records.
 func (t *Table) Empty() bool { return len(t.entries) == 0 }
 
-// Suspected reports whether a machine ended under the request for which it is to blame.
+// Suspected reports whether a machine's end is attributed to the request.
 func (t *Table) Suspected(content Fingerprint) bool {
 	known := t.entries[content]
 	return known != nil && known.Standing() > 0
 }
 
-// Convicted reports whether the request must not be sent, and for how much longer.
+// Convicted reports whether the request is blocked, and for how much longer.
 func (t *Table) Convicted(now time.Time, content Fingerprint) (time.Duration, bool) {
 	known := t.entries[content]
-	if known == nil || known.convicted.IsZero() {
+	if known == nil || known.blockedSince.IsZero() {
 		return 0, false
 	}
-	left := t.config.Conviction - now.Sub(known.convicted)
+	left := t.config.Conviction - now.Sub(known.blockedSince)
 	return left, left > 0
 }
 
-// Broke notes that a run of the request ended without an answer at a machine.
+// Broke records that an attempt at the request on a machine failed without an answer.
 func (t *Table) Broke(now time.Time, content Fingerprint, machine cluster.MachineID) {
-	t.await(now, content, machine, breakWindow)
+	t.awaitEnd(now, content, machine, failedAttemptWindow)
 }
 
-// Left notes that this node gave a run of the request up.
+// Left records that this node cancelled an attempt at the request on a machine.
 func (t *Table) Left(now time.Time, content Fingerprint, machine cluster.MachineID) {
-	t.await(now, content, machine, leftWindow)
+	t.awaitEnd(now, content, machine, abandonedAttemptWindow)
 }
 
-// await counts the run against the request if its machine is, or will soon be, known to
-// have ended.
-func (t *Table) await(now time.Time, content Fingerprint, machine cluster.MachineID, window time.Duration) {
+// awaitEnd attributes the machine's end to the request if the machine is known to have ended, or if
+// that becomes known within the window.
+func (t *Table) awaitEnd(now time.Time, content Fingerprint, machine cluster.MachineID, window time.Duration) {
 	if content.IsZero() {
 		return
 	}
 	if _, known := t.ended[machine]; known {
-		t.blame(now, content, machine)
+		t.attribute(now, content, machine)
 		return
 	}
-	if len(t.broken) == maxBroken {
-		t.broken = slices.Delete(t.broken, 0, 1)
+	if len(t.pending) == maxPendingAttempts {
+		t.pending = slices.Delete(t.pending, 0, 1)
 	}
-	t.broken = append(t.broken, brokenRun{content: content, machine: machine, until: now.Add(window)})
+	t.pending = append(t.pending, pendingAttempt{content: content, machine: machine, expires: now.Add(window)})
 }
 
-// MachineEnded notes that a machine's process has ended.
+// MachineEnded records that a machine's process has ended.
 func (t *Table) MachineEnded(now time.Time, machine cluster.MachineID) {
 	if _, known := t.ended[machine]; !known {
 		t.ended[machine] = now
 	}
-	t.broken = slices.DeleteFunc(t.broken, func(run brokenRun) bool {
-		if run.machine == machine && !now.After(run.until) {
-			t.blame(now, run.content, machine)
+	t.pending = slices.DeleteFunc(t.pending, func(run pendingAttempt) bool {
+		if run.machine == machine && !now.After(run.expires) {
+			t.attribute(now, run.content, machine)
 		}
-		return run.machine == machine || now.After(run.until)
+		return run.machine == machine || now.After(run.expires)
 	})
 }
 
-// Answered notes that a machine answered a run that was sent to it at a time. If it was
-// held to have ended before, the connection to it was cut, and nobody is to blame.
+// Answered records that a machine answered an attempt that was sent at the given time. If the
+// machine was taken to have ended before that, only the connection to it was lost, and its end is
+// cleared in all records.
 func (t *Table) Answered(now time.Time, machine cluster.MachineID, sent time.Time) {
 	learned, known := t.ended[machine]
 	if !known || !sent.After(learned) {
@@ -198,87 +203,87 @@
 	delete(t.ended, machine)
 	for content, known := range t.entries {
 		if contains(known.Ends, machine) {
-			t.join(now, &Record{Content: content, Cleared: []cluster.MachineID{machine}})
+			t.merge(now, &Record{Content: content, Cleared: []cluster.MachineID{machine}})
 		}
 	}
 }
 
-// Whole notes that the request was answered whole: it is not what ended the machines.
+// Whole records that the request was answered completely, which clears all ends attributed to it.
 func (t *Table) Whole(now time.Time, content Fingerprint) {
 	if content.IsZero() {
 		return
 	}
-	t.noteWhole(now, content)
+	t.noteCompleted(now, content)
 	if known := t.entries[content]; known != nil && known.Standing() > 0 {
-		t.join(now, &Record{Content: content, Cleared: known.Ends})
+		t.merge(now, &Record{Content: content, Cleared: known.Ends})
 	}
 }
 
-// noteWhole remembers the request; the one that came first is forgotten when there are too
-// many.
-func (t *Table) noteWhole(now time.Time, content Fingerprint) {
-	if _, known := t.whole[content]; !known {
-		if len(t.wholeOrder) < maxWhole {
-			t.wholeOrder = append(t.wholeOrder, content)
+// noteCompleted remembers the request and evicts the oldest one beyond maxCompleted.
+func (t *Table) noteCompleted(now time.Time, content Fingerprint) {
+	if _, known := t.completed[content]; !known {
+		if len(t.completedOrder) < maxCompleted {
+			t.completedOrder = append(t.completedOrder, content)
 		} else {
-			delete(t.whole, t.wholeOrder[t.wholeNext])
-			t.wholeOrder[t.wholeNext] = content
-			t.wholeNext = (t.wholeNext + 1) % maxWhole
+			delete(t.completed, t.completedOrder[t.completedNext])
+			t.completedOrder[t.completedNext] = content
+			t.completedNext = (t.completedNext + 1) % maxCompleted
 		}
 	}
-	t.whole[content] = now
+	t.completed[content] = now
 }
 
-// lately reports whether the request was answered whole a short while ago.
-func (t *Table) lately(now time.Time, content Fingerprint) bool {
-	at, known := t.whole[content]
-	return known && now.Sub(at) < wholeMemory
+// recentlyCompleted reports whether the request was answered completely within completedTTL.
+func (t *Table) recentlyCompleted(now time.Time, content Fingerprint) bool {
+	at, known := t.completed[content]
+	return known && now.Sub(at) < completedTTL
 }
 
-// Pardon takes all ends back and reports whether the request was known.
+// Pardon clears all ends attributed to the request and reports whether the request was known.
 func (t *Table) Pardon(now time.Time, content Fingerprint) bool {
 	known := t.entries[content]
 	if known == nil {
 		return false
 	}
-	t.join(now, &Record{Content: content, Cleared: known.Ends})
+	t.merge(now, &Record{Content: content, Cleared: known.Ends})
 	return true
 }
 
-// TestDue reports whether a convicted request is worth sending once more: innocent requests
-// that are asked for often may be at several machines that end, and only an answer shows it.
+// TestDue reports whether a blocked request should be sent once more as a probe. A harmless but
+// frequent request may be running on several machines that end, and only an answer can show that it
+// is harmless.
 func (t *Table) TestDue(now time.Time, content Fingerprint) bool {
 	known := t.entries[content]
-	return known != nil && !known.convicted.IsZero() && !known.test && now.Sub(known.convicted) >= testAfter
+	return known != nil && !known.blockedSince.IsZero() && !known.probeGranted && now.Sub(known.blockedSince) >= probeDelay
 }
 
-// GrantTest lets this node send a convicted request once more. All nodes together must not
-// do so more than a few times.
+// GrantTest permits this node to send a blocked request once as a probe. The caller must bound the
+// number of probes over all nodes.
 func (t *Table) GrantTest(content Fingerprint) {
-	if known := t.entries[content]; known != nil && !known.convicted.IsZero() {
-		known.test = true
+	if known := t.entries[content]; known != nil && !known.blockedSince.IsZero() {
+		known.probeGranted = true
 	}
 }
 
-// TakeTest uses the leave to send a convicted request once more, if there is one.
+// TakeTest uses the permission for a probe and reports whether there was one.
 func (t *Table) TakeTest(content Fingerprint) bool {
 	known := t.entries[content]
-	if known == nil || !known.test {
+	if known == nil || !known.probeGranted {
 		return false
 	}
-	known.test = false
+	known.probeGranted = false
 	return true
 }
 
-// blame counts a machine's end against a request, unless that is known to be harmless.
-func (t *Table) blame(now time.Time, content Fingerprint, machine cluster.MachineID) {
-	if t.lately(now, content) {
+// attribute counts a machine's end against a request, unless the request is known to be harmless.
+func (t *Table) attribute(now time.Time, content Fingerprint, machine cluster.MachineID) {
+	if t.recentlyCompleted(now, content) {
 		return
 	}
-	t.join(now, &Record{Content: content, Ends: []cluster.MachineID{machine}})
+	t.merge(now, &Record{Content: content, Ends: []cluster.MachineID{machine}})
 }
 
-// Learn takes records of other nodes or of the store.
+// Learn merges records of other nodes or of the store.
 func (t *Table) Learn(now time.Time, records []Record) {
 	for i := range records {
 		valid := records[i].Valid()
@@ -290,65 +295,65 @@
 				t.MachineEnded(now, machine)
 			}
 		}
-		t.join(now, &valid)
+		t.merge(now, &valid)
 	}
 }
 
-// join adds what a record says.
-func (t *Table) join(now time.Time, said *Record) {
-	known := t.entries[said.Content]
+// merge adds the ends and clearances of a record.
+func (t *Table) merge(now time.Time, update *Record) {
+	known := t.entries[update.Content]
 	if known == nil {
-		if len(said.Ends) == 0 {
+		if len(update.Ends) == 0 {
 			return
 		}
-		t.makeRoom()
-		known = &entry{Record: Record{Content: said.Content}}
-		t.entries[said.Content] = known
-		t.heads[said.Content.Head()]++
+		t.evict()
+		known = &entry{Record: Record{Content: update.Content}}
+		t.entries[update.Content] = known
+		t.heads[update.Content.Head()]++
 	}
-	if t.lately(now, said.Content) {
-		said = &Record{Content: said.Content, Ends: said.Ends, Cleared: union(said.Cleared, said.Ends)}
+	if t.recentlyCompleted(now, update.Content) {
+		update = &Record{Content: update.Content, Ends: update.Ends, Cleared: union(update.Cleared, update.Ends)}
 	}
-	joined, more := known.Joined(said)
+	joined, more := known.Merged(update)
 	if !more {
 		return
 	}
 	known.Record, known.changed = joined, now
-	if !slices.Contains(t.news, said.Content) {
-		t.news = append(t.news, said.Content)
+	if !slices.Contains(t.updated, update.Content) {
+		t.updated = append(t.updated, update.Content)
 	}
-	t.judge(now, known)
+	t.updateBlocked(now, known)
 }
 
-// judge convicts or acquits by the ends that stand.
-func (t *Table) judge(now time.Time, known *entry) {
-	guilty := t.config.Convicts(&known.Record)
+// updateBlocked blocks or unblocks a request by the ends attributed to it.
+func (t *Table) updateBlocked(now time.Time, known *entry) {
+	blocked := t.config.Convicts(&known.Record)
 	switch {
-	case guilty && known.convicted.IsZero():
-		known.convicted = now
-		t.verdicts = append(t.verdicts, known.Content)
-	case !guilty:
-		known.convicted, known.test = time.Time{}, false
+	case blocked && known.blockedSince.IsZero():
+		known.blockedSince = now
+		t.newlyBlocked = append(t.newlyBlocked, known.Content)
+	case !blocked:
+		known.blockedSince, known.probeGranted = time.Time{}, false
 	}
 }
 
-// makeRoom drops the record of least guilt, of several the oldest, when the table is full:
-// a flood of suspects pushes out no conviction.
-func (t *Table) makeRoom() {
+// evict removes the record with the fewest attributed ends if the table is full; of several, the
+// oldest. A flood of suspected requests thus evicts no blocked one.
+func (t *Table) evict() {
 	if len(t.entries) < t.config.MaxRecords {
 		return
 	}
-	var least *entry
+	var candidate *entry
 	for _, known := range t.entries {
-		if least == nil || known.lessGuilty(least) {
-			least = known
+		if candidate == nil || known.evictsBefore(candidate) {
+			candidate = known
 		}
 	}
-	t.forget(least.Content)
+	t.remove(candidate.Content)
 }
 
-// lessGuilty orders entries by ends that stand, then by age; the fingerprint breaks ties.
-func (e *entry) lessGuilty(other *entry) bool {
+// evictsBefore orders entries for eviction by attributed ends, then by age, then by fingerprint.
+func (e *entry) evictsBefore(other *entry) bool {
 	if mine, others := e.Standing(), other.Standing(); mine != others {
 		return mine < others
 	}
@@ -358,48 +363,48 @@
 	return slices.Compare(e.Content[:], other.Content[:]) < 0
 }
 
-// News returns the records that say more than when News was last asked, and forgets that
-// they do.
+// News returns the records that changed since its last call.
 func (t *Table) News() []Record {
-	if len(t.news) == 0 {
+	if len(t.updated) == 0 {
 		return nil
 	}
-	records := make([]Record, 0, len(t.news))
-	for _, content := range t.news {
+	records := make([]Record, 0, len(t.updated))
+	for _, content := range t.updated {
 		if known := t.entries[content]; known != nil {
 			records = append(records, known.Record)
 		}
 	}
-	t.news = t.news[:0]
+	t.updated = t.updated[:0]
 	return records
 }
 
-// Verdicts returns the requests that were convicted since it was last asked.
+// Verdicts returns the requests that were blocked since its last call and still are.
 func (t *Table) Verdicts() []Fingerprint {
-	verdicts := t.verdicts
-	t.verdicts = nil
-	return slices.DeleteFunc(verdicts, func(content Fingerprint) bool {
+	blocked := t.newlyBlocked
+	t.newlyBlocked = nil
+	return slices.DeleteFunc(blocked, func(content Fingerprint) bool {
 		known := t.entries[content]
-		return known == nil || known.convicted.IsZero()
+		return known == nil || known.blockedSince.IsZero()
 	})
 }
 
-// sweepInterval spaces the looks through all records; chosen, not measured.
+// sweepInterval is the time between two scans of all records for expired ones; calls of Sweep in
+// between return at once.
 const sweepInterval = 10 * time.Second
 
-// Sweep forgets what is over.
+// Sweep removes expired records, machines and attempts, at most once in sweepInterval.
 func (t *Table) Sweep(now time.Time) {
-	if now.Before(t.sweepAt) {
+	if now.Before(t.nextSweep) {
 		return
 	}
-	t.sweepAt = now.Add(sweepInterval)
+	t.nextSweep = now.Add(sweepInterval)
 	for content, known := range t.entries {
 		since, kept := known.changed, t.config.Suspicion
-		if !known.convicted.IsZero() {
-			since, kept = known.convicted, t.config.Conviction
+		if !known.blockedSince.IsZero() {
+			since, kept = known.blockedSince, t.config.Conviction
 		}
 		if now.Sub(since) >= kept {
-			t.forget(content)
+			t.remove(content)
 		}
 	}
 	for machine, learned := range t.ended {
@@ -407,10 +412,10 @@
 			delete(t.ended, machine)
 		}
 	}
-	t.broken = slices.DeleteFunc(t.broken, func(run brokenRun) bool { return now.After(run.until) })
+	t.pending = slices.DeleteFunc(t.pending, func(run pendingAttempt) bool { return now.After(run.expires) })
 }
 
-// Record returns what is known of a request.
+// Record returns the record of a request and whether there is one.
 func (t *Table) Record(content Fingerprint) (Record, bool) {
 	known := t.entries[content]
 	if known == nil {
@@ -419,11 +424,11 @@
 	return known.Record, true
 }
 
-// Counts returns how many requests are suspected and convicted.
+// Counts returns the number of suspected requests that are not blocked, and of blocked ones.
 func (t *Table) Counts() (suspected, convicted int) {
 	for _, known := range t.entries {
 		switch {
-		case !known.convicted.IsZero():
+		case !known.blockedSince.IsZero():
 			convicted++
 		case known.Standing() > 0:
 			suspected++
--- a/routing/poison/table_test.go
+++ b/routing/poison/table_test.go
@@ -13,8 +13,9 @@
 	innocent  = Fingerprint{2}
 )
 
-// ended has machines end under a request, a second apart, and returns the time after it.
-func ended(t *Table, now time.Time, content Fingerprint, machines ...cluster.MachineID) time.Time {
+// recordEnds records the ends of machines under a request, one second apart, and returns the time
+// of the last one.
+func recordEnds(t *Table, now time.Time, content Fingerprint, machines ...cluster.MachineID) time.Time {
 	for _, machine := range machines {
 		now = now.Add(time.Second)
 		t.Broke(now, content, machine)
@@ -23,148 +24,153 @@
 	return now
 }
 
-func convicted(t *Table, now time.Time, content Fingerprint) bool {
+func isBlocked(t *Table, now time.Time, content Fingerprint) bool {
 	_, is := t.Convicted(now, content)
 	return is
 }
 
-// TestThreeEndsConvict, for the time of a conviction, whichever node counted them.
-func TestThreeEndsConvict(t *testing.T) {
+// TestThreeEndsBlockRequest checks that the ends of three different machines block a request for
+// DefaultConviction, whichever nodes counted them.
+func TestThreeEndsBlockRequest(t *testing.T) {
 	table := NewTable(Config{})
-	now := ended(table, testStart, harmful, "a", "b", "b", "a")
-	if !table.Suspected(harmful) || convicted(table, now, harmful) {
-		t.Error("two machines that ended convict it")
+	now := recordEnds(table, testStart, harmful, "a", "b", "b", "a")
+	if !table.Suspected(harmful) || isBlocked(table, now, harmful) {
+		t.Error("two ended machines block the request")
 	}
 	table.Learn(now, []Record{{Content: harmful, Ends: []cluster.MachineID{"c", "a"}}})
 	left, is := table.Convicted(now, harmful)
 	if !is || left != DefaultConviction || len(table.Verdicts()) != 1 {
-		t.Errorf("convicted %v for %s", is, left)
+		t.Errorf("blocked %v for %s", is, left)
 	}
-	if convicted(table, now.Add(DefaultConviction), harmful) {
-		t.Error("it is convicted for good")
+	if isBlocked(table, now.Add(DefaultConviction), harmful) {
+		t.Error("the request is blocked for longer than the configured duration")
 	}
 	table.Sweep(now.Add(DefaultConviction))
 	if !table.Empty() {
-		t.Error("what is over is kept")
+		t.Error("an expired record is kept")
 	}
 }
 
-// TestBrokenRunsAreNoEvidence until their machine is known to have ended, in time.
-func TestBrokenRunsAreNoEvidence(t *testing.T) {
+// TestFailedAttemptsCountOnlyIfMachineEnds checks that failed attempts count against a request only
+// if their machine ends within the window; a broken connection alone must not.
+func TestFailedAttemptsCountOnlyIfMachineEnds(t *testing.T) {
 	table := NewTable(Config{})
 	for _, machine := range []cluster.MachineID{"a", "b", "c"} {
 		table.Broke(testStart, innocent, machine)
 		table.Left(testStart, harmful, machine)
 	}
 	if table.Suspected(innocent) {
-		t.Error("broken connections make it a suspect")
+		t.Error("failed attempts without an ended machine make the request a suspect")
 	}
-	table.MachineEnded(testStart.Add(breakWindow), "a")
-	table.MachineEnded(testStart.Add(breakWindow+time.Millisecond), "b")
+	table.MachineEnded(testStart.Add(failedAttemptWindow), "a")
+	table.MachineEnded(testStart.Add(failedAttemptWindow+time.Millisecond), "b")
 	if record, _ := table.Record(innocent); record.Standing() != 1 {
-		t.Errorf("ends %v: that of the machine that ended in time counts", record.Ends)
+		t.Errorf("ends %v: want only the machine that ended within the window", record.Ends)
 	}
 	if table.Suspected(harmful) {
-		t.Error("a run that was given up counts long after")
+		t.Error("a cancelled attempt counts for a machine that ended after the window")
 	}
 	table.Left(testStart, harmful, "c")
-	table.MachineEnded(testStart.Add(leftWindow), "c")
+	table.MachineEnded(testStart.Add(abandonedAttemptWindow), "c")
 	if !table.Suspected(harmful) {
-		t.Error("a run that was given up as its machine ended does not count")
+		t.Error("a cancelled attempt does not count for a machine that ended within the window")
 	}
 }
 
-// TestAnswersAcquit: a whole answer clears the request, an answer of a machine clears what
-// it was held to have ended under; both are news for others.
-func TestAnswersAcquit(t *testing.T) {
-	whole, alive := NewTable(Config{}), NewTable(Config{})
-	now := ended(whole, testStart, innocent, "a", "b", "c")
-	ended(alive, testStart, innocent, "a", "b", "c")
-	_, _ = whole.News(), alive.News()
-	whole.Whole(now, innocent)
-	alive.Answered(now, "b", now.Add(-time.Minute))
-	if !convicted(alive, now, innocent) {
-		t.Error("an answer to what was sent before its end clears a machine")
-	}
-	alive.Answered(now.Add(time.Second), "b", now)
-	for name, table := range map[string]*Table{"a whole answer": whole, "a machine that answers": alive} {
-		if convicted(table, now, innocent) || len(table.News()) != 1 {
-			t.Errorf("%s does not clear the request, or is no news", name)
+// TestAnswersClearEnds checks that a complete answer clears the request, that an answer of a
+// machine clears that machine's end, and that both are passed on to other nodes.
+func TestAnswersClearEnds(t *testing.T) {
+	completed, reconnected := NewTable(Config{}), NewTable(Config{})
+	now := recordEnds(completed, testStart, innocent, "a", "b", "c")
+	recordEnds(reconnected, testStart, innocent, "a", "b", "c")
+	_, _ = completed.News(), reconnected.News()
+	completed.Whole(now, innocent)
+	reconnected.Answered(now, "b", now.Add(-time.Minute))
+	if !isBlocked(reconnected, now, innocent) {
+		t.Error("an answer to an attempt that was sent before the machine ended clears its end")
+	}
+	reconnected.Answered(now.Add(time.Second), "b", now)
+	for name, table := range map[string]*Table{"a complete answer": completed, "a machine that answers": reconnected} {
+		if isBlocked(table, now, innocent) || len(table.News()) != 1 {
+			t.Errorf("%s does not unblock the request, or is not passed on", name)
 		}
 	}
-	// Late news of the same ends change nothing, a further end counts anew.
-	whole.Learn(now, []Record{{Content: innocent, Ends: []cluster.MachineID{"a", "b", "c"}}})
-	ended(whole, now.Add(wholeMemory), innocent, "d")
-	if record, _ := whole.Record(innocent); record.Standing() != 1 {
-		t.Errorf("%+v: one end stands", record)
+	// Delayed records of the same ends change nothing; a new end counts.
+	completed.Learn(now, []Record{{Content: innocent, Ends: []cluster.MachineID{"a", "b", "c"}}})
+	recordEnds(completed, now.Add(completedTTL), innocent, "d")
+	if record, _ := completed.Record(innocent); record.Standing() != 1 {
+		t.Errorf("%+v: want one attributed end", record)
 	}
 }
 
-// TestWhatWasAnsweredLatelyIsNotBlamed, whoever says so.
-func TestWhatWasAnsweredLatelyIsNotBlamed(t *testing.T) {
+// TestRecentlyCompletedRequestIsNotSuspected checks that ends are not attributed to a request that
+// was answered completely a short time ago, whether this node or another one reports them.
+func TestRecentlyCompletedRequestIsNotSuspected(t *testing.T) {
 	table := NewTable(Config{})
 	table.Whole(testStart, innocent)
-	now := ended(table, testStart, innocent, "a", "b", "c")
+	now := recordEnds(table, testStart, innocent, "a", "b", "c")
 	if table.Suspected(innocent) {
-		t.Error("it is blamed by this node")
+		t.Error("the request is suspected because of ends seen by this node")
 	}
 	table.Learn(now, []Record{{Content: innocent, Ends: []cluster.MachineID{"d", "e", "f"}}})
-	if convicted(table, now, innocent) {
-		t.Error("it is blamed by another node")
+	if isBlocked(table, now, innocent) {
+		t.Error("the request is blocked because of ends seen by another node")
 	}
 	if news := table.News(); len(news) != 1 || news[0].Standing() != 0 {
-		t.Errorf("others are told %+v", news)
+		t.Errorf("passed on to other nodes: %+v", news)
 	}
 }
 
-// TestTestsAreFew: a node sends a convicted request once for each leave that it was given.
-func TestTestsAreFew(t *testing.T) {
+// TestProbeNeedsPermission checks that a node sends a blocked request once for each permission,
+// because each probe of a harmful request costs a machine.
+func TestProbeNeedsPermission(t *testing.T) {
 	table := NewTable(Config{})
-	now := ended(table, testStart, harmful, "a", "b", "c")
+	now := recordEnds(table, testStart, harmful, "a", "b", "c")
 	if table.TestDue(now, harmful) || table.TakeTest(harmful) {
-		t.Error("it is tried at once, or without leave")
+		t.Error("a probe is due at once, or sent without permission")
 	}
-	if !table.TestDue(now.Add(testAfter), harmful) {
-		t.Error("it is never tried")
+	if !table.TestDue(now.Add(probeDelay), harmful) {
+		t.Error("no probe is due after the delay")
 	}
 	table.GrantTest(harmful)
 	if !table.TakeTest(harmful) || table.TakeTest(harmful) {
-		t.Error("one leave is for one test")
+		t.Error("one permission must allow exactly one probe")
 	}
 }
 
-// TestFloodPushesOutNoConviction: thousands of suspects leave what is convicted alone, and
-// the table bounded.
-func TestFloodPushesOutNoConviction(t *testing.T) {
-	const most = 50
-	table := NewTable(Config{MaxRecords: most})
-	now := ended(table, testStart, harmful, "a", "b", "c")
-	for i := range 20 * most {
+// TestFloodEvictsNoBlockedRequest checks that a flood of suspected requests doesn't evict a blocked
+// one and that the table stays bounded.
+func TestFloodEvictsNoBlockedRequest(t *testing.T) {
+	const maxRecords = 50
+	table := NewTable(Config{MaxRecords: maxRecords})
+	now := recordEnds(table, testStart, harmful, "a", "b", "c")
+	for i := range 20 * maxRecords {
 		now = now.Add(time.Millisecond)
 		table.Broke(now, Fingerprint{9, byte(i), byte(i >> 8)}, "d")
 		table.MachineEnded(now, "d")
 	}
-	if suspected, found := table.Counts(); !convicted(table, now, harmful) || suspected+found > most {
-		t.Errorf("convicted %v, %d records", convicted(table, now, harmful), suspected+found)
+	if suspected, found := table.Counts(); !isBlocked(table, now, harmful) || suspected+found > maxRecords {
+		t.Errorf("blocked %v, %d records", isBlocked(table, now, harmful), suspected+found)
 	}
 }
 
-// TestSwitchedOff: nothing is refused where no number of ends convicts.
-func TestSwitchedOff(t *testing.T) {
+// TestNegativeEndsDisableBlocking checks that no request is blocked if blocking is disabled.
+func TestNegativeEndsDisableBlocking(t *testing.T) {
 	table := NewTable(Config{Ends: -1})
-	if now := ended(table, testStart, harmful, "a", "b", "c", "d"); convicted(table, now, harmful) {
-		t.Error("it is refused")
+	if now := recordEnds(table, testStart, harmful, "a", "b", "c", "d"); isBlocked(table, now, harmful) {
+		t.Error("the request is blocked")
 	}
 }
 
-// TestPardon takes the ends back, and only those.
-func TestPardon(t *testing.T) {
+// TestPardonClearsOnlyKnownEnds checks that a pardon clears the ends known so far, and no later
+// ones.
+func TestPardonClearsOnlyKnownEnds(t *testing.T) {
 	table := NewTable(Config{})
-	now := ended(table, testStart, harmful, "a", "b", "c")
-	if !table.Pardon(now, harmful) || convicted(table, now, harmful) || table.Pardon(now, innocent) {
-		t.Error("it is not pardoned, or another one is")
+	now := recordEnds(table, testStart, harmful, "a", "b", "c")
+	if !table.Pardon(now, harmful) || isBlocked(table, now, harmful) || table.Pardon(now, innocent) {
+		t.Error("the request is still blocked, or an unknown one is reported as known")
 	}
-	if now = ended(table, now, harmful, "d", "e", "f"); !convicted(table, now, harmful) {
-		t.Error("a pardon lasts for good")
+	if now = recordEnds(table, now, harmful, "d", "e", "f"); !isBlocked(table, now, harmful) {
+		t.Error("ends after a pardon do not block the request")
 	}
 }
