--- a/routing/queue/queue.go
+++ b/routing/queue/queue.go
@@ -2,20 +2,20 @@
 
 import "github.com/valveslip/valveslip/internal/binaryheap"
 
-// Item is one waiting request. The owner embeds it, fills the exported fields
-// before Push and leaves them alone while the item is queued.
+// Item is one waiting request. Its owner embeds it, fills the exported fields before Push and
+// doesn't change them while the item is queued.
 type Item[T any] struct {
-	// Value is the owner.
+	// Value is the owner of the item.
 	Value T
-	// Priority orders before all else; larger goes first.
+	// Priority comes before all other criteria; a larger one is served first.
 	Priority int
-	// Team for fairness.
+	// Team is the team that fairness counts the item for.
 	Team string
-	// Deadline in nanoseconds since the Unix epoch.
+	// Deadline is in nanoseconds since the Unix epoch.
 	Deadline int64
-	// Bytes counted against the queue's byte bound.
+	// Bytes is the item's size, which counts against the byte limit of the queue.
 	Bytes int64
-	// Cost is the virtual time serving the item takes; at least 1.
+	// Cost is the virtual time that serving the item takes, at least 1.
 	Cost float64
 
 	sequence uint64
@@ -26,9 +26,9 @@
 // Queued reports whether the item is in a queue.
 func (i *Item[T]) Queued() bool { return i.team != nil }
 
-// Queue holds the waiting items of one model.
+// Queue holds the waiting items of one model. The zero value is an empty queue.
 type Queue[T any] struct {
-	// levels by descending priority; empty ones stay for reuse.
+	// levels are sorted by descending priority. Empty ones are kept for reuse.
 	levels   []*level[T]
 	length   int
 	bytes    int64
@@ -48,9 +48,8 @@
 	q.insert(item)
 }
 
-// Return adds an item again that was popped before. It keeps its place among
-// the items of its team with the same deadline, and its team is not charged a
-// second time.
+// Return adds an item that was popped before. The item keeps its place among the items of its team
+// with the same deadline, and its team is not charged a second time.
 func (q *Queue[T]) Return(item *Item[T]) {
 	item.Cost = 0
 	q.insert(item)
@@ -62,7 +61,7 @@
 	q.level(item.Priority).push(item)
 }
 
-// Head returns the item that Pop would return, or nil.
+// Head returns the item that Pop would return, or nil if the queue is empty.
 func (q *Queue[T]) Head() *Item[T] {
 	for _, level := range q.levels {
 		if level.active.Len() > 0 {
@@ -72,35 +71,35 @@
 	return nil
 }
 
-// Pop removes and returns the next item, or nil.
+// Pop removes and returns the next item, or nil if the queue is empty.
 func (q *Queue[T]) Pop() *Item[T] {
 	for _, level := range q.levels {
 		if level.active.Len() > 0 {
 			item := level.pop()
-			q.forget(item)
+			q.detach(item)
 			return item
 		}
 	}
 	return nil
 }
 
-// Remove takes a queued item out; its team is not charged for it.
+// Remove removes an item without charging its team. It does nothing if the item is not queued.
 func (q *Queue[T]) Remove(item *Item[T]) {
 	if item.team == nil {
 		return
 	}
 	item.team.level.remove(item)
-	q.forget(item)
+	q.detach(item)
 }
 
-func (q *Queue[T]) forget(item *Item[T]) {
+// detach updates the item and the totals after the item left its level.
+func (q *Queue[T]) detach(item *Item[T]) {
 	item.team = nil
 	q.length--
 	q.bytes -= item.Bytes
 }
 
-// Ahead counts the items that go before a new one of the given priority,
-// all items of the same priority included.
+// Ahead returns the number of items with at least the given priority.
 func (q *Queue[T]) Ahead(priority int) int {
 	count := 0
 	for _, level := range q.levels {
@@ -112,9 +111,9 @@
 	return count
 }
 
-// Before counts the items expected to go before a new one: all of higher priority, those
-// of its team that are due no later, and of each other team as many as take turns with
-// these.
+// Before estimates the number of items that are served before a new one: all items of higher
+// priority, those of its own team with no later deadline, and of each other team as many as are
+// served in turn with these.
 func (q *Queue[T]) Before(item *Item[T]) int {
 	count := 0
 	for _, level := range q.levels {
@@ -127,7 +126,7 @@
 		}
 		own := 0
 		if team := level.teams[item.Team]; team != nil {
-			own = team.dueBy(item.Deadline)
+			own = team.countDueBy(item.Deadline)
 		}
 		count += own
 		for _, other := range level.active.All() {
@@ -139,8 +138,8 @@
 	return count
 }
 
-// Each calls visit for every item, in no useful but a repeatable order, until
-// it returns false. The queue must not be changed meanwhile.
+// Each calls visit for every item until visit returns false. The order is unspecified but
+// deterministic. The queue must not be changed during the call.
 func (q *Queue[T]) Each(visit func(*Item[T]) bool) {
 	for _, level := range q.levels {
 		for _, team := range level.active.All() {
@@ -153,7 +152,7 @@
 	}
 }
 
-// EarliestDeadline returns the earliest deadline of all items, or false.
+// EarliestDeadline returns the earliest deadline of all items, or false if the queue is empty.
 func (q *Queue[T]) EarliestDeadline() (int64, bool) {
 	var earliest int64
 	found := false
@@ -191,6 +190,7 @@
 // maxIdleLevels bounds the empty levels that are kept for reuse.
 const maxIdleLevels = 8
 
+// dropEmptyLevels removes the empty levels if there are maxIdleLevels levels or more.
 func (q *Queue[T]) dropEmptyLevels() {
 	if len(q.levels) < maxIdleLevels {
 		return
@@ -209,101 +209,103 @@
 type level[T any] struct {
 	priority int
 	teams    map[string]*team[T]
-	// active teams, those with items, ordered by start tag.
+	// active holds the teams with items, ordered by start tag.
 	active      binaryheap.Heap[*team[T]]
 	virtualTime float64
 	length      int
 	activations uint64
 }
 
-// team holds one team's items of one level.
+// team holds the items of one team at one level.
 type team[T any] struct {
 	level *level[T]
 	name  string
 	items binaryheap.Heap[*Item[T]]
-	// start tag of the next item, and finish tag of the last one served.
-	start, finish float64
-	activation    uint64
-	index         int
+	// startTag is the start tag of the next item, and finishTag the finish tag of the last one
+	// that was served.
+	startTag, finishTag float64
+	// activation is the order in which teams became active; it breaks ties between start tags.
+	activation uint64
+	index      int
 }
 
 func (l *level[T]) push(item *Item[T]) {
 	l.length++
-	owner := l.teams[item.Team]
-	if owner == nil {
-		l.sweep()
-		owner = &team[T]{level: l, name: item.Team}
-		l.teams[item.Team] = owner
+	itemTeam := l.teams[item.Team]
+	if itemTeam == nil {
+		l.dropIdleTeams()
+		itemTeam = &team[T]{level: l, name: item.Team}
+		l.teams[item.Team] = itemTeam
 	}
-	item.team = owner
-	owner.items.Push(item)
-	if owner.items.Len() == 1 {
+	item.team = itemTeam
+	itemTeam.items.Push(item)
+	if itemTeam.items.Len() == 1 {
 		l.activations++
-		owner.activation = l.activations
-		owner.start = max(l.virtualTime, owner.finish)
-		l.active.Push(owner)
+		itemTeam.activation = l.activations
+		itemTeam.startTag = max(l.virtualTime, itemTeam.finishTag)
+		l.active.Push(itemTeam)
 	}
 }
 
 func (l *level[T]) pop() *Item[T] {
-	owner := l.active.First()
-	item := owner.items.Pop()
-	l.virtualTime = owner.start
-	owner.finish = owner.start + item.Cost
-	owner.start = owner.finish
-	l.settle(owner)
+	itemTeam := l.active.First()
+	item := itemTeam.items.Pop()
+	l.virtualTime = itemTeam.startTag
+	itemTeam.finishTag = itemTeam.startTag + item.Cost
+	itemTeam.startTag = itemTeam.finishTag
+	l.afterRemoval(itemTeam)
 	return item
 }
 
 func (l *level[T]) remove(item *Item[T]) {
-	owner := item.team
-	owner.items.Remove(item.index)
-	l.settle(owner)
+	itemTeam := item.team
+	itemTeam.items.Remove(item.index)
+	l.afterRemoval(itemTeam)
 }
 
-// settle restores the order of the active teams after owner lost an item.
-func (l *level[T]) settle(owner *team[T]) {
+// afterRemoval restores the order of the active teams after one of them lost an item.
+func (l *level[T]) afterRemoval(itemTeam *team[T]) {
 	l.length--
-	if owner.items.Len() > 0 {
-		l.active.Fix(owner.index)
+	if itemTeam.items.Len() > 0 {
+		l.active.Fix(itemTeam.index)
 		return
 	}
-	l.active.Remove(owner.index)
+	l.active.Remove(itemTeam.index)
 	if l.length == 0 {
-		l.restart()
+		l.reset()
 	}
 }
 
-// maxIdleTeams bounds the idle teams kept for reuse.
+// maxIdleTeams bounds the teams without items that are kept for reuse.
 const maxIdleTeams = 16
 
-// restart ends a busy period: nobody waits, so no team is ahead or behind.
-func (l *level[T]) restart() {
+// reset ends a busy period: no item waits, so no team is ahead of or behind another.
+func (l *level[T]) reset() {
 	l.virtualTime = 0
 	if len(l.teams) > maxIdleTeams {
 		clear(l.teams)
 		return
 	}
 	for _, team := range l.teams {
-		team.finish, team.start = 0, 0
+		team.finishTag, team.startTag = 0, 0
 	}
 }
 
-// sweep forgets idle teams whose finish tag the virtual time has passed, once
-// they outnumber the active ones.
-func (l *level[T]) sweep() {
+// dropIdleTeams removes teams without items whose finish tag the virtual time has passed, once they
+// outnumber the active teams.
+func (l *level[T]) dropIdleTeams() {
 	if len(l.teams) < maxIdleTeams || len(l.teams) < 2*l.active.Len() {
 		return
 	}
 	for name, team := range l.teams {
-		if team.items.Len() == 0 && team.finish <= l.virtualTime {
+		if team.items.Len() == 0 && team.finishTag <= l.virtualTime {
 			delete(l.teams, name)
 		}
 	}
 }
 
-// dueBy counts the team's items whose deadline is no later than the given one.
-func (t *team[T]) dueBy(deadline int64) int {
+// countDueBy returns the number of the team's items whose deadline is no later than the given one.
+func (t *team[T]) countDueBy(deadline int64) int {
 	count := 0
 	for _, item := range t.items.All() {
 		if item.Deadline <= deadline {
@@ -313,7 +315,7 @@
 	return count
 }
 
-// Before implements binaryheap.Element: by deadline, then arrival.
+// Before implements binaryheap.Element. It orders items by deadline, then by arrival.
 func (i *Item[T]) Before(other *Item[T]) bool {
 	if i.Deadline != other.Deadline {
 		return i.Deadline < other.Deadline
@@ -324,10 +326,10 @@
 // Moved implements binaryheap.Element.
 func (i *Item[T]) Moved(index int) { i.index = index }
 
-// Before implements binaryheap.Element: by start tag, then activation.
+// Before implements binaryheap.Element. It orders teams by start tag, then by activation.
 func (t *team[T]) Before(other *team[T]) bool {
-	if t.start != other.start {
-		return t.start < other.start
+	if t.startTag != other.startTag {
+		return t.startTag < other.startTag
 	}
 	return t.activation < other.activation
 }
--- a/routing/queue/queue_test.go
+++ b/routing/queue/queue_test.go
@@ -10,6 +10,7 @@
 	return &Item[string]{Value: name, Priority: priority, Team: team, Deadline: deadline, Bytes: 1, Cost: 1}
 }
 
+// drain pops all items and returns their values in order.
 func drain(q *Queue[string]) string {
 	order := ""
 	for head := q.Head(); head != nil; head = q.Head() {
@@ -21,7 +22,9 @@
 	return order
 }
 
-func TestOrder(t *testing.T) {
+// TestPopOrder checks the order by priority, then alternating between teams, then by deadline, then
+// by arrival, and that the counts of an emptied queue are zero.
+func TestPopOrder(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		items []*Item[string]
@@ -43,7 +46,9 @@
 	}
 }
 
-func TestReturnKeepsThePlace(t *testing.T) {
+// TestReturnedItemKeepsPosition checks that an item that is returned after a failed dispatch is not
+// queued behind later items of its team.
+func TestReturnedItemKeepsPosition(t *testing.T) {
 	var q Queue[string]
 	for _, name := range []string{"a", "b", "c"} {
 		q.Push(newItem(name, 0, "x", 5))
@@ -54,7 +59,9 @@
 	}
 }
 
-func TestCostWeighs(t *testing.T) {
+// TestServiceIsInverseToCost checks that a team whose items cost three times as much gets a third
+// as many served.
+func TestServiceIsInverseToCost(t *testing.T) {
 	var q Queue[string]
 	for range 8 {
 		heavy := newItem("h", 0, "x", 5)
@@ -69,60 +76,61 @@
 		}
 	}
 	if heavy != 2 {
-		t.Fatalf("%d of 8 served were three times as heavy, want 2", heavy)
+		t.Fatalf("%d of 8 served items have the triple cost, want 2", heavy)
 	}
 }
 
-// TestRandomOperations compares the order and the counts with a plain list.
-func TestRandomOperations(t *testing.T) {
+// TestQueueMatchesPlainList compares the order, the counts and the sums of bytes with a plain list
+// under random pushes, pops and removals.
+func TestQueueMatchesPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[string]
-		var waiting []*Item[string]
-		take := func(item *Item[string]) {
-			for i := range waiting {
-				if waiting[i] == item {
-					waiting = append(waiting[:i], waiting[i+1:]...)
+		var queued []*Item[string]
+		unlist := func(item *Item[string]) {
+			for i := range queued {
+				if queued[i] == item {
+					queued = append(queued[:i], queued[i+1:]...)
 					return
 				}
 			}
-			t.Fatalf("%q was not waiting", item.Value)
+			t.Fatalf("%q was not queued", item.Value)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				item := newItem("i", rapid.IntRange(0, 12).Draw(t, "priority"), rapid.StringMatching("[a-d]").Draw(t, "team"),
 					rapid.Int64Range(0, 9).Draw(t, "deadline"))
 				q.Push(item)
-				waiting = append(waiting, item)
+				queued = append(queued, item)
 			},
 			"pop": func(t *rapid.T) {
 				item := q.Pop()
 				if item == nil {
 					t.Skip()
 				}
-				for _, other := range waiting {
+				for _, other := range queued {
 					if other.Priority > item.Priority || (other.Priority == item.Priority && other.Team == item.Team && other.Deadline < item.Deadline) {
 						t.Fatalf("popped %+v before %+v", item, other)
 					}
 				}
-				take(item)
+				unlist(item)
 			},
 			"remove": func(t *rapid.T) {
-				if len(waiting) == 0 {
+				if len(queued) == 0 {
 					t.Skip()
 				}
-				item := rapid.SampledFrom(waiting).Draw(t, "item")
+				item := rapid.SampledFrom(queued).Draw(t, "item")
 				q.Remove(item)
 				q.Remove(item)
-				take(item)
+				unlist(item)
 			},
 			"": func(t *rapid.T) {
 				visited := 0
 				q.Each(func(*Item[string]) bool { visited++; return true })
-				if q.Len() != len(waiting) || visited != q.Len() || q.Bytes() != int64(len(waiting)) {
-					t.Fatalf("%d items, %d visited, %d bytes, want %d", q.Len(), visited, q.Bytes(), len(waiting))
+				if q.Len() != len(queued) || visited != q.Len() || q.Bytes() != int64(len(queued)) {
+					t.Fatalf("%d items, %d visited, %d bytes, want %d", q.Len(), visited, q.Bytes(), len(queued))
 				}
 				ahead := 0
-				for _, item := range waiting {
+				for _, item := range queued {
 					if item.Priority >= 5 {
 						ahead++
 					}
@@ -135,7 +143,9 @@
 	})
 }
 
-func TestFloodDoesNotStarve(t *testing.T) {
+// TestFloodDoesNotStarveOtherTeams checks that the first item of a team is served after at most one
+// item of another team, however many that team has queued.
+func TestFloodDoesNotStarveOtherTeams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[string]
 		for range rapid.IntRange(10, 200).Draw(t, "flood") {
@@ -147,14 +157,14 @@
 		q.Push(newItem("small", 0, "y", 9))
 		first, second := q.Pop(), q.Pop()
 		if first.Value != "small" && second.Value != "small" {
-			t.Fatal("a team's first request waited behind a flood of another")
+			t.Fatal("a team's first item waited behind a flood of another team")
 		}
 	})
 }
 
-// TestBeforeForetellsTheTurn: of items of equal cost and one team, those counted go first;
-// with more teams the count is off by at most one for each other team.
-func TestBeforeForetellsTheTurn(t *testing.T) {
+// TestBeforeEstimatesPopOrder checks Before against the order of Pop. With equal costs and one team
+// the estimate is exact; with more teams it is too high by at most one for each other team.
+func TestBeforeEstimatesPopOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[string]
 		teams := rapid.IntRange(1, 3).Draw(t, "teams")
@@ -166,14 +176,14 @@
 			q.Push(draw("i"))
 		}
 		added := draw("new")
-		foretold := q.Before(added)
+		estimated := q.Before(added)
 		q.Push(added)
-		went := 0
+		served := 0
 		for q.Pop() != added {
-			went++
+			served++
 		}
-		if went > foretold || went < foretold-(teams-1) {
-			t.Fatalf("%d went before, %d were foretold with %d teams", went, foretold, teams)
+		if served > estimated || served < estimated-(teams-1) {
+			t.Fatalf("%d items were served before, estimated %d with %d teams", served, estimated, teams)
 		}
 	})
 }
