--- a/routing/limit/doc.go
+++ b/routing/limit/doc.go
@@ -1,8 +1,7 @@
-// Package limit enforces a router's part of the limits that the tree sets on
-// whole subtrees: concurrency, requests a second and tokens a second.
+// Package limit enforces a router's part of the limits that the configuration sets on whole
+// subtrees: concurrency, requests per second and tokens per second.
 //
-// A limit holds over the whole system. Each router enforces a share of it that
-// a controller granted by demand and that expires. Without a share in force a
-// router keeps an even part, so that the parts of all routers never sum to
-// more than the limit even when every controller is out of reach.
+// A limit applies to the whole system. Each router enforces a share of it, which a controller
+// grants by demand and which expires. Without a valid share, a router uses an even part. The parts
+// of all routers thus never add up to more than the limit, even if no controller can be reached.
 package limit
--- a/routing/limit/limit_test.go
+++ b/routing/limit/limit_test.go
@@ -11,7 +11,10 @@
 
 const second = int64(time.Second)
 
-func TestBucketWaitIsExact(t *testing.T) {
+// TestBucketWaitIsNeitherTooShortNorTooLong checks that an amount may be taken after the returned
+// wait and not earlier; a client that follows Retry-After would otherwise be refused again or wait
+// too long.
+func TestBucketWaitIsNeitherTooShortNorTooLong(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bucket Bucket
 		now := second
@@ -22,11 +25,11 @@
 			if wait > 0 {
 				early := bucket
 				if early.Wait(now+int64(wait)-int64(wait)/100-1, rate, amount) == 0 && wait > time.Microsecond {
-					t.Fatalf("asked to wait %v, but earlier would do", wait)
+					t.Fatalf("wait of %v, but an earlier time is admitted", wait)
 				}
 				now += int64(wait)
 				if left := bucket.Wait(now, rate, amount); left > time.Microsecond {
-					t.Fatalf("waited %v, but %v are left", wait, left)
+					t.Fatalf("waited %v, but another wait of %v remains", wait, left)
 				}
 			}
 			bucket.Take(amount)
@@ -34,7 +37,9 @@
 	})
 }
 
-func TestBucketRefundsAndDebt(t *testing.T) {
+// TestBucketPaysBackDebtAndAcceptsRefunds checks that an amount above the burst leaves a debt that
+// is paid back before more is admitted, and that a refund reduces it.
+func TestBucketPaysBackDebtAndAcceptsRefunds(t *testing.T) {
 	var bucket Bucket
 	if wait := bucket.Wait(second, 10, 50); wait != 0 {
 		t.Fatalf("a full bucket admits more than its burst, got %v", wait)
@@ -49,37 +54,42 @@
 	}
 }
 
-func TestPartsNeverSumAboveTheLimit(t *testing.T) {
+// TestEvenPartsAddUpToLimit checks that the even parts of all routers add up to exactly the
+// concurrency limit, remainders included, and to no more than a rate limit.
+func TestEvenPartsAddUpToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bound := settings.Scope{
+		limits := settings.Scope{
 			Path:           rapid.StringMatching(`/[a-z]{1,6}`).Draw(t, "path"),
 			MaxConcurrency: rapid.IntRange(1, 500).Draw(t, "limit"), RequestsPerSecond: 7, TokensPerSecond: 9,
 		}
 		routers := rapid.IntRange(1, 340).Draw(t, "routers")
-		scope := newScope(bound)
+		scope := newScope(limits)
 		concurrency, requests := 0, 0.0
 		for rank := range routers {
-			part := scope.part(second, Division{Routers: routers, Rank: rank})
+			part := scope.allowance(second, Division{Routers: routers, Rank: rank})
 			concurrency += part.Concurrency
 			requests += part.Requests
 		}
-		if concurrency != bound.MaxConcurrency || requests > 7.0001 {
+		if concurrency != limits.MaxConcurrency || requests > 7.0001 {
 			t.Fatalf("parts sum to %d and %f", concurrency, requests)
 		}
 	})
 }
 
+// newTestSet returns a set with the given limits.
 func newTestSet(scopes ...settings.Scope) *Set {
 	set := NewSet()
-	bounds := make(map[string]settings.Scope)
+	limits := make(map[string]settings.Scope)
 	for _, scope := range scopes {
-		bounds[scope.Path] = scope
+		limits[scope.Path] = scope
 	}
-	set.Configure(bounds)
+	set.Configure(limits)
 	return set
 }
 
-func TestEveryScopeOfBothPathsCounts(t *testing.T) {
+// TestEveryScopeOfBothPathsLimits checks that a request counts against every limited scope from its
+// token's and its model's path up to the root, and against no other.
+func TestEveryScopeOfBothPathsLimits(t *testing.T) {
 	for _, limited := range []string{"/", "/dental", "/dental/chat", "/school", "/school/nurses"} {
 		set := newTestSet(settings.Scope{Path: limited, MaxConcurrency: 1})
 		claim, _, admitted := set.Admit(second, "/school/nurses", "/dental/chat", 0)
@@ -103,7 +113,9 @@
 	}
 }
 
-func TestSharesExpire(t *testing.T) {
+// TestExpiredShareFallsBackToEvenPart checks that a router falls back to its even part when its
+// share expires.
+func TestExpiredShareFallsBackToEvenPart(t *testing.T) {
 	set := newTestSet(settings.Scope{Path: "/dental", RequestsPerSecond: 8})
 	set.Divide(Division{Routers: 4})
 	set.Grant("/dental", Share{Requests: 6, Expires: 3 * second})
@@ -130,7 +142,9 @@
 	}
 }
 
-func TestTokensAreSettled(t *testing.T) {
+// TestReleaseCorrectsEstimatedTokens checks that Release corrects the estimated tokens by those
+// used, and that Report counts the requested amounts, refused ones included.
+func TestReleaseCorrectsEstimatedTokens(t *testing.T) {
 	set := newTestSet(settings.Scope{Path: "/", TokensPerSecond: 100})
 	claim, _, _ := set.Admit(second, "/", "/chat", 10)
 	set.Release(second, claim, 300, false)
@@ -138,13 +152,15 @@
 	if admitted || refusal.Kind != Tokens || refusal.RetryAfter != 2100*time.Millisecond {
 		t.Fatalf("got %v %+v", admitted, refusal)
 	}
-	use := set.Report(2 * second)
-	if len(use) != 1 || use[0].Requests != 2 || use[0].Tokens != 20 {
-		t.Fatalf("use: %+v", use)
+	usage := set.Report(2 * second)
+	if len(usage) != 1 || usage[0].Requests != 2 || usage[0].Tokens != 20 {
+		t.Fatalf("usage: %+v", usage)
 	}
 }
 
-func TestRefundedRequestsDoNotCount(t *testing.T) {
+// TestRefundedRequestLeavesNoCharge checks that a refunded request leaves no charge against any
+// limit.
+func TestRefundedRequestLeavesNoCharge(t *testing.T) {
 	set := newTestSet(settings.Scope{Path: "/", RequestsPerSecond: 1, TokensPerSecond: 10, MaxConcurrency: 1})
 	for i := range 5 {
 		claim, refusal, admitted := set.Admit(second, "/", "/chat", 10)
@@ -155,13 +171,15 @@
 	}
 }
 
-func TestRemovedScopeReleases(t *testing.T) {
+// TestRemovedLimitStillCountsRunningRequests checks that a limit that is removed and set again
+// while requests run still counts those requests.
+func TestRemovedLimitStillCountsRunningRequests(t *testing.T) {
 	set := newTestSet(settings.Scope{Path: "/", MaxConcurrency: 1})
 	claim, _, _ := set.Admit(second, "/", "/chat", 0)
 	set.Configure(nil)
 	set.Configure(map[string]settings.Scope{"/": {MaxConcurrency: 1}})
 	if _, _, admitted := set.Admit(second, "/", "/chat", 0); admitted {
-		t.Fatal("the limit forgot what was held while it was unset")
+		t.Fatal("a request that was running while the limit was removed is not counted")
 	}
 	set.Release(second, claim, 0, false)
 	if _, _, admitted := set.Admit(second, "/", "/chat", 0); !admitted {
--- a/routing/limit/scope.go
+++ b/routing/limit/scope.go
@@ -18,7 +18,7 @@
 	Tokens
 )
 
-// Setting returns the policy key of the kind.
+// Setting returns the policy key that sets limits of this kind.
 func (k Kind) Setting() string {
 	switch k {
 	case Concurrency:
@@ -30,99 +30,102 @@
 	}
 }
 
-// Share is a granted part of a scope's limits.
+// Share is the part of a scope's limits that a controller granted to this router.
 type Share struct {
 	Concurrency      int
 	Requests, Tokens float64
-	// Expires in nanoseconds since the Unix epoch.
+	// Expires is in nanoseconds since the Unix epoch.
 	Expires int64
 }
 
-// Division says how many routers divide the limits without shares, and this
-// router's place among them, from zero.
+// Division is the number of routers among which limits are divided without shares, and this
+// router's rank among them, from zero.
 type Division struct{ Routers, Rank int }
 
-// Refusal says which limit refuses a request.
+// Refusal is the limit that refuses a request.
 type Refusal struct {
 	Kind Kind
-	// Path of the scope that sets the limit.
+	// Path is the path of the scope that sets the limit.
 	Path string
-	// Limit is this router's part and Value what met it.
+	// Limit is this router's part of the limit, and Value the current usage or bucket level.
 	Limit, Value float64
-	// RetryAfter is when the limit would admit the request: exact for rates if
-	// nobody else comes first, estimated from the mean holding time for
-	// concurrency.
+	// RetryAfter is the time until the limit would admit the request. It is exact for rates,
+	// unless other requests come first, and estimated from the mean hold time for concurrency.
 	RetryAfter time.Duration
 }
 
-// Use is a router's use of a scope over an interval.
-type Use struct {
+// Usage is a router's use of a scope over an interval.
+type Usage struct {
 	Path string
-	// Requests and Tokens a second that were asked for.
+	// Requests and Tokens are the requested rates per second, refused requests included.
 	Requests, Tokens float64
-	// Concurrency now held, and wanted beyond that by refused requests.
+	// Concurrency is the number of running requests and of those refused for concurrency.
 	Concurrency int
 }
 
-// Scope enforces the limits of one tree level on one router.
+// Scope enforces the limits of one subtree on one router.
 type Scope struct {
-	path  string
-	bound settings.Scope
-	share Share
-	// place shifts the rank by scope, so that remainders of different limits
-	// fall to different routers.
-	place int
-
-	held             int
+	path   string
+	limits settings.Scope
+	share  Share
+	// rankOffset shifts the rank for each scope, so that the remainders of different limits go to
+	// different routers.
+	rankOffset int
+
+	// inUse is the number of admitted requests that have not ended.
+	inUse            int
 	requests, tokens Bucket
-	// holding is the learned mean holding time in nanoseconds.
-	holding float64
-
-	wantedRequests, wantedTokens float64
-	refused                      int
-	listed                       bool
+	// meanHoldTime is the moving average of how long a request runs, in nanoseconds.
+	meanHoldTime float64
+
+	// offeredRequests and offeredTokens count the load offered since the last report, refused
+	// requests included, and refused the requests refused for concurrency. listed is set while
+	// the scope is on the list for the next report.
+	offeredRequests, offeredTokens float64
+	refused                        int
+	listed                         bool
 }
 
-func newScope(bound settings.Scope) *Scope {
-	return &Scope{path: bound.Path, bound: bound, place: int(xxhash.Sum64String(bound.Path) >> 1)}
+func newScope(limits settings.Scope) *Scope {
+	return &Scope{path: limits.Path, limits: limits, rankOffset: int(xxhash.Sum64String(limits.Path) >> 1)}
 }
 
-// part returns what this router may use now.
-func (s *Scope) part(nanos int64, division Division) Share {
+// allowance returns the part of the limits that this router may use now.
+func (s *Scope) allowance(nanos int64, division Division) Share {
 	if nanos < s.share.Expires {
 		return s.share
 	}
 	routers := max(division.Routers, 1)
 	part := Share{
-		Concurrency: s.bound.MaxConcurrency / routers,
-		Requests:    s.bound.RequestsPerSecond / float64(routers),
-		Tokens:      s.bound.TokensPerSecond / float64(routers),
+		Concurrency: s.limits.MaxConcurrency / routers,
+		Requests:    s.limits.RequestsPerSecond / float64(routers),
+		Tokens:      s.limits.TokensPerSecond / float64(routers),
 	}
-	if (division.Rank+s.place%routers)%routers < s.bound.MaxConcurrency%routers {
+	if (division.Rank+s.rankOffset%routers)%routers < s.limits.MaxConcurrency%routers {
 		part.Concurrency++
 	}
 	return part
 }
 
-// check returns the refusal of a request that is expected to use so many
-// tokens, or false if the scope admits it.
+// check returns the refusal of a request that is expected to use the given number of tokens, or
+// false if the scope admits it.
 func (s *Scope) check(nanos int64, tokens float64, division Division) (Refusal, bool) {
-	part := s.part(nanos, division)
+	part := s.allowance(nanos, division)
 	refusal := Refusal{Path: s.path}
-	if s.bound.MaxConcurrency > 0 && s.held >= part.Concurrency {
+	if s.limits.MaxConcurrency > 0 && s.inUse >= part.Concurrency {
 		s.refused++
-		refusal.Kind, refusal.Limit, refusal.Value = Concurrency, float64(part.Concurrency), float64(s.held)
-		refusal.RetryAfter = s.nextRelease()
+		refusal.Kind, refusal.Limit, refusal.Value = Concurrency, float64(part.Concurrency), float64(s.inUse)
+		refusal.RetryAfter = s.estimateNextRelease()
 		return refusal, true
 	}
-	if s.bound.RequestsPerSecond > 0 {
+	if s.limits.RequestsPerSecond > 0 {
 		if wait := s.requests.Wait(nanos, part.Requests, 1); wait > 0 {
 			refusal.Kind, refusal.Limit, refusal.RetryAfter = Requests, part.Requests, wait
 			refusal.Value = s.requests.level
 			return refusal, true
 		}
 	}
-	if s.bound.TokensPerSecond > 0 {
+	if s.limits.TokensPerSecond > 0 {
 		if wait := s.tokens.Wait(nanos, part.Tokens, tokens); wait > 0 {
 			refusal.Kind, refusal.Limit, refusal.RetryAfter = Tokens, part.Tokens, wait
 			refusal.Value = s.tokens.level
@@ -132,46 +135,50 @@
 	return refusal, false
 }
 
-// defaultHolding is assumed until a holding time was observed; chosen, not measured.
-const defaultHolding = float64(time.Second)
+// defaultHoldTime is the mean hold time in nanoseconds until the first request has ended; the
+// estimate of a retry delay needs one.
+const defaultHoldTime = float64(time.Second)
 
-// nextRelease estimates when a held place becomes free.
-func (s *Scope) nextRelease() time.Duration {
-	holding := s.holding
-	if holding == 0 {
-		holding = defaultHolding
+// estimateNextRelease returns the expected time until a running request ends.
+func (s *Scope) estimateNextRelease() time.Duration {
+	holdTime := s.meanHoldTime
+	if holdTime == 0 {
+		holdTime = defaultHoldTime
 	}
-	return time.Duration(holding / float64(max(s.held, 1)))
+	return time.Duration(holdTime / float64(max(s.inUse, 1)))
 }
 
-func (s *Scope) take(tokens float64) {
-	s.held++
-	if s.bound.RequestsPerSecond > 0 {
+// charge counts an admitted request.
+func (s *Scope) charge(tokens float64) {
+	s.inUse++
+	if s.limits.RequestsPerSecond > 0 {
 		s.requests.Take(1)
 	}
-	if s.bound.TokensPerSecond > 0 {
+	if s.limits.TokensPerSecond > 0 {
 		s.tokens.Take(tokens)
 	}
 }
 
-// holdingWeight is the weight of a new observation in the mean: the last seven count for half.
-// Chosen, not measured.
-const holdingWeight = 0.1
+// holdTimeWeight is the weight of a new observation in the moving average: the last seven account
+// for half of it.
+const holdTimeWeight = 0.1
 
-func (s *Scope) release(held int64, tokens float64, refund bool) {
-	s.held--
-	if s.bound.TokensPerSecond > 0 {
+// release counts the end of a request that ran for the given nanoseconds. The tokens are the
+// difference between those used and those charged.
+func (s *Scope) release(holdTime int64, tokens float64, refund bool) {
+	s.inUse--
+	if s.limits.TokensPerSecond > 0 {
 		s.tokens.Take(tokens)
 	}
 	if refund {
-		if s.bound.RequestsPerSecond > 0 {
+		if s.limits.RequestsPerSecond > 0 {
 			s.requests.Take(-1)
 		}
 		return
 	}
-	if s.holding == 0 {
-		s.holding = float64(held)
+	if s.meanHoldTime == 0 {
+		s.meanHoldTime = float64(holdTime)
 	} else {
-		s.holding += holdingWeight * (float64(held) - s.holding)
+		s.meanHoldTime += holdTimeWeight * (float64(holdTime) - s.meanHoldTime)
 	}
 }
--- a/routing/limit/set.go
+++ b/routing/limit/set.go
@@ -8,7 +8,7 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// Set holds all limited scopes of one router.
+// Set holds the limited scopes of one router. It is not safe for concurrent use.
 type Set struct {
 	division Division
 	scopes   map[string]*Scope
@@ -19,9 +19,10 @@
 	reportedAt int64
 }
 
+// chainKey is a pair of a token's and a model's path.
 type chainKey struct{ token, model string }
 
-// maxChains bounds the cache; a full one starts anew.
+// maxChains bounds the cache, which is cleared when it is full.
 const maxChains = 1 << 14
 
 // NewSet returns a set without scopes.
@@ -33,55 +34,52 @@
 	}
 }
 
-// Divide sets how limits are divided without shares.
+// Divide sets how limits are divided among routers without shares.
 func (s *Set) Divide(division Division) { s.division = division }
 
-// Configure puts the tree's limits in force. Scopes that stay keep their use
-// and shares.
-func (s *Set) Configure(bounds map[string]settings.Scope) {
+// Configure sets the limits, by path. A scope that remains keeps its usage and share.
+func (s *Set) Configure(limits map[string]settings.Scope) {
 	clear(s.chains)
 	for path, scope := range s.scopes {
-		if _, stays := bounds[path]; !stays {
-			scope.bound = settings.Scope{Path: path}
-			if scope.held == 0 {
+		if _, stays := limits[path]; !stays {
+			scope.limits = settings.Scope{Path: path}
+			if scope.inUse == 0 {
 				delete(s.scopes, path)
 			}
 		}
 	}
-	for path, bound := range bounds {
-		bound.Path = path
+	for path, scopeLimits := range limits {
+		scopeLimits.Path = path
 		if known := s.scopes[path]; known != nil {
-			known.bound = bound
+			known.limits = scopeLimits
 		} else {
-			s.scopes[path] = newScope(bound)
+			s.scopes[path] = newScope(scopeLimits)
 		}
 	}
 }
 
-// Grant puts a controller's share of a scope in force; the newest one counts.
-// Shares of unknown scopes are ignored.
+// Grant sets the share of a scope and replaces an earlier one. It ignores an unknown scope.
 func (s *Set) Grant(path string, share Share) {
 	if scope := s.scopes[path]; scope != nil {
 		scope.share = share
 	}
 }
 
-// Claim is what one admitted request holds.
+// Claim is what one admitted request holds until Release.
 type Claim struct {
 	scopes []*Scope
 	taken  int64
 	tokens float64
 }
 
-// Admit takes a request's part of every scope from its token's and its model's
-// path up to the root, or of none. The tokens are an estimate that Release
-// corrects.
+// Admit charges a request to every scope from its token's and its model's path up to the root, or
+// to none if one of them refuses it. The tokens are an estimate that Release corrects.
 func (s *Set) Admit(nanos int64, tokenPath, modelPath string, tokens float64) (Claim, Refusal, bool) {
 	chain := s.chain(tokenPath, modelPath)
 	for _, scope := range chain {
-		scope.wantedRequests++
-		scope.wantedTokens += tokens
-		s.use(scope)
+		scope.offeredRequests++
+		scope.offeredTokens += tokens
+		s.markUsed(scope)
 	}
 	for _, scope := range chain {
 		if refusal, refused := scope.check(nanos, tokens, s.division); refused {
@@ -89,30 +87,31 @@
 		}
 	}
 	for _, scope := range chain {
-		scope.take(tokens)
+		scope.charge(tokens)
 	}
 	return Claim{scopes: chain, taken: nanos, tokens: tokens}, Refusal{}, true
 }
 
-// Release ends a claim with the tokens that were used in fact. With refund the
-// request was not admitted after all and does not count against rates.
+// Release ends a claim with the number of tokens used. With refund, the request counts as not
+// admitted and leaves no charge against rates.
 func (s *Set) Release(nanos int64, claim Claim, tokens float64, refund bool) {
 	for _, scope := range claim.scopes {
 		scope.release(nanos-claim.taken, tokens-claim.tokens, refund)
-		s.use(scope)
+		s.markUsed(scope)
 	}
 }
 
-func (s *Set) use(scope *Scope) {
+// markUsed puts a scope on the list for the next report.
+func (s *Set) markUsed(scope *Scope) {
 	if !scope.listed {
 		scope.listed = true
 		s.used = append(s.used, scope)
 	}
 }
 
-// Report returns the use of scopes since the last report, sorted by path, for
-// those that were used or hold something.
-func (s *Set) Report(nanos int64) []Use {
+// Report returns the usage since the last report, sorted by path, of all scopes that were used or
+// have running requests.
+func (s *Set) Report(nanos int64) []Usage {
 	interval := time.Duration(nanos - s.reportedAt).Seconds()
 	if s.reportedAt == 0 || interval <= 0 {
 		interval = 1
@@ -121,17 +120,17 @@
 	used := s.used
 	s.used = nil
 	slices.SortFunc(used, func(a, b *Scope) int { return strings.Compare(a.path, b.path) })
-	report := make([]Use, 0, len(used))
+	report := make([]Usage, 0, len(used))
 	for _, scope := range used {
 		scope.listed = false
-		report = append(report, Use{
+		report = append(report, Usage{
 			Path:     scope.path,
-			Requests: scope.wantedRequests / interval, Tokens: scope.wantedTokens / interval,
-			Concurrency: scope.held + scope.refused,
+			Requests: scope.offeredRequests / interval, Tokens: scope.offeredTokens / interval,
+			Concurrency: scope.inUse + scope.refused,
 		})
-		scope.wantedRequests, scope.wantedTokens, scope.refused = 0, 0, 0
-		if scope.held > 0 {
-			s.use(scope)
+		scope.offeredRequests, scope.offeredTokens, scope.refused = 0, 0, 0
+		if scope.inUse > 0 {
+			s.markUsed(scope)
 		}
 	}
 	return report
@@ -152,8 +151,8 @@
 			chain = append(chain, scope)
 		}
 	}
-	upward(modelPath, add)
-	upward(tokenPath, add)
+	visitAncestors(modelPath, add)
+	visitAncestors(tokenPath, add)
 	if len(s.chains) >= maxChains {
 		clear(s.chains)
 	}
@@ -161,8 +160,8 @@
 	return chain
 }
 
-// upward visits a path and every level above it up to the root.
-func upward(path string, visit func(string)) {
+// visitAncestors visits a path and each of its ancestors up to the root.
+func visitAncestors(path string, visit func(string)) {
 	for len(path) > 1 {
 		visit(path)
 		path = path[:max(strings.LastIndexByte(path, '/'), 0)]
