--- a/routing/affinity/index.go
+++ b/routing/affinity/index.go
@@ -9,92 +9,96 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Config tunes an Index. A zero field takes the documented default.
+// Config configures an Index. A zero field takes the documented default.
 type Config struct {
-	// MaxBlocks bounds the remembered blocks; the oldest go first. Default
-	// 32,768.
+	// MaxBlocks bounds the remembered blocks; the oldest are evicted first. Default 32,768.
 	MaxBlocks int
-	// HalfLife of an entry without news. Default 5 min.
+	// HalfLife is the half-life of an entry without further events. Default 5 min.
 	HalfLife time.Duration
-	// SentStrength is the strength of a block that a request sent to the
-	// machine should have left there. Default 0.7.
+	// SentStrength is the strength of a block of a prompt that was sent to the machine. Default
+	// 0.7.
 	SentStrength float64
 }
 
 // holdersPerBlock bounds the machines remembered for one block.
 const holdersPerBlock = 4
 
-// weakest is the strength below which an entry is as good as none; chosen, not measured.
-const weakest = 0.05
+// minStrength is the strength below which an entry is ignored: such a block is rarely still cached.
+const minStrength = 0.05
 
-// restartGap is how far a sequence must step back to mean a restarted engine
-// instead of a late event.
+// restartGap is the decrease of the sequence number from which on an event shows a restart of the
+// engine instead of a late event.
 const restartGap = 1000
 
-// Index holds the estimates of one router. It is a pure data structure.
+// Index holds the estimates of one router. It is a pure data structure and not safe for concurrent
+// use.
 type Index struct {
 	config Config
-	// places gives the place of each known block in blocks, which is a ring
-	// once it is full.
-	places   map[uint64]int32
+	// slots gives the index of each known block in blocks. Once blocks is full, it is a ring, and
+	// next is the index of the oldest block.
+	slots    map[uint64]int32
 	blocks   []block
 	next     int
 	machines map[cluster.MachineID]*machine
 }
 
-// blockKey names a prefix of one model.
+// blockKey identifies a prefix of one model.
 func blockKey(model, prefix uint64) uint64 { return model ^ prefix }
 
+// modelKey returns the hash of a model's ID.
 func modelKey(model cluster.ModelID) uint64 { return xxhash.Sum64String(string(model)) }
 
-// Positions on this grid, counted in blocks from the start of the prompt, are
-// noted and looked up; a match in between counts as the next shorter one. That
-// bounds the work a request to a few steps, however long its prompt.
-var grid = []int{1, 2, 4, 8, 16, 32, 64, 128, 256}
+// prefixLengths are the prefix lengths, in blocks, that are recorded and looked up. A match in
+// between counts as the next shorter one. That bounds the work for a request to a few steps,
+// however long its prompt is.
+var prefixLengths = []int{1, 2, 4, 8, 16, 32, 64, 128, 256}
 
+// block is a prefix of one model with the machines that may hold it.
 type block struct {
 	key     uint64
 	model   uint64
 	holders [holdersPerBlock]holder
-	// crowded is when a holder that surely had the block last gave its place to
-	// another machine: more hold the block than there are places.
-	crowded int64
+	// overflowed is the time at which a holder that most likely still had the block was displaced
+	// by another machine: more machines hold the block than are remembered.
+	overflowed int64
 }
 
 const (
-	// crowdedTime is for how long a block counts as held everywhere; chosen, not measured.
-	crowdedTime = int64(time.Minute)
-	// sureStrength is what a holder must have to count as displaced; chosen, not measured.
-	sureStrength = 0.5
+	// overflowTTL is how long after that a block counts as held by more machines than are
+	// remembered, so that Lookup returns no match for it.
+	overflowTTL = int64(time.Minute)
+	// overflowStrength is the strength from which on a displaced holder counts: a weaker one has
+	// probably evicted the block.
+	overflowStrength = 0.5
 )
 
 // holder is one machine that may hold the block.
 type holder struct {
 	machine *machine
 	at      int64
-	// epoch of the machine, and its trust, when the entry was made.
-	epoch    uint32
-	trust    float32
-	strength float32
+	// epoch and reliability are those of the machine when the entry was made.
+	epoch       uint32
+	reliability float32
+	strength    float32
 }
 
 // machine is the state of one engine's event stream.
 type machine struct {
 	id       cluster.MachineID
 	sequence uint64
-	// epoch counts restarts; entries of earlier ones are void.
+	// epoch counts restarts; entries of earlier epochs are invalid.
 	epoch uint32
-	// trust falls with every missed event; an entry's strength falls by the
-	// quotient of now and then.
-	trust float64
-	// blocks entries exist of the machine, roughly.
+	// reliability falls with every missed event. An entry's strength is scaled by the ratio of the
+	// present reliability to that at its creation.
+	reliability float64
+	// blocks is the approximate number of entries of the machine.
 	blocks int
 }
 
-// Match is a machine's expected hold of a prompt.
+// Match is the expected cached part of a prompt on one machine.
 type Match struct {
 	Machine cluster.MachineID
-	// Blocks expected in the cache: the matched length times its strength.
+	// Blocks is the expected number of cached blocks: the matched length times its strength.
 	Blocks float64
 }
 
@@ -111,51 +115,51 @@
 	}
 	return &Index{
 		config:   config,
-		places:   make(map[uint64]int32),
+		slots:    make(map[uint64]int32),
 		machines: make(map[cluster.MachineID]*machine),
 	}
 }
 
-// Len counts the remembered blocks.
-func (x *Index) Len() int { return len(x.places) }
+// Len returns the number of remembered blocks.
+func (x *Index) Len() int { return len(x.slots) }
 
-// find returns a known block or nil.
+// find returns a known block, or nil.
 func (x *Index) find(key uint64) *block {
-	place, known := x.places[key]
+	slot, known := x.slots[key]
 	if !known {
 		return nil
 	}
-	return &x.blocks[place]
+	return &x.blocks[slot]
 }
 
-// Apply takes one cache event.
+// Apply processes one cache event. A late event is ignored, unless it is an eviction.
 func (x *Index) Apply(nanos int64, event cluster.CacheEvent) {
 	known := x.machine(event.Machine)
-	late := known.advance(event.Sequence)
+	late := known.advanceSequence(event.Sequence)
 	model := modelKey(event.Model)
 	if event.Evicted {
-		x.remove(blockKey(model, event.PrefixHash), known)
+		x.removeHolder(blockKey(model, event.PrefixHash), known)
 		return
 	}
 	if !late {
-		x.hold(nanos, model, event.PrefixHash, known, 1)
+		x.addHolder(nanos, model, event.PrefixHash, known, 1)
 	}
 }
 
-// Sent notes that a prompt with these prefix blocks was sent to a machine,
-// whose engine should hold them soon.
+// Sent records that a prompt with these prefix blocks was sent to a machine, whose engine is
+// expected to cache them.
 func (x *Index) Sent(nanos int64, to cluster.MachineID, model cluster.ModelID, prefixes []uint64) {
 	known := x.machine(to)
-	of := modelKey(model)
-	for _, length := range grid {
+	modelHash := modelKey(model)
+	for _, length := range prefixLengths {
 		if length > len(prefixes) {
 			return
 		}
-		x.hold(nanos, of, prefixes[length-1], known, x.config.SentStrength)
+		x.addHolder(nanos, modelHash, prefixes[length-1], known, x.config.SentStrength)
 	}
 }
 
-// Forget drops all that is known of a machine.
+// Forget removes everything known of a machine.
 func (x *Index) Forget(id cluster.MachineID) {
 	if known := x.machines[id]; known != nil {
 		known.epoch++
@@ -163,27 +167,27 @@
 	}
 }
 
-// Lookup returns the machines that hold the longest known prefix of a prompt,
-// given its prefix blocks, shortest first. It fills and returns the buffer. It
-// returns none when that prefix is held by more machines than are remembered:
-// naming some would send every prompt that begins alike to these few.
+// Lookup returns the machines that hold the longest known prefix of a prompt, given its prefix
+// blocks from the shortest to the longest. It fills and returns the buffer. It returns no match if
+// more machines hold that prefix than are remembered: otherwise every prompt with the same
+// beginning would be sent to these few machines.
 func (x *Index) Lookup(nanos int64, model cluster.ModelID, prefixes []uint64, buffer []Match) []Match {
 	buffer = buffer[:0]
-	of := modelKey(model)
-	for i := len(grid) - 1; i >= 0 && len(buffer) == 0; i-- {
-		length := grid[i]
+	modelHash := modelKey(model)
+	for i := len(prefixLengths) - 1; i >= 0 && len(buffer) == 0; i-- {
+		length := prefixLengths[i]
 		if length > len(prefixes) {
 			continue
 		}
-		found := x.find(blockKey(of, prefixes[length-1]))
+		found := x.find(blockKey(modelHash, prefixes[length-1]))
 		if found == nil {
 			continue
 		}
-		if found.crowded != 0 && nanos-found.crowded < crowdedTime {
+		if found.overflowed != 0 && nanos-found.overflowed < overflowTTL {
 			return buffer
 		}
 		for h := range found.holders {
-			if strength := x.strength(nanos, &found.holders[h]); strength >= weakest {
+			if strength := x.strength(nanos, &found.holders[h]); strength >= minStrength {
 				buffer = append(buffer, Match{
 					Machine: found.holders[h].machine.id, Blocks: float64(length) * strength,
 				})
@@ -193,16 +197,16 @@
 	return buffer
 }
 
-// strength is the chance that the holder still holds its block.
+// strength returns the probability that the holder still has its block.
 func (x *Index) strength(nanos int64, h *holder) float64 {
 	if !h.current() {
 		return 0
 	}
 	age := math.Exp2(-float64(nanos-h.at) / float64(x.config.HalfLife))
-	return float64(h.strength) * age * h.machine.trust / float64(h.trust)
+	return float64(h.strength) * age * h.machine.reliability / float64(h.reliability)
 }
 
-// current reports whether the entry is of the engine's present run.
+// current reports whether the entry belongs to the machine's current epoch.
 func (h *holder) current() bool { return h.machine != nil && h.epoch == h.machine.epoch }
 
 // clear empties the entry.
@@ -217,107 +221,108 @@
 func (x *Index) machine(id cluster.MachineID) *machine {
 	known := x.machines[id]
 	if known == nil {
-		known = &machine{id: id, trust: 1}
+		known = &machine{id: id, reliability: 1}
 		x.machines[id] = known
 	}
 	return known
 }
 
-// leastTrust restarts the scale before it loses precision; entries made on the
-// old scale are worthless by then.
-const leastTrust = 1e-9
+// minReliability is the reliability below which the scale restarts, before it loses precision;
+// entries made on the old scale have no strength left by then.
+const minReliability = 1e-9
 
-// advance takes the sequence of an event and returns whether it is late.
-func (m *machine) advance(sequence uint64) bool {
+// advanceSequence processes the sequence number of an event and reports whether the event is late.
+func (m *machine) advanceSequence(sequence uint64) bool {
 	switch {
 	case m.sequence == 0 || sequence == m.sequence+1:
 	case sequence+restartGap < m.sequence || (sequence == 1 && m.sequence > 1):
 		m.epoch++
-		m.trust, m.blocks = 1, 0
+		m.reliability, m.blocks = 1, 0
 	case sequence <= m.sequence:
 		return true
 	default:
-		m.missed(sequence - m.sequence - 1)
+		m.discountMissed(sequence - m.sequence - 1)
 	}
 	m.sequence = sequence
 	return false
 }
 
-// minBlocks is assumed to be in an engine's cache at least.
-const minBlocks = 32
+// minCachedBlocks is the least number of blocks that an engine's cache is taken to hold.
+const minCachedBlocks = 32
 
-// missed lowers the trust: each missed event was an eviction with a chance of
-// one half, and then of any one of the machine's blocks.
-func (m *machine) missed(events uint64) {
-	cached := float64(max(m.blocks, minBlocks))
-	m.trust *= math.Exp(-float64(events) / (2 * cached))
-	if m.trust < leastTrust {
+// discountMissed lowers the reliability. Each missed event is taken to be an eviction with
+// probability one half, and then of any one of the machine's blocks.
+func (m *machine) discountMissed(events uint64) {
+	cached := float64(max(m.blocks, minCachedBlocks))
+	m.reliability *= math.Exp(-float64(events) / (2 * cached))
+	if m.reliability < minReliability {
 		m.epoch++
-		m.trust, m.blocks = 1, 0
+		m.reliability, m.blocks = 1, 0
 	}
 }
 
-// hold notes that a machine holds a block.
-func (x *Index) hold(nanos int64, model, prefix uint64, by *machine, strength float64) {
+// addHolder records that a machine holds a block. If the block has no free entry, the machine
+// replaces the weakest holder.
+func (x *Index) addHolder(nanos int64, model, prefix uint64, holding *machine, strength float64) {
 	key := blockKey(model, prefix)
-	held := x.find(key)
-	if held == nil {
-		held = x.insert(key, model)
+	found := x.find(key)
+	if found == nil {
+		found = x.insert(key, model)
 	}
-	place := 0
+	slot := 0
 	lowest := math.Inf(1)
-	for i := range held.holders {
-		if held.holders[i].machine == by {
-			place = i
-			strength = max(strength, x.strength(nanos, &held.holders[i]))
+	for i := range found.holders {
+		if found.holders[i].machine == holding {
+			slot = i
+			strength = max(strength, x.strength(nanos, &found.holders[i]))
 			break
 		}
-		if current := x.strength(nanos, &held.holders[i]); current < lowest {
-			lowest, place = current, i
+		if current := x.strength(nanos, &found.holders[i]); current < lowest {
+			lowest, slot = current, i
 		}
 	}
-	if lowest >= sureStrength && held.holders[place].machine != by {
-		held.crowded = nanos
+	if lowest >= overflowStrength && found.holders[slot].machine != holding {
+		found.overflowed = nanos
 	}
-	held.holders[place].clear()
-	by.blocks++
-	held.holders[place] = holder{
-		machine: by, at: nanos, epoch: by.epoch, trust: float32(by.trust), strength: float32(strength),
+	found.holders[slot].clear()
+	holding.blocks++
+	found.holders[slot] = holder{
+		machine: holding, at: nanos, epoch: holding.epoch, reliability: float32(holding.reliability), strength: float32(strength),
 	}
 }
 
-// insert adds a block, in place of the oldest when the index is full.
+// insert adds a block and evicts the oldest one if the index is full.
 func (x *Index) insert(key, model uint64) *block {
-	place := len(x.blocks)
-	if place < x.config.MaxBlocks {
+	slot := len(x.blocks)
+	if slot < x.config.MaxBlocks {
 		x.blocks = append(x.blocks, block{key: key, model: model})
 	} else {
-		place = x.next
+		slot = x.next
 		x.next = (x.next + 1) % len(x.blocks)
-		x.drop(&x.blocks[place])
-		x.blocks[place].key, x.blocks[place].model, x.blocks[place].crowded = key, model, 0
+		x.evict(&x.blocks[slot])
+		x.blocks[slot].key, x.blocks[slot].model, x.blocks[slot].overflowed = key, model, 0
 	}
-	x.places[key] = int32(place)
-	return &x.blocks[place]
+	x.slots[key] = int32(slot)
+	return &x.blocks[slot]
 }
 
-// drop empties the place of a block.
-func (x *Index) drop(old *block) {
+// evict removes a block from the index.
+func (x *Index) evict(old *block) {
 	for i := range old.holders {
 		old.holders[i].clear()
 	}
-	delete(x.places, old.key)
+	delete(x.slots, old.key)
 }
 
-// remove takes a machine off a block's holders.
-func (x *Index) remove(key uint64, by *machine) {
-	held := x.find(key)
-	if held == nil {
+// removeHolder removes a machine from the holders of a block.
+func (x *Index) removeHolder(key uint64, holding *machine) {
+	found := x.find(key)
+	if found == nil {
 		return
 	}
-	for i := range held.holders {
-		if held.holders[i].machine == by {
-			held.holders[i].clear()
+	for i := range found.holders {
+		if found.holders[i].machine == holding {
+			found.holders[i].clear()
 		}
 	}
 }
--- a/routing/affinity/index_test.go
+++ b/routing/affinity/index_test.go
@@ -21,6 +21,7 @@
 	return event
 }
 
+// expectBlocks checks the expected number of cached blocks of the first match.
 func expectBlocks(t *testing.T, x *Index, at int64, prefixes []uint64, want float64) {
 	t.Helper()
 	got := 0.0
@@ -32,7 +33,9 @@
 	}
 }
 
-func TestEventsAndDecay(t *testing.T) {
+// TestEventsSetExpectedBlocks checks the expected cached length after cache events that are late,
+// missing or from a restarted engine, and after a half-life.
+func TestEventsSetExpectedBlocks(t *testing.T) {
 	chain := []uint64{11, 12, 13, 14, 15}
 	for _, test := range []struct {
 		name   string
@@ -61,7 +64,9 @@
 	}
 }
 
-func TestSentRequestsAreExpected(t *testing.T) {
+// TestSentPromptCountsAsCached checks that a sent prompt counts as cached with SentStrength, that
+// an event raises it to certainty, and that Forget removes it.
+func TestSentPromptCountsAsCached(t *testing.T) {
 	x := New(Config{})
 	x.Sent(now, "m1", "chat", []uint64{1, 2, 3})
 	expectBlocks(t, x, now, []uint64{1, 2, 9}, 2*0.7)
@@ -71,7 +76,9 @@
 	expectBlocks(t, x, now, []uint64{1, 2, 9}, 0)
 }
 
-func TestBounded(t *testing.T) {
+// TestIndexIsBounded checks that the index is bounded and that the block counts of the machines, by
+// which missed events are weighed, match the entries after evictions.
+func TestIndexIsBounded(t *testing.T) {
 	x := New(Config{MaxBlocks: 10})
 	for i := range uint64(1000) {
 		x.Sent(now, cluster.MachineID(fmt.Sprint("m", i%9)), "chat", []uint64{i, i + 1})
@@ -92,6 +99,6 @@
 		}
 	}
 	if blocks != held {
-		t.Fatalf("machines count %d entries, there are %d", blocks, held)
+		t.Fatalf("the machines' block counts add up to %d, but there are %d entries", blocks, held)
 	}
 }
--- a/routing/affinity/ledger.go
+++ b/routing/affinity/ledger.go
@@ -8,11 +8,11 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Ledger collects which prompts went where until they are told to others, the
-// newest ones when there are too many. The zero value holds one entry at most.
+// Ledger collects the prompts that were sent to machines until they are reported to other routers.
+// If there are too many, it keeps the newest. The zero value holds at most one entry.
 type Ledger struct {
 	limit int
-	// entries by age, the oldest first.
+	// entries are ordered by age, the oldest first.
 	entries []ledgerEntry
 }
 
@@ -25,7 +25,7 @@
 // NewLedger returns an empty ledger of at most limit entries.
 func NewLedger(limit int) *Ledger { return &Ledger{limit: limit} }
 
-// Note adds a prompt's longest prefix. A repeated one counts as new.
+// Note adds the longest prefix of a prompt. A prefix that is already known becomes the newest.
 func (l *Ledger) Note(machine cluster.MachineID, model cluster.ModelID, prefix uint64) {
 	added := ledgerEntry{machine, model, prefix}
 	if at := slices.Index(l.entries, added); at >= 0 {
@@ -36,7 +36,7 @@
 	l.entries = append(l.entries, added)
 }
 
-// NoteGroups adds what a router told, so that its newest entries stay longest.
+// NoteGroups adds the prefixes that a router reported, whose newest ones are kept longest.
 func (l *Ledger) NoteGroups(groups []wire.PrefixGroup) {
 	for _, group := range groups {
 		for _, prefix := range slices.Backward(group.Hashes) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// Take empties the ledger. The groups are sorted by machine and model and hold
-// the newest prefix first.
+// Take returns and removes all entries. The groups are sorted by machine and model, and their
+// prefixes from the newest to the oldest.
 func (l *Ledger) Take() []wire.PrefixGroup {
 	taken := l.entries
 	l.entries = nil
--- a/routing/affinity/ledger_test.go
+++ b/routing/affinity/ledger_test.go
@@ -7,10 +7,9 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestLedgerKeepsTheNewest holds that a full ledger drops the oldest entries,
-// that a repeated one is new again, and that what is summed up from several
-// routers keeps its order.
-func TestLedgerKeepsTheNewest(t *testing.T) {
+// TestFullLedgerKeepsNewestEntries checks that a full ledger drops the oldest entries, that a
+// repeated entry becomes the newest, and that entries from several routers keep their order.
+func TestFullLedgerKeepsNewestEntries(t *testing.T) {
 	router := NewLedger(3)
 	for _, prefix := range []uint64{1, 2, 3, 2, 4} {
 		router.Note("m1", "chat", prefix)
@@ -26,11 +25,13 @@
 		t.Errorf("got %v, want %v", got, want)
 	}
 	if again := controller.Take(); again != nil {
-		t.Errorf("taken twice: %v", again)
+		t.Errorf("returned twice: %v", again)
 	}
 }
 
-func TestLongestIsLookedUp(t *testing.T) {
+// TestLongestPrefixIsFoundByLookup checks that a prefix reported by Longest is found by longer
+// prompts with the same beginning, since reporters and readers must use the same prefix lengths.
+func TestLongestPrefixIsFoundByLookup(t *testing.T) {
 	chain := []uint64{1, 2, 3, 4, 5, 6, 7}
 	if _, ok := Longest(nil); ok {
 		t.Error("an empty prompt has a prefix")
