--- a/overload/doc.go
+++ b/overload/doc.go
@@ -1,4 +1,5 @@
-// Package overload measures how late a process carries out what is ready to run. Where work
-// comes faster than the processors carry it, everything waits behind everything else, also
-// what keeps the process informed: the measure tells that before any bound is missed.
+// Package overload measures the scheduling latency of a process: how late it handles work that is
+// ready to run. If work arrives faster than the processors handle it, everything queues, also what
+// keeps the process informed of the cluster's state. The measurement shows that before a deadline
+// is missed.
 package overload
--- a/overload/meter.go
+++ b/overload/meter.go
@@ -7,59 +7,59 @@
 )
 
 const (
-	// Every is the longest pause between two measurements. Where work comes they follow each
-	// other sooner: one begins with the first piece after the last one has ended.
-	Every = 200 * time.Millisecond
-	// MostLate is how late the process may work while it takes more. Beyond that each piece
-	// more makes all wait longer: those under way, and what keeps the process informed. It is
-	// two and a half times the pauses of a process that is held to a share of a core by tenths
-	// of a second, and an eighth of the least time within which changes must be known, 2 s.
-	MostLate = 250 * time.Millisecond
-	// LateSoon is how late it may work once it has taken MostInTurn since the measurement began:
-	// as long as such a pause, which is no sign of too much work. That many cost a process with
-	// a fifth of a core 0.2 to 0.3 s, so that they alone make it late: without this bound 600
-	// were taken until the first of them showed, and the process was 2.5 s late.
-	LateSoon   = 100 * time.Millisecond
-	MostInTurn = 64
+	// MeasureInterval is the longest pause between two measurements. Under load they follow each
+	// other sooner: one begins with the first admission after the previous one has ended.
+	MeasureInterval = 200 * time.Millisecond
+	// MaxLateness is the lateness above which no work is admitted. Beyond it, more work delays
+	// everything: running requests and the updates that keep the process informed. It is two and
+	// a half times the pauses of a process whose CPU quota is enforced in periods of 100 ms, and an
+	// eighth of 2 s, the least time within which changes must be known.
+	MaxLateness = 250 * time.Millisecond
+	// BurstMaxLateness is the lateness above which no more work is admitted once MaxBurst pieces
+	// of work were admitted since the measurement began. It equals one pause of a CPU quota, which
+	// alone is no sign of overload. MaxBurst pieces take a process with a fifth of a core 0.2 to
+	// 0.3 s, so they alone make it late: without this bound, 600 were admitted before the first of
+	// them showed, and the process became 2.5 s late.
+	BurstMaxLateness = 100 * time.Millisecond
+	MaxBurst         = 64
 )
 
-// Meter measures lateness and says what is not to be taken because of it. It is safe for
-// concurrent use.
+// Meter measures lateness and decides whether work is admitted. It is safe for concurrent use.
 type Meter struct {
-	// epoch counts the meter's times by the steady clock. That one stands while the machine is
-	// suspended, so that a suspension within a measurement is no lateness.
+	// epoch is the origin of the meter's times on the monotonic clock. That clock stops while the
+	// machine is suspended, so a suspension during a measurement doesn't count as lateness.
 	epoch time.Time
-	// turn waits for what every piece of work waits for, and returns.
-	turn func()
-	// wanted has a measurement begin.
-	wanted chan struct{}
-	// began is when the measurement under way began, zero for none, last what the one before
-	// it came to; both in nanoseconds, began since the epoch.
+	// probe waits in the same queue as all work, and returns.
+	probe func()
+	// requested triggers a measurement.
+	requested chan struct{}
+	// began is the time since epoch at which the current measurement began, zero if there is none,
+	// and last the result of the previous one, both in nanoseconds.
 	began, last atomic.Int64
-	// taken counts what was taken since the measurement under way began, or the last one did.
-	taken atomic.Int64
-	// lateAt is when the process was found later than MostLate last, in nanoseconds since the
-	// epoch; zero for never.
-	lateAt atomic.Int64
+	// admitted counts the work admitted since the last measurement began.
+	admitted atomic.Int64
+	// lastLate is the time since epoch of the last measurement above MaxLateness, in nanoseconds;
+	// zero if there was none.
+	lastLate atomic.Int64
 }
 
-// New returns a meter. The function turn queues behind all that is ready to run, as work does
-// that comes from the network.
-func New(turn func()) *Meter {
-	return &Meter{epoch: time.Now(), turn: turn, wanted: make(chan struct{}, 1)}
+// New returns a meter. The function probe must queue behind everything that is ready to run, as
+// work from the network does.
+func New(probe func()) *Meter {
+	return &Meter{epoch: time.Now(), probe: probe, requested: make(chan struct{}, 1)}
 }
 
-// now is the time since the epoch, never zero.
+// now returns the time since epoch, which is never zero.
 func (m *Meter) now() time.Duration { return time.Since(m.epoch) + time.Nanosecond }
 
-// Run measures until the context ends.
+// Run measures until the context is done.
 func (m *Meter) Run(ctx context.Context) {
-	ticker := time.NewTicker(Every)
+	ticker := time.NewTicker(MeasureInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-m.wanted:
+		case <-m.requested:
 		case <-ctx.Done():
 			return
 		}
@@ -70,29 +70,29 @@
 // measure takes one measurement.
 func (m *Meter) measure() {
 	began := m.now()
-	m.taken.Store(0)
+	m.admitted.Store(0)
 	m.began.Store(int64(began))
-	m.turn()
+	m.probe()
 	ended := m.now()
 	m.last.Store(int64(ended - began))
-	if ended-began > MostLate {
-		m.lateAt.Store(int64(ended))
+	if ended-began > MaxLateness {
+		m.lastLate.Store(int64(ended))
 	}
 	m.began.Store(0)
 }
 
-// LateWithin reports whether the process was later than MostLate at some time of the last span.
+// LateWithin reports whether the lateness exceeded MaxLateness within the given time span.
 func (m *Meter) LateWithin(span time.Duration) bool {
-	at := m.lateAt.Load()
-	return at != 0 && m.now()-time.Duration(at) <= span || m.waiting() > MostLate
+	at := m.lastLate.Load()
+	return at != 0 && m.now()-time.Duration(at) <= span || m.pending() > MaxLateness
 }
 
-// Late is how late work is carried out: what the last measurement came to, or more where the
-// one under way takes longer already.
-func (m *Meter) Late() time.Duration { return max(time.Duration(m.last.Load()), m.waiting()) }
+// Late returns the current lateness: the result of the last measurement, or the duration of the
+// current one if that is longer.
+func (m *Meter) Late() time.Duration { return max(time.Duration(m.last.Load()), m.pending()) }
 
-// waiting is for how long the measurement under way has waited, zero for none.
-func (m *Meter) waiting() time.Duration {
+// pending returns for how long the current measurement has been running, zero if there is none.
+func (m *Meter) pending() time.Duration {
 	began := m.began.Load()
 	if began == 0 {
 		return 0
@@ -100,16 +100,16 @@
 	return m.now() - time.Duration(began)
 }
 
-// holdPoll spaces looks at whether the process is still late, LongestHold bounds a hold: callers
-// give a connection up that is not read within a second.
+// holdPoll is the interval at which Hold checks whether the process is still late. MaxHold bounds a
+// hold: clients close a connection that is not read for a second.
 const (
-	holdPoll    = 5 * time.Millisecond
-	LongestHold = time.Second
+	holdPoll = 5 * time.Millisecond
+	MaxHold  = time.Second
 )
 
-// Hold waits while the process works later than MostLate, at most LongestHold.
+// Hold waits while the process is later than MaxLateness, for at most MaxHold.
 func (m *Meter) Hold(ctx context.Context) {
-	for held := time.Duration(0); held < LongestHold && m.waiting() > MostLate; held += holdPoll {
+	for held := time.Duration(0); held < MaxHold && m.pending() > MaxLateness; held += holdPoll {
 		select {
 		case <-time.After(holdPoll):
 		case <-ctx.Done():
@@ -118,16 +118,16 @@
 	}
 }
 
-// Take says whether a piece of work may be taken, and how late the process is where it may not.
+// Take reports whether a piece of work may be admitted, and how late the process is.
 func (m *Meter) Take() (late time.Duration, may bool) {
-	late = m.waiting()
-	if late > MostLate || late > LateSoon && m.taken.Load() >= MostInTurn {
+	late = m.pending()
+	if late > MaxLateness || late > BurstMaxLateness && m.admitted.Load() >= MaxBurst {
 		return late, false
 	}
-	m.taken.Add(1)
+	m.admitted.Add(1)
 	if late == 0 {
 		select {
-		case m.wanted <- struct{}{}:
+		case m.requested <- struct{}{}:
 		default:
 		}
 	}
--- a/overload/meter_test.go
+++ b/overload/meter_test.go
@@ -8,77 +8,79 @@
 	"time"
 )
 
-// TestMeterTellsWhileItWaits: lateness shows while the turn has not come yet, holds until the
-// next measurement, and is over with that.
-func TestMeterTellsWhileItWaits(t *testing.T) {
+// TestLatenessShowsWhileProbeWaits checks that lateness shows while the probe is still waiting,
+// lasts until the next measurement, and ends with it.
+func TestLatenessShowsWhileProbeWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var takes atomic.Int64
-		takes.Store(int64(900 * time.Millisecond))
-		m := New(func() { time.Sleep(time.Duration(takes.Load())) })
+		var probeTime atomic.Int64
+		probeTime.Store(int64(900 * time.Millisecond))
+		m := New(func() { time.Sleep(time.Duration(probeTime.Load())) })
 		ctx, cancel := context.WithCancel(t.Context())
 		go m.Run(ctx)
 		if late := m.Late(); late != 0 {
 			t.Errorf("%v before the first measurement", late)
 		}
-		time.Sleep(Every + 500*time.Millisecond)
+		time.Sleep(MeasureInterval + 500*time.Millisecond)
 		if late := m.Late(); late != 500*time.Millisecond {
 			t.Errorf("%v after 500 ms of waiting", late)
 		}
-		takes.Store(0)
+		probeTime.Store(0)
 		time.Sleep(400*time.Millisecond - time.Nanosecond)
 		if late := m.Late(); late != 900*time.Millisecond-time.Nanosecond {
-			t.Errorf("%v just before the turn comes", late)
+			t.Errorf("%v just before the probe returns", late)
 		}
-		time.Sleep(2 * Every)
+		time.Sleep(2 * MeasureInterval)
 		if late := m.Late(); late != 0 {
-			t.Errorf("%v after one of nothing", late)
+			t.Errorf("%v after a measurement without lateness", late)
 		}
 		cancel()
-		time.Sleep(Every)
+		time.Sleep(MeasureInterval)
 	})
 }
 
-// TestFewAreTakenInATurn: while the turn of a measurement does not come, work is taken until
-// it is late by LateSoon and much was taken, or late by MostLate; once it has come, again.
-func TestFewAreTakenInATurn(t *testing.T) {
+// TestAdmissionIsBoundedWhileProbeWaits checks the bounds on work admitted while a probe is
+// waiting: MaxBurst pieces above BurstMaxLateness, none above MaxLateness, and again without bound
+// once the probe has returned. Without the first bound, hundreds were admitted before the first of
+// them showed.
+func TestAdmissionIsBoundedWhileProbeWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		comes := make(chan struct{})
-		m := New(func() { <-comes })
+		returns := make(chan struct{})
+		m := New(func() { <-returns })
 		ctx, cancel := context.WithCancel(t.Context())
 		go m.Run(ctx)
-		takes := func(count int) (taken int) {
+		admit := func(count int) (admitted int) {
 			for range count {
 				if _, may := m.Take(); may {
-					taken++
+					admitted++
 				}
 				synctest.Wait()
 			}
-			return taken
+			return admitted
 		}
-		if taken := takes(2 * MostInTurn); taken != 2*MostInTurn {
-			t.Errorf("%d are taken before anything is late", taken)
+		if admitted := admit(2 * MaxBurst); admitted != 2*MaxBurst {
+			t.Errorf("%d are admitted before the process is late", admitted)
 		}
-		time.Sleep(LateSoon + time.Millisecond)
-		if taken := takes(10); taken != 0 {
-			t.Errorf("%d are taken after %d in %v", taken, 2*MostInTurn, LateSoon)
+		time.Sleep(BurstMaxLateness + time.Millisecond)
+		if admitted := admit(10); admitted != 0 {
+			t.Errorf("%d are admitted after %d in %v", admitted, 2*MaxBurst, BurstMaxLateness)
 		}
-		comes <- struct{}{}
+		returns <- struct{}{}
 		synctest.Wait()
-		if taken := takes(10); taken != 10 {
-			t.Errorf("%d of 10 are taken once the turn has come", taken)
+		if admitted := admit(10); admitted != 10 {
+			t.Errorf("%d of 10 are admitted after the probe has returned", admitted)
 		}
-		time.Sleep(MostLate)
-		if taken := takes(10); taken != 10 {
-			t.Errorf("%d of 10 more, a few, are taken while it is late by no more than %v", taken, MostLate)
+		time.Sleep(MaxLateness)
+		if admitted := admit(10); admitted != 10 {
+			t.Errorf("%d of 10 below the burst limit are admitted at a lateness of at most %v", admitted, MaxLateness)
 		}
 		time.Sleep(time.Millisecond)
-		if late, may := m.Take(); may || late != MostLate+time.Millisecond {
-			t.Errorf("%v late: taken %t", late, may)
+		if late, may := m.Take(); may || late != MaxLateness+time.Millisecond {
+			t.Errorf("%v late: admitted %t", late, may)
 		}
-		close(comes)
+		close(returns)
 		synctest.Wait()
 		if time.Sleep(time.Second); !m.LateWithin(time.Second) || m.LateWithin(time.Second-1) {
-			t.Error("it is not told for a second that the process was late")
+			t.Error("LateWithin does not report the past lateness for exactly one second")
 		}
 		cancel()
 		synctest.Wait()
