--- a/demand/doc.go
+++ b/demand/doc.go
@@ -1,3 +1,3 @@
-// Package demand sums what routers report of their waiting and running requests
-// for the one that decides on placement.
+// Package demand aggregates the routers' reports of waiting and running requests for the controller
+// that decides on placement.
 package demand
--- a/demand/ledger.go
+++ b/demand/ledger.go
@@ -10,49 +10,51 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Ledger sums the routers' demand for one cell.
+// Ledger aggregates the routers' demand for one cell.
 type Ledger struct {
 	routers map[cluster.NodeID]*routerDemand
 	// order lists the routers, sorted by ID.
 	order []cluster.NodeID
-	// arrived sums up what arrived since the last plan, by model.
-	arrived map[cluster.ModelID]arrived
-	// changed is true when a router began to wait for a model since the last
-	// plan; growing queues are left to the periodic plan.
-	changed bool
+	// arrivals holds the arrivals since the last plan, by model.
+	arrivals map[cluster.ModelID]arrivals
+	// changed is set when a router that had no waiting requests of a model reports some after the
+	// last plan. Growth of a queue is left to the periodic plan.
+	newlyWaiting bool
 }
 
-// arrived counts requests and the tokens of their prompts. One report tells the tokens of
-// all its requests together: taken as equal they give the least sum of squares, and a
-// router that reports each second seldom has two requests for one model.
-type arrived struct {
+// arrivals counts requests and the tokens of their prompts. A report has only the sum of tokens of
+// its requests. Prompts of equal length give the least sum of squares, which is assumed here; a
+// router that reports each second seldom has two new requests of one model.
+type arrivals struct {
 	requests, tokens int
-	squares          float64
+	// sumOfSquares is the sum of the squared prompt lengths, in tokens.
+	sumOfSquares float64
 }
 
-func (a *arrived) add(model *wire.ModelDemand) {
+func (a *arrivals) add(model *wire.ModelDemand) {
 	a.requests += model.Arrivals
 	a.tokens += model.PromptTokens
-	a.squares += float64(model.PromptTokens) * float64(model.PromptTokens) / float64(max(model.Arrivals, 1))
+	a.sumOfSquares += float64(model.PromptTokens) * float64(model.PromptTokens) / float64(max(model.Arrivals, 1))
 }
 
+// routerDemand is the last report of one router.
 type routerDemand struct {
-	zone     cluster.ZoneID
-	sequence uint64
-	at       time.Time
-	models   []wire.ModelDemand
-	scopes   []wire.ScopeDemand
+	zone       cluster.ZoneID
+	sequence   uint64
+	reportedAt time.Time
+	models     []wire.ModelDemand
+	scopes     []wire.ScopeDemand
 }
 
 // New returns an empty ledger.
 func New() *Ledger {
 	return &Ledger{
-		routers: map[cluster.NodeID]*routerDemand{},
-		arrived: map[cluster.ModelID]arrived{},
+		routers:  map[cluster.NodeID]*routerDemand{},
+		arrivals: map[cluster.ModelID]arrivals{},
 	}
 }
 
-// Note takes over a router's report unless a newer one came before it.
+// Note replaces a router's demand by its new report, unless a newer one was received before.
 func (l *Ledger) Note(now time.Time, demand wire.Demand) {
 	known, ok := l.routers[demand.From]
 	if ok && demand.Sequence <= known.sequence {
@@ -61,24 +63,23 @@
 	if !ok {
 		known = &routerDemand{}
 		l.routers[demand.From] = known
-		l.order = insertNode(l.order, demand.From)
+		l.order = insertSorted(l.order, demand.From)
 	}
 	for i := range demand.Models {
 		model := &demand.Models[i]
 		if model.Arrivals > 0 {
-			sum := l.arrived[model.Model]
+			sum := l.arrivals[model.Model]
 			sum.add(model)
-			l.arrived[model.Model] = sum
+			l.arrivals[model.Model] = sum
 		}
-		l.changed = l.changed || model.Waiting > 0 && !known.waits(model.Model)
+		l.newlyWaiting = l.newlyWaiting || model.Waiting > 0 && !known.hasWaiting(model.Model)
 	}
-	known.zone, known.sequence, known.at = demand.Zone, demand.Sequence, now
+	known.zone, known.sequence, known.reportedAt = demand.Zone, demand.Sequence, now
 	known.models, known.scopes = demand.Models, demand.Scopes
 }
 
-// waits reports whether the router's last report showed waiting requests of the
-// model.
-func (d *routerDemand) waits(model cluster.ModelID) bool {
+// hasWaiting reports whether the router's last report has waiting requests of the model.
+func (d *routerDemand) hasWaiting(model cluster.ModelID) bool {
 	for i := range d.models {
 		if d.models[i].Model == model {
 			return d.models[i].Waiting > 0
@@ -87,7 +88,7 @@
 	return false
 }
 
-// Forget drops what a router reported.
+// Forget removes a router's demand.
 func (l *Ledger) Forget(router cluster.NodeID) {
 	if _, ok := l.routers[router]; !ok {
 		return
@@ -101,37 +102,37 @@
 	}
 }
 
-// Expire forgets routers that have been silent for the timeout.
+// Expire removes routers without a report within the timeout.
 func (l *Ledger) Expire(now time.Time, timeout time.Duration) {
 	for i := 0; i < len(l.order); i++ {
-		if now.Sub(l.routers[l.order[i]].at) > timeout {
+		if now.Sub(l.routers[l.order[i]].reportedAt) > timeout {
 			l.Forget(l.order[i])
 			i--
 		}
 	}
 }
 
-// Sum returns the demand by model for one plan and begins a new count of
-// arrivals.
+// Sum returns the demand by model for one plan and resets the count of arrivals.
 func (l *Ledger) Sum(now time.Time) map[cluster.ModelID]placement.Demand {
 	total := make(map[cluster.ModelID]placement.Demand)
 	for _, id := range l.order {
 		router := l.routers[id]
-		age := now.Sub(router.at)
+		age := now.Sub(router.reportedAt)
 		for i := range router.models {
 			addDemand(total, &router.models[i], age)
 		}
 	}
-	for model, arrived := range l.arrived {
+	for model, sum := range l.arrivals {
 		demand := total[model]
-		demand.Arrivals, demand.PromptTokens, demand.PromptSquares = arrived.requests, arrived.tokens, arrived.squares
+		demand.Arrivals, demand.PromptTokens, demand.PromptSquares = sum.requests, sum.tokens, sum.sumOfSquares
 		total[model] = demand
 	}
-	clear(l.arrived)
-	l.changed = false
+	clear(l.arrivals)
+	l.newlyWaiting = false
 	return total
 }
 
+// addDemand adds a router's demand for one model, from a report of the given age.
 func addDemand(total map[cluster.ModelID]placement.Demand, model *wire.ModelDemand, age time.Duration) {
 	sum := total[model.Model]
 	sum.Waiting += model.Waiting
@@ -147,7 +148,8 @@
 	total[model.Model] = sum
 }
 
-func insertNode(list []cluster.NodeID, id cluster.NodeID) []cluster.NodeID {
+// insertSorted inserts a node into a list that is sorted by ID.
+func insertSorted(list []cluster.NodeID, id cluster.NodeID) []cluster.NodeID {
 	at := sort.Search(len(list), func(i int) bool { return list[i] >= id })
 	list = append(list, "")
 	copy(list[at+1:], list[at:])
@@ -155,13 +157,14 @@
 	return list
 }
 
-// Changed reports whether a router began to wait for a model since the last sum.
-func (l *Ledger) Changed() bool { return l.changed }
+// Changed reports whether a router has begun to have waiting requests of a model since the last
+// Sum.
+func (l *Ledger) Changed() bool { return l.newlyWaiting }
 
-// Routers lists the routers that have reported, sorted by ID.
+// Routers lists the routers with a report, sorted by ID.
 func (l *Ledger) Routers() []cluster.NodeID { return slices.Clone(l.order) }
 
-// Zone of a router, by its last report.
+// Zone returns the zone of a router by its last report.
 func (l *Ledger) Zone(router cluster.NodeID) cluster.ZoneID {
 	if known := l.routers[router]; known != nil {
 		return known.zone
@@ -169,7 +172,7 @@
 	return ""
 }
 
-// Scopes that a router reported last.
+// Scopes returns the demand for limited scopes in a router's last report.
 func (l *Ledger) Scopes(router cluster.NodeID) []wire.ScopeDemand {
 	if known := l.routers[router]; known != nil {
 		return known.scopes
@@ -177,7 +180,7 @@
 	return nil
 }
 
-// Wanting lists the routers whose last report names one of the models.
+// Wanting lists the routers whose last report names a model for which names returns true.
 func (l *Ledger) Wanting(names func(model cluster.ModelID) bool) []cluster.NodeID {
 	var wanting []cluster.NodeID
 	for _, id := range l.order {
@@ -188,7 +191,7 @@
 	return wanting
 }
 
-// Waiting reports whether any router's last report shows waiting requests.
+// Waiting reports whether any router's last report has waiting requests.
 func (l *Ledger) Waiting() bool {
 	for _, id := range l.order {
 		if slices.ContainsFunc(l.routers[id].models, func(m wire.ModelDemand) bool { return m.Waiting > 0 }) {
--- a/demand/ledger_test.go
+++ b/demand/ledger_test.go
@@ -8,21 +8,21 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestPromptsAreSummedOnce: the prompts of all routers' reports add up for one plan, and
-// the next plan counts none of them again.
-func TestPromptsAreSummedOnce(t *testing.T) {
+// TestArrivalsAreCountedInOnePlan checks that a plan gets the sum over all routers' reports, a
+// repeated one counted once, and that the next plan counts none of them again.
+func TestArrivalsAreCountedInOnePlan(t *testing.T) {
 	now := time.Unix(0, 0)
 	ledger := New()
-	note := func(from cluster.NodeID, sequence uint64, arrivals, tokens int) {
+	report := func(from cluster.NodeID, sequence uint64, arrivals, tokens int) {
 		ledger.Note(now, wire.Demand{
 			From: from, Sequence: sequence,
 			Models: []wire.ModelDemand{{Model: "chat", Arrivals: arrivals, PromptTokens: tokens}},
 		})
 	}
-	note("a", 1, 1, 9000)
-	note("b", 1, 2, 600)
-	note("a", 2, 1, 1000)
-	note("a", 2, 1, 1000) // The same report again.
+	report("a", 1, 1, 9000)
+	report("b", 1, 2, 600)
+	report("a", 2, 1, 1000)
+	report("a", 2, 1, 1000) // The same report again.
 	sum := ledger.Sum(now)["chat"]
 	if sum.Arrivals != 4 || sum.PromptTokens != 10600 {
 		t.Errorf("%d arrivals of %d tokens, want 4 of 10600", sum.Arrivals, sum.PromptTokens)
