--- a/weights/client.go
+++ b/weights/client.go
@@ -8,7 +8,7 @@
 	"github.com/valveslip/valveslip/document"
 )
 
-// PathStatus of the weight store takes GET and answers Status as JSON.
+// PathStatus is the path of the weight store's status. GET returns a Status as JSON.
 const PathStatus = "/v1/status"
 
 // Client reads the weight store's status over HTTP.
@@ -16,10 +16,10 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client of the store at url.
+// NewClient returns a client of the weight store at url.
 func NewClient(url string) *Client { return &Client{document: document.NewClient(url)} }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.document.Close() }
 
 // Status implements Store.
--- a/weights/doc.go
+++ b/weights/doc.go
@@ -1,4 +1,4 @@
-// Package weights defines what valveslip needs of the platform's weight store:
-// its published limits and its current state. Engines fetch from it themselves
-// when they are ordered to load.
+// Package weights defines what valveslip reads from the platform's weight store: its published
+// limits and its current state. The engines fetch weights from the store themselves when they load
+// a model.
 package weights
--- a/weights/weights.go
+++ b/weights/weights.go
@@ -2,18 +2,18 @@
 
 import "context"
 
-// Status is the store's published state.
+// Status is the published state of the weight store.
 type Status struct {
-	// StartsPerSecond and Concurrency are the limits at full speed.
+	// StartsPerSecond and Concurrency are the limits on loads at full speed.
 	StartsPerSecond float64
 	Concurrency     int
-	// Active loads at the moment, over all cells.
+	// Active is the number of loads in progress, over all cells.
 	Active int
-	// Speed is the current speed as a share of full speed, 0 to 1.
+	// Speed is the current speed as a share of full speed, from 0 to 1.
 	Speed float64
 }
 
-// Store reads the weight store's status.
+// Store reads the status of the weight store.
 type Store interface {
 	Status(ctx context.Context) (Status, error)
 }
