--- a/routing/idempotency/bench_test.go
+++ b/routing/idempotency/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// BenchmarkClaim measures a new key, claimed and finished, among 20 nodes with
-// a full table.
+// BenchmarkClaim measures claiming and finishing a new key in a region of 20 nodes with a full
+// table.
 func BenchmarkClaim(b *testing.B) {
 	var nodes []Member
 	for i := range 20 {
@@ -42,34 +42,35 @@
 	}
 }
 
-// Restarts of the deployment that BenchmarkRestarts imitates.
+// Frequency of restarts and number of nodes in the deployment that BenchmarkRestarts simulates.
 const (
-	restartsPerDay = 490
-	deployment     = 340
+	restartsPerDay  = 490
+	deploymentNodes = 340
 )
 
-// BenchmarkRestarts claims a new key every minute for 20 days of virtual time
-// while nodes of a region of three zones die, or some stop as planned, and are
-// replaced 10 s later. It reports the share of new keys refused as unknown, and the questions put to
-// other owners for one key.
+// BenchmarkRestarts claims a new key every minute for 20 days of virtual time in a region of three
+// zones, while nodes crash or shut down as planned and are replaced 10 s later. It reports the
+// share of new keys refused as unknown, and the number of questions to other owners for one key.
 func BenchmarkRestarts(b *testing.B) {
 	for _, size := range []int{3, 20, 68} {
 		for _, planned := range []float64{0, 0.5, 1} {
 			b.Run(fmt.Sprintf("nodes=%d/planned=%g", size, planned), func(b *testing.B) {
 				for range b.N {
-					days := newRestarts(size)
-					days.planned = planned
+					simulation := newRestarts(size)
+					simulation.planned = planned
 					for minute := range 20 * 24 * 60 {
-						days.minute(b, minute)
+						simulation.runMinute(b, minute)
 					}
-					b.ReportMetric(100*float64(days.unknown)/float64(days.claims), "%unknown")
-					b.ReportMetric(float64(days.region.asked)/float64(days.claims), "questions/key")
+					b.ReportMetric(100*float64(simulation.unknown)/float64(simulation.claims), "%unknown")
+					b.ReportMetric(float64(simulation.region.questions)/float64(simulation.claims), "questions/key")
 				}
 			})
 		}
 	}
 }
 
+// restarts simulates a region with node restarts at a given rate per minute, of which the planned
+// share are shutdowns with a handover.
 type restarts struct {
 	region          *region
 	random          *rand.Rand
@@ -80,23 +81,23 @@
 
 func newRestarts(size int) *restarts {
 	r := &restarts{region: newRegion(), random: rand.New(rand.NewPCG(1, uint64(size)))}
-	r.rate = restartsPerDay * float64(size) / deployment / (24 * 60)
+	r.rate = restartsPerDay * float64(size) / deploymentNodes / (24 * 60)
 	r.region.now = start.Add(-time.Hour)
 	for range size {
-		node := r.node()
+		node := r.newNode()
 		r.region.nodes = append(r.region.nodes, node)
 		r.region.tables[node.ID] = New(node.ID, Config{})
 	}
-	r.region.learn()
+	r.region.updateViews()
 	return r
 }
 
-func (r *restarts) node() Member {
+func (r *restarts) newNode() Member {
 	r.started++
 	return Member{cluster.NodeID(fmt.Sprint("n", r.started)), cluster.ZoneID(fmt.Sprint(r.started % 3))}
 }
 
-func (r *restarts) minute(b *testing.B, minute int) {
+func (r *restarts) runMinute(b *testing.B, minute int) {
 	r.region.now = start.Add(time.Duration(minute) * time.Minute)
 	if r.random.Float64() < r.rate {
 		node := r.region.nodes[r.random.IntN(len(r.region.nodes))].ID
@@ -106,7 +107,7 @@
 			r.region.kill(node)
 		}
 		r.region.now = r.region.now.Add(10 * time.Second)
-		r.region.join(r.node())
+		r.region.join(r.newNode())
 	}
 	r.region.now = start.Add(time.Duration(minute)*time.Minute + 30*time.Second)
 	r.claims++
--- a/routing/idempotency/handover_test.go
+++ b/routing/idempotency/handover_test.go
@@ -8,7 +8,10 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-func TestHeirKeepsPromises(t *testing.T) {
+// TestHeirAnswersInPlaceOfLeftNode checks that the heir of a node answers later askers as that node
+// would have: it rejects lower ballots and names the owners that were promised. Without that, two
+// first owners could both be granted the key.
+func TestHeirAnswersInPlaceOfLeftNode(t *testing.T) {
 	region := newRegion("a", "b", "c", "d", "e", "f")
 	ask := func(at, from cluster.NodeID, round uint64) Answer {
 		current := region.tables["c"].Owners(Key{"/dental", "k"})
@@ -22,14 +25,14 @@
 	}
 	handover := region.tables["c"].Leave(start)
 	if !region.tables["b"].Inherit(start, handover) || region.tables["c"].Inherit(start, handover) {
-		t.Fatal("not inherited by a node that stays, or by one that left")
+		t.Fatal("not inherited by a node that stays, or inherited by one that left")
 	}
 	region.tables["b"].Succeed(start, "c", "b")
 	for _, node := range []cluster.NodeID{"a", "d", "e", "f"} {
 		region.tables["b"].Succeed(start, node, "b")
 	}
 	if heirs := region.tables["b"].Heirs(); len(heirs) != 0 {
-		t.Fatalf("%v may take over, but all left", heirs)
+		t.Fatalf("%v may take over, but all nodes have left", heirs)
 	}
 	if answer := ask("b", "d", 8); answer.Kind != AnswerOutbid {
 		t.Fatalf("lower ballot: %+v", answer)
@@ -42,9 +45,10 @@
 	}
 }
 
-// TestHeirDuringAClaim holds that a claim that waits for an answer starts again
-// when a node hands over, so that an answer of before is not taken for both.
-func TestHeirDuringAClaim(t *testing.T) {
+// TestHandoverRestartsAskingClaim checks that a claim that waits for an answer is restarted when a
+// node hands over. An answer from before the handover covers only the heir's own state and must not
+// count for both nodes.
+func TestHandoverRestartsAskingClaim(t *testing.T) {
 	nodes := []cluster.NodeID{"a", "b", "c", "d"}
 	key := keyOwnedBy(Owners{"a", "b"}, nodes...)
 	for _, inherits := range []bool{false, true} {
@@ -68,14 +72,15 @@
 		again := table.Answered(start, asking.Question.Claim.Key, "r1", before)
 		expectKind(t, again, DecisionAsk)
 		if again.Question.Round <= asking.Question.Round {
-			t.Fatalf("asks again in round %d after %d", again.Question.Round, asking.Question.Round)
+			t.Fatalf("asked again in round %d after round %d", again.Question.Round, asking.Question.Round)
 		}
 	}
 }
 
-// TestHeirOfAnotherRequest holds that of two requests of one key that are in
-// progress, the heir takes neither for over when one ends.
-func TestHeirOfAnotherRequest(t *testing.T) {
+// TestConflictingInheritedRequestKeepsOutcomeUnknown checks that an heir with two different
+// requests of one key in progress doesn't free the key when one of them reports its end, because
+// the other one may still run.
+func TestConflictingInheritedRequestKeepsOutcomeUnknown(t *testing.T) {
 	nodes := []cluster.NodeID{"a", "b", "c", "d"}
 	key := keyOwnedBy(Owners{"a", "b"}, nodes...)
 	region := newRegion(nodes...)
--- a/routing/idempotency/members.go
+++ b/routing/idempotency/members.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// past is a former set of members.
-type past struct {
+// pastMembership is a set of members that ended at a time in nanoseconds since the Unix epoch.
+type pastMembership struct {
 	until int64
 	members
 }
@@ -17,7 +17,7 @@
 	owners Owners
 }
 
-// addOwners adds owners to a list; of those it has, the later end counts.
+// addOwners adds owners to a list. If the list contains them already, the later end is kept.
 func addOwners(list []formerOwners, added formerOwners) []formerOwners {
 	for i, known := range list {
 		if slices.Equal(known.owners, added.owners) {
@@ -28,70 +28,70 @@
 	return append(list, added)
 }
 
-// history holds the former members within the retention, oldest first.
+// history holds the past memberships within the retention, the oldest first.
 type history struct {
-	past []past
-	// lostUntil is set when more memberships passed than are kept: until then
-	// nothing is known for sure.
-	lostUntil int64
+	memberships []pastMembership
+	// incompleteUntil is set when a membership was dropped before the end of its retention; until
+	// then the former owners of a key are not reliably known.
+	incompleteUntil int64
 }
 
-// maxPast bounds the kept memberships.
-const maxPast = 128
+// maxPastMemberships bounds the memberships that are kept.
+const maxPastMemberships = 128
 
-// add notes a membership that ended; of a known one the later end counts.
-func (h *history) add(ended past, retention int64) {
+// add adds a membership that ended. If the history contains it already, the later end is kept.
+func (h *history) add(ended pastMembership, retention int64) {
 	if len(ended.nodes) == 0 {
 		return
 	}
-	for i, known := range h.past {
+	for i, known := range h.memberships {
 		if !slices.Equal(known.nodes, ended.nodes) {
 			continue
 		}
 		if known.until >= ended.until {
 			return
 		}
-		h.past = slices.Delete(h.past, i, i+1)
+		h.memberships = slices.Delete(h.memberships, i, i+1)
 		break
 	}
-	at, _ := slices.BinarySearchFunc(h.past, ended.until, func(p past, until int64) int { return compare(p.until, until) })
-	h.past = slices.Insert(h.past, at, ended)
-	if len(h.past) > maxPast {
-		h.lostUntil = max(h.lostUntil, h.past[0].until+retention)
-		h.past = slices.Delete(h.past, 0, 1)
+	at, _ := slices.BinarySearchFunc(h.memberships, ended.until, func(p pastMembership, until int64) int { return compare(p.until, until) })
+	h.memberships = slices.Insert(h.memberships, at, ended)
+	if len(h.memberships) > maxPastMemberships {
+		h.incompleteUntil = max(h.incompleteUntil, h.memberships[0].until+retention)
+		h.memberships = slices.Delete(h.memberships, 0, 1)
 	}
 }
 
-// forget drops what left the retention.
-func (h *history) forget(before int64) {
+// prune removes the memberships that ended before the given time.
+func (h *history) prune(before int64) {
 	kept := 0
-	for kept < len(h.past) && h.past[kept].until < before {
+	for kept < len(h.memberships) && h.memberships[kept].until < before {
 		kept++
 	}
-	h.past = slices.Delete(h.past, 0, kept)
+	h.memberships = slices.Delete(h.memberships, 0, kept)
 }
 
-// owners lists the different former owners of a key.
+// owners lists the distinct former owners of a key.
 func (h *history) owners(hash uint64) []formerOwners {
 	var owners []formerOwners
-	for _, former := range h.past {
+	for _, former := range h.memberships {
 		owners = addOwners(owners, formerOwners{former.until, former.members.owners(hash)})
 	}
 	return owners
 }
 
-// export returns owners as they go into an Answer, without those that the
-// asker knows.
-func export(list []formerOwners, known []Owners) []Past {
+// exportOwners converts owners for an Answer and omits those that the asker knows.
+func exportOwners(list []formerOwners, known []Owners) []Past {
 	var exported []Past
 	for _, former := range list {
-		if !knows(known, former.owners) {
+		if !containsOwners(known, former.owners) {
 			exported = append(exported, Past{Until: time.Unix(0, former.until), Owners: former.owners})
 		}
 	}
 	return exported
 }
 
-func knows(known []Owners, owners Owners) bool {
+// containsOwners reports whether the list contains the owners.
+func containsOwners(known []Owners, owners Owners) bool {
 	return slices.ContainsFunc(known, func(o Owners) bool { return slices.Equal(o, owners) })
 }
--- a/routing/idempotency/owners.go
+++ b/routing/idempotency/owners.go
@@ -8,16 +8,15 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Owners are the nodes that answer for a key in one membership, in rank order:
-// the first gives leave, the second records it before, and the third is a
-// witness, who is asked only when membership has changed. A region of fewer
-// nodes has fewer.
+// Owners are the nodes responsible for a key in one membership, by rank. The first grants claims,
+// the second (the backup) records them before, and the third is a witness, which is asked only
+// after a change of membership. A region of fewer nodes has fewer owners.
 type Owners []cluster.NodeID
 
-// maxOwners is the number of owners of a key, the witness included.
+// maxOwners is the number of owners of a key, including the witness.
 const maxOwners = 3
 
-// backup returns the node that records a claim besides the first owner.
+// backup returns the node that records a claim besides the first owner, empty if there is none.
 func (o Owners) backup() cluster.NodeID {
 	if len(o) < 2 {
 		return ""
@@ -25,10 +24,10 @@
 	return o[1]
 }
 
-// vouch tells whether the owners that a predicate holds for are enough to say
-// that no leave was given and none will be. Invariant: any two such sets share
-// an owner, and each has one of the first two, who both record every leave.
-func (o Owners) vouch(holds func(cluster.NodeID) bool) bool {
+// hasQuorum reports whether the owners for which the predicate holds are enough to confirm that no
+// claim was granted and none will be. Invariant: any two quorums share an owner, and each quorum
+// contains one of the first two owners, both of which record every grant.
+func (o Owners) hasQuorum(holds func(cluster.NodeID) bool) bool {
 	if len(o) < maxOwners {
 		return len(o) > 0 && holds(o[0])
 	}
@@ -47,7 +46,7 @@
 	Zone cluster.ZoneID
 }
 
-// members is one set of nodes that share the keys, sorted by id.
+// members is a set of nodes that share the keys, sorted by ID.
 type members struct {
 	nodes []Member
 	seeds []uint64
@@ -64,22 +63,22 @@
 	return members{nodes: sorted, seeds: seeds}
 }
 
-// owners returns the nodes with the highest random weights for the key, each of
-// another zone as long as there is one.
+// owners returns the nodes with the highest rendezvous weights for the key, from different zones as
+// far as possible.
 func (m members) owners(hash uint64) Owners {
 	owners := make(Owners, 0, maxOwners)
 	var zones [maxOwners]cluster.ZoneID
 	for len(owners) < min(maxOwners, len(m.nodes)) {
-		best, spread := -1, false
+		best, newZone := -1, false
 		var highest uint64
 		for i, node := range m.nodes {
 			if slices.Contains(owners, node.ID) {
 				continue
 			}
 			weight := mix(hash ^ m.seeds[i])
-			other := !slices.Contains(zones[:len(owners)], node.Zone)
-			if best < 0 || other && !spread || other == spread && weight > highest {
-				best, spread, highest = i, other, weight
+			inNewZone := !slices.Contains(zones[:len(owners)], node.Zone)
+			if best < 0 || inNewZone && !newZone || inNewZone == newZone && weight > highest {
+				best, newZone, highest = i, inNewZone, weight
 			}
 		}
 		zones[len(owners)] = m.nodes[best].Zone
@@ -93,12 +92,12 @@
 	return found
 }
 
-// without returns the members less one node.
+// without returns the members except one node.
 func (m members) without(node cluster.NodeID) members {
 	return newMembers(slices.DeleteFunc(slices.Clone(m.nodes), func(m Member) bool { return m.ID == node }))
 }
 
-// mix is the finalizer of splitmix64: every input bit changes half the output.
+// mix is the finalizer of splitmix64: each input bit flips about half of the output bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -107,7 +106,7 @@
 	return x ^ x>>31
 }
 
-// hash of a key, which with a node's seed gives the node's weight.
+// hash returns the key's hash, which is combined with a node's seed to give the node's weight.
 func (k Key) hash() uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(k.TokenPath)
--- a/routing/idempotency/property_test.go
+++ b/routing/idempotency/property_test.go
@@ -11,43 +11,45 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// cell runs several tables whose views of membership differ, over a network
-// that loses, repeats and delays messages.
-type cell struct {
+// faultyRegion runs several tables with different views of the membership over a network that
+// loses, duplicates and delays messages.
+type faultyRegion struct {
 	t      *rapid.T
 	now    time.Time
 	tables map[cluster.NodeID]*Table
-	// reachable nodes answer; the others live on with their old views.
+	// reachable nodes answer; the others continue to run with their old views.
 	reachable []cluster.NodeID
-	// outdated is when a node's view must have been brought up to date, or an
-	// unreachable node ends: the promise holds within Config.Lag.
-	outdated map[cluster.NodeID]time.Time
-	started  int
-	requests int
-	// waiting lists claims that wait for an answer, late the questions that may
+	// viewDeadlines holds the time by which a node's view must be up to date or an unreachable
+	// node has ended, as Config.Lag requires.
+	viewDeadlines map[cluster.NodeID]time.Time
+	started       int
+	requests      int
+	// waiting lists the questions of claims that wait for an answer, and late those that may
 	// arrive once more.
-	waiting []waiting
-	late    []waiting
-	// running gives, by key, the requests that got leave and who gave it.
-	running map[string][]leave
-	// ran gives, by key, when its request was last known to run or to have run.
-	ran map[string]time.Time
+	waiting []pendingQuestion
+	late    []pendingQuestion
+	// running holds, by key, the granted requests with their owners.
+	running map[string][]grant
+	// lastRan holds, by key, the time at which a request was last known to run or to have run.
+	lastRan map[string]time.Time
 }
 
-type leave struct {
+// grant is a granted request with the owners that recorded it.
+type grant struct {
 	request cluster.RequestID
 	owners  []cluster.NodeID
 }
 
-// waiting is a claim at a first owner, with the question that it must put.
-type waiting struct {
+// pendingQuestion is a question that a first owner must ask for a claim.
+type pendingQuestion struct {
 	at  cluster.NodeID
 	ask Decision
 }
 
 var keys = []string{"k1", "k2", "k3", "k4"}
 
-func (c *cell) anyNode(t *rapid.T) cluster.NodeID {
+// anyNode draws one of all running nodes.
+func (c *faultyRegion) anyNode(t *rapid.T) cluster.NodeID {
 	all := make([]cluster.NodeID, 0, len(c.tables))
 	for node := range c.tables {
 		all = append(all, node)
@@ -56,15 +58,15 @@
 	return rapid.SampledFrom(all).Draw(t, "node")
 }
 
-func newTestCell(t *rapid.T) *cell {
-	return &cell{
-		t: t, now: start, tables: make(map[cluster.NodeID]*Table), outdated: make(map[cluster.NodeID]time.Time),
-		running: make(map[string][]leave), ran: make(map[string]time.Time),
+func newFaultyRegion(t *rapid.T) *faultyRegion {
+	return &faultyRegion{
+		t: t, now: start, tables: make(map[cluster.NodeID]*Table), viewDeadlines: make(map[cluster.NodeID]time.Time),
+		running: make(map[string][]grant), lastRan: make(map[string]time.Time),
 	}
 }
 
-// found starts nodes that have known each other for long.
-func (c *cell) found(count int) {
+// startNodes starts nodes that have known each other for an hour.
+func (c *faultyRegion) startNodes(count int) {
 	for range count {
 		c.started++
 		c.reachable = append(c.reachable, cluster.NodeID(fmt.Sprint("n", c.started)))
@@ -72,12 +74,12 @@
 	for _, node := range c.reachable {
 		c.tables[node] = New(node, Config{})
 		c.tables[node].SetMembers(c.now.Add(-time.Hour), named(c.reachable...))
-		c.outdated[node] = c.now.Add(9 * time.Minute)
+		c.viewDeadlines[node] = c.now.Add(9 * time.Minute)
 	}
 }
 
-// join starts a node that hears of one other node first.
-func (c *cell) join(t *rapid.T) {
+// join starts a node that knows at most one other node.
+func (c *faultyRegion) join(t *rapid.T) {
 	if len(c.reachable) >= 5 || rapid.IntRange(0, 3).Draw(t, "rarely") > 0 {
 		t.Skip()
 	}
@@ -90,30 +92,31 @@
 	}
 	c.reachable = append(c.reachable, node)
 	c.tables[node].SetMembers(c.now, named(view...))
-	c.outdated[node] = c.now.Add(9 * time.Minute)
+	c.viewDeadlines[node] = c.now.Add(9 * time.Minute)
 }
 
-func (c *cell) learnAs(node cluster.NodeID) {
+// updateView gives a node the current view.
+func (c *faultyRegion) updateView(node cluster.NodeID) {
 	c.tables[node].SetMembers(c.now, named(c.reachable...))
-	c.outdated[node] = c.now.Add(9 * time.Minute)
+	c.viewDeadlines[node] = c.now.Add(9 * time.Minute)
 }
 
-// cut makes a node unreachable: dead, or alive with callers of its own.
-func (c *cell) cut(t *rapid.T) {
+// disconnect makes a node unreachable: it either crashed, or runs on and accepts requests.
+func (c *faultyRegion) disconnect(t *rapid.T) {
 	if len(c.reachable) < 2 || rapid.IntRange(0, 4).Draw(t, "rarely") > 0 {
 		t.Skip()
 	}
 	node := rapid.SampledFrom(c.reachable).Draw(t, "cut")
 	c.reachable = slices.DeleteFunc(slices.Clone(c.reachable), func(n cluster.NodeID) bool { return n == node })
-	c.outdated[node] = c.now.Add(9 * time.Minute)
+	c.viewDeadlines[node] = c.now.Add(9 * time.Minute)
 	if rapid.Bool().Draw(t, "dead") {
 		delete(c.tables, node)
 	}
 }
 
-// stop hands a node over to another one, whole or only in part, of which some
-// learn. The node may live on for a while.
-func (c *cell) stop(t *rapid.T) {
+// stop hands a node over to another one, completely or in part, and informs some of the other
+// nodes. The node may run on for a while.
+func (c *faultyRegion) stop(t *rapid.T) {
 	if len(c.reachable) < 2 || rapid.IntRange(0, 2).Draw(t, "rarely") > 0 {
 		t.Skip()
 	}
@@ -131,29 +134,28 @@
 			}
 		}
 	}
-	c.outdated[left] = c.now
+	c.viewDeadlines[left] = c.now
 	if rapid.Bool().Draw(t, "ends") {
 		c.reachable = slices.DeleteFunc(slices.Clone(c.reachable), func(n cluster.NodeID) bool { return n == left })
 		delete(c.tables, left)
 	}
 }
 
-// resume makes a node that was cut off reachable again, with its old view.
-func (c *cell) resume(t *rapid.T) {
+// resume makes a disconnected node reachable again, with its old view.
+func (c *faultyRegion) resume(t *rapid.T) {
 	node := c.anyNode(t)
 	if !slices.Contains(c.reachable, node) {
 		c.reachable = append(c.reachable, node)
 	}
 }
 
-// learn updates one reachable node's view; the others' stay behind.
-func (c *cell) learn(t *rapid.T) {
-	c.learnAs(rapid.SampledFrom(c.reachable).Draw(t, "learns"))
+// learn updates the view of one reachable node; the others keep theirs.
+func (c *faultyRegion) learn(t *rapid.T) {
+	c.updateView(rapid.SampledFrom(c.reachable).Draw(t, "learns"))
 }
 
-// suspect gives one node a view that lacks one or more others, which may be
-// alive.
-func (c *cell) suspect(t *rapid.T) {
+// suspect gives one node a view that lacks one or two others, which may be running.
+func (c *faultyRegion) suspect(t *rapid.T) {
 	if rapid.IntRange(0, 1).Draw(t, "rarely") > 0 {
 		t.Skip()
 	}
@@ -166,10 +168,11 @@
 		}
 	}
 	c.tables[node].SetMembers(c.now, named(view...))
-	c.outdated[node] = c.now.Add(9 * time.Minute)
+	c.viewDeadlines[node] = c.now.Add(9 * time.Minute)
 }
 
-func (c *cell) request(t *rapid.T) {
+// request sends a request with a random key to any node and follows it to the first owner.
+func (c *faultyRegion) request(t *rapid.T) {
 	c.requests++
 	key := rapid.SampledFrom(keys).Draw(t, "key")
 	accepting := c.anyNode(t)
@@ -177,94 +180,96 @@
 	at := accepting
 	for range 3 {
 		decision := c.tables[at].Begin(c.now, asked)
-		c.take(at, asked, decision)
-		if decision.Kind != DecisionForward || !c.linked(at, decision.Owner) {
+		c.follow(at, asked, decision)
+		if decision.Kind != DecisionForward || !c.connected(at, decision.Owner) {
 			return
 		}
 		at = decision.Owner
 	}
 }
 
-// take follows a decision of a first owner.
-func (c *cell) take(at cluster.NodeID, claimed Claim, decision Decision) {
+// follow acts on a first owner's decision.
+func (c *faultyRegion) follow(at cluster.NodeID, claimed Claim, decision Decision) {
 	switch decision.Kind {
 	case DecisionAsk:
-		c.waiting = append(c.waiting, waiting{at, decision})
+		c.waiting = append(c.waiting, pendingQuestion{at, decision})
 	case DecisionRun:
-		c.run(claimed.Key.Key, leave{claimed.Request, []cluster.NodeID{at, decision.Owner}})
+		c.recordRun(claimed.Key.Key, grant{claimed.Request, []cluster.NodeID{at, decision.Owner}})
 	}
 }
 
-// step moves one waiting claim on. Its question or the answer may be lost, and
-// the question may arrive once more at any time.
-func (c *cell) step(t *rapid.T) {
+// step processes one waiting question. The question or its answer may be lost, and the question may
+// arrive once more at any later time.
+func (c *faultyRegion) step(t *rapid.T) {
 	if len(c.waiting) == 0 {
 		t.Skip()
 	}
 	at := rapid.IntRange(0, len(c.waiting)-1).Draw(t, "waiting")
-	one := c.waiting[at]
+	question := c.waiting[at]
 	c.waiting = slices.Delete(c.waiting, at, at+1)
 	fate := rapid.SampledFrom([]string{"arrives", "arrives", "arrives", "again", "again", "lost", "answer lost"}).Draw(t, "fate")
-	c.put(one, fate)
+	c.deliver(question, fate)
 }
 
-// drive brings one waiting claim to its end without loss.
-func (c *cell) drive(t *rapid.T) {
+// driveToEnd processes one waiting claim to its end without loss.
+func (c *faultyRegion) driveToEnd(t *rapid.T) {
 	if len(c.waiting) == 0 {
 		t.Skip()
 	}
 	for before := 0; len(c.waiting) > before; {
-		one := c.waiting[len(c.waiting)-1]
+		question := c.waiting[len(c.waiting)-1]
 		c.waiting = c.waiting[:len(c.waiting)-1]
 		before = len(c.waiting)
-		c.put(one, "arrives")
+		c.deliver(question, "arrives")
 	}
 }
 
-// put puts a waiting claim's question.
-func (c *cell) put(one waiting, fate string) {
-	answer := Answer{Kind: AnswerNone, From: one.ask.Ask}
-	if c.linked(one.at, one.ask.Ask) && fate != "lost" {
-		told := c.tables[one.ask.Ask].Asked(c.now, one.ask.Question)
-		told.To = one.ask.Question.Round
+// deliver delivers a question and its answer according to the given fate.
+func (c *faultyRegion) deliver(question pendingQuestion, fate string) {
+	answer := Answer{Kind: AnswerNone, From: question.ask.Ask}
+	if c.connected(question.at, question.ask.Ask) && fate != "lost" {
+		sent := c.tables[question.ask.Ask].Asked(c.now, question.ask.Question)
+		sent.To = question.ask.Question.Round
 		if fate != "answer lost" {
-			answer = told
+			answer = sent
 		}
 	}
 	if fate != "arrives" {
-		c.late = append(c.late, one)
+		c.late = append(c.late, question)
 	}
-	claimed := one.ask.Question.Claim
-	if table := c.tables[one.at]; table != nil {
-		c.take(one.at, claimed, table.Answered(c.now, claimed.Key, claimed.Request, answer))
+	claimed := question.ask.Question.Claim
+	if table := c.tables[question.at]; table != nil {
+		c.follow(question.at, claimed, table.Answered(c.now, claimed.Key, claimed.Request, answer))
 	}
 }
 
-// arriveLate delivers a question whose answer nobody waits for.
-func (c *cell) arriveLate(t *rapid.T) {
+// deliverLate delivers a question once more; nobody waits for the answer.
+func (c *faultyRegion) deliverLate(t *rapid.T) {
 	if len(c.late) == 0 {
 		t.Skip()
 	}
-	one := rapid.SampledFrom(c.late).Draw(t, "late")
-	if slices.Contains(c.reachable, one.ask.Ask) && c.tables[one.ask.Ask] != nil {
-		c.tables[one.ask.Ask].Asked(c.now, one.ask.Question)
+	question := rapid.SampledFrom(c.late).Draw(t, "late")
+	if slices.Contains(c.reachable, question.ask.Ask) && c.tables[question.ask.Ask] != nil {
+		c.tables[question.ask.Ask].Asked(c.now, question.ask.Question)
 	}
 }
 
-func (c *cell) linked(from, to cluster.NodeID) bool {
+// connected reports whether messages between two nodes arrive.
+func (c *faultyRegion) connected(from, to cluster.NodeID) bool {
 	return slices.Contains(c.reachable, from) && slices.Contains(c.reachable, to)
 }
 
-func (c *cell) run(key string, granted leave) {
-	if last, again := c.ran[key]; again && c.now.Sub(last) < 30*time.Minute {
-		c.t.Fatalf("%s runs as %s, but already ran at most %v ago", key, granted.request, c.now.Sub(last))
+// recordRun fails the test if the key's request ran within the window.
+func (c *faultyRegion) recordRun(key string, granted grant) {
+	if last, again := c.lastRan[key]; again && c.now.Sub(last) < 30*time.Minute {
+		c.t.Fatalf("key %s is granted to request %s, but a request with it ran at most %v ago", key, granted.request, c.now.Sub(last))
 	}
 	c.running[key] = append(c.running[key], granted)
-	c.ran[key] = c.now
+	c.lastRan[key] = c.now
 }
 
-// keys lists the keys with running requests.
-func (c *cell) keys() (running []string) {
+// runningKeys lists the keys with running requests.
+func (c *faultyRegion) runningKeys() (running []string) {
 	for key, leaves := range c.running {
 		if len(leaves) > 0 {
 			running = append(running, key)
@@ -275,8 +280,8 @@
 }
 
 // finish ends a request; its outcome may not reach its owners.
-func (c *cell) finish(t *rapid.T) {
-	running := c.keys()
+func (c *faultyRegion) finish(t *rapid.T) {
+	running := c.runningKeys()
 	if len(running) == 0 {
 		t.Skip()
 	}
@@ -290,59 +295,60 @@
 		}
 	}
 	if kind == OutcomeNotRun && len(c.running[key]) == 0 {
-		delete(c.ran, key)
+		delete(c.lastRan, key)
 	}
 }
 
-func (c *cell) pass(t *rapid.T) {
+// advanceTime advances the time by up to four minutes.
+func (c *faultyRegion) advanceTime(t *rapid.T) {
 	c.now = c.now.Add(time.Duration(rapid.IntRange(0, 240).Draw(t, "seconds")) * time.Second)
-	c.update()
+	c.updateViews()
 }
 
-// rush passes a short time, within which claims still wait.
-func (c *cell) rush(t *rapid.T) {
+// advanceTimeBriefly advances the time by up to two seconds, within which claims still wait.
+func (c *faultyRegion) advanceTimeBriefly(t *rapid.T) {
 	c.now = c.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "milliseconds")) * time.Millisecond)
-	c.update()
+	c.updateViews()
 }
 
-// update brings old views up to date.
-func (c *cell) update() {
-	for node, due := range c.outdated {
+// updateViews updates or ends the nodes whose views are due.
+func (c *faultyRegion) updateViews() {
+	for node, due := range c.viewDeadlines {
 		switch {
 		case c.now.Before(due) || c.tables[node] == nil:
-		case c.tables[node].left && len(c.reachable) > 1:
+		case c.tables[node].handedOver && len(c.reachable) > 1:
 			c.reachable = slices.DeleteFunc(slices.Clone(c.reachable), func(n cluster.NodeID) bool { return n == node })
 			delete(c.tables, node)
 		case slices.Contains(c.reachable, node):
-			c.learnAs(node)
+			c.updateView(node)
 		default:
 			delete(c.tables, node)
 		}
 	}
 }
 
-// TestNeverRunsTwice drives tables with lagging views, deaths, partitions and
-// messages that are lost, late and repeated.
-func TestNeverRunsTwice(t *testing.T) {
+// TestKeyNeverRunsTwiceDespiteFaults checks that no key runs twice within the window while views
+// lag, nodes crash, the network is partitioned, and messages are lost, delayed and duplicated.
+func TestKeyNeverRunsTwiceDespiteFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newTestCell(t)
-		c.found(rapid.IntRange(1, 5).Draw(t, "nodes"))
+		c := newFaultyRegion(t)
+		c.startNodes(rapid.IntRange(1, 5).Draw(t, "nodes"))
 		t.Repeat(map[string]func(*rapid.T){
-			"join": c.join, "cut": c.cut, "stop": c.stop, "resume": c.resume, "learn": c.learn, "learn too": c.learn, "suspect": c.suspect,
+			"join": c.join, "cut": c.disconnect, "stop": c.stop, "resume": c.resume, "learn": c.learn, "learn too": c.learn, "suspect": c.suspect,
 			"request": c.request, "request too": c.request, "request three": c.request,
 			"step": c.step, "step too": c.step, "step three": c.step, "step four": c.step, "step five": c.step,
-			"drive": c.drive, "late": c.arriveLate, "finish": c.finish, "pass": c.pass, "rush": c.rush,
+			"drive": c.driveToEnd, "late": c.deliverLate, "finish": c.finish, "pass": c.advanceTime, "rush": c.advanceTimeBriefly,
 		})
 	})
 }
 
-// TestFirstOwnersThatDiffer lets several nodes that take themselves for the
-// first owner of one key ask at the same time, in every order of the messages.
-func TestFirstOwnersThatDiffer(t *testing.T) {
+// TestConcurrentFirstOwnersNeverRunTwice checks that no key runs twice if several nodes consider
+// themselves its first owner and ask at the same time, in every order of the messages.
+func TestConcurrentFirstOwnersNeverRunTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newTestCell(t)
-		c.found(3)
-		// The owners of before are asked by nodes that don't know each other.
+		c := newFaultyRegion(t)
+		c.startNodes(3)
+		// The old owners are asked by new nodes that don't know each other.
 		old := slices.Clone(c.reachable)
 		joiners := []cluster.NodeID{"j1", "j2", "j3", "j4"}
 		c.reachable = append(c.reachable, joiners...)
@@ -364,19 +370,19 @@
 			}
 			c.requests++
 			asked := claim(name, cluster.RequestID(fmt.Sprint("r", c.requests)), node)
-			c.take(node, asked, c.tables[node].Begin(c.now, asked))
+			c.follow(node, asked, c.tables[node].Begin(c.now, asked))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"learn": func(t *rapid.T) { learn(c.anyNode(t)) }, "stop": c.stop,
-			"claim": claims, "claim too": claims, "drive": c.drive, "late": c.arriveLate, "finish": c.finish,
+			"claim": claims, "claim too": claims, "drive": c.driveToEnd, "late": c.deliverLate, "finish": c.finish,
 			"step": c.step, "step too": c.step, "step three": c.step,
 		})
 	})
 }
 
-// TestNewKeysRunAfterOneLoss holds that a new key gets leave whenever at most
-// one node was lost within the retention, whoever joined meanwhile.
-func TestNewKeysRunAfterOneLoss(t *testing.T) {
+// TestNewKeysAreGrantedAfterOneLoss checks that a new key is granted as long as at most one node
+// was lost within the retention, whichever nodes joined meanwhile.
+func TestNewKeysAreGrantedAfterOneLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := func() cluster.ZoneID { return rapid.SampledFrom([]cluster.ZoneID{"x", "y", "z"}).Draw(t, "zone") }
 		r := newRegion()
@@ -386,7 +392,7 @@
 			r.tables[node.ID] = New(node.ID, Config{})
 		}
 		r.now = start.Add(-time.Hour)
-		r.learn()
+		r.updateViews()
 		r.now = start
 		lost, count := start.Add(-time.Hour), 0
 		t.Repeat(map[string]func(*rapid.T){
--- a/routing/idempotency/table_test.go
+++ b/routing/idempotency/table_test.go
@@ -12,10 +12,12 @@
 
 var start = time.Date(2026, 3, 1, 18, 0, 0, 0, time.UTC)
 
+// claim returns a claim with a fixed token path and fingerprint.
 func claim(key string, request cluster.RequestID, from cluster.NodeID) Claim {
 	return Claim{Key: Key{"/dental", key}, Fingerprint: 1, Request: request, From: from}
 }
 
+// expectKind checks the kind of a decision, and that a refusal has an error with a retry delay.
 func expectKind(t *testing.T, decision Decision, want DecisionKind) {
 	t.Helper()
 	if decision.Kind != want {
@@ -28,7 +30,9 @@
 	}
 }
 
-func TestOneNode(t *testing.T) {
+// TestSingleNodeDecisions checks the decisions of a single node over the life of a key: in
+// progress, mismatch, not run, answered, table full, expired and lost.
+func TestSingleNodeDecisions(t *testing.T) {
 	key := Key{"/dental", "k"}
 	table := New("a", Config{MaxKeys: 2})
 	expectKind(t, table.Begin(start, claim("k", "r1", "a")), DecisionUnknown)
@@ -63,7 +67,7 @@
 	return all
 }
 
-// keyOwnedBy returns a key that has the owners among the members.
+// keyOwnedBy returns a key whose owners among the nodes begin with the given ones.
 func keyOwnedBy(owners Owners, nodes ...cluster.NodeID) string {
 	for i := 0; ; i++ {
 		key := fmt.Sprint("key-", i)
@@ -73,7 +77,9 @@
 	}
 }
 
-func TestFirstOfTwoNodesDied(t *testing.T) {
+// TestSurvivorOfTwoNodesRefusesUntilRetentionEnds checks that the survivor of two nodes refuses a
+// key of the other one until the retention is over, because a request may have run there.
+func TestSurvivorOfTwoNodesRefusesUntilRetentionEnds(t *testing.T) {
 	key := keyOwnedBy(Owners{"b"}, "a", "b")
 	table := New("a", Config{})
 	table.SetMembers(start.Add(-time.Hour), named("a", "b"))
@@ -89,33 +95,37 @@
 	expectKind(t, table.Begin(start.Add(41*time.Minute), claim(key, "r1", "a")), DecisionRun)
 }
 
-// TestOneOfThreeDied holds that the others give leave for new keys, and that
-// they know the old ones, whichever died.
-func TestOneOfThreeDied(t *testing.T) {
+// TestClaimsSurviveLossOfOneOwner checks that after the loss of any one of three nodes the others
+// grant new keys and still know the old ones.
+func TestClaimsSurviveLossOfOneOwner(t *testing.T) {
 	nodes := []cluster.NodeID{"a", "b", "c"}
 	for _, dead := range nodes {
 		for i := range 50 {
 			region := newRegion(nodes...)
-			old, fresh := claim(fmt.Sprint("old-", i), "r1", "a"), claim(fmt.Sprint("fresh-", i), "r2", "a")
-			old.From = region.alive(dead)
-			expectKind(t, region.claim(old), DecisionRun)
+			oldClaim, newClaim := claim(fmt.Sprint("old-", i), "r1", "a"), claim(fmt.Sprint("fresh-", i), "r2", "a")
+			oldClaim.From = region.nodeOtherThan(dead)
+			expectKind(t, region.claim(oldClaim), DecisionRun)
 			region.kill(dead)
-			fresh.From = region.alive(dead)
-			expectKind(t, region.claim(fresh), DecisionRun)
-			old.Request = "r3"
-			expectKind(t, region.claim(old), DecisionInProgress)
+			newClaim.From = region.nodeOtherThan(dead)
+			expectKind(t, region.claim(newClaim), DecisionRun)
+			oldClaim.Request = "r3"
+			expectKind(t, region.claim(oldClaim), DecisionInProgress)
 		}
 	}
 }
 
-func TestTwoOfThreeDied(t *testing.T) {
+// TestLossOfQuorumMakesOutcomeUnknown checks that a key is refused if a quorum of its former owners
+// is gone.
+func TestLossOfQuorumMakesOutcomeUnknown(t *testing.T) {
 	region := newRegion("a", "b", "c")
 	region.kill("b")
 	region.kill("c")
 	expectKind(t, region.claim(claim("k", "r1", "a")), DecisionUnknown)
 }
 
-func TestClaimThatGotNoLeaveIsSuperseded(t *testing.T) {
+// TestUngrantedClaimIsSuperseded checks that a claim that the backup recorded but whose answer was
+// lost does not block the key, and that its question has no effect if it arrives once more.
+func TestUngrantedClaimIsSuperseded(t *testing.T) {
 	region := newRegion("a", "b", "c")
 	key := keyOwnedBy(Owners{"a", "b"}, "a", "b", "c")
 	first := region.tables["a"].Begin(start, claim(key, "r1", "c"))
@@ -131,7 +141,9 @@
 	}
 }
 
-func TestNewNodeThatDoesNotKnowTheOwners(t *testing.T) {
+// TestNewNodeLearnsFormerOwners checks that a new node with an incomplete view, which considers
+// itself the first owner, learns the former owners from the answer and refuses the key.
+func TestNewNodeLearnsFormerOwners(t *testing.T) {
 	former, joiner := New("a", Config{}), New("y", Config{})
 	former.SetMembers(start.Add(-time.Hour), named("a", "b", "c"))
 	joiner.SetMembers(start, named("a", "y"))
@@ -142,13 +154,16 @@
 	expectKind(t, joiner.Answered(start, asked.Key, "r1", answer), DecisionUnknown)
 }
 
-func TestRunnerDied(t *testing.T) {
+// TestLossOfRunningNodeMakesOutcomeUnknown checks that the outcome is unknown after the node that
+// ran the request was lost.
+func TestLossOfRunningNodeMakesOutcomeUnknown(t *testing.T) {
 	region := newRegion("a", "b", "c")
 	expectKind(t, region.claim(claim("k", "r1", "b")), DecisionRun)
 	region.kill("b")
 	expectKind(t, region.claim(claim("k", "r2", "a")), DecisionUnknown)
 }
 
+// TestOwnersAreInDifferentZones checks that the loss of a zone takes at most one owner of each key.
 func TestOwnersAreInDifferentZones(t *testing.T) {
 	var nodes []Member
 	for i := range 9 {
@@ -165,7 +180,9 @@
 	}
 }
 
-func TestRendezvousMovesFewKeys(t *testing.T) {
+// TestLossOfNodeMovesOnlyItsKeys checks that the loss of a node moves only its own keys, and that
+// keys are evenly distributed.
+func TestLossOfNodeMovesOnlyItsKeys(t *testing.T) {
 	nodes := named("a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
 	all, fewer := newMembers(nodes), newMembers(nodes[1:])
 	counts := make(map[cluster.NodeID]int)
@@ -174,7 +191,7 @@
 		before, after := all.owners(hash), fewer.owners(hash)
 		counts[before[0]]++
 		if !slices.Contains(before, "a") && !slices.Equal(before, after) {
-			t.Fatalf("key %d moved from %s to %s, though a left", i, before, after)
+			t.Fatalf("key %d moved from %s to %s, although only node a left", i, before, after)
 		}
 	}
 	for _, node := range nodes {
@@ -184,9 +201,10 @@
 	}
 }
 
-// TestWhoVouched holds what a node does after it vouched to one first owner and
-// another one asks.
-func TestWhoVouched(t *testing.T) {
+// TestPromiseBindsLaterAnswers checks the answers of a node that confirmed the absence of a key to
+// one first owner when another one asks: it rejects lower ballots, names the first one's owners,
+// and records a claim only if the asker knows them.
+func TestPromiseBindsLaterAnswers(t *testing.T) {
 	region := newRegion("a", "b", "c", "d", "e", "f")
 	current := region.tables["c"].Owners(Key{"/dental", "k"})
 	ask := func(from cluster.NodeID, round uint64, record bool, known ...Owners) Answer {
@@ -213,7 +231,9 @@
 	}
 }
 
-func TestFirstOwnerThatAsksTellsSo(t *testing.T) {
+// TestAskingFirstOwnerAnswersInProgress checks that a first owner with an asking claim answers that
+// the key is in progress, so that two first owners can't both be granted it.
+func TestAskingFirstOwnerAnswersInProgress(t *testing.T) {
 	region := newRegion("a", "b", "c")
 	asked := claim(keyOwnedBy(Owners{"a"}, "a", "b", "c"), "r1", "a")
 	expectKind(t, region.tables["a"].Begin(start, asked), DecisionAsk)
--- a/routing/idempotency/types.go
+++ b/routing/idempotency/types.go
@@ -7,57 +7,58 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Key is a caller's key within the subtree its token is bound to.
+// Key is a caller's idempotency key within the subtree that its token is bound to.
 type Key struct{ TokenPath, Key string }
 
-// Claim asks for leave to run a request. As a message it goes from the node
-// that accepted the request to the key's owner.
+// Claim asks for permission to run a request. As a message it goes from the node that accepted the
+// request to the first owner of the key.
 type Claim struct {
 	Key Key
-	// Fingerprint is xxhash64 of the request's body and path; the same key
-	// with another one is refused.
+	// Fingerprint is the xxhash64 of the request's body and path. A request with the same key and
+	// another fingerprint is refused.
 	Fingerprint uint64
 	Request     cluster.RequestID
 	// From is the node that would run the request.
 	From cluster.NodeID
 }
 
-// OutcomeKind says how a request that got leave ended.
+// OutcomeKind is how a granted request ended.
 type OutcomeKind uint8
 
 // The outcomes.
 const (
-	// OutcomeNotRun frees the key.
+	// OutcomeNotRun means that the request did not run, which frees the key.
 	OutcomeNotRun OutcomeKind = iota + 1
-	// OutcomeAnswered means that the holder keeps the whole answer.
+	// OutcomeAnswered means that the holder stores the whole answer.
 	OutcomeAnswered
-	// OutcomeRan means that the request ran, but its answer is not kept.
+	// OutcomeRan means that the request ran, but its answer is not stored.
 	OutcomeRan
 	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown
 )
 
-// Outcome is the end of a request. As a message, with its key, it goes from the
-// node that ran the request to the owner that gave leave.
+// Outcome is the end of a request. As a message it goes, with its key, from the node that ran the
+// request to the owners that recorded the claim.
 type Outcome struct {
 	Kind    OutcomeKind
 	Request cluster.RequestID
-	// Holder keeps the answer, for OutcomeAnswered.
+	// Holder is the node that stores the answer, for OutcomeAnswered.
 	Holder cluster.NodeID
 }
 
-// Question asks an owner, present or former, what it knows of a key.
+// Question asks a present or former owner what it knows of a key.
 type Question struct {
 	Claim Claim
 	From  cluster.NodeID
-	// Round orders the questions of one node: a later claim of the same first
-	// owner supersedes what an earlier one left behind.
+	// Round orders the questions of one node: a later claim of the same first owner supersedes the
+	// records of its earlier ones.
 	Round uint64
-	// Owners of the key in the asker's view.
+	// Owners are the owners of the key in the asker's view.
 	Owners Owners
-	// Known lists the owners that the asker has asked or will ask.
+	// Known lists the sets of owners that the asker has asked or will ask.
 	Known []Owners
-	// Record asks to record the claim. Everyone Known must have vouched.
+	// Record asks to record the claim. The asker sets it only after a quorum of each set in Known
+	// confirmed that the key is unknown; the asker and the recipient count as confirming.
 	Record bool
 }
 
@@ -66,17 +67,17 @@
 
 // The answers.
 const (
-	// AnswerAbsent means that the owner does not know the key and will name the
-	// asker's owners to those who ask after.
+	// AnswerAbsent means that the owner does not know the key and promises to name the asker's
+	// owners to later askers.
 	AnswerAbsent AnswerKind = iota + 1
-	// AnswerInProgress and AnswerEnded tell the state of a known key.
+	// AnswerInProgress and AnswerEnded are the states of a known key.
 	AnswerInProgress
 	AnswerEnded
-	// AnswerNone means that the owner could not be asked or cannot tell.
+	// AnswerNone means that the owner did not answer or can't tell.
 	AnswerNone
 	// AnswerRecorded means that the claim is recorded.
 	AnswerRecorded
-	// AnswerOutbid means that the owner vouched to a claim with a later round.
+	// AnswerOutbid means that the owner made a promise to a claim with a higher ballot.
 	AnswerOutbid
 )
 
@@ -85,19 +86,19 @@
 	Kind    AnswerKind
 	From    cluster.NodeID
 	Outcome Outcome
-	// Fingerprint of the known request.
+	// Fingerprint is that of the known request.
 	Fingerprint uint64
-	// Round that the question must pass, for AnswerOutbid.
+	// Round is the round that the next question must exceed, for AnswerOutbid.
 	Round uint64
 	// To is the round of the question.
 	To uint64
-	// Heirs that the asker may not know of, if Past is not empty.
+	// Heirs are the successors that the asker may not know of. It is set if Past is not empty.
 	Heirs []Heir
-	// Past owners of the key that the asker did not name.
+	// Past are former owners of the key that the asker did not name.
 	Past []Past
 }
 
-// Heir answers in the stead of a node that left.
+// Heir is the successor that answers in place of a node that left.
 type Heir struct{ Left, Heir cluster.NodeID }
 
 // Past are the owners of a key until a time.
@@ -106,48 +107,48 @@
 	Owners Owners
 }
 
-// DecisionKind is what to do with a claim.
+// DecisionKind is the result of a claim.
 type DecisionKind uint8
 
 // The decisions.
 const (
-	// DecisionRun gives leave.
+	// DecisionRun grants the claim: the request may run.
 	DecisionRun DecisionKind = iota + 1
-	// DecisionForward says that another node owns the key.
+	// DecisionForward means that another node is the first owner of the key.
 	DecisionForward
-	// DecisionAsk says that another owner must be asked first.
+	// DecisionAsk means that another owner must be asked first.
 	DecisionAsk
-	// DecisionReplay says that the answer is kept by Outcome.Holder.
+	// DecisionReplay means that Outcome.Holder stores the answer.
 	DecisionReplay
-	// DecisionInProgress, DecisionRan, DecisionUnknown, DecisionMismatch and
-	// DecisionFull refuse the claim.
+	// DecisionInProgress, DecisionRan, DecisionUnknown, DecisionMismatch and DecisionFull refuse
+	// the claim.
 	DecisionInProgress
 	DecisionRan
 	DecisionUnknown
 	DecisionMismatch
 	DecisionFull
-	// DecisionUnavailable refuses a claim because an owner did not answer.
+	// DecisionUnavailable refuses the claim because an owner did not answer.
 	DecisionUnavailable
 )
 
 // Decision is the answer to a Claim.
 type Decision struct {
 	Kind DecisionKind
-	// Owner to ask instead, for DecisionForward; the one that recorded the
-	// claim besides the first, for DecisionRun.
+	// Owner is the node to send the claim to, for DecisionForward, and the backup that recorded
+	// the claim, for DecisionRun.
 	Owner cluster.NodeID
-	// Ask is whom to put Question to, for DecisionAsk; the Answer is handed to
+	// Ask is the node to send Question to, for DecisionAsk. Its Answer is passed to
 	// Table.Answered.
 	Ask      cluster.NodeID
 	Question Question
-	// Outcome for DecisionReplay and DecisionRan.
+	// Outcome is set for DecisionReplay and DecisionRan.
 	Outcome Outcome
-	// RetryAfter is when asking again may give another decision.
+	// RetryAfter is the time after which the decision may be different.
 	RetryAfter time.Duration
 }
 
-// Failure returns the error for the caller, or nil when the decision is no
-// refusal. Its verdict speaks of the request that the key stands for.
+// Failure returns the error for the caller, or nil if the decision is not a refusal. Its verdict is
+// about the request that the key stands for.
 func (d Decision) Failure() *verdict.Error {
 	var failure *verdict.Error
 	switch d.Kind {
