--- a/routing/admission.go
+++ b/routing/admission.go
@@ -9,7 +9,7 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// The policy keys that explanations name.
+// The policy keys and other bounds that an Explanation names.
 const (
 	settingQueueLength   = "queue_length"
 	settingQueueBytes    = "queue_bytes"
@@ -21,12 +21,12 @@
 	settingPoisonEnds    = "machines ended"
 )
 
-// arrive admits, dispatches, queues or refuses a request.
+// arrive admits and dispatches, queues or refuses a request.
 func (r *Router) arrive(arrived *Request) {
 	if _, known := r.requests[arrived.ID]; known {
 		return
 	}
-	model, failure := r.open(arrived)
+	model, failure := r.admissibleModel(arrived)
 	if failure != nil {
 		r.refuse(arrived.ID, failure, Explanation{})
 		return
@@ -41,7 +41,7 @@
 		r.refuse(arrived.ID, failure, Explanation{})
 		return
 	}
-	claim, refusal, admitted := r.limits.Admit(r.nanos, arrived.TokenPath, model.configured.Path, model.estimate(arrived))
+	claim, refusal, admitted := r.limits.Admit(r.nanos, arrived.TokenPath, model.configured.Path, model.estimateTokens(arrived))
 	if !admitted {
 		r.refuseByLimit(arrived.ID, refusal)
 		return
@@ -49,25 +49,25 @@
 	model.arrivals++
 	model.arrivedTokens += arrived.PromptTokens
 	if arrived.Returned {
-		model.expected.returned()
+		model.returning.removeReturned()
 	}
 	model.objective = arrived.Objective
-	r.touch(model)
-	r.earnRetries(model)
-	r.place(r.admit(model, arrived, deadline, claim))
+	r.markDemandChanged(model)
+	r.creditRetries(model)
+	r.dispatchOrQueue(r.admit(model, arrived, deadline, claim))
 }
 
-// estimate of the tokens a request will use: its prompt, and as many as the
-// model's requests generate in the mean but no more than it allows.
-func (m *model) estimate(arrived *Request) float64 {
-	generated := m.generated
+// estimateTokens returns the tokens that a request is expected to use: its prompt and the mean
+// number of generated tokens, at most MaxTokens.
+func (m *model) estimateTokens(arrived *Request) float64 {
+	generated := m.meanGenerated
 	if arrived.MaxTokens > 0 {
 		generated = min(generated, float64(arrived.MaxTokens))
 	}
 	return float64(arrived.PromptTokens) + generated
 }
 
-// refuseByLimit ends a request that a limit does not admit.
+// refuseByLimit refuses a request that exceeds a limit.
 func (r *Router) refuseByLimit(id cluster.RequestID, refusal limit.Refusal) {
 	code := verdict.CodeTokenRateLimit
 	switch refusal.Kind {
@@ -78,7 +78,7 @@
 	}
 	wait := refusal.RetryAfter
 	if refusal.Kind == limit.Concurrency {
-		wait = r.bounded(wait)
+		wait = r.boundRetryAfter(wait)
 	}
 	failure := verdict.New(verdict.NotRun, code, "%s of %s is used up on this node", refusal.Kind.Setting(), refusal.Path)
 	r.refuse(id, failure.After(wait), Explanation{
@@ -86,9 +86,9 @@
 	})
 }
 
-// open returns the state of the request's model, or why nothing for it is
-// admitted at all.
-func (r *Router) open(arrived *Request) (*model, *verdict.Error) {
+// admissibleModel returns the state of the request's model, or the failure if no request for it can
+// be admitted.
+func (r *Router) admissibleModel(arrived *Request) (*model, *verdict.Error) {
 	if r.draining {
 		return nil, r.drainingFailure()
 	}
@@ -96,15 +96,15 @@
 		return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable,
 			"no settings are in force yet").After(r.config.DrainRetryAfter)
 	}
-	model := r.configured(arrived.Model)
+	model := r.configuredModel(arrived.Model)
 	if model == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeModelNotFound, "model %q does not exist", arrived.Model)
 	}
 	return model, nil
 }
 
-// configured returns the state of a model that the settings name, or nil.
-func (r *Router) configured(id cluster.ModelID) *model {
+// configuredModel returns the state of a model in the settings, or nil.
+func (r *Router) configuredModel(id cluster.ModelID) *model {
 	if known := r.models[id]; known != nil && known.configured != nil {
 		return known
 	}
@@ -114,10 +114,11 @@
 	return r.modelState(id)
 }
 
-// maxDeadline bounds what a caller may state; chosen, not measured.
+// maxDeadline bounds the deadline of a request, 7 days.
 const maxDeadline = 7 * 24 * time.Hour
 
-// deadline of a request: the caller's, else the policy's, else the default.
+// deadline returns the time by which a request must end: stated by the caller, else by the policy,
+// else the default.
 func (r *Router) deadline(m *model, arrived *Request) int64 {
 	allowed := m.configured.Policy.Deadline
 	if !arrived.Deadline.IsZero() {
@@ -128,7 +129,7 @@
 	return r.nanos + int64(min(allowed, maxDeadline))
 }
 
-// admit makes the state of an admitted request.
+// admit creates the state of an admitted request.
 func (r *Router) admit(m *model, arrived *Request, deadline int64, claim limit.Claim) *request {
 	admitted := r.newRequest()
 	admitted.Request = *arrived
@@ -136,7 +137,7 @@
 	admitted.arrived = r.nanos
 	admitted.claim = claim
 	admitted.deadline = deadline
-	admitted.queueBudget = m.queueBudget(arrived)
+	admitted.queueBudget = m.queueTimeLimit(arrived)
 	admitted.timer.request = admitted
 	admitted.item = queue.Item[*request]{
 		Value:    admitted,
@@ -150,7 +151,7 @@
 	return admitted
 }
 
-// tokensPerCost is how many tokens weigh as much as one request in the fairness
+// tokensPerCost is the number of tokens that weigh as much as one request in the fair queueing
 // between teams.
 const tokensPerCost = 1024
 
@@ -158,8 +159,8 @@
 	return 1 + float64(arrived.PromptTokens+arrived.MaxTokens)/tokensPerCost
 }
 
-// place dispatches a just admitted request, lets it wait or ends it.
-func (r *Router) place(admitted *request) {
+// dispatchOrQueue dispatches, queues or refuses a request that was just admitted.
+func (r *Router) dispatchOrQueue(admitted *request) {
 	model := admitted.model
 	ahead := model.queue.Ahead(admitted.item.Priority)
 	if ahead == 0 && r.tryDispatch(admitted) {
@@ -167,46 +168,45 @@
 	}
 	failure, reason := r.queueRefusal(admitted)
 	if failure == nil {
-		failure, reason = r.unmeetable(admitted, model.queue.Before(&admitted.item))
+		failure, reason = r.startRefusal(admitted, model.queue.Before(&admitted.item))
 	}
 	if failure != nil {
 		r.finish(admitted, failure, reason)
 		return
 	}
-	r.wait(admitted, false)
+	r.enqueue(admitted, false)
 	if ahead > 0 {
-		r.serve(model)
+		r.dispatchQueue(model)
 	}
 }
 
-// queueRefusal says why the request may not wait, or nil. Zero bounds mean that
-// none may.
+// queueRefusal returns why the request can't be queued, or nil. A bound of zero allows no queueing.
 func (r *Router) queueRefusal(admitted *request) (*verdict.Error, Explanation) {
 	model := admitted.model
 	policy := &model.configured.Policy
 	if policy.QueueTime <= 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeQueueTimeout,
-			"no replica is free and the model's requests may not wait").After(r.comeBack(model)), model.explain(settingQueueTime, 0, 0)
+			"no replica is free and the model's requests may not wait").After(r.retryAfter(model)), model.explain(settingQueueTime, 0, 0)
 	}
 	if model.queue.Len() >= policy.QueueLength {
 		reason := model.explain(settingQueueLength, float64(policy.QueueLength), float64(model.queue.Len()))
 		return verdict.New(verdict.NotRun, verdict.CodeQueueFull,
-			"%d requests wait for the model already", model.queue.Len()).After(r.comeBack(model)), reason
+			"%d requests wait for the model already", model.queue.Len()).After(r.retryAfter(model)), reason
 	}
 	if wanted := model.queue.Bytes() + admitted.BodyBytes; wanted > policy.QueueBytes {
 		reason := model.explain(settingQueueBytes, float64(policy.QueueBytes), float64(wanted))
 		return verdict.New(verdict.NotRun, verdict.CodeQueueFull,
-			"the requests that wait for the model hold too many bytes").After(r.comeBack(model)), reason
+			"the requests that wait for the model hold too many bytes").After(r.retryAfter(model)), reason
 	}
 	return nil, Explanation{}
 }
 
-// wait puts a request into its model's queue. A returned one was dispatched
+// enqueue puts a request into its model's queue. returned is set for a request that was dispatched
 // before.
-func (r *Router) wait(waiting *request, returned bool) {
+func (r *Router) enqueue(waiting *request, returned bool) {
 	waiting.queuedSince = r.nanos
 	if waiting.model.queue.Len() == 0 {
-		waiting.model.firstWaits(r.nanos)
+		waiting.model.beginWaiting(r.nanos)
 	}
 	if returned {
 		waiting.model.queue.Return(&waiting.item)
@@ -214,32 +214,34 @@
 		waiting.model.queue.Push(&waiting.item)
 	}
 	r.waiting++
-	waiting.model.noteAbsence(r.nanos)
-	r.touch(waiting.model)
+	waiting.model.updateUnserved(r.nanos)
+	r.markDemandChanged(waiting.model)
 	end := min(waiting.deadline, r.nanos+waiting.queueBudget)
-	if hopeless := r.hopelessAt(waiting); hopeless > r.nanos {
+	if hopeless := r.unstartableAt(waiting); hopeless > r.nanos {
 		end = min(end, hopeless)
 	}
 	r.arm(&waiting.timer, end)
 }
 
-// stopWaiting accounts the wait of a request that left the queue.
-func (r *Router) stopWaiting(waiting *request) {
+// accountWait deducts the time in the queue from the request's queue time once it has left the
+// queue.
+func (r *Router) accountWait(waiting *request) {
 	spent := r.nanos - waiting.queuedSince
 	waiting.queueBudget -= spent
 	waiting.waited += time.Duration(spent)
 	r.waiting--
-	r.touch(waiting.model)
+	r.markDemandChanged(waiting.model)
 }
 
-// refuse ends a request that was never admitted.
+// refuse ends a request that was not admitted.
 func (r *Router) refuse(id cluster.RequestID, failure *verdict.Error, reason Explanation) {
 	reason.Code = failure.Code
 	reason.SettingsRevision = r.settingsRevision()
 	r.emit(Finish{Request: id, Failure: failure, Reason: reason})
 }
 
-// explain names the policy key that decided about the model.
+// explain returns an Explanation that names the setting of the model that decided, its bound and
+// the value that was compared.
 func (m *model) explain(setting string, limit, value float64) Explanation {
 	reason := Explanation{Setting: setting, Limit: limit, Value: value}
 	if m.configured != nil {
@@ -248,30 +250,31 @@
 	return reason
 }
 
-// serviceTime is the learned or assumed time of one request in nanoseconds.
+// serviceTime returns the mean service time in nanoseconds, or the default before the first
+// observation.
 func (m *model) serviceTime(config *Config) float64 {
-	if m.service > 0 {
-		return m.service
+	if m.meanService > 0 {
+		return m.meanService
 	}
 	return float64(config.DefaultService)
 }
 
-// newRequest takes a recycled request or makes one.
+// newRequest returns a recycled request or a new one.
 func (r *Router) newRequest() *request {
-	if last := len(r.spare) - 1; last >= 0 {
-		recycled := r.spare[last]
-		r.spare = r.spare[:last]
+	if last := len(r.recycled) - 1; last >= 0 {
+		recycled := r.recycled[last]
+		r.recycled = r.recycled[:last]
 		return recycled
 	}
 	return &request{}
 }
 
-// maxSpare bounds the recycled requests.
-const maxSpare = 1024
+// maxRecycled bounds the number of recycled requests.
+const maxRecycled = 1024
 
 func (r *Router) recycle(ended *request) {
-	if len(r.spare) < maxSpare {
-		*ended = request{tried: ended.tried[:0]}
-		r.spare = append(r.spare, ended)
+	if len(r.recycled) < maxRecycled {
+		*ended = request{failedMachines: ended.failedMachines[:0]}
+		r.recycled = append(r.recycled, ended)
 	}
 }
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -8,54 +8,54 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// serve dispatches waiting requests of a model as long as replicas take them.
-func (r *Router) serve(m *model) {
+// dispatchQueue dispatches waiting requests of a model as long as replicas take them.
+func (r *Router) dispatchQueue(m *model) {
 	for {
-		head := r.head(m)
+		head := r.nextToStart(m)
 		if head == nil || !r.tryDispatch(head) {
 			return
 		}
 	}
 }
 
-// serveMachine dispatches waiting requests to a machine that may have room
-// again: of all its models' heads, the one of highest priority, then earliest
-// deadline, first.
-func (r *Router) serveMachine(m *machine) {
+// dispatchToMachine dispatches waiting requests to a machine that may have room again. Of the first
+// requests of all its models, the one with the highest priority and then the earliest deadline goes
+// first.
+func (r *Router) dispatchToMachine(m *machine) {
 	if r.waiting == 0 {
 		return
 	}
-	r.serveHeads(m)
-	if !m.turns.open(r.nanos) && m.nextWaiting(nil) != nil {
-		r.wantTurn(m)
+	r.dispatchHeads(m)
+	if !m.turns.allowsRequest(r.nanos) && m.nextModel(nil) != nil {
+		r.requestTurn(m)
 	}
 }
 
-// serveHeads dispatches the heads of a machine's models as long as it has room.
-func (r *Router) serveHeads(m *machine) {
-	var stuck []*model
-	for r.room(m) == "" {
-		next := m.nextWaiting(stuck)
+// dispatchHeads dispatches the first requests of the machine's models as long as it has room.
+func (r *Router) dispatchHeads(m *machine) {
+	var skipped []*model
+	for r.noRoomCause(m) == "" {
+		next := m.nextModel(skipped)
 		if next == nil {
 			return
 		}
-		if head := r.head(next); head != nil && !r.tryDispatch(head) {
-			stuck = append(stuck, next)
+		if head := r.nextToStart(next); head != nil && !r.tryDispatch(head) {
+			skipped = append(skipped, next)
 		}
 	}
 }
 
-// serveFreed serves the machines that got room in this step. That comes last,
-// so that no request is dispatched whose own time-out is also due.
-func (r *Router) serveFreed() {
-	for _, machine := range r.freed {
-		r.serveMachine(machine)
+// dispatchToFreed dispatches to the machines that gained room in this step. It runs after all
+// timers, so that a request whose own timer is also due is not dispatched.
+func (r *Router) dispatchToFreed() {
+	for _, machine := range r.freedMachines {
+		r.dispatchToMachine(machine)
 	}
-	r.freed = r.freed[:0]
+	r.freedMachines = r.freedMachines[:0]
 }
 
-// nextWaiting returns the model on the machine whose head goes first, or nil.
-func (m *machine) nextWaiting(except []*model) *model {
+// nextModel returns the model on the machine whose first waiting request goes first, or nil.
+func (m *machine) nextModel(except []*model) *model {
 	var best *model
 	for _, replica := range m.replicas {
 		candidate := replica.model
@@ -77,16 +77,16 @@
 	return first.Deadline < second.Deadline
 }
 
-// tryDispatch dispatches a request if a replica takes it.
+// tryDispatch dispatches the request if a replica takes it, and reports whether it did.
 func (r *Router) tryDispatch(ready *request) bool {
 	chosen, reason := r.choose(ready)
 	if chosen == nil {
 		return false
 	}
 	if ready.item.Queued() {
-		ready.model.starts.note(r.nanos)
+		ready.model.startInterval.observeStart(r.nanos)
 		ready.model.queue.Remove(&ready.item)
-		r.stopWaiting(ready)
+		r.accountWait(ready)
 	}
 	r.dispatch(ready, chosen, reason)
 	return true
@@ -96,16 +96,16 @@
 	machine := chosen.machine
 	ready.running = true
 	ready.attempt++
-	ready.tries++
+	ready.countedAttempts++
 	ready.machine = machine
 	ready.dispatched = r.nanos
-	machine.dispatched(r.nanos)
-	ready.sendBy = machine.turns.take()
+	machine.addDispatch(r.nanos)
+	ready.sendBy = machine.turns.use()
 	if len(ready.Prefixes) > 0 {
 		r.prefixes.Sent(r.nanos, machine.id, ready.Model, ready.Prefixes)
 	}
 	ready.model.running++
-	r.touch(ready.model)
+	r.markDemandChanged(ready.model)
 	r.arm(&ready.timer, ready.deadline)
 	reason.Waited = ready.waited
 	reason.SettingsRevision = r.settingsRevision()
@@ -113,7 +113,7 @@
 		Request: ready.ID, Attempt: ready.attempt,
 		Machine: machine.id, Address: machine.address,
 		Model: ready.Model, Version: chosen.version,
-		Deadline: time.Unix(0, ready.deadline), Final: !ready.mayFollow(), Reason: reason,
+		Deadline: time.Unix(0, ready.deadline), Final: !ready.retryAllowed(), Reason: reason,
 		Limited: machine.turns.limited,
 	}
 	if r.config.ListAlternatives != nil && r.config.ListAlternatives(ready.Model) {
@@ -123,19 +123,18 @@
 	r.emit(decided)
 }
 
-// stopRunning takes a request's current attempt off its machine and returns
-// the machine.
+// stopRunning removes the request's current attempt from its machine and returns the machine.
 func (r *Router) stopRunning(running *request) *machine {
 	machine := running.machine
 	running.running, running.unsent = false, false
 	running.machine = nil
 	machine.inFlight--
 	running.model.running--
-	r.touch(running.model)
+	r.markDemandChanged(running.model)
 	return machine
 }
 
-// attemptEnded takes the outcome of a current attempt; any other is ignored.
+// attemptEnded handles the outcome of a current attempt and ignores any other.
 func (r *Router) attemptEnded(event *AttemptEnded) {
 	ended := r.requests[event.Request]
 	if ended == nil || !ended.running || ended.attempt != event.Attempt {
@@ -147,32 +146,32 @@
 	machine := r.stopRunning(ended)
 	if event.Withheld {
 		r.finish(ended, event.Failure, Explanation{Machine: machine.id})
-		r.freed = append(r.freed, machine)
+		r.freedMachines = append(r.freedMachines, machine)
 		return
 	}
-	machine.noteOutcome(event)
-	r.noteEvidence(ended, machine, event)
+	machine.observeOutcome(event)
+	r.recordEvidence(ended, machine, event)
 	if event.Failure == nil {
-		machine.setbacks = 0
-		model.learnService(float64(r.nanos - dispatched))
-		learn(&model.generated, float64(event.Tokens))
+		machine.consecutiveBackOffs = 0
+		model.observeService(float64(r.nanos - dispatched))
+		updateMean(&model.meanGenerated, float64(event.Tokens))
 		r.finish(ended, nil, Explanation{Machine: machine.id})
 	} else {
 		r.attemptFailed(ended, machine, event)
 	}
-	r.freed = append(r.freed, machine)
+	r.freedMachines = append(r.freedMachines, machine)
 }
 
-// learningWeight is the weight of a new observation in a learned mean: the last seven count
-// for half. Chosen, not measured.
-const learningWeight = 0.1
+// meanWeight is the weight of a new observation in an exponential moving average: 0.1, so that the
+// last seven count for half.
+const meanWeight = 0.1
 
-func learn(mean *float64, observed float64) {
+func updateMean(mean *float64, observed float64) {
 	if *mean == 0 {
 		*mean = max(observed, 1)
 		return
 	}
-	*mean += learningWeight * (observed - *mean)
+	*mean += meanWeight * (observed - *mean)
 }
 
 // attemptFailed retries the request or ends it.
@@ -180,28 +179,29 @@
 	if event.Failure.Verdict != verdict.NotRun {
 		failed.mayHaveRun = true
 	}
-	r.setback(failed, machine, event)
-	if r.move(failed, event) {
+	r.backOffAfter(failed, machine, event)
+	if r.moveAttempt(failed, event) {
 		return
 	}
-	again, reason := r.mayRetry(failed, event)
+	retry, reason := r.mayRetry(failed, event)
 	reason.Machine = machine.id
-	if !again {
+	if !retry {
 		failure := event.Failure
-		if failure.RetryAfter == 0 && !permanent(failure.Code) {
-			failure = failure.After(r.comeBack(failed.model))
+		if failure.RetryAfter == 0 && !isPermanent(failure.Code) {
+			failure = failure.After(r.retryAfter(failed.model))
 		}
 		r.finish(failed, failure, reason)
 		return
 	}
-	r.startAgain(failed, reason)
+	r.redispatch(failed, reason)
 }
 
-// mayRetry decides by verdict, attempts and budget, in this order.
+// mayRetry decides about a retry by the verdict, the number of attempts and the retry budget, in
+// this order.
 func (r *Router) mayRetry(failed *request, event *AttemptEnded) (bool, Explanation) {
 	notRun := event.Failure.Verdict == verdict.NotRun
 	switch {
-	case failed.firstByte && !failed.Resumable, permanent(event.Failure.Code):
+	case failed.firstByteSent && !failed.Resumable, isPermanent(event.Failure.Code):
 		return false, Explanation{}
 	case !notRun && !failed.Repeatable:
 		return false, Explanation{}
@@ -210,23 +210,23 @@
 	case r.convicted(failed.Content) && !(failed.test && notRun):
 		return false, Explanation{Setting: settingPoisonEnds}
 	case notRun && event.Unreached:
-		failed.tries--
+		failed.countedAttempts--
 		return true, Explanation{}
 	case notRun && (event.EngineFull || event.ModelMissing):
-		failed.tries--
-		return r.payRefused(failed)
+		failed.countedAttempts--
+		return r.spendResend(failed)
 	}
-	if allowed := failed.allowedAttempts(); failed.tries >= allowed {
-		return false, failed.model.explain(settingRetryAttempts, float64(allowed), float64(failed.tries))
+	if allowed := failed.allowedAttempts(); failed.countedAttempts >= allowed {
+		return false, failed.model.explain(settingRetryAttempts, float64(allowed), float64(failed.countedAttempts))
 	}
-	return r.payRetry(failed)
+	return r.spendRetry(failed)
 }
 
-// payRetry takes one attempt past the first out of the budget that is in force.
-func (r *Router) payRetry(failed *request) (bool, Explanation) {
+// spendRetry takes one retry from the budget in force.
+func (r *Router) spendRetry(failed *request) (bool, Explanation) {
 	paid := false
 	if r.config.RetryWindow > 0 {
-		paid = r.pool(failed.model).spend(r.nanos, &r.config, r.routers)
+		paid = r.windowBudgetOf(failed.model).spend(r.nanos, &r.config, r.routers)
 	} else {
 		paid = failed.model.retries.spend(r.nanos, &r.config)
 	}
@@ -236,25 +236,25 @@
 	return true, Explanation{}
 }
 
-// refund gives back what an attempt was paid that did not come about.
-func (r *Router) refund(m *model) {
+// refundRetry returns a retry to the budget because its attempt was not started.
+func (r *Router) refundRetry(m *model) {
 	if r.config.RetryWindow > 0 {
-		r.pool(m).refund(r.nanos, &r.config)
+		r.windowBudgetOf(m).refund(r.nanos, &r.config)
 		return
 	}
-	m.retries.saved++
+	m.retries.tokens++
 }
 
-// payRefused pays for sending a request again that an engine refused, which only
-// the window budget counts.
-func (r *Router) payRefused(failed *request) (bool, Explanation) {
+// spendResend takes a resend after an engine's refusal from the budget. Only the window budget
+// counts those.
+func (r *Router) spendResend(failed *request) (bool, Explanation) {
 	if r.config.RetryWindow == 0 {
 		return true, Explanation{}
 	}
-	return r.payRetry(failed)
+	return r.spendRetry(failed)
 }
 
-// allowedAttempts is how many dispatches that may have run the request has.
+// allowedAttempts returns how many dispatches that may have run the request is allowed.
 func (failed *request) allowedAttempts() int {
 	if failed.Attempts > 0 {
 		return failed.Attempts
@@ -265,15 +265,13 @@
 	return max(failed.model.configured.Policy.RetryAttempts, 1)
 }
 
-// mayFollow reports whether another attempt may follow the present one though
-// this one may have run.
-func (failed *request) mayFollow() bool {
-	return failed.Repeatable && failed.tries < failed.allowedAttempts()
+// retryAllowed reports whether another attempt is allowed although the current one may have run.
+func (failed *request) retryAllowed() bool {
+	return failed.Repeatable && failed.countedAttempts < failed.allowedAttempts()
 }
 
-// permanent reports whether another attempt would meet the same failure or
-// could not be answered.
-func permanent(code verdict.Code) bool {
+// isPermanent reports whether a retry would fail in the same way or could not be answered.
+func isPermanent(code verdict.Code) bool {
 	switch code {
 	case verdict.CodeInvalidRequest, verdict.CodeUnauthorized, verdict.CodeForbidden,
 		verdict.CodeRequestTooLarge, verdict.CodeDeadlineExceeded, verdict.CodeCallerGone, verdict.CodeCallerStalled,
@@ -283,8 +281,8 @@
 	return false
 }
 
-// startAgain dispatches a failed request anew, lets it wait or gives it up.
-func (r *Router) startAgain(failed *request, reason Explanation) {
+// redispatch dispatches a failed request again, queues it or ends it.
+func (r *Router) redispatch(failed *request, reason Explanation) {
 	model := failed.model
 	if r.tryDispatch(failed) {
 		return
@@ -294,13 +292,13 @@
 		return
 	}
 	if failed.queueBudget <= 0 {
-		r.giveUpWaiting(failed)
+		r.failQueueTimeout(failed)
 		return
 	}
-	if failure, why := r.unmeetable(failed, 0); failure != nil {
+	if failure, why := r.startRefusal(failed, 0); failure != nil {
 		r.finish(failed, failure, why)
 		return
 	}
-	r.wait(failed, true)
-	r.serve(model)
+	r.enqueue(failed, true)
+	r.dispatchQueue(model)
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// The two-year deployment: 62 base models and 1,600 adapters on 1,600 workers
-// in 18 zones of 5 regions, before 340 routers.
+// The deployment expected in two years: 62 base models and 1,600 adapters on 1,600 workers in 18
+// zones of 5 regions, behind 340 routers.
 const (
 	largeBases    = 62
 	largeModels   = 1662
@@ -75,8 +75,8 @@
 	return router
 }
 
-// BenchmarkAdmitDispatchFinish measures one request's way through the core:
-// admitted under five limits, dispatched at once and ended.
+// BenchmarkAdmitDispatchFinish measures one request through the router: admitted under five limits,
+// dispatched at once and finished.
 func BenchmarkAdmitDispatchFinish(b *testing.B) {
 	for _, prefixes := range []int{0, 32} {
 		b.Run(fmt.Sprintf("prefixes=%d", prefixes), func(b *testing.B) {
@@ -106,7 +106,7 @@
 					Deadline: now.Add(time.Minute), PromptTokens: 100, Prefixes: chains[i%len(chains)],
 				}})
 				if len(effects) != 1 {
-					b.Fatalf("not dispatched: %v", describe(effects))
+					b.Fatalf("request not dispatched: %v", describe(effects))
 				}
 				router.Step(now, AttemptEnded{Request: id, Attempt: 1, Tokens: 50})
 			}
@@ -115,8 +115,8 @@
 	}
 }
 
-// BenchmarkQueuedRequest measures a request that waits among 500 others of its
-// model until another one ends.
+// BenchmarkQueuedRequest measures a request that waits among 500 others of its model until another
+// one ends.
 func BenchmarkQueuedRequest(b *testing.B) {
 	router := New(Config{Zone: "z1", ExpectedRouters: 1}, 1)
 	policy := testPolicy()
@@ -147,8 +147,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// BenchmarkFullStatus measures a full status of one zone of the large
-// deployment, about 270 replicas.
+// BenchmarkFullStatus measures a full status of one zone of the large deployment, about 270
+// replicas.
 func BenchmarkFullStatus(b *testing.B) {
 	router := largeRouter(64)
 	status := largeStatuses(1, 64)[0]
@@ -161,8 +161,7 @@
 	b.ReportMetric(float64(len(status.Replicas)), "replicas")
 }
 
-// BenchmarkDemand measures the report of a second with 100 active models of
-// 1,662.
+// BenchmarkDemand measures a demand report with 100 active of 1,662 models.
 func BenchmarkDemand(b *testing.B) {
 	router := largeRouter(64)
 	now := start
@@ -177,13 +176,13 @@
 		}
 		b.StartTimer()
 		if report := router.Demand(now, false); len(report.Models) != 100 {
-			b.Fatalf("%d models", len(report.Models))
+			b.Fatalf("%d models reported, want 100", len(report.Models))
 		}
 	}
 }
 
-// BenchmarkLargeState measures the memory of a core that knows the large
-// deployment and has served 100,000 requests with 32 prefix blocks each.
+// BenchmarkLargeState measures the memory of a router with the large deployment after 100,000
+// requests of 32 prefix blocks each.
 func BenchmarkLargeState(b *testing.B) {
 	var before, after runtime.MemStats
 	for range b.N {
--- a/routing/cells.go
+++ b/routing/cells.go
@@ -13,37 +13,35 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// accept decides whether a status is newer than what is known of the zone and
-// reports whether one before it was missed. A status of a smaller token comes
-// from a controller that lost its lease, one of a smaller or equal sequence is
-// late or a duplicate; both are ignored. The answer to a request for a full
-// status may repeat the last sequence.
+// accept reports whether a status is newer than the last one of the zone, and whether one before it
+// was missed. It rejects a status with a smaller fencing token, which comes from a controller that
+// lost its lease, and one with a smaller or equal sequence, which is late or a duplicate. Only a
+// full status requested after a missed one may repeat the last sequence.
 func (c *cell) accept(status *wire.CellStatus) (accepted, missed bool) {
 	if status.Token < c.token {
 		return false, false
 	}
-	if status.Token == c.token && c.heard {
-		repeats := status.Full && c.gap && status.Sequence == c.sequence
+	if status.Token == c.token && c.hasStatus {
+		repeats := status.Full && c.missedStatus && status.Sequence == c.sequence
 		if status.Sequence <= c.sequence && !repeats {
 			return false, false
 		}
 	}
 	next := status.Token == c.token && status.Sequence == c.sequence+1
-	c.token, c.sequence, c.lost, c.heard = status.Token, status.Sequence, false, true
+	c.token, c.sequence, c.lost, c.hasStatus = status.Token, status.Sequence, false, true
 	if status.Full {
-		c.gap = false
+		c.missedStatus = false
 		return true, false
 	}
 	if !next {
-		c.gap = true
+		c.missedStatus = true
 	}
-	return true, c.gap
+	return true, c.missedStatus
 }
 
-// cellStatus takes a zone's replicas and loads. Each record is absolute, so
-// the records of a delta apply even when an earlier one was missed; a full
-// status is asked for then.
-func (r *Router) cellStatus(status *wire.CellStatus) {
+// applyCellStatus applies a zone's replicas, loads and limit shares. Each record is absolute, so
+// the records of a delta apply even after a missed status; a full status is then requested.
+func (r *Router) applyCellStatus(status *wire.CellStatus) {
 	zone := r.cells[status.Zone]
 	if zone == nil {
 		zone = &cell{}
@@ -55,23 +53,23 @@
 		return
 	}
 	if wasLost {
-		r.zoneFound(status.Zone)
+		r.zoneRecovered(status.Zone)
 	}
 	if missed {
 		r.emit(StatusNeeded{Zone: status.Zone})
 	}
 	r.applyReplicas(status)
-	loaded := r.applyLoads(status)
+	reported := r.applyLoads(status)
 	r.applyShares(status)
-	r.settleModels()
-	for _, machine := range loaded {
-		r.serveMachine(machine)
+	r.updateChangedModels()
+	for _, machine := range reported {
+		r.dispatchToMachine(machine)
 	}
 }
 
-// applyReplicas takes the records.
+// applyReplicas applies the replica records of a status.
 func (r *Router) applyReplicas(status *wire.CellStatus) {
-	r.statuses++
+	r.statusCount++
 	for i := range status.Replicas {
 		r.applyReplica(status.Zone, &status.Replicas[i])
 	}
@@ -80,12 +78,12 @@
 	}
 }
 
-// applyReplica takes one record. Whether the machine leaves is what the newest
-// record of a usable replica says; any other record can only say that it does.
+// applyReplica applies one replica record. The newest record of a loading or loaded replica
+// determines whether the machine is leaving; any other record can only set that.
 func (r *Router) applyReplica(zone cluster.ZoneID, record *wire.ReplicaRecord) {
 	if record.State == cluster.ReplicaAbsent || record.State == cluster.ReplicaUnloading {
 		if known := r.machines[record.Machine]; known != nil && record.Leaving {
-			r.setListed(known, true)
+			r.setLeavingListed(known, true)
 		}
 		r.dropReplica(record.Machine, record.Model)
 		return
@@ -96,55 +94,55 @@
 	if machine.slots <= 0 {
 		machine.slots = r.config.DefaultSlots
 	}
-	r.setListed(machine, record.Leaving)
+	r.setLeavingListed(machine, record.Leaving)
 	model := r.modelState(record.Model)
 	known := machine.replica(model)
 	if known == nil {
-		known = &replica{model: model, machine: machine, since: r.nanos}
+		known = &replica{model: model, machine: machine, stateSince: r.nanos}
 		machine.replicas = append(machine.replicas, known)
 	} else {
 		model.detach(known)
 	}
 	r.updateReplica(known, record)
 	model.attach(known, r.distance(zone))
-	r.changed = append(r.changed, model)
+	r.changedModels = append(r.changedModels, model)
 }
 
-// updateReplica takes a record's state and learns load times.
+// updateReplica applies a record's state to the replica and observes load times.
 func (r *Router) updateReplica(known *replica, record *wire.ReplicaRecord) {
 	if known.state == cluster.ReplicaLoading && record.State == cluster.ReplicaLoaded {
-		r.learnLoad(known.model, float64(r.nanos-known.since))
+		r.observeLoad(known.model, float64(r.nanos-known.stateSince))
 	}
 	if known.state != record.State {
-		known.since = r.nanos
+		known.stateSince = r.nanos
 		if record.State == cluster.ReplicaLoading && record.ReadyIn > 0 {
-			learn(r.kindLoadTime(known.model), float64(record.ReadyIn))
+			updateMean(r.kindLoadTime(known.model), float64(record.ReadyIn))
 		}
 	}
-	known.state, known.version, known.seen = record.State, record.Version, r.statuses
+	known.state, known.version, known.lastStatus = record.State, record.Version, r.statusCount
 	known.missingUntil, known.readyAt = 0, 0
 	if record.State == cluster.ReplicaLoading && record.ReadyIn > 0 {
 		known.readyAt = r.nanos + int64(record.ReadyIn)
 	}
 }
 
-// learnLoad takes how long a load of the model took.
-func (r *Router) learnLoad(m *model, took float64) {
-	learn(&m.loadTime, took)
-	learn(r.kindLoadTime(m), took)
-	if m.quickestLoad == 0 || took < m.quickestLoad {
-		m.quickestLoad = took
+// observeLoad updates the load time estimates with a load of the model.
+func (r *Router) observeLoad(m *model, took float64) {
+	updateMean(&m.meanLoadTime, took)
+	updateMean(r.kindLoadTime(m), took)
+	if m.shortestLoad == 0 || took < m.shortestLoad {
+		m.shortestLoad = took
 	}
 }
 
-// dropUnlisted removes the zone's replicas that the full status did not name.
+// dropUnlisted removes the zone's replicas that the full status did not list.
 func (r *Router) dropUnlisted(zone cluster.ZoneID) {
 	for _, machine := range r.machines {
 		if machine.zone != zone {
 			continue
 		}
 		for _, replica := range slices.Clone(machine.replicas) {
-			if replica.seen != r.statuses {
+			if replica.lastStatus != r.statusCount {
 				r.dropReplica(machine.id, replica.model.id)
 			}
 		}
@@ -166,25 +164,25 @@
 	at := slices.Index(machine.replicas, known)
 	machine.replicas = slices.Delete(machine.replicas, at, at+1)
 	if len(machine.replicas) == 0 {
-		// The engine has left or begun anew: its cache is gone.
+		// The engine has left or was restarted, so its cache is gone.
 		r.prefixes.Forget(id)
 	}
-	r.changed = append(r.changed, model)
+	r.changedModels = append(r.changedModels, model)
 }
 
-// announcedMemory is how long the leaving of a machine without replicas, or its limit, is
-// remembered, longer than any status is late.
-const announcedMemory = int64(10 * time.Minute)
+// machineRetention is how long the leaving state or the rate limit of a machine without replicas is
+// kept: 10 min, longer than the delay of any status.
+const machineRetention = int64(10 * time.Minute)
 
-// forgetMachine drops the state of a machine that nothing refers to.
+// forgetMachine deletes the state of a machine that nothing refers to.
 func (r *Router) forgetMachine(m *machine) {
 	if len(m.replicas) > 0 || m.inFlight+m.reserved > 0 {
 		return
 	}
-	if m.announced && r.nanos-m.announcedAt < announcedMemory {
+	if m.leavingAnnounced && r.nanos-m.leavingAnnouncedAt < machineRetention {
 		return
 	}
-	if m.turns.limited && r.nanos-m.turns.heardAt < announcedMemory || r.nanos < m.turns.restsUntil {
+	if m.turns.limited && r.nanos-m.turns.limitHeardAt < machineRetention || r.nanos < m.turns.restUntil {
 		return
 	}
 	r.disarm(&m.timer)
@@ -192,14 +190,14 @@
 	delete(r.machines, m.id)
 }
 
-// applyLoads takes load reports and returns the machines they concern.
+// applyLoads applies load reports and returns the machines that they concern.
 func (r *Router) applyLoads(status *wire.CellStatus) []*machine {
 	var reported []*machine
 	for _, load := range status.Loads {
 		if machine := r.machines[load.Machine]; machine != nil {
-			machine.report(load.Running+load.Queued, r.nanos-int64(load.Age))
-			if end := r.reportEnd(machine); machine.others > 0 && end > r.nanos {
-				r.wake(machine, end)
+			machine.applyLoad(load.Running+load.Queued, r.nanos-int64(load.Age))
+			if end := r.reportExpiry(machine); machine.otherWork > 0 && end > r.nanos {
+				r.wakeAt(machine, end)
 			}
 			reported = append(reported, machine)
 		}
@@ -207,7 +205,7 @@
 	return reported
 }
 
-// applyShares puts granted parts of limits in force.
+// applyShares puts granted shares of limits in force.
 func (r *Router) applyShares(status *wire.CellStatus) {
 	for _, share := range status.Shares {
 		r.limits.Grant(share.Path, limit.Share{
@@ -217,77 +215,78 @@
 	}
 }
 
-// settleModels serves the models whose replicas changed, and ends waiting
+// updateChangedModels dispatches for the models whose replicas changed, and refuses waiting
 // requests that can no longer start in time.
-func (r *Router) settleModels() {
-	changed := r.changed
-	r.changed = nil
+func (r *Router) updateChangedModels() {
+	changed := r.changedModels
+	r.changedModels = nil
 	slices.SortFunc(changed, func(a, b *model) int { return strings.Compare(string(a.id), string(b.id)) })
 	for _, model := range slices.Compact(changed) {
-		r.countLoaded(model)
-		r.serve(model)
+		r.recountReplicas(model)
+		r.dispatchQueue(model)
 		r.refuseUnmeetable(model)
 		r.forgetIfUnused(model)
 	}
 }
 
-// countLoaded counts the model's replicas anew. From the first one on its requests start.
-func (r *Router) countLoaded(m *model) {
+// recountReplicas counts the model's replicas again. When the first one is loaded, the measurement
+// of the interval between starts begins.
+func (r *Router) recountReplicas(m *model) {
 	before := m.loaded
-	m.countMatching()
+	m.countReplicas()
 	if before == 0 && m.loaded > 0 {
-		m.starts.since = r.nanos
+		m.startInterval.from = r.nanos
 	}
-	m.noteAbsence(r.nanos)
+	m.updateUnserved(r.nanos)
 }
 
-// cellLost keeps the zone's replicas in use: the loss of a controller is not
-// the loss of its engines, and one that no longer holds a model says so at the
-// cost of one refusal. Expected load times of the zone are no longer trusted.
+// cellLost marks the zone's controller as lost. The zone's replicas stay in use: its engines may
+// still run, and one that no longer holds a model says so at the cost of one refusal. Only the
+// expected load times of the zone are no longer trusted.
 func (r *Router) cellLost(zone cluster.ZoneID) {
 	if known := r.cells[zone]; known != nil {
 		known.lost = true
 	}
 }
 
-// zoneFound judges the waiting requests anew by the zone's expected load times.
-func (r *Router) zoneFound(zone cluster.ZoneID) {
+// zoneRecovered evaluates the waiting requests again by the zone's expected load times.
+func (r *Router) zoneRecovered(zone cluster.ZoneID) {
 	for _, machine := range r.machines {
 		if machine.zone == zone {
-			r.modelsChanged(machine)
+			r.markModelsChanged(machine)
 		}
 	}
 }
 
-// zoneLost reports whether nothing is known of the zone any more.
+// zoneLost reports whether the zone's controller is unknown or no longer heard of.
 func (r *Router) zoneLost(zone cluster.ZoneID) bool {
 	known := r.cells[zone]
 	return known == nil || known.lost
 }
 
-// machineLeaving stops dispatches to a machine at once and for good.
+// machineLeaving permanently stops dispatches to a machine.
 func (r *Router) machineLeaving(id cluster.MachineID) {
 	machine := r.machineState(id)
-	if machine.announced {
+	if machine.leavingAnnounced {
 		return
 	}
-	machine.announced, machine.announcedAt = true, r.nanos
-	r.modelsChanged(machine)
-	r.settleModels()
+	machine.leavingAnnounced, machine.leavingAnnouncedAt = true, r.nanos
+	r.markModelsChanged(machine)
+	r.updateChangedModels()
 }
 
-// setListed takes the leaving state of the cell's status.
-func (r *Router) setListed(m *machine, listed bool) {
-	if m.listed != listed {
-		m.listed = listed
-		r.modelsChanged(m)
+// setLeavingListed applies the leaving state of the cell status.
+func (r *Router) setLeavingListed(m *machine, listed bool) {
+	if m.leavingListed != listed {
+		m.leavingListed = listed
+		r.markModelsChanged(m)
 	}
 }
 
-// modelsChanged notes that the usable replicas of a machine's models changed.
-func (r *Router) modelsChanged(m *machine) {
+// markModelsChanged records that the usable replicas of the machine's models changed.
+func (r *Router) markModelsChanged(m *machine) {
 	for _, replica := range m.replicas {
-		r.changed = append(r.changed, replica.model)
+		r.changedModels = append(r.changedModels, replica.model)
 	}
 }
 
@@ -302,7 +301,7 @@
 	return state
 }
 
-// preference of this router for a machine.
+// preference returns this router's order value for a machine.
 func (r *Router) preference(id cluster.MachineID) uint64 {
 	if r.config.Subset == 0 {
 		return 0
@@ -320,7 +319,7 @@
 	return nil
 }
 
-// distance of a zone from the node.
+// distance returns the distance of a zone from the node.
 func (r *Router) distance(zone cluster.ZoneID) distance {
 	switch {
 	case zone == r.config.Zone:
@@ -332,23 +331,23 @@
 	}
 }
 
-// attach lists a replica with its model, sorted by machine.
+// attach adds a replica to its model's list, which is sorted by machine.
 func (m *model) attach(added *replica, at distance) {
 	added.distance = at
-	list := m.list(added)
+	list := m.replicaList(added)
 	place, _ := slices.BinarySearchFunc(*list, added, compareMachines)
 	*list = slices.Insert(*list, place, added)
 }
 
-// detach takes a replica off its model's list.
+// detach removes a replica from its model's list.
 func (m *model) detach(known *replica) {
-	list := m.list(known)
+	list := m.replicaList(known)
 	if place := slices.Index(*list, known); place >= 0 {
 		*list = slices.Delete(*list, place, place+1)
 	}
 }
 
-func (m *model) list(of *replica) *[]*replica {
+func (m *model) replicaList(of *replica) *[]*replica {
 	if of.state == cluster.ReplicaLoaded {
 		return &m.tiers[of.distance]
 	}
@@ -362,7 +361,7 @@
 	)
 }
 
-// rebuildTiers sorts a model's replicas anew after zones' regions changed.
+// rebuildTiers assigns a model's loaded replicas to distances again after regions of zones changed.
 func (r *Router) rebuildTiers(m *model) {
 	var all []*replica
 	for i := range m.tiers {
--- a/routing/checker_test.go
+++ b/routing/checker_test.go
@@ -10,69 +10,69 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// checker follows a log of events and effects and knows nothing of the core's
-// inside. Its observe returns the first broken promise.
+// checker verifies a log of events and effects without access to the router's state. Its method
+// observe returns the first violation.
 type checker struct {
 	config   Config
 	snapshot *settings.Snapshot
 	started  time.Time
 	draining bool
-	open     map[cluster.RequestID]*observed
+	open     map[cluster.RequestID]*observedRequest
 	ended    map[cluster.RequestID]bool
 	leaving  map[cluster.MachineID]bool
 	zones    map[cluster.ZoneID]*observedZone
 	admitted map[cluster.ModelID]int
 	retried  map[cluster.ModelID]int
-	// limits are what is known of machines that named a limit, and of turns there.
+	// limits holds the turns at machines with a rate limit.
 	limits map[cluster.MachineID]*observedLimit
-	// rests is until when machines want nothing.
-	rests map[cluster.MachineID]time.Time
-	// silent is the request whose machine the present event calls silent.
+	// restUntil is the end of the machines' rest periods.
+	restUntil map[cluster.MachineID]time.Time
+	// silent is the request whose machine the current event reports as silent.
 	silent cluster.RequestID
 }
 
-// observed is a request that has not finished.
-type observed struct {
-	request   Request
-	deadline  time.Time
-	waitFrom  time.Time
-	waited    time.Duration
-	running   bool
-	attempt   cluster.Attempt
-	machine   cluster.MachineID
-	tries     int
-	mayRun    bool
-	firstByte bool
-	cancelled bool
-	// moving is set once its attempt was cancelled for another to follow.
+// observedRequest is a request that has not finished.
+type observedRequest struct {
+	request         Request
+	deadline        time.Time
+	waitFrom        time.Time
+	waited          time.Duration
+	running         bool
+	attempt         cluster.Attempt
+	machine         cluster.MachineID
+	countedAttempts int
+	mayHaveRun      bool
+	firstByteSent   bool
+	cancelled       bool
+	// moving is set once its attempt was cancelled in order to move to another machine.
 	moving bool
 }
 
-// observedLimit is a machine with a limit. A turn that was granted and not used holds from a time
-// until another.
+// observedLimit is a machine with a rate limit. A granted and unused turn is valid from `from`
+// until `until`.
 type observedLimit struct{ from, until time.Time }
 
 type observedZone struct {
-	token    cluster.FencingToken
-	sequence uint64
-	gap      bool
-	replicas map[[2]string]wire.ReplicaRecord
-	leaving  map[cluster.MachineID]bool
+	token        cluster.FencingToken
+	sequence     uint64
+	missedStatus bool
+	replicas     map[[2]string]wire.ReplicaRecord
+	leaving      map[cluster.MachineID]bool
 }
 
 func newChecker(config Config, started time.Time) *checker {
 	return &checker{
 		config: config.withDefaults(), started: started,
-		open: make(map[cluster.RequestID]*observed), ended: make(map[cluster.RequestID]bool),
+		open: make(map[cluster.RequestID]*observedRequest), ended: make(map[cluster.RequestID]bool),
 		leaving: make(map[cluster.MachineID]bool), zones: make(map[cluster.ZoneID]*observedZone),
-		limits: make(map[cluster.MachineID]*observedLimit), rests: make(map[cluster.MachineID]time.Time),
+		limits: make(map[cluster.MachineID]*observedLimit), restUntil: make(map[cluster.MachineID]time.Time),
 		admitted: make(map[cluster.ModelID]int), retried: make(map[cluster.ModelID]int),
 	}
 }
 
 // observe checks one step.
 func (c *checker) observe(now time.Time, event Event, effects []Effect) error {
-	succeeded := c.before(now, event)
+	succeeded := c.recordEvent(now, event)
 	for _, effect := range effects {
 		var err error
 		switch effect := effect.(type) {
@@ -87,11 +87,11 @@
 			return err
 		}
 	}
-	return c.after(now)
+	return c.checkOpen(now)
 }
 
-// before notes what the event says and returns the request that it completes.
-func (c *checker) before(now time.Time, event Event) cluster.RequestID {
+// recordEvent applies an event to the checker's state and returns the request that it completes.
+func (c *checker) recordEvent(now time.Time, event Event) cluster.RequestID {
 	c.silent = ""
 	switch event := event.(type) {
 	case SettingsChanged:
@@ -101,21 +101,21 @@
 	case MachineLeaving:
 		c.leaving[event.Machine] = true
 	case MachineHeard:
-		if until := now.Add(event.Notice.Rest); until.After(c.rests[event.Machine]) {
-			c.rests[event.Machine] = until
+		if until := now.Add(event.Notice.Rest); until.After(c.restUntil[event.Machine]) {
+			c.restUntil[event.Machine] = until
 		}
 		if event.Notice.Leaving {
 			c.leaving[event.Machine] = true
 		}
 		if event.Notice.Limited || event.SentUnderLimit {
-			c.limit(event.Machine, event.Notice.Limited)
+			c.recordLimit(event.Machine, event.Notice.Limited)
 		}
 	case MachineLimitTold:
-		c.limit(event.Machine, event.Notice.Limited)
+		c.recordLimit(event.Machine, event.Notice.Limited)
 	case TurnDecided:
 		if known := c.limits[event.Machine]; known != nil && event.Granted {
 			known.from = now.Add(event.Wait)
-			known.until = known.from.Add(turnLasts)
+			known.until = known.from.Add(turnValidity)
 		}
 	case CellStatusChanged:
 		c.status(&event.Status)
@@ -123,7 +123,7 @@
 		c.arrive(now, event.Request)
 	case FirstByteSent:
 		if request := c.open[event.Request]; request != nil {
-			request.firstByte = true
+			request.firstByteSent = true
 		}
 	case AttemptSilent:
 		c.silent = event.Request
@@ -133,9 +133,8 @@
 	return ""
 }
 
-// limit notes that a machine names a limit, or no longer does. One that was named before any
-// status did is not known to the core.
-func (c *checker) limit(machine cluster.MachineID, limited bool) {
+// recordLimit records that a machine states a rate limit, or none any more.
+func (c *checker) recordLimit(machine cluster.MachineID, limited bool) {
 	switch {
 	case !limited:
 		delete(c.limits, machine)
@@ -144,8 +143,8 @@
 	}
 }
 
-// turn uses a turn at a machine with a limit, and reports whether there was one.
-func (c *checker) turn(now time.Time, machine cluster.MachineID) bool {
+// useTurn uses up a turn at a machine with a limit, and reports whether there was one.
+func (c *checker) useTurn(now time.Time, machine cluster.MachineID) bool {
 	known := c.limits[machine]
 	if known == nil {
 		return true
@@ -159,7 +158,7 @@
 	if c.open[request.ID] != nil {
 		return
 	}
-	opened := &observed{request: request, deadline: request.Deadline, waitFrom: now}
+	opened := &observedRequest{request: request, deadline: request.Deadline, waitFrom: now}
 	if model := c.snapshot.Model(request.Model); request.Deadline.IsZero() && model != nil {
 		opened.deadline = now.Add(model.Policy.Deadline)
 	}
@@ -178,9 +177,9 @@
 		return event.Request
 	}
 	if event.Failure.Verdict != verdict.NotRun {
-		request.mayRun = true
+		request.mayHaveRun = true
 	} else if event.EngineFull || event.ModelMissing {
-		request.tries--
+		request.countedAttempts--
 	}
 	return ""
 }
@@ -192,11 +191,11 @@
 		c.zones[status.Zone] = zone
 	}
 	newer := status.Token > zone.token || (status.Token == zone.token && status.Sequence > zone.sequence)
-	answer := status.Full && zone.gap && status.Token == zone.token && status.Sequence == zone.sequence
+	answer := status.Full && zone.missedStatus && status.Token == zone.token && status.Sequence == zone.sequence
 	if !newer && !answer {
 		return
 	}
-	zone.gap = !status.Full && (zone.gap || status.Token != zone.token || status.Sequence != zone.sequence+1)
+	zone.missedStatus = !status.Full && (zone.missedStatus || status.Token != zone.token || status.Sequence != zone.sequence+1)
 	zone.token, zone.sequence = status.Token, status.Sequence
 	if status.Full {
 		clear(zone.replicas)
@@ -213,37 +212,37 @@
 	request := c.open[effect.Request]
 	switch {
 	case request == nil:
-		return fmt.Errorf("%s dispatched, but it is not open", effect.Request)
+		return fmt.Errorf("%s dispatched, but it has not arrived or has finished", effect.Request)
 	case request.running:
 		return fmt.Errorf("%s dispatched while attempt %d runs", effect.Request, request.attempt)
 	case effect.Attempt != request.attempt+1:
-		return fmt.Errorf("%s attempt %d follows %d", effect.Request, effect.Attempt, request.attempt)
-	case request.firstByte:
-		return fmt.Errorf("%s started anew after its first byte", effect.Request)
-	case request.mayRun && !request.request.Repeatable:
-		return fmt.Errorf("%s is not repeatable, may have run, and runs again", effect.Request)
+		return fmt.Errorf("%s attempt %d dispatched after attempt %d", effect.Request, effect.Attempt, request.attempt)
+	case request.firstByteSent:
+		return fmt.Errorf("%s dispatched again after its first byte", effect.Request)
+	case request.mayHaveRun && !request.request.Repeatable:
+		return fmt.Errorf("%s is not repeatable, may have run, and is dispatched again", effect.Request)
 	case !now.Before(request.deadline):
 		return fmt.Errorf("%s dispatched at its deadline", effect.Request)
 	case c.leaving[effect.Machine]:
-		return fmt.Errorf("%s dispatched to %s, which leaves", effect.Request, effect.Machine)
-	case !c.listed(effect.Machine, effect.Model):
-		return fmt.Errorf("%s dispatched to %s, which no newest status lists", effect.Request, effect.Machine)
-	case now.Before(c.rests[effect.Machine]):
-		return fmt.Errorf("%s dispatched to %s, which wants rest", effect.Request, effect.Machine)
-	case !c.turn(now, effect.Machine):
+		return fmt.Errorf("%s dispatched to %s, which is leaving", effect.Request, effect.Machine)
+	case !c.isLoaded(effect.Machine, effect.Model):
+		return fmt.Errorf("%s dispatched to %s, which the newest status does not list", effect.Request, effect.Machine)
+	case now.Before(c.restUntil[effect.Machine]):
+		return fmt.Errorf("%s dispatched to %s, which is in its rest period", effect.Request, effect.Machine)
+	case !c.useTurn(now, effect.Machine):
 		return fmt.Errorf("%s dispatched to %s without a turn", effect.Request, effect.Machine)
 	}
-	request.tries++
-	if allowed := c.snapshot.Model(effect.Model).Policy.RetryAttempts; request.tries > allowed {
-		return fmt.Errorf("%s tried %d times, allowed %d", effect.Request, request.tries, allowed)
+	request.countedAttempts++
+	if allowed := c.snapshot.Model(effect.Model).Policy.RetryAttempts; request.countedAttempts > allowed {
+		return fmt.Errorf("%s has %d counted attempts, allowed are %d", effect.Request, request.countedAttempts, allowed)
 	}
 	request.running, request.attempt, request.machine = true, effect.Attempt, effect.Machine
 	request.waited += now.Sub(request.waitFrom)
-	return c.budget(now, effect.Model, request.tries)
+	return c.checkRetryBudget(now, effect.Model, request.countedAttempts)
 }
 
-// budget checks retries against what requests and time can have earned.
-func (c *checker) budget(now time.Time, model cluster.ModelID, tries int) error {
+// checkRetryBudget compares the retries with the most that requests and time can have credited.
+func (c *checker) checkRetryBudget(now time.Time, model cluster.ModelID, tries int) error {
 	if tries < 2 {
 		return nil
 	}
@@ -251,12 +250,12 @@
 	earned := c.config.RetryReserve + c.config.RetryRatio*float64(c.admitted[model]) +
 		c.config.RetryFloor*now.Sub(c.started).Seconds()
 	if float64(c.retried[model]) > earned {
-		return fmt.Errorf("%d retries of %s, at most %.1f earned", c.retried[model], model, earned)
+		return fmt.Errorf("%d retries of %s, the budget allows at most %.1f", c.retried[model], model, earned)
 	}
 	return nil
 }
 
-func (c *checker) listed(machine cluster.MachineID, model cluster.ModelID) bool {
+func (c *checker) isLoaded(machine cluster.MachineID, model cluster.ModelID) bool {
 	for _, zone := range c.zones {
 		record, ok := zone.replicas[[2]string{string(machine), string(model)}]
 		if ok && record.State == cluster.ReplicaLoaded && !zone.leaving[machine] {
@@ -269,20 +268,20 @@
 func (c *checker) cancel(effect CancelAttempt) error {
 	request := c.open[effect.Request]
 	if request == nil || !request.running || request.attempt != effect.Attempt || request.machine != effect.Machine {
-		return fmt.Errorf("cancel of %s/%d at %s, which does not run", effect.Request, effect.Attempt, effect.Machine)
+		return fmt.Errorf("cancellation of %s/%d on %s, which does not run", effect.Request, effect.Attempt, effect.Machine)
 	}
 	if c.silent == effect.Request {
-		return request.move(effect)
+		return request.checkMove(effect)
 	}
-	request.running, request.mayRun, request.cancelled = false, true, true
+	request.running, request.mayHaveRun, request.cancelled = false, true, true
 	return nil
 }
 
-// move checks a cancel that is no end: only a request that may run again is moved, once an
-// attempt. It runs until its shell says that it doesn't.
-func (o *observed) move(effect CancelAttempt) error {
-	if !o.request.Repeatable || o.moving || o.firstByte && !o.request.Resumable {
-		return fmt.Errorf("%s/%d is moved though it must not run again", effect.Request, effect.Attempt)
+// checkMove checks a cancellation that does not end the request: only a request that may run again
+// is moved, once per attempt. The attempt runs until AttemptEnded.
+func (o *observedRequest) checkMove(effect CancelAttempt) error {
+	if !o.request.Repeatable || o.moving || o.firstByteSent && !o.request.Resumable {
+		return fmt.Errorf("%s/%d is moved although it must not run again", effect.Request, effect.Attempt)
 	}
 	o.moving = true
 	return nil
@@ -298,19 +297,19 @@
 	case request.running:
 		return fmt.Errorf("%s finished while attempt %d runs", effect.Request, request.attempt)
 	case effect.Failure == nil && succeeded != effect.Request:
-		return fmt.Errorf("%s finished well without an answer", effect.Request)
-	case effect.Failure != nil && effect.Failure.Verdict == verdict.NotRun && (request.mayRun || request.firstByte):
-		return fmt.Errorf("%s is said not to have run, but may have", effect.Request)
-	case effect.Failure != nil && givenUp(effect.Failure.Code) && effect.Failure.RetryAfter <= 0:
-		return fmt.Errorf("%s given up with %s without a time to come back", effect.Request, effect.Failure.Code)
+		return fmt.Errorf("%s finished successfully without an answer", effect.Request)
+	case effect.Failure != nil && effect.Failure.Verdict == verdict.NotRun && (request.mayHaveRun || request.firstByteSent):
+		return fmt.Errorf("%s is reported as not run, but may have run", effect.Request)
+	case effect.Failure != nil && isRefusal(effect.Failure.Code) && effect.Failure.RetryAfter <= 0:
+		return fmt.Errorf("%s refused with %s without a retry time", effect.Request, effect.Failure.Code)
 	}
 	delete(c.open, effect.Request)
 	c.ended[effect.Request] = true
 	return nil
 }
 
-// givenUp reports whether the core itself decided to end the request.
-func givenUp(code verdict.Code) bool {
+// isRefusal reports whether a code means that the router itself ended the request.
+func isRefusal(code verdict.Code) bool {
 	switch code {
 	case verdict.CodeQueueFull, verdict.CodeQueueTimeout, verdict.CodeDeadlineUnmeetable, verdict.CodeNodeDraining,
 		verdict.CodeConcurrencyLimit, verdict.CodeRequestRateLimit, verdict.CodeTokenRateLimit:
@@ -319,11 +318,11 @@
 	return false
 }
 
-// after checks that nothing is held longer than it may be.
-func (c *checker) after(now time.Time) error {
+// checkOpen checks that no request is kept longer than its deadline and queue time allow.
+func (c *checker) checkOpen(now time.Time) error {
 	for id, request := range c.open {
 		if !now.Before(request.deadline) {
-			return fmt.Errorf("%s is held at its deadline", id)
+			return fmt.Errorf("%s is still open at its deadline", id)
 		}
 		if request.cancelled {
 			return fmt.Errorf("%s is cancelled but not finished", id)
--- a/routing/choice.go
+++ b/routing/choice.go
@@ -8,28 +8,29 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// samples of each distance are compared: two random choices are enough to
-// avoid the longest queues, and few enough that routers with the same view do
-// not all pick the same replica.
-const samples = 2
+// samplesPerDistance is the number of replicas of each distance that are compared. 2 random choices
+// avoid the longest queues, and are few enough that routers with the same view don't all choose the
+// same replica.
+const samplesPerDistance = 2
 
-// maxMatches bounds the replicas that are compared for their prefix cache.
+// maxMatches bounds the replicas that are compared because of their prefix cache.
 const maxMatches = 4
 
-// maxCandidates bounds the compared replicas of one choice.
-const maxCandidates = int(distances)*samples + maxMatches
+// maxCandidates bounds the replicas that are compared for one choice.
+const maxCandidates = int(distances)*samplesPerDistance + maxMatches
 
-// scored is a candidate while it is compared.
-type scored struct {
+// scoredReplica is a replica with its scores for the current choice. wait and cost are in
+// nanoseconds.
+type scoredReplica struct {
 	replica *replica
 	wait    float64
 	cost    float64
-	// blocks of the prompt expected in the engine's cache.
+	// blocks is the number of prompt blocks expected in the engine's prefix cache.
 	blocks float64
 }
 
-// choose picks a replica for the request, or nil when none takes it. Replicas
-// that already failed the request are used only when no other takes it.
+// choose returns the replica with the lowest cost for the request, or nil if none takes it.
+// Machines on which the request already failed are used only if no other takes it.
 func (r *Router) choose(ready *request) (*replica, Choice) {
 	model := ready.model
 	if model.loaded == 0 {
@@ -39,9 +40,9 @@
 	if len(ready.Prefixes) > 0 {
 		r.matches = r.prefixes.Lookup(r.nanos, ready.Model, ready.Prefixes, r.matches)
 	}
-	var candidates [maxCandidates]scored
+	var candidates [maxCandidates]scoredReplica
 	count := r.candidates(ready, candidates[:0], false)
-	if count == 0 && len(ready.tried) > 0 {
+	if count == 0 && len(ready.failedMachines) > 0 {
 		count = r.candidates(ready, candidates[:0], true)
 	}
 	if count == 0 {
@@ -54,25 +55,26 @@
 		}
 	}
 	candidates[0], candidates[best] = candidates[best], candidates[0]
-	return candidates[0].replica, r.choice(model, candidates[:count])
+	return candidates[0].replica, r.recordChoice(model, candidates[:count])
 }
 
-// candidates samples the tiers of the model into the buffer.
-func (r *Router) candidates(ready *request, buffer []scored, again bool) int {
+// candidates appends sampled replicas of all distances, and those with a cached prefix, to the
+// buffer. With allowFailed, machines on which the request already failed are included.
+func (r *Router) candidates(ready *request, buffer []scoredReplica, allowFailed bool) int {
 	for _, tier := range ready.model.tiers {
 		if len(tier) > 0 {
-			buffer = r.sample(ready, tier, buffer, again)
+			buffer = r.sample(ready, tier, buffer, allowFailed)
 		}
 	}
 	for i := range r.matches {
-		buffer = r.addMatch(ready, r.matches[i].Machine, buffer, again)
+		buffer = r.addMatch(ready, r.matches[i].Machine, buffer, allowFailed)
 	}
 	return len(buffer)
 }
 
-// addMatch adds the replica on a machine whose engine may have the prompt's
-// prefix cached, unless it was sampled already or is not usable.
-func (r *Router) addMatch(ready *request, id cluster.MachineID, buffer []scored, again bool) []scored {
+// addMatch appends the replica on a machine whose engine may have the prompt's prefix cached,
+// unless it was sampled already or is not usable.
+func (r *Router) addMatch(ready *request, id cluster.MachineID, buffer []scoredReplica, allowFailed bool) []scoredReplica {
 	machine := r.machines[id]
 	if machine == nil || len(buffer) == maxCandidates {
 		return buffer
@@ -83,15 +85,15 @@
 		}
 	}
 	replica := machine.replica(ready.model)
-	if replica == nil || replica.state != cluster.ReplicaLoaded || r.usable(ready, replica, again) != "" {
+	if replica == nil || replica.state != cluster.ReplicaLoaded || r.unusableCause(ready, replica, allowFailed) != "" {
 		return buffer
 	}
 	return append(buffer, r.score(ready, replica))
 }
 
-// sample adds up to two usable replicas of a tier: two random ones, and where
-// they are not usable the next ones that are.
-func (r *Router) sample(ready *request, tier []*replica, buffer []scored, again bool) []scored {
+// sample appends up to two usable replicas of a distance: two random ones, and in place of unusable
+// ones the next usable ones in order.
+func (r *Router) sample(ready *request, tier []*replica, buffer []scoredReplica, allowFailed bool) []scoredReplica {
 	found := 0
 	preferred := len(tier)
 	if r.config.Subset > 0 {
@@ -101,14 +103,14 @@
 	second := first
 	if preferred > 1 {
 		second = (first + 1 + r.random.IntN(preferred-1)) % preferred
-		if r.usable(ready, tier[second], again) == "" {
+		if r.unusableCause(ready, tier[second], allowFailed) == "" {
 			buffer = append(buffer, r.score(ready, tier[second]))
 			found++
 		}
 	}
-	for step := 0; step < len(tier) && found < samples; step++ {
+	for step := 0; step < len(tier) && found < samplesPerDistance; step++ {
 		at := (first + step) % len(tier)
-		if (at == second && preferred > 1) || r.usable(ready, tier[at], again) != "" {
+		if (at == second && preferred > 1) || r.unusableCause(ready, tier[at], allowFailed) != "" {
 			continue
 		}
 		buffer = append(buffer, r.score(ready, tier[at]))
@@ -117,8 +119,8 @@
 	return buffer
 }
 
-// usable returns why a replica cannot take the request now, or empty.
-func (r *Router) usable(ready *request, candidate *replica, again bool) FilterCause {
+// unusableCause returns why a replica can't take the request now, or an empty cause.
+func (r *Router) unusableCause(ready *request, candidate *replica, allowFailed bool) FilterCause {
 	machine := candidate.machine
 	if machine.leaving() {
 		return FilterLeaving
@@ -126,23 +128,23 @@
 	if candidate.missingUntil > r.nanos {
 		return FilterRecent
 	}
-	if ready.model.matching > 0 && !ready.model.hasVersion(candidate) {
+	if ready.model.matchingVersion > 0 && !ready.model.hasVersion(candidate) {
 		return FilterVersion
 	}
-	if cause := r.room(machine); cause != "" {
+	if cause := r.noRoomCause(machine); cause != "" {
 		if cause == FilterLimited {
-			r.wantTurn(machine)
+			r.requestTurn(machine)
 		}
 		return cause
 	}
-	if !again && ready.hasTried(machine) {
+	if !allowFailed && ready.hasFailedOn(machine) {
 		return FilterTried
 	}
 	return ""
 }
 
-func (ready *request) hasTried(machine *machine) bool {
-	for _, tried := range ready.tried {
+func (ready *request) hasFailedOn(machine *machine) bool {
+	for _, tried := range ready.failedMachines {
 		if tried == machine {
 			return true
 		}
@@ -150,29 +152,29 @@
 	return false
 }
 
-// room returns why the machine takes no request from this router now, or empty.
-// A router may always use its share of the slots, and more as long as the last
-// report does not show others using them; the engine's refusals correct it.
-func (r *Router) room(m *machine) FilterCause {
+// noRoomCause returns why the machine takes no request from this router now, or an empty cause. A
+// router may always use its share of the slots, and more as long as the last load report does not
+// show other routers using them. Refusals by the engine correct an estimate that is too high.
+func (r *Router) noRoomCause(m *machine) FilterCause {
 	if m.leaving() {
 		return FilterLeaving
 	}
-	if r.held() {
+	if r.dispatchesHeld() {
 		return FilterHeld
 	}
-	if cause := m.turns.closed(r.nanos); cause != "" {
+	if cause := m.turns.blockCause(r.nanos); cause != "" {
 		return cause
 	}
 	taken := m.inFlight + m.reserved
-	if r.nanos < m.ceilingUntil && taken >= m.ceiling {
+	if r.nanos < m.maxInFlightUntil && taken >= m.maxInFlight {
 		return FilterRecent
 	}
 	if taken < r.slotShare(m) {
 		return ""
 	}
 	work := float64(taken)
-	if r.nanos < r.reportEnd(m) {
-		work += m.others
+	if r.nanos < r.reportExpiry(m) {
+		work += m.otherWork
 	}
 	if work < float64(m.slots) {
 		return ""
@@ -180,52 +182,53 @@
 	return FilterFull
 }
 
-// reportHalfLives is for how many half-lives a load report keeps this router
-// to its share of a machine that others use.
+// reportHalfLives is the number of half-lives, 2, for which a load report bounds this router to its
+// share of a machine that other routers use.
 const reportHalfLives = 2
 
-// reportEnd is when the machine's last load report no longer bounds dispatches.
-func (r *Router) reportEnd(m *machine) int64 {
+// reportExpiry returns when the machine's last load report ceases to bound dispatches.
+func (r *Router) reportExpiry(m *machine) int64 {
 	return m.reportedAt + reportHalfLives*int64(r.config.LoadHalfLife)
 }
 
-// slotShare is this router's even share of the machine's slots, at least one.
+// slotShare returns this router's even share of the machine's slots, at least one.
 func (r *Router) slotShare(m *machine) int {
 	return max(1, m.slots/max(r.routers, 1))
 }
 
-// othersNow ages the reported work of other routers.
-func (m *machine) othersNow(nanos int64, halfLife time.Duration) float64 {
-	if m.others == 0 {
+// decayedOtherWork returns the reported work of other routers, halved for each half-life since the
+// report.
+func (m *machine) decayedOtherWork(nanos int64, halfLife time.Duration) float64 {
+	if m.otherWork == 0 {
 		return 0
 	}
-	return m.others * math.Exp2(-float64(nanos-m.reportedAt)/float64(halfLife))
+	return m.otherWork * math.Exp2(-float64(nanos-m.reportedAt)/float64(halfLife))
 }
 
-// batchingCost is the part of the service time that each occupied slot adds to a request in
-// the same batch; chosen, not measured.
-const batchingCost = 0.05
+// batchSlotCost is the share of the service time, 5%, that each occupied slot adds to a request in
+// the same batch.
+const batchSlotCost = 0.05
 
-// score estimates the expected wait at a replica. What this router sent since
-// the last report, all others with the same view are assumed to have sent too:
-// that spreads a burst by shares instead of herding on the emptiest machine.
-func (r *Router) score(ready *request, candidate *replica) scored {
+// score estimates the expected wait and the cost of a replica. It assumes that all other routers,
+// which have the same view, have sent as many requests since the last report as this one. That
+// distributes a burst by shares, where otherwise all routers would choose the emptiest machine.
+func (r *Router) score(ready *request, candidate *replica) scoredReplica {
 	machine := candidate.machine
-	unseen := float64(min(len(machine.recent), machine.inFlight) * (r.routers - 1))
-	work := float64(machine.inFlight) + machine.othersNow(r.nanos, r.config.LoadHalfLife) + unseen
+	unreported := float64(min(len(machine.recentDispatches), machine.inFlight) * (r.routers - 1))
+	work := float64(machine.inFlight) + machine.decayedOtherWork(r.nanos, r.config.LoadHalfLife) + unreported
 	service := ready.model.serviceTime(&r.config)
 	slots := float64(machine.slots)
-	wait := service * batchingCost * min(work, slots)
+	wait := service * batchSlotCost * min(work, slots)
 	if work >= slots {
 		wait += service * (work - slots + 1) / slots
 	}
 	blocks := r.cachedBlocks(machine)
 	cost := wait + r.distancePenalty(candidate) - blocks*float64(r.config.PrefixBlockTime)
-	cost += machine.failing * float64(r.config.FailurePenalty)
-	return scored{replica: candidate, wait: wait, cost: cost, blocks: blocks}
+	cost += machine.failureRate * float64(r.config.FailurePenalty)
+	return scoredReplica{replica: candidate, wait: wait, cost: cost, blocks: blocks}
 }
 
-// cachedBlocks looks the machine up in the matches of the current choice.
+// cachedBlocks returns the machine's cached blocks from the matches of the current choice.
 func (r *Router) cachedBlocks(m *machine) float64 {
 	for i := range r.matches {
 		if r.matches[i].Machine == m.id {
@@ -246,8 +249,8 @@
 	}
 }
 
-// choice records the compared candidates, the chosen one first.
-func (r *Router) choice(m *model, compared []scored) Choice {
+// recordChoice returns the compared replicas, the chosen one first.
+func (r *Router) recordChoice(m *model, compared []scoredReplica) Choice {
 	recorded := make([]Candidate, len(compared))
 	for i, candidate := range compared {
 		recorded[i] = Candidate{
@@ -268,68 +271,69 @@
 	return choice
 }
 
-// maxRecent bounds the remembered dispatch times of a machine.
-const maxRecent = 32
+// maxRecentDispatches bounds the remembered dispatch times of a machine.
+const maxRecentDispatches = 32
 
-// dispatched counts a new attempt on the machine.
-func (m *machine) dispatched(nanos int64) {
+// addDispatch counts a new attempt on the machine.
+func (m *machine) addDispatch(nanos int64) {
 	m.inFlight++
-	if len(m.recent) == maxRecent {
-		copy(m.recent, m.recent[1:])
-		m.recent = m.recent[:maxRecent-1]
+	if len(m.recentDispatches) == maxRecentDispatches {
+		copy(m.recentDispatches, m.recentDispatches[1:])
+		m.recentDispatches = m.recentDispatches[:maxRecentDispatches-1]
 	}
-	m.recent = append(m.recent, nanos)
+	m.recentDispatches = append(m.recentDispatches, nanos)
 }
 
-// report takes a load report that was measured at the given time.
-func (m *machine) report(work int, measured int64) {
+// applyLoad applies a load report that was measured at the given time. Own attempts dispatched
+// before that time are included in the reported work.
+func (m *machine) applyLoad(work int, measured int64) {
 	if measured <= m.reportedAt {
 		return
 	}
-	kept := m.recent[:0]
-	for _, at := range m.recent {
+	kept := m.recentDispatches[:0]
+	for _, at := range m.recentDispatches {
 		if at > measured {
 			kept = append(kept, at)
 		}
 	}
-	m.recent = kept
+	m.recentDispatches = kept
 	included := max(0, m.inFlight-len(kept))
-	m.others = float64(max(0, work-included))
+	m.otherWork = float64(max(0, work-included))
 	m.reportedAt = measured
 }
 
-// setback keeps requests away from a machine that refused or failed one.
-func (r *Router) setback(failed *request, m *machine, event *AttemptEnded) {
+// backOffAfter keeps requests away from a machine that refused or failed one.
+func (r *Router) backOffAfter(failed *request, m *machine, event *AttemptEnded) {
 	switch {
 	case event.ModelMissing:
 		for _, replica := range m.replicas {
 			if replica.model == failed.model {
 				replica.missingUntil = r.nanos + int64(r.config.MaxBackOff)
-				r.wake(m, replica.missingUntil)
+				r.wakeAt(m, replica.missingUntil)
 			}
 		}
 	case event.EngineFull:
-		m.full = true
-		r.backOff(m, r.config.RefusalBackOff, r.longestRefusal(failed.model, m), m.inFlight)
+		m.engineFull = true
+		r.backOff(m, r.config.RefusalBackOff, r.maxRefusalBackOff(failed.model, m), m.inFlight)
 	case event.Answered && r.config.FailurePenalty > 0:
-		failed.tried = append(failed.tried, m)
+		failed.failedMachines = append(failed.failedMachines, m)
 	case engineFault(event.Failure.Code):
-		failed.tried = append(failed.tried, m)
-		m.full = false
+		failed.failedMachines = append(failed.failedMachines, m)
+		m.engineFull = false
 		r.backOff(m, r.config.FailureBackOff, r.config.MaxBackOff, 0)
 	}
 }
 
-// engineFault reports whether a failure speaks against the machine.
-func engineFault(code verdict.Code) bool { return !permanent(code) }
+// engineFault reports whether a failure is attributed to the machine.
+func engineFault(code verdict.Code) bool { return !isPermanent(code) }
 
-// probesPerSlot is how often all routers together try a full machine for each
-// slot that it frees.
+// probesPerSlot is the number of attempts, 4, that all routers together send to a full machine for
+// each slot that it frees.
 const probesPerSlot = 4
 
-// longestRefusal bounds the back-off after refusals: so long that the probes of
-// all routers stay in proportion to the slots that the machine frees.
-func (r *Router) longestRefusal(m *model, on *machine) time.Duration {
+// maxRefusalBackOff bounds the back-off after refusals such that the attempts of all routers stay
+// in proportion to the slots that the machine frees.
+func (r *Router) maxRefusalBackOff(m *model, on *machine) time.Duration {
 	freed := m.serviceTime(&r.config) / float64(max(on.slots, 1))
 	longest := time.Duration(freed * float64(r.routers) / probesPerSlot)
 	return min(max(longest, r.config.RefusalBackOff), r.config.MaxBackOff)
@@ -338,33 +342,35 @@
 // maxDoublings bounds how often a back-off doubles.
 const maxDoublings = 16
 
-// backOff bounds the machine to ceiling requests in flight for a time that
-// doubles with each setback in a row and is spread by half at random.
-func (r *Router) backOff(m *machine, base, longest time.Duration, ceiling int) {
-	wait := float64(base) * math.Exp2(float64(min(m.setbacks, maxDoublings)))
+// backOff limits the machine to maxInFlight requests in flight for a time that doubles with each
+// consecutive back-off, with a jitter of 25% either way.
+func (r *Router) backOff(m *machine, base, longest time.Duration, maxInFlight int) {
+	wait := float64(base) * math.Exp2(float64(min(m.consecutiveBackOffs, maxDoublings)))
 	wait = min(wait, float64(longest)) * (0.75 + r.random.Float64()/2)
-	m.setbacks++
-	m.ceiling = ceiling
-	m.ceilingUntil = r.nanos + int64(wait)
-	r.wake(m, m.ceilingUntil)
+	m.consecutiveBackOffs++
+	m.maxInFlight = maxInFlight
+	m.maxInFlightUntil = r.nanos + int64(wait)
+	r.wakeAt(m, m.maxInFlightUntil)
 }
 
-// wake sees to it that the machine's waiting requests are tried again then.
-func (r *Router) wake(m *machine, at int64) {
+// wakeAt sets the machine's timer to the given time unless it is due earlier. Waiting requests are
+// then dispatched again.
+func (r *Router) wakeAt(m *machine, at int64) {
 	if !m.timer.armed || at < m.timer.at {
 		r.arm(&m.timer, at)
 	}
 }
 
-// machineDue sees to it that waiting requests are tried after a back-off.
-func (r *Router) machineDue(m *machine) {
+// machineTimerDue dispatches waiting requests after a back-off and sets the timer for the machine's
+// next change.
+func (r *Router) machineTimerDue(m *machine) {
 	next := int64(0)
-	for _, at := range [...]int64{m.ceilingUntil, m.turns.from, m.turns.deniedUntil, m.turns.restsUntil} {
+	for _, at := range [...]int64{m.maxInFlightUntil, m.turns.validFrom, m.turns.deniedUntil, m.turns.restUntil} {
 		if at > r.nanos && (next == 0 || at < next) {
 			next = at
 		}
 	}
-	if end := r.reportEnd(m); m.others > 0 && end > r.nanos && (next == 0 || end < next) {
+	if end := r.reportExpiry(m); m.otherWork > 0 && end > r.nanos && (next == 0 || end < next) {
 		next = end
 	}
 	for _, replica := range m.replicas {
@@ -373,7 +379,7 @@
 		}
 	}
 	if next != 0 {
-		r.wake(m, next)
+		r.wakeAt(m, next)
 	}
-	r.freed = append(r.freed, m)
+	r.freedMachines = append(r.freedMachines, m)
 }
--- a/routing/choice_test.go
+++ b/routing/choice_test.go
@@ -9,8 +9,9 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestChoicePrefers sends requests one after another to three idle replicas in
-// the own zone, the own region and another region, and counts where they ran.
+// TestChoicePrefersNearAndCachedReplicas guards against choices that ignore distance, cached
+// prefixes or reported load. Requests go one after another to three idle replicas in the same zone,
+// the same region and another region.
 func TestChoicePrefers(t *testing.T) {
 	zones := []cluster.ZoneID{"z1", "z2", "z3"}
 	prefixes := []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
@@ -19,13 +20,13 @@
 		before func(*fixture)
 		want   string
 	}{
-		{"own zone", func(*fixture) {}, "z1"},
-		{"own region next", func(f *fixture) { f.step(MachineLeaving{Machine: "m-z1"}) }, "z2"},
+		{"same zone", func(*fixture) {}, "z1"},
+		{"same region next", func(f *fixture) { f.step(MachineLeaving{Machine: "m-z1"}) }, "z2"},
 		{"other regions last", func(f *fixture) {
 			f.step(MachineLeaving{Machine: "m-z1"})
 			f.step(MachineLeaving{Machine: "m-z2"})
 		}, "z3"},
-		{"lost cells stay in use", func(f *fixture) {
+		{"replicas of a lost cell stay in use", func(f *fixture) {
 			f.step(CellLost{Zone: "z1"})
 		}, "z1"},
 		{"cached prefix outweighs distance", func(f *fixture) {
@@ -52,7 +53,7 @@
 				id := cluster.RequestID(fmt.Sprint(i))
 				dispatch := f.arrive(id, func(r *Request) { r.Prefixes = prefixes })[0].(Dispatch)
 				if chosen := dispatch.Reason.Candidates[0]; string(chosen.Zone) != test.want || dispatch.Machine != chosen.Machine || dispatch.Reason.Token != 5 {
-					t.Fatalf("request %d went to %s: %+v", i, dispatch.Machine, dispatch.Reason)
+					t.Fatalf("request %d dispatched to %s: %+v", i, dispatch.Machine, dispatch.Reason)
 				}
 				f.step(CallerGone{Request: id})
 			}
--- a/routing/config.go
+++ b/routing/config.go
@@ -9,93 +9,90 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// DefaultDrainRetryAfter is the default of Config.DrainRetryAfter; chosen, not measured.
+// DefaultDrainRetryAfter is the default of Config.DrainRetryAfter: 1 s, since another node can serve
+// the callers at once.
 const DefaultDrainRetryAfter = time.Second
 
-// Config holds the node's place and the core's tuning. A zero field takes the
+// Config holds the node's location and the tuning of the routing core. A zero field takes the
 // documented default.
 type Config struct {
-	// Zone and Region of the node; replicas there are preferred.
+	// Zone and Region are the node's location. Replicas in the same zone are preferred, then those
+	// in the same region.
 	Zone   cluster.ZoneID
 	Region cluster.RegionID
-	// ExpectedRouters divides limits and slots until RoutersChanged says how
-	// many routers there are. Default 16.
+	// ExpectedRouters is the number of routers among which limits and slots are divided until
+	// RoutersChanged states the real number. Default 16.
 	ExpectedRouters int
-	// RetryRatio is how many retries each admitted request of a model earns.
-	// Default 0.2.
+	// RetryRatio is the number of retries that each admitted request adds to its model's retry
+	// budget. Default 0.2.
 	RetryRatio float64
-	// RetryReserve is the most retries a model can have saved up, and what it
-	// starts with. Default 10.
+	// RetryReserve is the capacity of a model's retry budget and its initial content. Default 10.
 	RetryReserve float64
-	// RetryFloor is how many retries a second a model earns without any
+	// RetryFloor is the number of retries per second that a model's budget gains without any
 	// requests. Default 0.2.
 	RetryFloor float64
-	// RetryWindow, when not zero, puts another bound on attempts past the first
-	// in place of the three above: those of one engine pool within the window
-	// are at most RetryRatio of its requests in it and this router's part of
-	// RetryExtra. Sends that an engine refused count too.
+	// RetryWindow, when not zero, replaces RetryReserve and RetryFloor by a sliding window over
+	// each engine pool: within the window, attempts after the first are at most RetryRatio of the
+	// pool's requests plus this router's share of RetryExtra. Resends after a refusal by an engine
+	// count too.
 	RetryWindow time.Duration
-	// RetryExtra is what all routers together may send in a window beyond
+	// RetryExtra is the number of attempts per window that all routers together may send beyond
 	// RetryRatio.
 	RetryExtra float64
-	// FailurePenalty is added to the expected wait of a machine in proportion to
-	// the share of its latest attempts that failed; zero leaves failures out.
+	// FailurePenalty is multiplied by a machine's recent failure rate and added to its expected
+	// wait. Zero ignores failures in the choice.
 	FailurePenalty time.Duration
-	// Subset, when not zero, is how many replicas of a distance this router
-	// prefers, by a hash of itself and the machine: with many machines it then
-	// keeps few connections, and all routers together spread over all of them.
+	// Subset, when not zero, is the number of replicas per distance that this router prefers,
+	// selected by a hash of the router's seed and the machine. With many machines each router then
+	// keeps few connections, while all routers together cover all machines.
 	Subset int
-	// RefusalBackOff is how long a machine that refused for lack of a slot
-	// gets no more requests than it holds; it doubles with each refusal in a
-	// row up to MaxBackOff. Default 25 ms.
+	// RefusalBackOff is the time for which a machine that refused a request for lack of a slot gets
+	// no more requests than it has in flight. It doubles with each consecutive refusal up to
+	// MaxBackOff. Default 25 ms.
 	RefusalBackOff time.Duration
-	// FailureBackOff is how long a machine that failed gets no request; it
-	// doubles with each failure in a row up to MaxBackOff. Default 100 ms.
+	// FailureBackOff is the time for which a machine that failed gets no requests. It doubles with
+	// each consecutive failure up to MaxBackOff. Default 100 ms.
 	FailureBackOff time.Duration
-	// MaxBackOff bounds both. Default 5 s.
+	// MaxBackOff is the upper bound of RefusalBackOff and FailureBackOff. Default 5 s.
 	MaxBackOff time.Duration
-	// LoadHalfLife is the time in which a load report loses half its weight.
-	// Default 3 s.
+	// LoadHalfLife is the time after which a load report counts for half. Default 3 s.
 	LoadHalfLife time.Duration
-	// DefaultService is the assumed time of one request until some were
-	// observed. Default 1 s.
+	// DefaultService is the assumed service time of a request before any was measured. Default 1 s.
 	DefaultService time.Duration
-	// DefaultSlots is assumed for engines that state no slots. Default 8.
+	// DefaultSlots is the assumed number of slots of an engine that states none. Default 8.
 	DefaultSlots int
-	// DefaultDeadline bounds requests for which neither the caller nor the
-	// policy states a deadline. Default 10 min.
+	// DefaultDeadline applies to requests for which neither the caller nor the policy states a
+	// deadline. Default 10 min.
 	DefaultDeadline time.Duration
-	// RoutersMemory is for how long limits stay divided among as many routers
-	// as there were, after some disappeared: they may be cut off and go on
-	// admitting. Default 10 min.
-	RoutersMemory time.Duration
-	// RegionPenalty and FarPenalty are added to the expected wait of replicas
-	// in another zone of the region and in another region. Defaults 5 ms and
-	// 80 ms.
+	// RouterLossDelay is the time for which limits stay divided by the previous number of routers
+	// after some disappeared, because those may only be partitioned from this node and still admit
+	// requests. Default 10 min.
+	RouterLossDelay time.Duration
+	// RegionPenalty and FarPenalty are added to the expected wait of replicas in another zone of
+	// the same region and in another region. Defaults 5 ms and 80 ms.
 	RegionPenalty, FarPenalty time.Duration
-	// PrefixBlockTime is what one cached block of a prompt is worth when replicas
-	// are compared: several times the prefill time that it saves, because the
-	// requests behind it save that too. Default 40 ms.
+	// PrefixBlockTime is the time credited per cached prompt block when replicas are compared. It
+	// is several times the prefill time that a block saves, because requests queued behind this one
+	// save that time too. Default 40 ms.
 	PrefixBlockTime time.Duration
-	// LeastLoad returns how long a load of a model takes at least that nobody has begun, by
-	// where copies of it are; zero when that is not known. Nil knows of none.
+	// LeastLoad returns the minimum load time of a model that no controller has begun to load,
+	// given where copies of its weights are; zero when unknown. A nil function knows no load times.
 	LeastLoad func(model cluster.ModelID) time.Duration
-	// ListAlternatives reports whether dispatches of a model list the machines that may take
-	// them; nil lists none.
+	// ListAlternatives reports whether a Dispatch of the model lists the machines that may take the
+	// attempt and then waits for AttemptPlaced. A nil function lists none.
 	ListAlternatives func(model cluster.ModelID) bool
-	// Affinity tunes the estimate of engines' prefix caches.
+	// Affinity configures the estimate of the engines' prefix caches.
 	Affinity affinity.Config
-	// Poison tunes when a request that ends machines is refused.
+	// Poison configures when a request whose attempts end machines is refused.
 	Poison poison.Config
-	// DrainRetryAfter is what a draining node tells callers; another node
-	// takes them at once. Default 1 s.
+	// DrainRetryAfter is the retry time that a draining node returns to callers; another node can
+	// serve them at once. Default 1 s.
 	DrainRetryAfter time.Duration
-	// MinRetryAfter and MaxRetryAfter bound estimated times to come back.
-	// Defaults 100 ms and 2 min.
+	// MinRetryAfter and MaxRetryAfter bound the estimated retry times. Defaults 100 ms and 2 min.
 	MinRetryAfter, MaxRetryAfter time.Duration
 }
 
-// withDefaults fills zero fields.
+// withDefaults returns a copy of the configuration with the defaults in its zero fields.
 func (c Config) withDefaults() Config {
 	c.ExpectedRouters = cmp.Or(c.ExpectedRouters, 16)
 	c.RetryRatio = cmp.Or(c.RetryRatio, 0.2)
@@ -108,7 +105,7 @@
 	c.DefaultService = cmp.Or(c.DefaultService, time.Second)
 	c.DefaultSlots = cmp.Or(c.DefaultSlots, 8)
 	c.DefaultDeadline = cmp.Or(c.DefaultDeadline, 10*time.Minute)
-	c.RoutersMemory = cmp.Or(c.RoutersMemory, 10*time.Minute)
+	c.RouterLossDelay = cmp.Or(c.RouterLossDelay, 10*time.Minute)
 	c.RegionPenalty = cmp.Or(c.RegionPenalty, 5*time.Millisecond)
 	c.FarPenalty = cmp.Or(c.FarPenalty, 80*time.Millisecond)
 	c.PrefixBlockTime = cmp.Or(c.PrefixBlockTime, 40*time.Millisecond)
--- a/routing/demand.go
+++ b/routing/demand.go
@@ -9,29 +9,29 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Demand reports the demand since the last call: the models that changed or
-// have waiting requests, or with full all that have any, sorted by name. The
-// caller fills From, Zone and Sequence.
+// Demand reports the demand since the last call, sorted by model: the models that changed or have
+// waiting requests or, with full, all models with any demand. The caller fills From, Zone and
+// Sequence.
 func (r *Router) Demand(now time.Time, full bool) wire.Demand {
 	nanos := max(now.UnixNano(), r.nanos)
-	if r.dividedUntil != 0 && nanos >= r.dividedUntil {
+	if r.limitDivisorUntil != 0 && nanos >= r.limitDivisorUntil {
 		r.divideLimits()
 	}
 	report := wire.Demand{Full: full}
-	reported := r.touched
-	r.touched = nil
+	reported := r.demandChanged
+	r.demandChanged = nil
 	if full {
 		reported = r.sortedModels()
 	} else {
 		slices.SortFunc(reported, func(a, b *model) int { return strings.Compare(string(a.id), string(b.id)) })
 	}
 	for _, model := range reported {
-		model.touched = false
+		model.demandChanged = false
 		if demand, changed := model.demand(nanos); changed || (full && demand.Waiting+demand.Running > 0) {
 			report.Models = append(report.Models, demand)
 		}
 		if model.reportedWaiting > 0 {
-			r.touch(model)
+			r.markDemandChanged(model)
 		}
 		r.forgetIfUnused(model)
 	}
@@ -50,19 +50,19 @@
 	return demands
 }
 
-// NewlyWaiting reports whether a model has waiting requests that the last report
-// did not show, so that a cold start need not wait for the next interval.
+// NewlyWaiting reports whether a model has waiting requests that the last report did not include,
+// so that a cold start need not wait for the next report.
 func (r *Router) NewlyWaiting() bool {
-	for _, model := range r.touched {
-		if model.reportedWaiting == 0 && model.queue.Len()+model.expecting(r.nanos) > 0 {
+	for _, model := range r.demandChanged {
+		if model.reportedWaiting == 0 && model.queue.Len()+model.expectedCallers(r.nanos) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// demand returns the model's demand and whether it differs from the last
-// report, and starts the next interval.
+// demand returns the model's demand and whether it differs from the last report, and starts the
+// next interval.
 func (m *model) demand(nanos int64) (wire.ModelDemand, bool) {
 	demand := wire.ModelDemand{
 		Model: m.id, Waiting: m.queue.Len(), Running: m.running, Arrivals: m.arrivals, PromptTokens: max(m.arrivedTokens, 0),
@@ -72,17 +72,17 @@
 		demand.EarliestDeadline = max(time.Duration(deadline-nanos), 0)
 		demand.OldestWait = m.oldestWait(nanos)
 	}
-	if callers := m.expecting(nanos); callers > 0 {
-		back := max(time.Duration(m.expected.from-nanos), 0)
-		if demand.Waiting == 0 || back < demand.EarliestDeadline {
-			demand.EarliestDeadline = back
+	if callers := m.expectedCallers(nanos); callers > 0 {
+		retryIn := max(time.Duration(m.returning.from-nanos), 0)
+		if demand.Waiting == 0 || retryIn < demand.EarliestDeadline {
+			demand.EarliestDeadline = retryIn
 		}
 		demand.Waiting += callers
 	}
 	changed := demand.Waiting > 0 || demand.Arrivals > 0 ||
 		demand.Waiting != m.reportedWaiting || demand.Running != m.reportedRunning
 	m.reportedWaiting, m.reportedRunning, m.arrivals = demand.Waiting, demand.Running, 0
-	// What was counted too much before is taken off what comes.
+	// Tokens that were counted too much are deducted from those of the next interval.
 	m.arrivedTokens = min(m.arrivedTokens, 0)
 	return demand, changed
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -10,200 +10,197 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Request is what the core knows of a caller's request.
+// Request is the routing core's description of a caller's request.
 type Request struct {
-	// ID is never used twice; an arrival of one in flight is ignored.
+	// ID is unique; the arrival of a request whose ID is in flight is ignored.
 	ID    cluster.RequestID
 	Model cluster.ModelID
-	// TokenPath is the subtree of the caller's token; limits of every level
-	// from there to the root, and from the model to the root, apply.
+	// TokenPath is the subtree of the caller's token. The limits of all levels from there to the
+	// root and from the model to the root apply.
 	TokenPath string
-	// Team for fairness between teams in one queue.
+	// Team is the unit of fair queueing within a model's queue.
 	Team string
-	// Priority of the request, resolved from policy and caller; larger goes
-	// first.
+	// Priority is resolved from the policy and the caller; a larger one goes first.
 	Priority int
-	// Deadline at which the request must have ended.
+	// Deadline is the time by which the request must have ended.
 	Deadline time.Time
-	// Objective is within what time of the arrival the answer should begin; zero when
-	// none is stated.
+	// Objective is the time after the arrival within which the answer should begin; zero when none
+	// is stated.
 	Objective time.Duration
-	// Patience is how long the caller waits for the answer to begin, zero for until the
-	// deadline; Returned is set when it has tried before.
+	// Patience is how long the caller waits for the answer to begin, zero for until the deadline.
+	// Returned is set when the caller has sent the request before.
 	Patience   time.Duration
 	Returned   bool
 	Repeatable bool
-	// BodyBytes of the request, for the queue's byte bound.
+	// BodyBytes is the size of the body, for the queue's limit in bytes.
 	BodyBytes int64
-	// PromptTokens and MaxTokens estimate the tokens it will use.
+	// PromptTokens is the estimated length of the prompt and MaxTokens the most tokens to generate.
 	PromptTokens, MaxTokens int
-	// Prefixes are the xxhash64 chain of prompt prefix blocks, shortest first.
+	// Prefixes is the chain of xxhash64 hashes of the prompt's block prefixes, shortest first.
 	Prefixes []uint64
-	// PrefixTokens are the tokens of these beginnings, where they are known.
+	// PrefixTokens are the lengths of these prefixes in tokens, where known.
 	PrefixTokens []int
-	// LengthHint is the caller's estimate of the tokens that will be generated, LongestPause
-	// the longest time between two events that is in time; zero when not stated.
+	// LengthHint is the caller's estimate of the tokens that will be generated, and LongestPause
+	// the longest acceptable time between two events of the stream; zero when not stated.
 	LengthHint   int
 	LongestPause time.Duration
-	// Attempts bounds the dispatches of this request, the first included; zero
-	// leaves it to the policy.
+	// Attempts bounds the dispatches of this request, the first included; zero applies the policy.
 	Attempts int
-	// Resumable answers may be continued by another attempt after their first
-	// byte.
+	// Resumable answers may be continued by another attempt after their first byte.
 	Resumable bool
-	// Content is the fingerprint of what the request asks for, zero when it was not taken.
+	// Content is the fingerprint of the request's content, zero when it was not computed.
 	Content poison.Fingerprint
-	// Credential is the hash of the caller's key, empty without one, and Tenant the name
-	// of who holds it. Public requests need none.
+	// Credential is the hash of the caller's API key, empty without one, and Tenant the name of its
+	// holder. Public requests need no key.
 	Credential, Tenant string
 	Public             bool
-	// Rank among the tenant's requests, 0 being the most urgent.
+	// Rank is the request's urgency among its tenant's requests, 0 being the most urgent.
 	Rank int
-	// Caller tells the request's caller from others; all that can't be told share zero.
+	// Caller identifies the caller. All callers that can't be identified share zero.
 	Caller uint64
-	// test is set while a convicted request is tried once more.
+	// test is set while a convicted request is sent once more as a test.
 	test bool
 }
 
-// Event is an input of the core.
+// Event is an input of the routing core.
 type Event interface{ routingEvent() }
 
 // RequestArrived asks to admit a request.
 type RequestArrived struct{ Request Request }
 
-// CallerGone says that the caller left; the request ends without an answer.
+// CallerGone reports that the caller left; the request ends without an answer.
 type CallerGone struct{ Request cluster.RequestID }
 
-// FirstByteSent says that the first byte of the answer went to the caller;
-// from then on the request is not started anew.
+// FirstByteSent reports that the first byte of the answer went to the caller. From then on the
+// request is retried only if it is resumable.
 type FirstByteSent struct{ Request cluster.RequestID }
 
-// RequestWithdrawn ends a request that waits, since it must not be sent any more. One that
-// runs goes on.
+// RequestWithdrawn ends a waiting request that must not be sent any more. A request that runs goes
+// on.
 type RequestWithdrawn struct {
 	Request cluster.RequestID
 	Failure *verdict.Error
 }
 
-// AttemptEnded reports how a dispatched attempt ended. Events of attempts that
-// are not the request's current one are ignored.
+// AttemptEnded reports how a dispatched attempt ended. Events of attempts other than the request's
+// current one are ignored.
 type AttemptEnded struct {
 	Request cluster.RequestID
 	Attempt cluster.Attempt
 	// Failure is nil when the whole answer was relayed.
 	Failure *verdict.Error
-	// Unreached is true when no byte of the request was sent, because no
-	// connection was had.
+	// Unreached is true when no byte of the request was sent because no connection could be made.
 	Unreached bool
-	// Withheld is true when the request must not be sent any more, whatever the machine; it
-	// ends with the failure.
+	// Withheld is true when the request must not be sent to any machine any more; it ends with the
+	// failure.
 	Withheld bool
 	// Answered is true when the engine itself answered with a failure.
 	Answered bool
-	// EngineFull is true when the engine refused for lack of a slot and
-	// ModelMissing when it does not hold the model.
+	// EngineFull is true when the engine refused for lack of a slot, ModelMissing when it does not
+	// hold the model.
 	EngineFull, ModelMissing bool
-	// Broken is true when the machine's side ended the connection before the answer was
-	// whole; Content is the request's fingerprint then.
+	// Broken is true when the machine's side closed the connection before the answer was complete;
+	// Content is then the request's fingerprint.
 	Broken  bool
 	Content poison.Fingerprint
-	// MachineEnded is true when the machine's process is known to have ended: its address
-	// refuses connections, or another machine answers there.
+	// MachineEnded is true when the machine's process is known to have ended: its address refuses
+	// connections, or another machine answers there.
 	MachineEnded bool
-	// Tokens generated, as counted by the relay.
+	// Tokens is the number of generated tokens, counted by the relay.
 	Tokens int
 }
 
-// CellStatusChanged brings a zone's replicas, loads and limit shares.
+// CellStatusChanged carries a zone's replicas, loads and limit shares.
 type CellStatusChanged struct{ Status wire.CellStatus }
 
-// CellLost says that nothing is known of the zone any more.
+// CellLost reports that the zone's controller is no longer heard of.
 type CellLost struct{ Zone cluster.ZoneID }
 
-// MachineLeaving says that a machine takes no new work from now on, whatever
-// the controller's status says.
+// MachineLeaving reports that a machine takes no new requests from now on, whatever the
+// controller's status says.
 type MachineLeaving struct{ Machine cluster.MachineID }
 
-// CacheEventsArrived brings engines' prefix cache events, late and with gaps.
+// CacheEventsArrived carries the engines' prefix cache events, which may be late and incomplete.
 type CacheEventsArrived struct{ Events []cluster.CacheEvent }
 
-// SettingsChanged puts a snapshot in force.
+// SettingsChanged puts a settings snapshot in force.
 type SettingsChanged struct{ Snapshot *settings.Snapshot }
 
-// AttemptPlaced names the machine that is to take a dispatched attempt which was not sent yet;
-// an empty one leaves it where it is. The attempt is dispatched again, without alternatives.
+// AttemptPlaced names the machine for a dispatched attempt that was not sent yet; an empty one
+// leaves the machine unchanged. The attempt is dispatched again, without alternatives.
 type AttemptPlaced struct {
 	Request cluster.RequestID
 	Attempt cluster.Attempt
 	Machine cluster.MachineID
-	// Held is how long the attempt was kept for that, Forecast what is expected of the machine.
+	// Held is how long the attempt was held for this decision, Forecast the dispatcher's
+	// expectation for it.
 	Held     time.Duration
 	Forecast Forecast
 }
 
-// Forecast is what a node that places the attempts of all nodes expects of an attempt.
+// Forecast is the expectation for an attempt of the node that places the attempts of all nodes.
 type Forecast struct {
-	// Dispatcher is that node, empty where a node chose by itself.
+	// Dispatcher is that node, empty when a node decided by itself.
 	Dispatcher cluster.NodeID
-	// Expected time to the first event, and Backlog of reading before the prompt, which takes
-	// Read; Kept are the tokens that are not read again, Speed is the engine's against the
-	// usual one.
+	// Expected is the time to the first event, Backlog the prefill time queued before the prompt,
+	// and Read the prefill time of the prompt. Kept is the number of prompt tokens that are cached,
+	// Speed the speed of the engine relative to the usual one.
 	Expected, Backlog, Read time.Duration
 	Kept                    int
 	Speed                   float64
-	// Background attempts would be late anyway, and give way to all others at the engine.
+	// Background attempts would miss their objective anyway, and yield to all others at the engine.
 	Background bool
-	// Fetch is the machine from which the engine first takes what of the prompt it is to keep,
-	// empty for none, and FetchAddress its address.
+	// Fetch is the machine from which the engine first copies the cached part of the prompt, empty
+	// for none, and FetchAddress its address.
 	Fetch        cluster.MachineID
 	FetchAddress string
 }
 
-// AttemptSilent says that the machine of an attempt has sent nothing for longer than is
-// usual. The attempt goes on; it is cancelled only if another may take its place.
+// AttemptSilent reports that the machine of an attempt has sent nothing for longer than is usual.
+// The attempt goes on unless another machine can take the request.
 type AttemptSilent struct {
 	Request cluster.RequestID
 	Attempt cluster.Attempt
 }
 
-// DrainStarted closes admission; waiting requests are refused as not run.
+// DrainStarted closes admission; waiting requests are refused with verdict NotRun.
 type DrainStarted struct{}
 
-// ZoneRegion says in which region a zone lies.
+// ZoneRegion states the region of a zone.
 type ZoneRegion struct {
 	Zone   cluster.ZoneID
 	Region cluster.RegionID
 }
 
-// RoutersChanged says how many routers share the replicas and limits, this one
-// included, which place it has among them, from zero in the order of node
-// identifiers, and in which regions zones lie. Routers zero leaves the count.
+// RoutersChanged states how many routers share the replicas and limits, this one included, this
+// router's rank among them (from zero, in the order of node IDs), and the regions of zones. If
+// Routers is zero the number and rank stay unchanged.
 type RoutersChanged struct {
 	Routers, Rank int
 	Zones         []ZoneRegion
 }
 
-// DispatchesHeld keeps all requests waiting until Until or DispatchesReleased,
-// because this process stood still and what it knows of machines is old.
+// DispatchesHeld holds all dispatches until Until or DispatchesReleased, because this process was
+// paused and its knowledge of machines is outdated.
 type DispatchesHeld struct{ Until time.Time }
 
 // DispatchesReleased ends DispatchesHeld.
 type DispatchesReleased struct{}
 
-// MachineEnded says that a machine's process is known to have ended without a notice.
+// MachineEnded reports that a machine's process is known to have ended without notice.
 type MachineEnded struct{ Machine cluster.MachineID }
 
-// PoisonLearned brings what other nodes or the store know of requests that end machines.
+// PoisonLearned carries what other nodes or the store know of requests that end machines.
 type PoisonLearned struct{ Records []poison.Record }
 
-// PoisonPardoned says that a request is no longer to blame for the machines that ended.
+// PoisonPardoned clears a request of the blame for the machines that ended under it.
 type PoisonPardoned struct{ Content poison.Fingerprint }
 
-// PoisonTestGranted lets this node, as the only one, send a convicted request once more
-// when it comes next.
+// PoisonTestGranted allows this node alone to send a convicted request once more when it arrives
+// next.
 type PoisonTestGranted struct{ Content poison.Fingerprint }
 
-// Tick lets time-outs pass. The shell sends one at least at NextDeadline.
+// Tick runs the timers that are due. The owner sends one at NextDeadline at the latest.
 type Tick struct{}
 
 func (RequestArrived) routingEvent()     {}
@@ -228,61 +225,60 @@
 func (PoisonTestGranted) routingEvent()  {}
 func (Tick) routingEvent()               {}
 
-// Effect is an output of the core.
+// Effect is an output of the routing core.
 type Effect interface{ routingEffect() }
 
-// Dispatch tells the shell to run an attempt on a machine.
+// Dispatch requests an attempt on a machine.
 type Dispatch struct {
 	Request cluster.RequestID
 	Attempt cluster.Attempt
 	Machine cluster.MachineID
 	Address string
 	Model   cluster.ModelID
-	// Version of the replica.
+	// Version is that of the replica.
 	Version string
-	// Deadline at which the shell must give the attempt up.
+	// Deadline is the time at which the attempt must be given up.
 	Deadline time.Time
-	// Final is true when no other attempt may follow a failure that may have
-	// run, so that it is not worth giving this one up early.
+	// Final is true when no retry is allowed after a failure that may have run, so that giving this
+	// attempt up early has no benefit.
 	Final bool
-	// Limited is set where the machine is known to have named a limit: what its answer does
-	// not say holds no longer.
+	// Limited is set if the machine is known to have a rate limit. An answer that states none then
+	// ends it.
 	Limited bool
 	Reason  Choice
-	// Alternatives are the machines that may take the attempt, the chosen one among them;
-	// listed only with Config.ListAlternatives, until AttemptPlaced has named one of them.
+	// Alternatives are the machines that may take the attempt, the chosen one among them. They are
+	// listed only with Config.ListAlternatives and until AttemptPlaced has named one of them.
 	Alternatives []Alternative
 }
 
-// Alternative is a machine that may take an attempt. Penalty is what speaks against it besides
-// its work, in time of waiting.
+// Alternative is a machine that may take an attempt. Penalty is the cost of choosing it apart from
+// its load, expressed as waiting time.
 type Alternative struct {
 	Machine cluster.MachineID
 	Penalty time.Duration
 }
 
-// Finish is the one terminal outcome of a request. Failure is nil when the
-// answer was relayed whole. The shell answers the caller from it at once.
+// Finish is the single terminal outcome of a request. Failure is nil when the whole answer was
+// relayed. The caller is answered from it at once.
 type Finish struct {
 	Request cluster.RequestID
 	Failure *verdict.Error
 	Reason  Explanation
 }
 
-// StatusNeeded asks the shell to request a full status of the zone from its
-// controller, because one was missed.
+// StatusNeeded asks for a full status from the zone's controller because one was missed.
 type StatusNeeded struct{ Zone cluster.ZoneID }
 
-// PoisonFound brings what this node newly knows of requests that end machines; all nodes
-// must learn it.
+// PoisonFound carries new knowledge of this node about requests that end machines, to be sent to
+// all nodes.
 type PoisonFound struct{ Records []poison.Record }
 
-// PoisonTestWanted asks whether this node may send a convicted request once more, when it
-// comes next.
+// PoisonTestWanted asks whether this node may send a convicted request once more when it arrives
+// next.
 type PoisonTestWanted struct{ Content poison.Fingerprint }
 
-// CancelAttempt tells the shell to cancel an attempt at the engine: its request has
-// ended, or another machine is to take it once the shell reports that the attempt ended.
+// CancelAttempt cancels an attempt at the engine: its request has ended, or another machine takes
+// it once AttemptEnded reports the end of this attempt.
 type CancelAttempt struct {
 	Request cluster.RequestID
 	Attempt cluster.Attempt
@@ -299,42 +295,42 @@
 
 // Choice explains why a replica was chosen.
 type Choice struct {
-	// Candidates considered, at most a handful, the chosen one first.
+	// Candidates are the compared replicas, at most maxCandidates, the chosen one first.
 	Candidates []Candidate
-	// Filtered counts replicas by why they were left out.
+	// Filtered counts the excluded replicas by cause.
 	Filtered []FilterCount
-	// SettingsRevision in force.
+	// SettingsRevision is the revision in force.
 	SettingsRevision int64
-	// Token of the controller whose status named the replica.
+	// Token is the fencing token of the controller whose status listed the replica.
 	Token cluster.FencingToken
-	// Waited in the queue before this dispatch.
+	// Waited is the time in the queue before this dispatch.
 	Waited time.Duration
-	// Held is how long the attempt was kept for the word of a dispatcher, and Forecast what
-	// that expected.
+	// Held is how long the attempt was held for a dispatcher's decision, Forecast the dispatcher's
+	// expectation.
 	Held     time.Duration
 	Forecast Forecast
 }
 
-// Candidate is one replica with its scores.
+// Candidate is one compared replica with its scores.
 type Candidate struct {
 	Machine      cluster.MachineID
 	Zone         cluster.ZoneID
 	ExpectedWait time.Duration
-	// PrefixBlocks expected in the engine's cache, after decay.
+	// PrefixBlocks is the number of prompt blocks expected in the engine's cache, after decay.
 	PrefixBlocks float64
 	InFlight     int
 }
 
-// FilterCount says how many replicas were left out for one cause.
+// FilterCount is the number of replicas excluded for one cause.
 type FilterCount struct {
 	Cause FilterCause
 	Count int
 }
 
-// FilterCause is why a replica was not considered.
+// FilterCause is why a replica was excluded from a choice.
 type FilterCause string
 
-// The filter causes.
+// The causes for which a replica is excluded from a choice.
 const (
 	FilterLeaving  FilterCause = "machine leaving"
 	FilterLoading  FilterCause = "still loading"
@@ -348,17 +344,17 @@
 	FilterHeld     FilterCause = "this node stood still and reads the machine list first"
 )
 
-// Explanation is the recorded reason of a refusal or an end.
+// Explanation is the recorded reason of a refusal or of the end of a request.
 type Explanation struct {
 	Code verdict.Code
-	// Setting and Source name the policy key that decided and the tree level
-	// its value came from, when one did.
+	// Setting is the policy key that decided and Source the tree level that its value came from,
+	// when one did.
 	Setting, Source string
-	// Limit and Value are the bound and what met it.
+	// Limit is the bound and Value the quantity that was compared with it.
 	Limit, Value float64
 	Waited       time.Duration
 	Attempts     int
 	Machine      cluster.MachineID
-	// SettingsRevision in force.
+	// SettingsRevision is the revision in force.
 	SettingsRevision int64
 }
--- a/routing/endings.go
+++ b/routing/finish.go
@@ -7,17 +7,17 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// firstByteSent closes the way back for a request. One that waits for another
-// attempt by then must not start it.
+// firstByteSent records that the request can no longer be retried, unless it is resumable. A
+// request that waits for a retry by then ends.
 func (r *Router) firstByteSent(id cluster.RequestID) {
 	sent := r.requests[id]
 	if sent == nil {
 		return
 	}
-	sent.firstByte = true
+	sent.firstByteSent = true
 	if sent.running {
-		sent.machine.setbacks = 0
-		r.notePrefix(sent)
+		sent.machine.consecutiveBackOffs = 0
+		r.recordReadPrompt(sent)
 		return
 	}
 	if sent.Resumable {
@@ -27,7 +27,7 @@
 		"the answer broke off after its first byte"), Explanation{})
 }
 
-// withdraw ends a request that waits, for a replica or for its time at one.
+// withdraw ends a request that waits in the queue or whose attempt is not sent yet.
 func (r *Router) withdraw(id cluster.RequestID, failure *verdict.Error) {
 	if waiting := r.requests[id]; waiting != nil && (!waiting.running || waiting.unsent) {
 		r.abandon(waiting, failure, Explanation{})
@@ -57,27 +57,27 @@
 	}
 	r.finish(abandoned, failure, reason)
 	if machine != nil {
-		r.freed = append(r.freed, machine)
+		r.freedMachines = append(r.freedMachines, machine)
 	}
 }
 
-// requestDue ends a request whose deadline or queue time passed.
-func (r *Router) requestDue(due *request) {
-	if r.stillHopeful(due) {
+// requestTimerDue ends a request whose deadline or queue time passed.
+func (r *Router) requestTimerDue(due *request) {
+	if r.recheckWaiting(due) {
 		return
 	}
 	if r.nanos < due.deadline {
-		r.giveUpWaiting(due)
+		r.failQueueTimeout(due)
 		return
 	}
 	waited := time.Duration(r.nanos - due.arrived)
 	reason := due.model.explain(settingDeadline, time.Duration(due.deadline-due.arrived).Seconds(), waited.Seconds())
 	failure := verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline passed")
-	r.abandon(due, failure.After(r.comeBack(due.model)), reason)
+	r.abandon(due, failure.After(r.retryAfter(due.model)), reason)
 }
 
-// giveUpWaiting ends a request whose queue time passed.
-func (r *Router) giveUpWaiting(due *request) {
+// failQueueTimeout ends a request whose queue time passed.
+func (r *Router) failQueueTimeout(due *request) {
 	waited := due.waited
 	if due.item.Queued() {
 		waited += time.Duration(r.nanos - due.queuedSince)
@@ -87,29 +87,29 @@
 		reason.Limit = due.model.configured.Policy.QueueTime.Seconds()
 	}
 	failure := verdict.New(verdict.NotRun, verdict.CodeQueueTimeout, "no replica was free within the queue time")
-	r.finish(due, failure.After(r.comeBack(due.model)), reason)
+	r.finish(due, failure.After(r.retryAfter(due.model)), reason)
 }
 
-// finish ends a request: the only place where an admitted one leaves.
+// finish ends an admitted request. No other function removes one.
 func (r *Router) finish(ended *request, failure *verdict.Error, reason Explanation) {
 	model := ended.model
 	if ended.item.Queued() {
 		model.queue.Remove(&ended.item)
-		r.stopWaiting(ended)
+		r.accountWait(ended)
 	}
 	if ended.running {
 		r.stopRunning(ended)
 	}
-	r.endMove(ended)
+	r.cancelMove(ended)
 	r.disarm(&ended.timer)
 	delete(r.requests, ended.ID)
 	if failure != nil {
-		r.testEnded(ended)
-		failure = ended.truthful(failure)
+		r.returnUnusedTest(ended)
+		failure = ended.coverAttempts(failure)
 		reason.Code = failure.Code
-		r.expectBack(model, ended.Priority, failure.RetryAfter)
+		r.expectReturn(model, ended.Priority, failure.RetryAfter)
 	}
-	r.release(ended)
+	r.releaseLimits(ended)
 	reason.Waited = ended.waited
 	reason.Attempts = int(ended.attempt)
 	reason.SettingsRevision = r.settingsRevision()
@@ -118,9 +118,9 @@
 	r.forgetIfUnused(model)
 }
 
-// release gives the request's part of the limits back. One that was neither
-// queued nor dispatched does not count against rates.
-func (r *Router) release(ended *request) {
+// releaseLimits returns the request's use of the limits. A request that was neither queued nor
+// dispatched does not count against rates.
+func (r *Router) releaseLimits(ended *request) {
 	used := float64(ended.generated)
 	if ended.attempt > 0 {
 		used += float64(ended.PromptTokens)
@@ -129,14 +129,14 @@
 	r.limits.Release(r.nanos, ended.claim, used, refund)
 }
 
-// truthful makes the failure's verdict cover all attempts.
-func (ended *request) truthful(failure *verdict.Error) *verdict.Error {
-	if failure.Verdict != verdict.NotRun || (!ended.firstByte && !ended.mayHaveRun) {
+// coverAttempts returns the failure with a verdict that covers all attempts of the request.
+func (ended *request) coverAttempts(failure *verdict.Error) *verdict.Error {
+	if failure.Verdict != verdict.NotRun || (!ended.firstByteSent && !ended.mayHaveRun) {
 		return failure
 	}
 	covered := *failure
 	covered.Verdict = verdict.MayHaveRun
-	if ended.firstByte {
+	if ended.firstByteSent {
 		covered.Verdict = verdict.Ran
 	}
 	return &covered
--- a/routing/herding_test.go
+++ b/routing/herding_test.go
@@ -10,24 +10,25 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// The burst: 400 requests at 16 routers at once, to 12 replicas.
+// The burst: 400 requests that arrive at 16 routers at the same time, for 12 replicas.
 const (
 	burstRouters  = 16
 	burstRequests = 400
 	burstReplicas = 12
 )
 
-// burst is a situation that all routers see alike.
+// burst is a burst of requests with a status that all routers have in common.
 type burst struct {
 	name  string
 	slots int
-	// reported work of the first replicas; the others are reported idle.
+	// reportedBusy is the number of replicas reported with reportedWork requests each; the others
+	// are reported idle.
 	reportedBusy, reportedWork int
-	// prefixes of every request, which the first machine is said to hold.
+	// prefixes is the number of prompt blocks of every request that the first machine has cached.
 	prefixes int
 }
 
-// burstStatus is the status all routers have, and its load report a second old.
+// status returns the status that all routers have. Its load reports are one second old.
 func (s burst) status() wire.CellStatus {
 	status := wire.CellStatus{Zone: "z1", Token: 1, Sequence: 1, Full: true}
 	for i := range burstReplicas {
@@ -43,8 +44,8 @@
 
 func burstMachine(i int) cluster.MachineID { return cluster.MachineID(fmt.Sprintf("m%02d", i)) }
 
-// routers makes the routers of the burst. With shares false each believes to
-// be alone, which leaves plain two random choices by own and reported work.
+// routers creates the routers of the burst. With shares false each assumes to be the only one,
+// which leaves two random choices by own and reported work.
 func (s burst) routers(shares bool, seed uint64) []*Router {
 	var routers []*Router
 	for i := range burstRouters {
@@ -94,52 +95,52 @@
 	return got
 }
 
-// imbalance is the largest count over the mean, of what was sent alone and
-// together with the reported work.
-func (s burst) imbalance(got map[cluster.MachineID]int) (gone, there float64) {
-	largest, sum, largestTrue, sumTrue := 0, 0, 0, 0
+// imbalance returns the largest count over the mean, for the requests sent and for the sum of these
+// and the reported work.
+func (s burst) imbalance(got map[cluster.MachineID]int) (sentOnly, withReported float64) {
+	largest, sum, largestTotal, sumTotal := 0, 0, 0, 0
 	for i := range burstReplicas {
 		count := got[burstMachine(i)]
 		largest, sum = max(largest, count), sum+count
 		if i < s.reportedBusy {
 			count += s.reportedWork
 		}
-		largestTrue, sumTrue = max(largestTrue, count), sumTrue+count
+		largestTotal, sumTotal = max(largestTotal, count), sumTotal+count
 	}
-	return float64(largest) * burstReplicas / float64(sum), float64(largestTrue) * burstReplicas / float64(sumTrue)
+	return float64(largest) * burstReplicas / float64(sum), float64(largestTotal) * burstReplicas / float64(sumTotal)
 }
 
-// burstSeeds are averaged over.
+// burstSeeds is the number of seeds that results are averaged over.
 const burstSeeds = 20
 
-// measure averages the imbalance of one way to choose over all seeds.
-func (s burst) measure(send func(seed uint64) map[cluster.MachineID]int) (gone, there float64) {
+// measure averages the imbalance of one method of choice over all seeds.
+func (s burst) measure(send func(seed uint64) map[cluster.MachineID]int) (sentOnly, withReported float64) {
 	for seed := range uint64(burstSeeds) {
 		a, b := s.imbalance(send(seed))
-		gone, there = gone+a/burstSeeds, there+b/burstSeeds
+		sentOnly, withReported = sentOnly+a/burstSeeds, withReported+b/burstSeeds
 	}
-	return gone, there
+	return sentOnly, withReported
 }
 
-// TestBurstDoesNotHerd compares the ways to choose a replica by the largest
-// number in flight over the mean: if the reported work, a second old, is gone
-// by now, and if it is still there.
+// TestBurstIsSpreadOverReplicas guards against herding: routers with the same view that all send a
+// burst to the same replicas. It compares random choice, two choices and choice by shares, both if
+// the reported work, a second old, has ended by now and if it still runs.
 func TestBurstDoesNotHerd(t *testing.T) {
 	for _, s := range []burst{
 		{name: "nothing reported", slots: 64},
 		{name: "10 of 12 reported busy", slots: 64, reportedBusy: 10, reportedWork: 20},
 		{name: "11 of 12 reported full", slots: 64, reportedBusy: 11, reportedWork: 64},
 		{name: "8 slots, 10 of 12 reported busy", slots: 8, reportedBusy: 10, reportedWork: 6},
-		{name: "one prefix, one holder", slots: 64, prefixes: 16},
+		{name: "one prefix, cached on one machine", slots: 64, prefixes: 16},
 	} {
 		t.Run(s.name, func(t *testing.T) {
-			random, randomTrue := s.measure(s.random)
-			plain, plainTrue := s.measure(func(seed uint64) map[cluster.MachineID]int { return s.run(s.routers(false, seed)) })
-			shares, sharesTrue := s.measure(func(seed uint64) map[cluster.MachineID]int { return s.run(s.routers(true, seed)) })
-			t.Logf("max/mean, reported work gone: random %.2f, two choices %.2f, by shares %.2f", random, plain, shares)
-			t.Logf("max/mean, reported work there: random %.2f, two choices %.2f, by shares %.2f", randomTrue, plainTrue, sharesTrue)
-			if shares > plain+0.01 || shares > 2 || sharesTrue > 1.6 {
-				t.Errorf("shares %.2f and %.2f, two choices %.2f", shares, sharesTrue, plain)
+			random, randomTotal := s.measure(s.random)
+			plain, plainTotal := s.measure(func(seed uint64) map[cluster.MachineID]int { return s.run(s.routers(false, seed)) })
+			shares, sharesTotal := s.measure(func(seed uint64) map[cluster.MachineID]int { return s.run(s.routers(true, seed)) })
+			t.Logf("max/mean if reported work has ended: random %.2f, two choices %.2f, by shares %.2f", random, plain, shares)
+			t.Logf("max/mean if reported work still runs: random %.2f, two choices %.2f, by shares %.2f", randomTotal, plainTotal, sharesTotal)
+			if shares > plain+0.01 || shares > 2 || sharesTotal > 1.6 {
+				t.Errorf("max/mean by shares %.2f and %.2f, by two choices %.2f", shares, sharesTotal, plain)
 			}
 		})
 	}
--- a/routing/hold.go
+++ b/routing/hold.go
@@ -1,12 +1,12 @@
 package routing
 
-// hold keeps every request in its queue until endHold, or until the time given.
+// hold keeps every request in its queue until endHold or the given time.
 func (r *Router) hold(event DispatchesHeld) { r.heldUntil = event.Until.UnixNano() }
 
-// held reports whether dispatches wait.
-func (r *Router) held() bool { return r.nanos < r.heldUntil }
+// dispatchesHeld reports whether dispatches are held.
+func (r *Router) dispatchesHeld() bool { return r.nanos < r.heldUntil }
 
-// endHold lets the requests that waited go.
+// endHold dispatches the requests that waited during the hold.
 func (r *Router) endHold() {
 	if r.heldUntil == 0 {
 		return
@@ -14,15 +14,15 @@
 	r.heldUntil = 0
 	for _, model := range r.sortedModels() {
 		if model.queue.Len() > 0 {
-			r.changed = append(r.changed, model)
+			r.changedModels = append(r.changedModels, model)
 		}
 	}
-	r.settleModels()
+	r.updateChangedModels()
 }
 
-// releaseDue ends a hold whose time is over.
-func (r *Router) releaseDue() {
-	if r.heldUntil != 0 && !r.held() {
+// endExpiredHold ends a hold whose time has passed.
+func (r *Router) endExpiredHold() {
+	if r.heldUntil != 0 && !r.dispatchesHeld() {
 		r.endHold()
 	}
 }
--- a/routing/inspect.go
+++ b/routing/inspect.go
@@ -6,17 +6,17 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// QueueView is one model's queue for operators.
+// QueueView is the state of one model's queue for operators.
 type QueueView struct {
 	Model            cluster.ModelID
 	Waiting, Running int
-	// Bytes of waiting request bodies.
+	// Bytes is the total size of the waiting requests' bodies.
 	Bytes      int64
 	OldestWait time.Duration
 }
 
-// Queues returns the models with waiting or running requests, sorted by name.
-// It changes nothing.
+// Queues returns the models with waiting or running requests, sorted by ID. It does not change the
+// router.
 func (r *Router) Queues(now time.Time) []QueueView {
 	nanos := max(now.UnixNano(), r.nanos)
 	var views []QueueView
--- a/routing/machines.go
+++ b/routing/machines.go
@@ -7,8 +7,8 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Machines lists the machines that may get requests: those with a replica whose
-// leaving is not known, sorted by ID. Only ID, zone and address are filled.
+// Machines lists the machines that may get requests: those with a replica that are not known to
+// leave, sorted by ID. Only ID, zone and address are filled.
 func (r *Router) Machines() []cluster.Machine {
 	list := make([]cluster.Machine, 0, len(r.machines))
 	for _, known := range r.machines {
--- a/routing/notices.go
+++ b/routing/notices.go
@@ -7,54 +7,54 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// limitChange is the part by which a limit must change for other routers to be told: a machine that
-// names another number in each answer would have each told to all.
+// limitChange is the relative change of a rate limit, 10%, from which it is sent to the other
+// routers. A machine that states a different number in each answer would otherwise cause a message
+// for each.
 const limitChange = 0.1
 
-// Notice is what the head of a machine's answer says of the machine.
+// Notice is what the headers of a machine's answer state about the machine.
 type Notice struct {
-	// Limited is set when the machine says that it takes no more than PerSecond requests a
-	// second from all routers together, for as long as it says so.
+	// Limited is set when the machine takes at most PerSecond requests per second from all routers
+	// together. An answer without a limit ends it.
 	Limited   bool
 	PerSecond float64
-	// Leaving is set when the machine says that it leaves.
+	// Leaving is set when the machine is leaving.
 	Leaving bool
-	// Rest is for how long a machine that turned the request away wants nothing more from this
-	// router; zero where it doesn't say.
+	// Rest is the time for which a machine that refused a request wants no more requests from this
+	// router; zero when not stated.
 	Rest time.Duration
 }
 
-// MachineHeard brings what an answer said of its machine.
+// MachineHeard carries the notice in a machine's answer.
 type MachineHeard struct {
 	Machine cluster.MachineID
 	Request cluster.RequestID
 	Notice  Notice
-	// SentUnderLimit is set when the request was sent while the machine's limit was known: an
-	// answer that names none ends it.
+	// SentUnderLimit is set when the request was sent while the machine's limit was known. An
+	// answer to such a request that states no limit ends the limit.
 	SentUnderLimit bool
 }
 
-// MachineLimitTold brings what another router heard of a machine's limit.
+// MachineLimitTold carries a machine's rate limit as learned by another router.
 type MachineLimitTold struct {
 	Machine cluster.MachineID
 	Notice  Notice
 }
 
-// MachineLimitFound tells what this router newly heard of a machine's limit; all routers must
-// learn it.
+// MachineLimitFound reports a new or changed rate limit of a machine, to be sent to all routers.
 type MachineLimitFound struct {
 	Machine cluster.MachineID
 	Request cluster.RequestID
 	Notice  Notice
 }
 
-// MachineLeavingFound tells that a machine's answer was the first to say that it leaves.
+// MachineLeavingFound reports that an answer was the first to state that its machine is leaving.
 type MachineLeavingFound struct {
 	Machine cluster.MachineID
 	Request cluster.RequestID
 }
 
-// MachineRestFound tells that a machine wants nothing from this router for a time.
+// MachineRestFound reports that a machine wants no requests from this router for a time.
 type MachineRestFound struct {
 	Machine cluster.MachineID
 	Request cluster.RequestID
@@ -67,8 +67,8 @@
 func (MachineLeavingFound) routingEffect() {}
 func (MachineRestFound) routingEffect()    {}
 
-// Limit returns how many requests a second a machine said that it takes of all routers together;
-// false where it names no limit.
+// Limit returns how many requests per second a machine takes from all routers together, or false if
+// it has no known limit.
 func (r *Router) Limit(id cluster.MachineID) (perSecond float64, limited bool) {
 	if m := r.machines[id]; m != nil && m.turns.limited {
 		return m.turns.perSecond, true
@@ -76,74 +76,74 @@
 	return 0, false
 }
 
-// machineHeard takes what an answer said of its machine.
+// machineHeard applies the notice in a machine's answer.
 func (r *Router) machineHeard(event *MachineHeard) {
 	if event.Notice.Leaving {
 		r.leavingHeard(event)
 	}
-	present := r.presentStart(event.Machine)
+	present := r.currentStart(event.Machine)
 	m := r.machines[present]
 	if m == nil {
 		return
 	}
 	if event.Notice.Rest > 0 {
-		r.rest(m, event)
+		r.startRest(m, event)
 	}
 	endsLimit := event.SentUnderLimit && present == event.Machine
 	if !event.Notice.Limited && !endsLimit {
 		return
 	}
 	t := &m.turns
-	changed := t.limited != event.Notice.Limited || math.Abs(event.Notice.PerSecond-t.told) > limitChange*t.told
+	changed := t.limited != event.Notice.Limited || math.Abs(event.Notice.PerSecond-t.publishedPerSecond) > limitChange*t.publishedPerSecond
 	r.setLimit(m, event.Notice)
 	if changed {
-		t.told = event.Notice.PerSecond
+		t.publishedPerSecond = event.Notice.PerSecond
 		r.emit(MachineLimitFound{Machine: m.id, Request: event.Request, Notice: event.Notice})
 	}
 }
 
-// leavingHeard takes an answer's word that its machine leaves: for good, whatever the cell's status
-// says.
+// leavingHeard applies a leaving notice, which is final whatever the cell status says.
 func (r *Router) leavingHeard(event *MachineHeard) {
-	if known := r.machines[event.Machine]; known != nil && known.announced {
+	if known := r.machines[event.Machine]; known != nil && known.leavingAnnounced {
 		return
 	}
 	r.machineLeaving(event.Machine)
 	r.emit(MachineLeavingFound{Machine: event.Machine, Request: event.Request})
 }
 
-// Leaving reports whether a machine is known to take no new work.
+// Leaving reports whether a machine is known to take no new requests.
 func (r *Router) Leaving(id cluster.MachineID) bool {
 	m := r.machines[id]
 	return m != nil && m.leaving()
 }
 
-// limitTold takes what another router heard.
+// limitTold applies a limit that another router learned.
 func (r *Router) limitTold(event *MachineLimitTold) {
-	if m := r.machines[r.presentStart(event.Machine)]; m != nil {
-		m.turns.told = event.Notice.PerSecond
+	if m := r.machines[r.currentStart(event.Machine)]; m != nil {
+		m.turns.publishedPerSecond = event.Notice.PerSecond
 		r.setLimit(m, event.Notice)
 	}
 }
 
-// setLimit puts a limit in force, or ends it.
+// setLimit puts a limit in force or ends it.
 func (r *Router) setLimit(m *machine, notice Notice) {
 	if m.turns.limited && !notice.Limited {
-		m.turns = turns{restsUntil: m.turns.restsUntil, restHeardAt: m.turns.restHeardAt}
-		r.freed = append(r.freed, m)
+		m.turns = turns{restUntil: m.turns.restUntil, restHeardAt: m.turns.restHeardAt}
+		r.freedMachines = append(r.freedMachines, m)
 		return
 	}
-	m.turns.limited, m.turns.perSecond, m.turns.heardAt = notice.Limited, notice.PerSecond, r.nanos
+	m.turns.limited, m.turns.perSecond, m.turns.limitHeardAt = notice.Limited, notice.PerSecond, r.nanos
 }
 
-// rest leaves a machine alone that turned a request away, until the latest time that it asked for.
-func (r *Router) rest(m *machine, event *MachineHeard) {
+// startRest sends no requests to a machine that refused one, until the latest time that it asked
+// for.
+func (r *Router) startRest(m *machine, event *MachineHeard) {
 	until := r.nanos + int64(event.Notice.Rest)
-	if until <= m.turns.restsUntil {
+	if until <= m.turns.restUntil {
 		return
 	}
-	m.turns.restsUntil, m.turns.restHeardAt = until, r.nanos
-	r.wake(m, until)
+	m.turns.restUntil, m.turns.restHeardAt = until, r.nanos
+	r.wakeAt(m, until)
 	r.emit(MachineRestFound{Machine: m.id, Request: event.Request, Rest: event.Notice.Rest})
-	r.refuseClosed(m)
+	r.refuseUnservable(m)
 }
--- a/routing/placed.go
+++ b/routing/placed.go
@@ -12,8 +12,8 @@
 // maxAlternatives bounds the machines that a dispatch lists.
 const maxAlternatives = 16
 
-// alternatives lists the machines that may take the request now, the chosen one first and
-// then by distance.
+// alternatives lists the machines that may take the request now, the chosen one first and then by
+// distance.
 func (r *Router) alternatives(ready *request, chosen *replica) []Alternative {
 	listed := []Alternative{r.alternative(chosen)}
 	for _, tier := range ready.model.tiers {
@@ -26,7 +26,7 @@
 			if len(listed) == maxAlternatives {
 				return listed
 			}
-			if candidate != chosen && r.usable(ready, candidate, false) == "" {
+			if candidate != chosen && r.unusableCause(ready, candidate, false) == "" {
 				listed = append(listed, r.alternative(candidate))
 			}
 		}
@@ -34,54 +34,54 @@
 	return listed
 }
 
-// alternative is a replica with what speaks against it besides its work.
+// alternative returns a replica's machine with its penalty for distance and failures.
 func (r *Router) alternative(c *replica) Alternative {
-	penalty := r.distancePenalty(c) + c.machine.failing*float64(r.config.FailurePenalty)
+	penalty := r.distancePenalty(c) + c.machine.failureRate*float64(r.config.FailurePenalty)
 	return Alternative{Machine: c.machine.id, Penalty: time.Duration(penalty)}
 }
 
-// attemptPlaced dispatches an attempt again that was kept until somebody who knows more named
-// its machine. A machine that no longer takes the request is passed over.
+// attemptPlaced dispatches an attempt that was held until a dispatcher named its machine. A named
+// machine that doesn't take the request is ignored.
 func (r *Router) attemptPlaced(event *AttemptPlaced) {
 	placed := r.requests[event.Request]
 	if placed == nil || !placed.unsent || placed.attempt != event.Attempt {
 		return
 	}
-	if r.held() {
-		// What is known of machines is too old to send anything.
-		r.takeBack(placed)
+	if r.dispatchesHeld() {
+		// The knowledge of machines is too old to send anything.
+		r.takeBackUnsent(placed)
 		return
 	}
 	target := placed.machine.replica(placed.model)
 	if event.Machine != "" && event.Machine != placed.machine.id {
-		if other := r.otherPlace(placed, event.Machine); other != nil {
+		if other := r.usableReplicaOn(placed, event.Machine); other != nil {
 			r.moveUnsent(placed, other)
 			target = other
 		}
 	}
-	if target == nil || !target.here() || placed.machine.leaving() || !r.inTurn(placed) {
-		r.takeBack(placed)
+	if target == nil || !target.isPresent() || placed.machine.leaving() || !r.maySend(placed) {
+		r.takeBackUnsent(placed)
 		return
 	}
-	r.correctReading(placed, event.Forecast.Read)
+	r.correctPrefillDemand(placed, event.Forecast.Read)
 	r.sendPlaced(placed, target, event)
 }
 
-// inTurn reports whether an attempt that was kept may be sent as far as its machine's own word
-// goes.
-func (r *Router) inTurn(placed *request) bool {
+// maySend reports whether the rest period and the rate limit of the machine allow the held attempt
+// to be sent.
+func (r *Router) maySend(placed *request) bool {
 	t := &placed.machine.turns
-	return r.nanos >= t.restsUntil && (!t.limited || r.nanos <= placed.sendBy)
+	return r.nanos >= t.restUntil && (!t.limited || r.nanos <= placed.sendBy)
 }
 
-// sendPlaced dispatches an attempt that was kept to its machine.
+// sendPlaced dispatches a held attempt to its machine.
 func (r *Router) sendPlaced(placed *request, target *replica, event *AttemptPlaced) {
 	placed.unsent = false
 	placed.dispatched = r.nanos
 	r.emit(Dispatch{
 		Request: placed.ID, Attempt: placed.attempt,
 		Machine: placed.machine.id, Address: placed.machine.address, Model: placed.Model, Version: target.version,
-		Deadline: time.Unix(0, placed.deadline), Final: !placed.mayFollow(),
+		Deadline: time.Unix(0, placed.deadline), Final: !placed.retryAllowed(),
 		Limited: placed.machine.turns.limited,
 		Reason: Choice{
 			Waited: placed.waited, SettingsRevision: r.settingsRevision(),
@@ -93,77 +93,76 @@
 	})
 }
 
-// correctReading counts a prompt by how long an engine is expected to read it, in place of all
-// its tokens: engines keep two thirds of prompts that begin alike, and small models read four
-// times as fast. By tokens alone the models in demand got twice the replicas that they needed,
-// and displaced the others.
-func (r *Router) correctReading(placed *request, read time.Duration) {
-	if read <= 0 || placed.readingCounted {
+// correctPrefillDemand replaces the prompt's tokens in the demand by those equivalent to its
+// expected prefill time. Engines have two thirds of prompts with common prefixes cached, and small
+// models read four times as fast; counted by tokens alone, popular models got twice the replicas
+// that they needed and displaced others.
+func (r *Router) correctPrefillDemand(placed *request, read time.Duration) {
+	if read <= 0 || placed.prefillCounted {
 		return
 	}
-	placed.readingCounted = true
+	placed.prefillCounted = true
 	placed.model.arrivedTokens += int(read.Seconds()*work.UsualTokensPerSecond) - placed.PromptTokens
 }
 
-// otherPlace returns the replica on a machine if it takes the request now, or nil.
-func (r *Router) otherPlace(placed *request, id cluster.MachineID) *replica {
+// usableReplicaOn returns the replica on a machine if it takes the request now, or nil.
+func (r *Router) usableReplicaOn(placed *request, id cluster.MachineID) *replica {
 	machine := r.machines[id]
 	if machine == nil {
 		return nil
 	}
 	other := machine.replica(placed.model)
-	if other == nil || !other.here() || r.usable(placed, other, true) != "" {
+	if other == nil || !other.isPresent() || r.unusableCause(placed, other, true) != "" {
 		return nil
 	}
 	return other
 }
 
-// moveUnsent counts an attempt that was not sent yet at another machine.
+// moveUnsent moves an attempt that was not sent yet to another machine.
 func (r *Router) moveUnsent(placed *request, to *replica) {
 	from := placed.machine
 	from.inFlight--
 	from.forgetDispatch(placed.dispatched)
-	r.freed = append(r.freed, from)
-	from.turns.giveBack(placed.sendBy)
+	r.freedMachines = append(r.freedMachines, from)
+	from.turns.restore(placed.sendBy)
 	placed.machine = to.machine
-	to.machine.dispatched(r.nanos)
-	placed.sendBy = to.machine.turns.take()
+	to.machine.addDispatch(r.nanos)
+	placed.sendBy = to.machine.turns.use()
 	if len(placed.Prefixes) > 0 {
 		r.prefixes.Sent(r.nanos, to.machine.id, placed.Model, placed.Prefixes)
 	}
 }
 
-// takeBack has a request look for a machine again, or wait for one: its attempt was not sent
-// and is no try, and its machine isn't blamed for that.
-func (r *Router) takeBack(placed *request) {
+// takeBackUnsent dispatches or queues the request of an unsent attempt again. The attempt does not count,
+// and its machine gets no back-off.
+func (r *Router) takeBackUnsent(placed *request) {
 	dispatched := placed.dispatched
 	from := r.stopRunning(placed)
 	from.forgetDispatch(dispatched)
-	from.turns.giveBack(placed.sendBy)
-	r.freed = append(r.freed, from)
-	placed.tries--
-	r.startAgain(placed, Explanation{Machine: from.id})
+	from.turns.restore(placed.sendBy)
+	r.freedMachines = append(r.freedMachines, from)
+	placed.countedAttempts--
+	r.redispatch(placed, Explanation{Machine: from.id})
 }
 
-// forgetDispatch takes back that an attempt was dispatched at a time, unless the machine's
-// report is newer.
+// forgetDispatch removes a dispatch time, unless a newer load report already removed it.
 func (m *machine) forgetDispatch(at int64) {
-	if i := slices.Index(m.recent, at); i >= 0 {
-		m.recent = slices.Delete(m.recent, i, i+1)
+	if i := slices.Index(m.recentDispatches, at); i >= 0 {
+		m.recentDispatches = slices.Delete(m.recentDispatches, i, i+1)
 	}
 }
 
-// refuseUnsent ends requests whose attempts wait for their time: the node ends within a second,
-// and another one can serve them. Answers that have begun go on.
+// refuseUnsent refuses the requests whose attempts are held: the draining node ends within a
+// second, and another one can serve them. A request whose answer has begun goes on.
 func (r *Router) refuseUnsent() {
 	for _, held := range r.unsentRequests() {
-		if !held.firstByte {
+		if !held.firstByteSent {
 			r.abandon(held, r.drainingFailure(), Explanation{})
 		}
 	}
 }
 
-// unsentRequests lists the requests whose attempts wait for their time, by name.
+// unsentRequests lists the requests whose attempts are held, by ID.
 func (r *Router) unsentRequests() []*request {
 	var unsent []*request
 	for _, held := range r.requests {
--- a/routing/poisoned.go
+++ b/routing/poisoned.go
@@ -10,9 +10,9 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// noteEvidence learns from the end of an attempt whether its request ends machines. The end
-// of a machine that was leaving is planned, and nobody is to blame for it.
-func (r *Router) noteEvidence(ended *request, m *machine, event *AttemptEnded) {
+// recordEvidence records whether the end of an attempt is evidence for or against its request
+// ending machines. The end of a leaving machine is planned and no evidence.
+func (r *Router) recordEvidence(ended *request, m *machine, event *AttemptEnded) {
 	if ended.Content.IsZero() {
 		ended.Content = event.Content
 	}
@@ -22,7 +22,7 @@
 	}
 	if event.Failure == nil {
 		r.poison.Whole(r.now, ended.Content)
-		r.doubtful.Answered(ended.Caller)
+		r.suspectCallers.Answered(ended.Caller)
 	}
 	if m.leaving() {
 		return
@@ -34,33 +34,33 @@
 		r.poison.Broke(r.now, ended.Content, m.id)
 	}
 	if event.Broken && event.MachineEnded {
-		r.doubtful.Ended(r.now, ended.Caller, time.Unix(0, ended.dispatched))
+		r.suspectCallers.Ended(r.now, ended.Caller, time.Unix(0, ended.dispatched))
 	}
 }
 
-// machineEnded takes the news that a machine ended unless it had announced that.
+// machineEnded records the end of a machine, unless the machine was leaving.
 func (r *Router) machineEnded(id cluster.MachineID) {
 	if m := r.machines[id]; m == nil || !m.leaving() {
 		r.poison.MachineEnded(r.now, id)
 	}
 }
 
-// testEnded gives the leave for a test back that did not run.
-func (r *Router) testEnded(ended *request) {
+// returnUnusedTest returns the permission for a test that did not run.
+func (r *Router) returnUnusedTest(ended *request) {
 	if ended.test && !ended.mayHaveRun {
 		r.poison.GrantTest(ended.Content)
 	}
 }
 
-// convicted reports whether the request must not be sent.
+// convicted reports whether the content must not be sent.
 func (r *Router) convicted(content poison.Fingerprint) bool {
 	_, convicted := r.poison.Convicted(r.now, content)
 	return convicted
 }
 
-// poisonRefusal says why a request is not admitted because of machines that ended under it,
-// or nil. A convicted one may come back when its conviction is over. A suspect runs once at
-// a time, so that each end of a machine tells something.
+// poisonRefusal returns why a request is refused because of machines that ended under it, or nil. A
+// convicted request may be retried when its conviction expires. Of a suspected content only one
+// request runs at a time, so that the end of a machine can be attributed to it.
 func (r *Router) poisonRefusal(m *model, arrived *Request) (*verdict.Error, Explanation) {
 	if r.poison.Empty() || r.config.Poison.Off() {
 		return nil, Explanation{}
@@ -77,20 +77,20 @@
 		}
 		return r.poisonFailure(arrived.Content, left)
 	}
-	if r.poison.Suspected(arrived.Content) && r.inFlight(arrived.Content) {
+	if r.poison.Suspected(arrived.Content) && r.contentInFlight(arrived.Content) {
 		record, _ := r.poison.Record(arrived.Content)
 		failure := verdict.New(verdict.NotRun, verdict.CodePoisonRequest,
 			"the same request is on its way, and %d machines have ended under it", record.Standing())
-		return failure.After(r.comeBack(m)), Explanation{Setting: settingPoisonEnds, Value: float64(record.Standing())}
+		return failure.After(r.retryAfter(m)), Explanation{Setting: settingPoisonEnds, Value: float64(record.Standing())}
 	}
 	return nil, Explanation{}
 }
 
-// takeTest makes the request a test of its content if this node has leave for one, and asks for
-// leave when that is due. The end of a machine would count against all that are tested there, so
-// that they run one by one.
+// takeTest makes the request a test of its content if this node has permission for one, and asks
+// for permission when a test is due. Tests run one at a time on this node, since the end of a
+// machine would count against all contents tested there.
 func (r *Router) takeTest(arrived *Request) bool {
-	if r.testing() {
+	if r.testInFlight() {
 		return false
 	}
 	if r.poison.TakeTest(arrived.Content) {
@@ -103,8 +103,8 @@
 	return false
 }
 
-// testing reports whether a test has not ended here.
-func (r *Router) testing() bool {
+// testInFlight reports whether a test is running on this node.
+func (r *Router) testInFlight() bool {
 	for _, other := range r.requests {
 		if other.test {
 			return true
@@ -113,10 +113,11 @@
 	return false
 }
 
-// callerRefusal says why a request is not admitted because machines ended in a row under
-// other requests of its caller, or nil. One at a time may show that the caller is harmless.
+// callerRefusal returns why a request is refused because machines ended in succession under other
+// requests of its caller, or nil. After a wait one request at a time is admitted, which can clear
+// the caller.
 func (r *Router) callerRefusal(m *model, arrived *Request) (*verdict.Error, Explanation) {
-	wait, doubtful := r.doubtful.Doubtful(r.now, arrived.Caller)
+	wait, doubtful := r.suspectCallers.Doubtful(r.now, arrived.Caller)
 	if !doubtful {
 		return nil, Explanation{}
 	}
@@ -124,10 +125,10 @@
 		return nil, Explanation{}
 	}
 	failure := verdict.New(verdict.NotRun, verdict.CodePoisonRequest, "machines ended one after the other under requests of this caller")
-	return failure.After(max(wait, r.comeBack(m))), Explanation{Setting: settingPoisonEnds}
+	return failure.After(max(wait, r.retryAfter(m))), Explanation{Setting: settingPoisonEnds}
 }
 
-// callerInFlight reports whether a request of the caller has not ended here.
+// callerInFlight reports whether a request of the caller has not ended on this node.
 func (r *Router) callerInFlight(caller uint64) bool {
 	for _, other := range r.requests {
 		if other.Caller == caller {
@@ -137,7 +138,8 @@
 	return false
 }
 
-// poisonFailure refuses a convicted request, with the machines that ended under it.
+// poisonFailure returns the refusal of a convicted request, which names the machines that ended
+// under it.
 func (r *Router) poisonFailure(content poison.Fingerprint, left time.Duration) (*verdict.Error, Explanation) {
 	record, _ := r.poison.Record(content)
 	ends := record.StandingEnds()
@@ -149,8 +151,8 @@
 	return failure.After(left), Explanation{Setting: settingPoisonEnds, Value: float64(len(ends))}
 }
 
-// inFlight reports whether a request of the same content has not ended here.
-func (r *Router) inFlight(content poison.Fingerprint) bool {
+// contentInFlight reports whether a request with the content has not ended on this node.
+func (r *Router) contentInFlight(content poison.Fingerprint) bool {
 	for _, other := range r.requests {
 		if other.Content == content {
 			return true
@@ -159,9 +161,9 @@
 	return false
 }
 
-// enforceVerdicts ends the requests that were newly convicted: one that waits at a machine
-// would end it when its turn comes.
-func (r *Router) enforceVerdicts() {
+// enforceConvictions ends the requests with newly convicted contents, since a request that waits at
+// a machine would end it when it runs.
+func (r *Router) enforceConvictions() {
 	for _, content := range r.poison.Verdicts() {
 		left, _ := r.poison.Convicted(r.now, content)
 		for _, convicted := range r.requestsOf(content) {
@@ -171,7 +173,7 @@
 	}
 }
 
-// requestsOf lists the requests of one content that have not ended, by name.
+// requestsOf lists the unfinished requests with the content, by ID.
 func (r *Router) requestsOf(content poison.Fingerprint) []*request {
 	var same []*request
 	for _, other := range r.requests {
@@ -183,13 +185,14 @@
 	return same
 }
 
-// PoisonCounts returns how many requests are suspected to end machines, and convicted.
+// PoisonCounts returns how many contents are suspected of ending machines and how many are
+// convicted.
 func (r *Router) PoisonCounts() (suspected, convicted int) { return r.poison.Counts() }
 
-// PoisonRecord returns what is known of a request.
+// PoisonRecord returns what is known of a content.
 func (r *Router) PoisonRecord(content poison.Fingerprint) (poison.Record, bool) {
 	return r.poison.Record(content)
 }
 
-// KnowsPoison reports whether the fingerprint of a request with this head matters now.
+// KnowsPoison reports whether the fingerprint of a request with this head is needed now.
 func (r *Router) KnowsPoison(head poison.Head) bool { return r.poison.KnowsHead(head) }
--- a/routing/poisoned_test.go
+++ b/routing/poisoned_test.go
@@ -10,37 +10,37 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// TestMachinesThatLeaveConvictNobody: the end of a machine that said that it leaves is
-// planned, whatever ran there.
+// TestEndOfLeavingMachineConvictsNoRequest guards against the conviction of a request whose machine
+// ended as planned after it announced that it was leaving.
 func TestMachinesThatLeaveConvictNobody(t *testing.T) {
 	content := poison.Fingerprint{7}
 	for name, leaves := range map[string]bool{"leaving": true, "ended": false} {
 		router := New(Config{}, 1)
 		for n := range 4 {
-			m := &machine{id: cluster.MachineID(rune('a' + n)), listed: leaves}
+			m := &machine{id: cluster.MachineID(rune('a' + n)), leavingListed: leaves}
 			router.now = time.Unix(int64(100+n), 0)
-			router.noteEvidence(&request{Request: Request{Content: content}}, m, &AttemptEnded{
+			router.recordEvidence(&request{Request: Request{Content: content}}, m, &AttemptEnded{
 				Broken: true, MachineEnded: true, Failure: verdict.New(verdict.MayHaveRun, verdict.CodeEngineFailed, "broke"),
 			})
 		}
 		if router.convicted(content) == leaves {
-			t.Errorf("%s machines: convicted %v", name, !leaves)
+			t.Errorf("%s machines: request convicted %v", name, !leaves)
 		}
 	}
 }
 
-// convict has so many machines end under a request as convict it.
+// convict ends machines under a content until it is convicted.
 func (f *fixture) convict(content poison.Fingerprint) {
 	for n := 0; !f.router.convicted(content); n++ {
 		m := &machine{id: cluster.MachineID(fmt.Sprintf("ended-%v-%d", content[0], n))}
-		f.router.noteEvidence(&request{Request: Request{Content: content}}, m, &AttemptEnded{
+		f.router.recordEvidence(&request{Request: Request{Content: content}}, m, &AttemptEnded{
 			Broken: true, MachineEnded: true, Failure: verdict.New(verdict.MayHaveRun, verdict.CodeEngineFailed, "broke"),
 		})
 	}
 }
 
-// TestTestsRunOneByOne guards against an innocent request that is convicted by the end of the
-// machine at which it is tested beside a harmful one.
+// TestPoisonTestsRunOneAtATime guards against the conviction of an innocent request because the
+// machine on which it is tested ends under a harmful one tested at the same time.
 func TestTrialsRunOneByOne(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
@@ -53,8 +53,8 @@
 		f.step(PoisonTestGranted{Content: content})
 	}
 	f.expect(f.arrive("a", of(harmful)), "dispatch a/1 to m1; ")
-	if failure := finished(t, f.arrive("b", of(innocent))).Failure; failure == nil || failure.Code != verdict.CodePoisonRequest {
-		t.Fatalf("the second test beside the first ended by %v", failure)
+	if failure := finishOf(t, f.arrive("b", of(innocent))).Failure; failure == nil || failure.Code != verdict.CodePoisonRequest {
+		t.Fatalf("the second test during the first finished with %v", failure)
 	}
 	f.step(AttemptEnded{Request: "a", Attempt: 1})
 	f.expect(f.arrive("c", of(innocent)), "dispatch c/1 to m1; ")
--- a/routing/prefixes.go
+++ b/routing/prefixes.go
@@ -6,15 +6,14 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// maxUntold bounds the prompts that a router has yet to tell others of.
-const maxUntold = 128
+// maxUnpublished bounds the prompts that are not yet sent to the other routers.
+const maxUnpublished = 128
 
-// PrefixesTold brings what other routers of the zone sent where, some seconds
-// late and with gaps.
+// PrefixesTold carries which prompts other routers of the zone sent to which machines. It arrives
+// some seconds late and may be incomplete.
 type PrefixesTold struct{ Groups []wire.PrefixGroup }
 
-// CacheMoved says that the prefix cache of a model on one machine was copied to
-// another.
+// CacheMoved reports that a model's prefix cache was copied from one machine to another.
 type CacheMoved struct {
 	Model    cluster.ModelID
 	From, To cluster.MachineID
@@ -23,20 +22,20 @@
 func (PrefixesTold) routingEvent() {}
 func (CacheMoved) routingEvent()   {}
 
-// SentPrefixes returns which prompts this router's engines have begun to answer
-// since the last call, at most maxUntold, for the other routers of the zone.
-func (r *Router) SentPrefixes() []wire.PrefixGroup { return r.untold.Take() }
+// SentPrefixes returns the prompts of this router that engines have begun to answer since the last
+// call, at most maxUnpublished, for the other routers of the zone.
+func (r *Router) SentPrefixes() []wire.PrefixGroup { return r.unpublishedPrefixes.Take() }
 
-// notePrefix notes a prompt for the other routers. It has been read by the
-// engine: what an engine refused is told to nobody.
-func (r *Router) notePrefix(read *request) {
+// recordReadPrompt records a prompt for the other routers once the engine has read it. A prompt
+// that an engine refused is not in its cache and not published.
+func (r *Router) recordReadPrompt(read *request) {
 	if prefix, ok := affinity.Longest(read.Prefixes); ok {
-		r.untold.Note(read.machine.id, read.Model, prefix)
+		r.unpublishedPrefixes.Note(read.machine.id, read.Model, prefix)
 	}
 }
 
-// prefixesTold takes what others sent. Machines without a replica of the model
-// are passed over: they are gone, or their status has yet to come.
+// prefixesTold applies the prompts of other routers. Machines without a replica of the model are
+// skipped: they are gone, or their status has not arrived yet.
 func (r *Router) prefixesTold(groups []wire.PrefixGroup) {
 	for i := range groups {
 		group := &groups[i]
@@ -50,7 +49,7 @@
 	}
 }
 
-// cacheMoved takes the move of a cache to a machine that serves the model.
+// cacheMoved applies the copy of a cache to a machine that holds the model.
 func (r *Router) cacheMoved(moved CacheMoved) {
 	machine, model := r.machines[moved.To], r.models[moved.Model]
 	if machine != nil && model != nil && machine.replica(model) != nil {
--- a/routing/machine_test.go
+++ b/routing/random_events_test.go
@@ -15,36 +15,36 @@
 )
 
 var (
-	machineModels   = []cluster.ModelID{"chat", "recall", "claims"}
-	machineZones    = []cluster.ZoneID{"z1", "z2"}
-	machineMachines = []cluster.MachineID{"z1-a", "z1-b", "z2-a", "z2-b"}
-	machineScope    = settings.Scope{Path: "/dental", MaxConcurrency: 16, RequestsPerSecond: 400, TokensPerSecond: 1e6}
+	testModels   = []cluster.ModelID{"chat", "recall", "claims"}
+	testZones    = []cluster.ZoneID{"z1", "z2"}
+	testMachines = []cluster.MachineID{"z1-a", "z1-b", "z2-a", "z2-b"}
+	testScope    = settings.Scope{Path: "/dental", MaxConcurrency: 16, RequestsPerSecond: 400, TokensPerSecond: 1e6}
 )
 
-// coreMachine drives a core with random events and checks each step.
-type coreMachine struct {
+// routerStateMachine sends random events to a router and checks each step against a checker.
+type routerStateMachine struct {
 	t       *rapid.T
 	router  *Router
 	checker *checker
 	now     time.Time
 	arrived int
-	// dispatches of all times, to send late and crossed outcomes.
+	// dispatches holds all dispatches, for late outcomes and outcomes out of order.
 	dispatches []Dispatch
 	sequences  map[cluster.ZoneID]uint64
 	tokens     map[cluster.ZoneID]cluster.FencingToken
 }
 
-func newCoreMachine(t *rapid.T) *coreMachine {
+func newRouterStateMachine(t *rapid.T) *routerStateMachine {
 	config := Config{Zone: "z1", ExpectedRouters: 2, RetryReserve: 3}
-	m := &coreMachine{
+	m := &routerStateMachine{
 		t: t, router: New(config, rapid.Uint64().Draw(t, "seed")), checker: newChecker(config, start), now: start,
 		sequences: make(map[cluster.ZoneID]uint64), tokens: make(map[cluster.ZoneID]cluster.FencingToken),
 	}
-	m.step(SettingsChanged{Snapshot: machineSnapshot(machineModels)})
+	m.step(SettingsChanged{Snapshot: snapshotOf(testModels)})
 	return m
 }
 
-func machineSnapshot(ids []cluster.ModelID) *settings.Snapshot {
+func snapshotOf(ids []cluster.ModelID) *settings.Snapshot {
 	var models []settings.Model
 	for _, id := range ids {
 		models = append(models, settings.Model{ID: id, Path: "/dental/" + string(id), Team: "/dental", Policy: testPolicy()})
@@ -55,11 +55,11 @@
 		}
 		return 1
 	})
-	scopes := map[string]settings.Scope{machineScope.Path: machineScope}
+	scopes := map[string]settings.Scope{testScope.Path: testScope}
 	return settings.NewSnapshot(settings.Stamp{Revision: 1}, models, nil, scopes)
 }
 
-func (m *coreMachine) step(event Event) {
+func (m *routerStateMachine) step(event Event) {
 	effects := m.router.Step(m.now, event)
 	for _, effect := range effects {
 		if dispatch, ok := effect.(Dispatch); ok {
@@ -71,10 +71,10 @@
 	}
 }
 
-func (m *coreMachine) arrive(t *rapid.T) {
+func (m *routerStateMachine) arrive(t *rapid.T) {
 	m.arrived++
 	request := Request{
-		ID: cluster.RequestID(fmt.Sprint("r", m.arrived)), Model: rapid.SampledFrom(machineModels).Draw(t, "model"),
+		ID: cluster.RequestID(fmt.Sprint("r", m.arrived)), Model: rapid.SampledFrom(testModels).Draw(t, "model"),
 		TokenPath: "/dental", Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
 		Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Repeatable: rapid.Bool().Draw(t, "repeatable"),
 		BodyBytes: rapid.Int64Range(0, 300).Draw(t, "bytes"), MaxTokens: 100,
@@ -91,8 +91,8 @@
 	}
 }
 
-// outcome ends a random dispatch, current or long past, perhaps twice.
-func (m *coreMachine) outcome(t *rapid.T) {
+// outcome ends a random recent dispatch, current or past, sometimes twice.
+func (m *routerStateMachine) outcome(t *rapid.T) {
 	if len(m.dispatches) == 0 {
 		t.Skip()
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-func (m *coreMachine) aboutRequest(t *rapid.T) {
+func (m *routerStateMachine) callerEvent(t *rapid.T) {
 	id := cluster.RequestID(fmt.Sprint("r", rapid.IntRange(max(1, m.arrived-10), m.arrived+1).Draw(t, "request")))
 	if rapid.Bool().Draw(t, "gone") {
 		m.step(CallerGone{Request: id})
@@ -124,9 +124,9 @@
 	m.step(FirstByteSent{Request: id})
 }
 
-// status sends a status that may be new, late, repeated or after a gap.
-func (m *coreMachine) status(t *rapid.T) {
-	zone := rapid.SampledFrom(machineZones).Draw(t, "zone")
+// status sends a status that may be new, late, repeated or after a missed one.
+func (m *routerStateMachine) status(t *rapid.T) {
+	zone := rapid.SampledFrom(testZones).Draw(t, "zone")
 	shift := rapid.SampledFrom([]int{1, 1, 1, 1, 2, 0, -1}).Draw(t, "shift")
 	m.sequences[zone] = uint64(max(1, int(m.sequences[zone])+shift))
 	if rapid.IntRange(0, 9).Draw(t, "takeover") == 0 {
@@ -138,12 +138,12 @@
 		token--
 	}
 	status := wire.CellStatus{Zone: zone, Token: token, Sequence: m.sequences[zone], Full: rapid.Bool().Draw(t, "all")}
-	for _, machine := range machineMachines {
+	for _, machine := range testMachines {
 		if machine[:2] != cluster.MachineID(zone) {
 			continue
 		}
 		leaving := rapid.IntRange(0, 9).Draw(t, "leaving") == 0
-		for _, model := range machineModels {
+		for _, model := range testModels {
 			if rapid.Bool().Draw(t, "named") {
 				status.Replicas = append(status.Replicas, m.record(t, machine, model, leaving))
 			}
@@ -154,7 +154,7 @@
 	m.step(CellStatusChanged{Status: status})
 }
 
-func (m *coreMachine) record(t *rapid.T, machine cluster.MachineID, model cluster.ModelID, leaving bool) wire.ReplicaRecord {
+func (m *routerStateMachine) record(t *rapid.T, machine cluster.MachineID, model cluster.ModelID, leaving bool) wire.ReplicaRecord {
 	states := []cluster.ReplicaState{cluster.ReplicaAbsent, cluster.ReplicaLoading, cluster.ReplicaLoaded, cluster.ReplicaLoaded, cluster.ReplicaUnloading}
 	return wire.ReplicaRecord{
 		Machine: machine, Address: string(machine), Model: model, Leaving: leaving, Slots: 4,
@@ -164,10 +164,10 @@
 	}
 }
 
-// limit has a machine of the newest status name a limit or end it, by an answer or by another
-// router.
-func (m *coreMachine) limit(t *rapid.T) {
-	machine := rapid.SampledFrom(machineMachines).Draw(t, "machine")
+// limit sends a notice with or without a rate limit for a known machine, from an answer or from
+// another router.
+func (m *routerStateMachine) limit(t *rapid.T) {
+	machine := rapid.SampledFrom(testMachines).Draw(t, "machine")
 	if m.router.machines[machine] == nil {
 		t.Skip()
 	}
@@ -184,10 +184,10 @@
 	m.step(MachineHeard{Machine: machine, Notice: notice, SentUnderLimit: rapid.Bool().Draw(t, "under limit")})
 }
 
-// turn answers a question for a turn.
-func (m *coreMachine) turn(t *rapid.T) {
-	for _, machine := range machineMachines {
-		if known := m.router.machines[machine]; known != nil && known.turns.asked {
+// turn answers the pending turn requests.
+func (m *routerStateMachine) turn(t *rapid.T) {
+	for _, machine := range testMachines {
+		if known := m.router.machines[machine]; known != nil && known.turns.requested {
 			m.step(TurnDecided{
 				Machine: machine, Granted: rapid.Bool().Draw(t, "granted"),
 				Wait: time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond,
@@ -196,31 +196,31 @@
 	}
 }
 
-func (m *coreMachine) pass(t *rapid.T) {
+func (m *routerStateMachine) advance(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "milliseconds")) * time.Millisecond)
 	m.step(Tick{})
 }
 
-// passToDeadline goes exactly to the next time-out.
-func (m *coreMachine) passToDeadline(*rapid.T) {
+// advanceToDeadline moves the clock exactly to the next timer.
+func (m *routerStateMachine) advanceToDeadline(*rapid.T) {
 	if next, due := m.router.NextDeadline(); due && next.After(m.now) {
 		m.now = next
 	}
 	m.step(Tick{})
 }
 
-func (m *coreMachine) rare(t *rapid.T) {
+func (m *routerStateMachine) rareEvent(t *rapid.T) {
 	switch rapid.IntRange(0, 11).Draw(t, "rare") {
 	case 0:
 		m.step(DrainStarted{})
 	case 1, 2:
-		m.step(MachineLeaving{Machine: rapid.SampledFrom(machineMachines).Draw(t, "machine")})
+		m.step(MachineLeaving{Machine: rapid.SampledFrom(testMachines).Draw(t, "machine")})
 	case 3, 4:
-		m.step(CellLost{Zone: rapid.SampledFrom(machineZones).Draw(t, "zone")})
+		m.step(CellLost{Zone: rapid.SampledFrom(testZones).Draw(t, "zone")})
 	case 5:
-		m.step(SettingsChanged{Snapshot: machineSnapshot(machineModels[:2])})
+		m.step(SettingsChanged{Snapshot: snapshotOf(testModels[:2])})
 	case 6:
-		m.step(SettingsChanged{Snapshot: machineSnapshot(machineModels)})
+		m.step(SettingsChanged{Snapshot: snapshotOf(testModels)})
 	case 7:
 		m.step(RoutersChanged{Routers: 3, Rank: 1, Zones: []ZoneRegion{{Zone: "z2", Region: "r"}}})
 	default:
@@ -228,10 +228,10 @@
 	}
 }
 
-// check compares the core's inside with what the log says.
-func (m *coreMachine) check(t *rapid.T) {
+// check compares the router's internal state with the checker's log.
+func (m *routerStateMachine) check(t *rapid.T) {
 	if m.router.InFlight() != len(m.checker.open) {
-		t.Fatalf("%d in flight, the log says %d", m.router.InFlight(), len(m.checker.open))
+		t.Fatalf("%d requests in flight, want %d", m.router.InFlight(), len(m.checker.open))
 	}
 	running := make(map[cluster.MachineID]int)
 	waiting := 0
@@ -243,37 +243,38 @@
 		}
 	}
 	if waiting != m.router.Waiting() {
-		t.Fatalf("%d wait, the log says %d", m.router.Waiting(), waiting)
+		t.Fatalf("%d requests waiting, want %d", m.router.Waiting(), waiting)
 	}
 	for id, count := range running {
 		if m.router.machines[id].inFlight != count {
-			t.Fatalf("%d on %s, the log says %d", m.router.machines[id].inFlight, id, count)
+			t.Fatalf("%d requests in flight on %s, want %d", m.router.machines[id].inFlight, id, count)
 		}
 	}
-	if len(m.checker.open) > machineScope.MaxConcurrency/2 {
-		t.Fatalf("%d admitted, this router's part is %d", len(m.checker.open), machineScope.MaxConcurrency/2)
+	if len(m.checker.open) > testScope.MaxConcurrency/2 {
+		t.Fatalf("%d requests admitted, this router's share is %d", len(m.checker.open), testScope.MaxConcurrency/2)
 	}
 	m.checkQueues(t)
-	m.checkProspects(t)
+	m.checkStartable(t)
 }
 
-// checkProspects checks that none waits for a load that is known to end too late for it.
-func (m *coreMachine) checkProspects(t *rapid.T) {
+// checkStartable checks that no request waits for a load that is known to end too late for it.
+func (m *routerStateMachine) checkStartable(t *rapid.T) {
 	for _, model := range m.router.models {
 		ready, known := m.router.earliestReady(model)
 		if !known || model.loaded > 0 {
 			continue
 		}
 		for _, waiting := range model.waitingRequests() {
-			if last := m.router.startBy(waiting); last < ready {
-				t.Fatalf("%s waits until %v for a load until %v", waiting.ID, time.Unix(0, last), time.Unix(0, ready))
+			if last := m.router.latestStart(waiting); last < ready {
+				t.Fatalf("%s can start until %v, but waits for a load that ends at %v", waiting.ID, time.Unix(0, last), time.Unix(0, ready))
 			}
 		}
 	}
 }
 
-// checkQueues checks the bounds and that nothing waits for a free replica.
-func (m *coreMachine) checkQueues(t *rapid.T) {
+// checkQueues checks that no request waits while a replica could take it, and that timers are armed
+// and not overdue.
+func (m *routerStateMachine) checkQueues(t *rapid.T) {
 	for _, model := range m.router.models {
 		head := model.queue.Head()
 		if head == nil {
@@ -281,40 +282,42 @@
 		}
 		for _, tier := range model.tiers {
 			for _, replica := range tier {
-				if m.router.usable(head.Value, replica, true) == "" {
+				if m.router.unusableCause(head.Value, replica, true) == "" {
 					t.Fatalf("%s waits while %s is free", head.Value.ID, replica.machine.id)
 				}
 			}
 		}
 	}
 	if next, due := m.router.NextDeadline(); len(m.checker.open) > 0 && !due {
-		t.Fatalf("requests are open without a time-out")
+		t.Fatalf("requests are open without a timer")
 	} else if due && !next.After(m.now) {
-		t.Fatalf("a time-out at %v is overdue", next)
+		t.Fatalf("a timer at %v is overdue", next)
 	}
 }
 
+// TestRandomEventsKeepInvariants guards against any order of events, late, repeated or missing,
+// that makes the router break an invariant or lose a request.
 func TestRandomEventsKeepThePromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newCoreMachine(t)
+		m := newRouterStateMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": m.arrive, "arrive too": m.arrive, "outcome": m.outcome, "outcome too": m.outcome,
-			"request": m.aboutRequest, "status": m.status, "pass": m.pass, "deadline": m.passToDeadline,
-			"rare": m.rare, "limit": m.limit, "turn": m.turn, "": m.check,
+			"request": m.callerEvent, "status": m.status, "pass": m.advance, "deadline": m.advanceToDeadline,
+			"rare": m.rareEvent, "limit": m.limit, "turn": m.turn, "": m.check,
 		})
 		m.now = m.now.Add(time.Hour)
 		m.step(Tick{})
 		if m.router.InFlight() != 0 || len(m.checker.open) != 0 {
-			t.Fatalf("%d requests never end", len(m.checker.open))
+			t.Fatalf("%d requests never finished", len(m.checker.open))
 		}
 	})
 }
 
-// TestSameSeedSameEffects guards against order of map iteration and the like.
+// TestSameSeedGivesSameEffects guards against effects that depend on the iteration order of maps.
 func TestSameSeedSameEffects(t *testing.T) {
 	run := func() string {
 		return rapid.Custom(func(t *rapid.T) string {
-			m := newCoreMachine(t)
+			m := newRouterStateMachine(t)
 			log := ""
 			for range 150 {
 				switch rapid.IntRange(0, 5).Draw(t, "action") {
@@ -323,9 +326,9 @@
 				case 1, 2, 3:
 					m.arrive(t)
 				case 4:
-					m.pass(t)
+					m.advance(t)
 				case 5:
-					m.rare(t)
+					m.rareEvent(t)
 				}
 				log += describe(m.router.effects)
 			}
@@ -334,7 +337,7 @@
 	}
 	first := run()
 	if first == "" {
-		t.Fatal("nothing happened")
+		t.Fatal("no effects")
 	}
 	for range 3 {
 		if again := run(); again != first {
--- a/routing/refusal_test.go
+++ b/routing/refusal_test.go
@@ -10,30 +10,30 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// crowd runs a burst of many routers against engines that refuse when full.
-type crowd struct {
-	routers  []*Router
-	now      time.Time
-	slots    int
-	engines  map[cluster.MachineID]int
-	ending   []ending
-	sequence uint64
-	served   int
-	refusals int
-	failed   int
-	last     time.Time
+// engineSimulation runs a burst of many routers against engines that refuse when full.
+type engineSimulation struct {
+	routers    []*Router
+	now        time.Time
+	slots      int
+	engines    map[cluster.MachineID]int
+	running    []runningAttempt
+	sequence   uint64
+	served     int
+	refusals   int
+	failed     int
+	lastServed time.Time
 }
 
-// ending is an attempt that an engine will have answered at a time.
-type ending struct {
-	at       time.Time
+// runningAttempt is an attempt that its engine finishes at a time.
+type runningAttempt struct {
+	endsAt   time.Time
 	router   int
 	dispatch Dispatch
 }
 
-const crowdService = time.Second
+const simulatedService = time.Second
 
-func (c *crowd) handle(router int, effects []Effect) {
+func (c *engineSimulation) handle(router int, effects []Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case Dispatch:
@@ -44,15 +44,15 @@
 				continue
 			}
 			c.served++
-			c.last = c.now
+			c.lastServed = c.now
 		}
 	}
 }
 
-func (c *crowd) dispatch(router int, dispatch Dispatch) {
+func (c *engineSimulation) dispatch(router int, dispatch Dispatch) {
 	if c.engines[dispatch.Machine] < c.slots {
 		c.engines[dispatch.Machine]++
-		c.ending = append(c.ending, ending{c.now.Add(crowdService), router, dispatch})
+		c.running = append(c.running, runningAttempt{c.now.Add(simulatedService), router, dispatch})
 		return
 	}
 	c.refusals++
@@ -61,12 +61,12 @@
 		Request: dispatch.Request, Attempt: dispatch.Attempt, Failure: full, EngineFull: true}))
 }
 
-// pass advances by a millisecond.
-func (c *crowd) pass() {
+// advance moves the clock by a millisecond.
+func (c *engineSimulation) advance() {
 	c.now = c.now.Add(time.Millisecond)
-	for len(c.ending) > 0 && !c.ending[0].at.After(c.now) {
-		done := c.ending[0]
-		c.ending = c.ending[1:]
+	for len(c.running) > 0 && !c.running[0].endsAt.After(c.now) {
+		done := c.running[0]
+		c.running = c.running[1:]
 		c.engines[done.dispatch.Machine]--
 		c.handle(done.router, c.routers[done.router].Step(c.now, AttemptEnded{Request: done.dispatch.Request, Attempt: done.dispatch.Attempt}))
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// report sends every router the replicas and a load report of this moment.
-func (c *crowd) report(age time.Duration) {
+// report sends every router a full status with the current load of the engines.
+func (c *engineSimulation) report(age time.Duration) {
 	c.sequence++
 	status := wire.CellStatus{Zone: "z1", Token: 1, Sequence: c.sequence, Full: true}
 	for i := range burstReplicas {
@@ -90,13 +90,14 @@
 	}
 }
 
-// TestBurstAgainstFullEngines bounds refusals and lost time: 400 requests of
-// 1 s at 12 engines with 4 slots take at least 9 rounds.
+// TestBurstAgainstFullEnginesBoundsRefusals guards against back-offs that are too short, which
+// cause many refusals, or too long, which leave slots unused. 400 requests of 1 s at 12 engines
+// with 4 slots take at least 9 rounds.
 func TestBurstAgainstFullEngines(t *testing.T) {
-	const slots, best = 4, 9 * crowdService
+	const slots, best = 4, 9 * simulatedService
 	for _, senders := range []int{1, burstRouters} {
 		t.Run(fmt.Sprint("senders ", senders), func(t *testing.T) {
-			c := &crowd{now: start, slots: slots, engines: make(map[cluster.MachineID]int)}
+			c := &engineSimulation{now: start, slots: slots, engines: make(map[cluster.MachineID]int)}
 			for i := range burstRouters {
 				router := New(Config{Zone: "z1", ExpectedRouters: burstRouters}, uint64(i))
 				policy := testPolicy()
@@ -111,15 +112,15 @@
 				c.handle(at, c.routers[at].Step(c.now, RequestArrived{Request: request}))
 			}
 			for c.now.Before(start.Add(time.Minute)) {
-				c.pass()
+				c.advance()
 				if c.now.Sub(start)%time.Second == 0 {
 					c.report(0)
 				}
 			}
-			took := c.last.Sub(start)
-			t.Logf("%d served, %d failed, %d refusals, %v taken, %v at best", c.served, c.failed, c.refusals, took, best)
+			took := c.lastServed.Sub(start)
+			t.Logf("%d served, %d failed, %d refusals, took %v, at least %v", c.served, c.failed, c.refusals, took, best)
 			if c.served != burstRequests || took > best*5/4 || c.refusals > 10*burstRequests {
-				t.Errorf("too slow, too many refusals or not all served")
+				t.Errorf("too slow, too many refusals, or not all requests served")
 			}
 		})
 	}
--- a/routing/window_test.go
+++ b/routing/retries_test.go
@@ -11,7 +11,7 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// newWindowFixture returns a core whose budget is counted over a window.
+// newWindowFixture returns a router with a retry budget over a sliding window.
 func newWindowFixture(t *testing.T, extra float64) *fixture {
 	f := &fixture{t: t, now: start, router: New(Config{
 		Zone: "z1", Region: "r1", ExpectedRouters: 1, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: extra,
@@ -21,8 +21,8 @@
 	return f
 }
 
-// TestWindowBudgetCountsRefusedSends: sending again what an engine refused is paid
-// for as well, and the window gives back what it took.
+// TestWindowBudgetCountsResends guards against resends after an engine's refusal that the budget
+// doesn't count, and against retries that are not available again after the window.
 func TestWindowBudgetCountsRefusedSends(t *testing.T) {
 	f := newWindowFixture(t, 2)
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
@@ -36,13 +36,13 @@
 	if got := refuse(1); got == "" || got[:8] != "dispatch" {
 		t.Fatalf("first refusal: %q, want another dispatch", got)
 	}
-	f.pass(50 * time.Millisecond)
+	f.advance(50 * time.Millisecond)
 	refuse(2)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if got := refuse(3); got != "finish a engine_refused not-run; " {
-		t.Fatalf("third refusal: %q, want the end for lack of budget", got)
+		t.Fatalf("third refusal: %q, want the end because of the retry budget", got)
 	}
-	f.pass(11 * time.Second)
+	f.advance(11 * time.Second)
 	f.arrive("b")
 	got := describe(f.step(AttemptEnded{
 		Request: "b", Attempt: 1, EngineFull: true, Failure: verdict.New(verdict.NotRun, verdict.CodeEngineRefused, "full"),
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestWindowBudgetHolds draws requests and attempts past the first and checks the
-// bound over every window.
+// TestWindowBudgetBoundsEveryWindow guards against a sequence of requests and retries with a window
+// that exceeds the budget.
 func TestWindowBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 6}
@@ -64,7 +64,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += int64(rapid.IntRange(0, 900).Draw(t, "pause")) * int64(time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				budget.earn(now, &config)
+				budget.credit(now, &config)
 				requests = append(requests, now)
 			} else if budget.spend(now, &config, routers) {
 				extras = append(extras, now)
@@ -80,18 +80,18 @@
 		}
 		window := int64(config.RetryWindow)
 		for _, end := range extras {
-			// Slices of the window leave as a whole, so a request counts for at most
-			// one slice less than the window.
+			// A slice of the window expires as a whole, so a request counts for up to one slice
+			// less than the window.
 			allowed := config.RetryRatio*float64(count(requests, end-window, end)) + config.RetryExtra/float64(routers)
 			if got := count(extras, end-window+window/windowSlices, end); float64(got) > allowed {
-				t.Fatalf("%d attempts past the first in a window that allows %.1f", got, allowed)
+				t.Fatalf("%d retries in a window that allows %.1f", got, allowed)
 			}
 		}
 	})
 }
 
-// TestUnreachedAttemptCostsNothing: where no connection was had nothing was sent, so
-// neither the attempts nor the budget are touched.
+// TestUnreachedAttemptIsNotCounted guards against attempts without a connection, of which nothing
+// was sent, that use up the request's attempts or the budget.
 func TestUnreachedAttemptCostsNothing(t *testing.T) {
 	f := newWindowFixture(t, 0)
 	f.status(true, loaded("m1", 4), loaded("m2", 4), loaded("m3", 4))
@@ -107,37 +107,39 @@
 	}
 }
 
-// TestAttemptsOfTheRequest bound its dispatches in place of the policy's.
+// TestRequestAttemptsOverridePolicy guards against a request's own bound on attempts that is
+// ignored in favour of the policy's.
 func TestAttemptsOfTheRequest(t *testing.T) {
 	f := newWindowFixture(t, 10)
 	f.status(true, loaded("m1", 4), loaded("m2", 4), loaded("m3", 4))
 	effects := f.arrive("a", repeatable, func(r *Request) { r.Attempts = 2 })
 	if dispatch, ok := effects[0].(Dispatch); !ok || dispatch.Final {
-		t.Fatalf("first dispatch %+v, want one that another may follow", effects[0])
+		t.Fatalf("first dispatch %+v, want one that is not final", effects[0])
 	}
-	effects = f.fails("a", 1, verdict.MayHaveRun)
+	effects = f.failAttempt("a", 1, verdict.MayHaveRun)
 	if dispatch, ok := effects[0].(Dispatch); !ok || !dispatch.Final {
 		t.Fatalf("second dispatch %+v, want the final one", effects)
 	}
-	f.expect(f.fails("a", 2, verdict.MayHaveRun), "finish a engine_failed may-have-run; ")
+	f.expect(f.failAttempt("a", 2, verdict.MayHaveRun), "finish a engine_failed may-have-run; ")
 }
 
-// TestResumableGoesOnAfterItsFirstByte, other answers don't.
+// TestOnlyResumableAnswerContinuesAfterFirstByte guards against a cut answer that is not continued
+// although it could be, or that is restarted although it couldn't.
 func TestResumableGoesOnAfterItsFirstByte(t *testing.T) {
 	f := newWindowFixture(t, 10)
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
 	f.arrive("a", repeatable, func(r *Request) { r.Attempts, r.Resumable = 2, true })
 	f.step(FirstByteSent{Request: "a"})
-	if got := describe(f.fails("a", 1, verdict.Ran)); got == "" || got[:8] != "dispatch" {
+	if got := describe(f.failAttempt("a", 1, verdict.Ran)); got == "" || got[:8] != "dispatch" {
 		t.Fatalf("after a cut: %q, want another dispatch", got)
 	}
 	f.arrive("b", repeatable, func(r *Request) { r.Attempts = 2 })
 	f.step(FirstByteSent{Request: "b"})
-	f.expect(f.fails("b", 1, verdict.Ran), "finish b engine_failed ran; ")
+	f.expect(f.failAttempt("b", 1, verdict.Ran), "finish b engine_failed ran; ")
 }
 
-// TestFailingMachineIsAvoided: a machine that answers with failures is passed by
-// while another one is sound, without being left out.
+// TestFailingMachineIsAvoided guards against requests to a machine that answers with failures while
+// another one works. The machine is not excluded.
 func TestFailingMachineIsAvoided(t *testing.T) {
 	f := newWindowFixture(t, 100)
 	f.status(true, loaded("m1", 8), loaded("m2", 8))
@@ -149,7 +151,7 @@
 			t.Fatalf("effects %v", effects)
 		}
 		if n >= 6 && dispatch.Machine == "m1" {
-			t.Fatalf("request %d went to the failing machine", n)
+			t.Fatalf("request %d dispatched to the failing machine", n)
 		}
 		event := AttemptEnded{Request: id, Attempt: 1}
 		if dispatch.Machine == "m1" {
--- a/routing/router.go
+++ b/routing/router.go
@@ -13,114 +13,111 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Router is the core. It is not safe for concurrent use; a shell serializes
-// Step. Its invariants, which hold between any two steps:
+// Router is the routing core. It is not safe for concurrent use; its owner serializes the calls of
+// Step. These invariants hold between any two steps:
 //
-//   - An admitted request is either waiting, and then in its model's queue, or
-//     running, and then its one current attempt counts on one machine. It
-//     leaves with exactly one Finish.
-//   - Every request in either state has a timer no later than its deadline; a
-//     waiting one no later than the end of its queue time.
-//   - A machine whose leaving was announced, or that wants rest, gets no
-//     Dispatch; one with a limit gets one for each turn.
-//   - A request that is not repeatable gets another Dispatch only if every
-//     earlier attempt failed with verdict NotRun; none gets one after its
-//     first byte went to the caller.
-//   - A failure says NotRun only if no attempt may have run.
+//   - An admitted request is either waiting in its model's queue, or running with exactly one
+//     current attempt that counts on one machine. It ends with exactly one Finish.
+//   - Every request has a timer no later than its deadline; a waiting request has one no later
+//     than the end of its queue time.
+//   - A machine that announced that it is leaving or that asked for rest gets no Dispatch. A
+//     machine with a rate limit gets one Dispatch per turn.
+//   - A request that is not repeatable gets another Dispatch only if every earlier attempt
+//     failed with verdict NotRun. No request gets one after its first byte went to the caller,
+//     unless its answer is resumable.
+//   - A failure has verdict NotRun only if no attempt may have run.
 type Router struct {
 	config Config
-	// seed of the choices, and of the preference among machines.
+	// seed determines the random choices and the preference among machines.
 	seed   uint64
 	random *rand.Rand
 
-	// now and nanos are the virtual time of the current step; it never goes
-	// back.
+	// now and nanos are the virtual time of the current step, which never goes back.
 	now   time.Time
 	nanos int64
 
-	snapshot *settings.Snapshot
-	models   map[cluster.ModelID]*model
-	machines map[cluster.MachineID]*machine
-	cells    map[cluster.ZoneID]*cell
-	regions  map[cluster.ZoneID]cluster.RegionID
-	requests map[cluster.RequestID]*request
-	timers   binaryheap.Heap[*timer]
-	armings  uint64
-	// waiting counts waiting requests of all models.
+	snapshot      *settings.Snapshot
+	models        map[cluster.ModelID]*model
+	machines      map[cluster.MachineID]*machine
+	cells         map[cluster.ZoneID]*cell
+	regions       map[cluster.ZoneID]cluster.RegionID
+	requests      map[cluster.RequestID]*request
+	timers        binaryheap.Heap[*timer]
+	timerSequence uint64
+	// waiting counts the waiting requests of all models.
 	waiting int
-	// touched lists the models whose demand changed since the last report.
-	touched []*model
-	limits  *limit.Set
-	// pools holds the window budgets of attempts past the first by engine pool.
-	pools map[string]*windowBudget
-	// prefixes estimates engines' caches; matches is the buffer of a choice.
+	// demandChanged lists the models whose demand changed since the last report.
+	demandChanged []*model
+	limits        *limit.Set
+	// windowBudgets holds the sliding-window retry budgets by engine pool.
+	windowBudgets map[string]*windowBudget
+	// prefixes estimates the engines' prefix caches; matches is the buffer of the current choice.
 	prefixes *affinity.Index
 	matches  []affinity.Match
-	// poison is what is known of requests that end machines.
+	// poison holds the requests that are suspected or convicted of ending machines.
 	poison *poison.Table
-	// doubtful are callers under whose requests machines end one after the other.
-	doubtful *poison.Callers
-	// untold are the prompts that other routers have yet to be told of.
-	untold *affinity.Ledger
-	// routers is how many share the replicas. divided is among how many limits
-	// are divided, more until dividedUntil if some disappeared; rank is this
-	// router's place.
-	routers, divided, rank int
-	dividedUntil           int64
-	draining               bool
-	// heldUntil is until when all dispatches wait, zero for not.
+	// suspectCallers are the callers under whose requests several machines ended in succession.
+	suspectCallers *poison.Callers
+	// unpublishedPrefixes are the prompts that have not been sent to the other routers yet.
+	unpublishedPrefixes *affinity.Ledger
+	// routers is the number of routers that share the replicas and rank this router's position
+	// among them. Limits are divided by limitDivisor, which stays above routers until
+	// limitDivisorUntil after some routers disappeared.
+	routers, limitDivisor, rank int
+	limitDivisorUntil           int64
+	draining                    bool
+	// heldUntil is the time until which all dispatches are held, zero for no hold.
 	heldUntil int64
-	// loadTimes are the learned means over all models of a kind in nanoseconds, the base
-	// models' and the adapters'.
-	loadTimes [2]float64
-	// statuses counts the accepted cell statuses.
-	statuses uint64
+	// meanLoadTimes are the mean load times in nanoseconds of base models (index 0) and of adapters
+	// (index 1).
+	meanLoadTimes [2]float64
+	// statusCount counts the accepted cell statuses.
+	statusCount uint64
 
 	effects []Effect
-	// freed lists the machines that got room in this step.
-	freed []*machine
-	// changed lists the models whose usable replicas changed in this step.
-	changed []*model
-	spare   []*request
+	// freedMachines lists the machines that gained room in this step.
+	freedMachines []*machine
+	// changedModels lists the models whose usable replicas changed in this step.
+	changedModels []*model
+	recycled      []*request
 }
 
-// New returns a core that knows no settings and no replicas yet. Equal seeds
-// and events give equal effects.
+// New returns a router without settings and replicas. Equal seeds and events give equal effects.
 func New(config Config, seed uint64) *Router {
 	config = config.withDefaults()
 	router := &Router{
-		config:   config,
-		seed:     seed,
-		random:   rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		models:   make(map[cluster.ModelID]*model),
-		machines: make(map[cluster.MachineID]*machine),
-		cells:    make(map[cluster.ZoneID]*cell),
-		regions:  make(map[cluster.ZoneID]cluster.RegionID),
-		requests: make(map[cluster.RequestID]*request),
-		routers:  config.ExpectedRouters,
-		limits:   limit.NewSet(),
-		pools:    make(map[string]*windowBudget),
-		prefixes: affinity.New(config.Affinity),
-		poison:   poison.NewTable(config.Poison),
-		doubtful: poison.NewCallers(),
-		untold:   affinity.NewLedger(maxUntold),
+		config:              config,
+		seed:                seed,
+		random:              rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		models:              make(map[cluster.ModelID]*model),
+		machines:            make(map[cluster.MachineID]*machine),
+		cells:               make(map[cluster.ZoneID]*cell),
+		regions:             make(map[cluster.ZoneID]cluster.RegionID),
+		requests:            make(map[cluster.RequestID]*request),
+		routers:             config.ExpectedRouters,
+		limits:              limit.NewSet(),
+		windowBudgets:       make(map[string]*windowBudget),
+		prefixes:            affinity.New(config.Affinity),
+		poison:              poison.NewTable(config.Poison),
+		suspectCallers:      poison.NewCallers(),
+		unpublishedPrefixes: affinity.NewLedger(maxUnpublished),
 	}
 	router.limits.Divide(limit.Division{Routers: config.ExpectedRouters})
 	return router
 }
 
-// Step takes one event at the time now and returns what must be done. Time-outs
-// that now has passed take effect before the event.
+// Step handles one event at the time now and returns the effects. Timers that are due by now run
+// before the event.
 func (r *Router) Step(now time.Time, event Event) []Effect {
 	if nanos := now.UnixNano(); nanos >= r.nanos {
 		r.now, r.nanos = now, nanos
 	}
 	r.effects = nil
-	r.expire()
-	r.serveFreed()
+	r.runDueTimers()
+	r.dispatchToFreed()
 	r.handle(event)
-	r.enforceVerdicts()
-	r.serveFreed()
+	r.enforceConvictions()
+	r.dispatchToFreed()
 	if found := r.poison.News(); len(found) > 0 {
 		r.emit(PoisonFound{Records: found})
 	}
@@ -152,7 +149,7 @@
 	case CallerGone:
 		r.callerGone(event.Request)
 	case CellStatusChanged:
-		r.cellStatus(&event.Status)
+		r.applyCellStatus(&event.Status)
 	case CellLost:
 		r.cellLost(event.Zone)
 	case MachineLeaving:
@@ -174,9 +171,9 @@
 	case PoisonPardoned:
 		r.poison.Pardon(r.now, event.Content)
 	case Tick:
-		r.releaseDue()
+		r.endExpiredHold()
 		r.poison.Sweep(r.now)
-		r.doubtful.Sweep(r.now)
+		r.suspectCallers.Sweep(r.now)
 	case DrainStarted:
 		r.drain()
 	case CacheEventsArrived:
@@ -188,15 +185,15 @@
 	}
 }
 
-// cacheEvents takes engines' reports of cached prefixes.
+// cacheEvents applies the engines' reports of cached prefixes.
 func (r *Router) cacheEvents(events []cluster.CacheEvent) {
 	for i := range events {
 		r.prefixes.Apply(r.nanos, events[i])
 	}
 }
 
-// NextDeadline returns when the next time-out is due, or false without any. The
-// shell sends a Tick then.
+// NextDeadline returns when the next timer is due, or false without any. The owner must send a Tick
+// then.
 func (r *Router) NextDeadline() (time.Time, bool) {
 	if r.timers.Len() == 0 {
 		return time.Time{}, false
@@ -204,19 +201,19 @@
 	return time.Unix(0, r.timers.First().at), true
 }
 
-// InFlight counts the requests that have not finished, waiting ones included.
+// InFlight returns the number of requests that have not finished, waiting ones included.
 func (r *Router) InFlight() int { return len(r.requests) }
 
-// Waiting counts the requests that wait for dispatch.
+// Waiting returns the number of requests that wait for dispatch.
 func (r *Router) Waiting() int { return r.waiting }
 
 // Draining reports whether admission is closed.
 func (r *Router) Draining() bool { return r.draining }
 
-// emit adds an effect of the current step.
+// emit adds an effect to the current step.
 func (r *Router) emit(effect Effect) { r.effects = append(r.effects, effect) }
 
-// settingsRevision in force, zero before the first.
+// settingsRevision returns the revision of the settings in force, zero without any.
 func (r *Router) settingsRevision() int64 {
 	if r.snapshot == nil {
 		return 0
@@ -224,8 +221,8 @@
 	return r.snapshot.Stamp.Revision
 }
 
-// settingsChanged puts a snapshot in force. Requests of removed models that wait, for a replica
-// or for their time at one, end at once.
+// settingsChanged puts a snapshot in force. Requests of removed models that wait in the queue or
+// whose attempt is not sent yet end at once.
 func (r *Router) settingsChanged(snapshot *settings.Snapshot) {
 	if snapshot == nil {
 		return
@@ -239,9 +236,9 @@
 
 func (r *Router) applySettings(model *model, configured *settings.Model) {
 	model.configured = configured
-	model.countMatching()
+	model.countReplicas()
 	if configured != nil {
-		r.serve(model)
+		r.dispatchQueue(model)
 		return
 	}
 	ended := model.waitingRequests()
@@ -257,7 +254,8 @@
 	r.forgetIfUnused(model)
 }
 
-// drain closes admission and refuses what waits, also for its time at a machine.
+// drain closes admission and refuses the requests that wait in queues or whose attempt is not sent
+// yet.
 func (r *Router) drain() {
 	if r.draining {
 		return
@@ -276,32 +274,33 @@
 		"this node is stopping; another one takes the request").After(r.config.DrainRetryAfter)
 }
 
-// divideLimits divides limits anew. Fewer routers count only RoutersMemory after
-// there were more, because those may be cut off and go on admitting.
+// divideLimits divides the limits by the number of routers. A decrease takes effect only after
+// RouterLossDelay, because routers that disappeared may only be partitioned from this node and still
+// admit requests.
 func (r *Router) divideLimits() {
-	fewer := r.routers < r.divided
-	if fewer && r.dividedUntil == 0 {
-		r.dividedUntil = r.nanos + int64(r.config.RoutersMemory)
+	fewer := r.routers < r.limitDivisor
+	if fewer && r.limitDivisorUntil == 0 {
+		r.limitDivisorUntil = r.nanos + int64(r.config.RouterLossDelay)
 	}
-	if !fewer || r.nanos >= r.dividedUntil {
-		r.divided, r.dividedUntil = r.routers, 0
+	if !fewer || r.nanos >= r.limitDivisorUntil {
+		r.limitDivisor, r.limitDivisorUntil = r.routers, 0
 	}
-	r.limits.Divide(limit.Division{Routers: r.divided, Rank: r.rank})
+	r.limits.Divide(limit.Division{Routers: r.limitDivisor, Rank: r.rank})
 }
 
-// routersChanged learns how many routers share limits and slots.
+// routersChanged applies a new number of routers and the regions of zones.
 func (r *Router) routersChanged(event RoutersChanged) {
 	if event.Routers > 0 {
 		r.routers, r.rank = event.Routers, event.Rank
 		r.divideLimits()
 	}
-	moved := false
+	regionsChanged := false
 	for _, zone := range event.Zones {
 		if before, known := r.regions[zone.Zone]; !known || before != zone.Region {
-			r.regions[zone.Zone], moved = zone.Region, true
+			r.regions[zone.Zone], regionsChanged = zone.Region, true
 		}
 	}
-	if !moved {
+	if !regionsChanged {
 		return
 	}
 	for _, model := range r.sortedModels() {
