--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 3, 1, 18, 0, 0, 0, time.UTC)
 
-// testPolicy is the policy of the test models unless changed.
+// testPolicy returns the default policy of the test models.
 func testPolicy() settings.Policy {
 	return settings.Policy{
 		QueueLength: 4, QueueBytes: 1000, QueueTime: 10 * time.Second,
@@ -21,7 +21,7 @@
 	}
 }
 
-// testSnapshot compiles one model "/dental/chat" named "chat".
+// testSnapshot returns settings with one model "chat" at "/dental/chat".
 func testSnapshot(policy settings.Policy, scopes ...settings.Scope) *settings.Snapshot {
 	model := settings.Model{
 		ID: "chat", Kind: settings.KindModel, Path: "/dental/chat", Team: "/dental", Policy: policy,
@@ -34,7 +34,7 @@
 	return settings.NewSnapshot(settings.Stamp{History: "h", Revision: 7}, []settings.Model{model}, nil, byPath)
 }
 
-// fixture drives one core by hand.
+// fixture drives one router step by step.
 type fixture struct {
 	t        *testing.T
 	router   *Router
@@ -50,7 +50,7 @@
 
 func (f *fixture) step(event Event) []Effect { return f.router.Step(f.now, event) }
 
-func (f *fixture) pass(d time.Duration) []Effect {
+func (f *fixture) advance(d time.Duration) []Effect {
 	f.now = f.now.Add(d)
 	return f.step(Tick{})
 }
@@ -70,7 +70,7 @@
 	return f.step(RequestArrived{Request: request})
 }
 
-func (f *fixture) fails(id cluster.RequestID, attempt cluster.Attempt, v verdict.Verdict) []Effect {
+func (f *fixture) failAttempt(id cluster.RequestID, attempt cluster.Attempt, v verdict.Verdict) []Effect {
 	return f.step(AttemptEnded{Request: id, Attempt: attempt, Failure: verdict.New(v, verdict.CodeEngineFailed, "failed")})
 }
 
@@ -85,7 +85,7 @@
 	return record
 }
 
-// describe writes effects in a short form.
+// describe formats effects in a short form.
 func describe(effects []Effect) string {
 	text := ""
 	for _, effect := range effects {
@@ -116,15 +116,17 @@
 
 func repeatable(r *Request) { r.Repeatable = true }
 
-func within(d time.Duration) func(*Request) {
+func withDeadline(d time.Duration) func(*Request) {
 	return func(r *Request) { r.Deadline = start.Add(d) }
 }
 
+// TestRequestWaitsForColdStart guards against a request that is not dispatched when its model's
+// load ends, and against a repeated outcome that has an effect.
 func TestColdStartThenServe(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.expect(f.arrive("a"), "")
 	f.expect(f.status(true, loading("m1", 3*time.Second)), "")
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	f.expect(f.status(false, loaded("m1", 4)), "dispatch a/1 to m1; ")
 	f.expect(f.step(AttemptEnded{Request: "a", Attempt: 1}), "finish a; ")
 	f.expect(f.step(AttemptEnded{Request: "a", Attempt: 1}), "")
@@ -133,6 +135,9 @@
 	}
 }
 
+// TestRetryDependsOnVerdict guards against retries of requests that may have run and are not
+// repeatable, or whose answer has begun, and against requests that are not retried although they
+// may be.
 func TestRetryByVerdict(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
@@ -147,43 +152,47 @@
 		{"not repeatable, may have run", func(*Request) {}, false, verdict.MayHaveRun, "engine_failed may-have-run"},
 		{"repeatable, may have run", repeatable, false, verdict.MayHaveRun, ""},
 		{"repeatable, after the first byte", repeatable, true, verdict.MayHaveRun, "engine_failed may-have-run"},
-		{"not run is not believed after the first byte", repeatable, true, verdict.NotRun, "engine_failed ran"},
+		{"verdict not run after the first byte", repeatable, true, verdict.NotRun, "engine_failed ran"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f.t = t
-			f.pass(time.Minute)
+			f.advance(time.Minute)
 			id := cluster.RequestID(test.name)
 			dispatched := f.arrive(id, test.change)[0].(Dispatch)
 			if test.first {
 				f.step(FirstByteSent{Request: id})
 			}
-			effects := f.fails(id, 1, test.verdict)
+			effects := f.failAttempt(id, 1, test.verdict)
 			if test.finished != "" {
 				f.expect(effects, fmt.Sprintf("finish %s %s; ", id, test.finished))
 				return
 			}
 			again := effects[0].(Dispatch)
 			if again.Attempt != 2 || again.Machine == dispatched.Machine {
-				t.Fatalf("second attempt %d on %s after %s", again.Attempt, again.Machine, dispatched.Machine)
+				t.Fatalf("second attempt %d on %s after the first on %s", again.Attempt, again.Machine, dispatched.Machine)
 			}
-			f.expect(f.fails(id, 1, verdict.NotRun), "")
+			f.expect(f.failAttempt(id, 1, verdict.NotRun), "")
 			f.expect(f.step(AttemptEnded{Request: id, Attempt: 2}), fmt.Sprintf("finish %s; ", id))
 		})
 	}
 }
 
+// TestFailureAfterLastRetryCoversAllAttempts guards against a final verdict that ignores an earlier
+// attempt which may have run.
 func TestRetryAttemptsAndTruthfulVerdict(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4), loaded("m2", 4), loaded("m3", 4))
 	f.arrive("a", repeatable)
-	f.fails("a", 1, verdict.MayHaveRun)
-	f.fails("a", 2, verdict.NotRun)
-	finish := f.fails("a", 3, verdict.NotRun)[0].(Finish)
+	f.failAttempt("a", 1, verdict.MayHaveRun)
+	f.failAttempt("a", 2, verdict.NotRun)
+	finish := f.failAttempt("a", 3, verdict.NotRun)[0].(Finish)
 	if finish.Failure.Verdict != verdict.MayHaveRun || finish.Reason.Setting != "retry_attempts" || finish.Reason.Attempts != 3 {
 		t.Fatalf("got %+v, %+v", finish.Failure, finish.Reason)
 	}
 }
 
+// TestRetryBudgetBoundsRetries guards against retries that multiply the load when every request
+// fails.
 func TestRetryBudget(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.router.config.RetryReserve = 2
@@ -191,12 +200,12 @@
 	retried, refused := 0, 0
 	for i := range 20 {
 		id := cluster.RequestID(fmt.Sprint(i))
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		if len(f.arrive(id)) == 0 {
 			continue
 		}
-		f.router.machines["m1"].ceilingUntil, f.router.machines["m2"].ceilingUntil = 0, 0
-		for _, effect := range f.fails(id, 1, verdict.NotRun) {
+		f.router.machines["m1"].maxInFlightUntil, f.router.machines["m2"].maxInFlightUntil = 0, 0
+		for _, effect := range f.failAttempt(id, 1, verdict.NotRun) {
 			switch effect := effect.(type) {
 			case Dispatch:
 				retried++
@@ -213,6 +222,8 @@
 	}
 }
 
+// TestQueueBoundsAndTimeouts guards against queues that exceed their length or bytes, and against
+// requests that wait past their queue time or deadline.
 func TestQueueBoundsAndTimes(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	for _, id := range []cluster.RequestID{"a", "b", "c", "d"} {
@@ -225,63 +236,69 @@
 	}
 	f.expect(f.step(CallerGone{Request: "a"}), "finish a caller_gone not-run; ")
 	f.expect(f.arrive("f", func(r *Request) { r.BodyBytes = 5000 }), "finish f queue_full not-run; ")
-	f.expect(f.pass(10*time.Second), "finish b queue_timeout not-run; finish c queue_timeout not-run; finish d queue_timeout not-run; ")
+	f.expect(f.advance(10*time.Second), "finish b queue_timeout not-run; finish c queue_timeout not-run; finish d queue_timeout not-run; ")
 	f.expect(f.arrive("g", func(r *Request) { r.Deadline = f.now.Add(time.Second) }), "")
 	if next, due := f.router.NextDeadline(); !due || !next.Equal(f.now.Add(time.Second)) {
 		t.Fatalf("next deadline %v %v", next, due)
 	}
-	f.expect(f.pass(time.Second), "finish g deadline_exceeded not-run; ")
+	f.expect(f.advance(time.Second), "finish g deadline_exceeded not-run; ")
 }
 
+// TestDeadlineCancelsRunningAttempt guards against an attempt that holds its slot past its
+// request's deadline while others wait.
 func TestDeadlineWhileRunning(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 1))
-	f.arrive("a", within(time.Second))
+	f.arrive("a", withDeadline(time.Second))
 	f.arrive("b")
-	f.expect(f.pass(time.Second), "cancel a/1 at m1; finish a deadline_exceeded may-have-run; dispatch b/1 to m1; ")
+	f.expect(f.advance(time.Second), "cancel a/1 at m1; finish a deadline_exceeded may-have-run; dispatch b/1 to m1; ")
 	f.expect(f.step(CallerGone{Request: "b"}), "cancel b/1 at m1; finish b caller_gone may-have-run; ")
 	f.expect(f.step(AttemptEnded{Request: "a", Attempt: 1}), "")
 }
 
+// TestUnmeetableDeadlineIsRefusedAtOnce guards against requests that wait for a load which ends
+// after their deadline.
 func TestUnmeetableDeadlineIsRefusedAtOnce(t *testing.T) {
 	f := newFixture(t, testPolicy())
-	f.expect(f.arrive("waiting", within(2*time.Second)), "")
+	f.expect(f.arrive("waiting", withDeadline(2*time.Second)), "")
 	f.expect(f.status(true, loading("m1", 5*time.Second)), "finish waiting deadline_unmeetable not-run; ")
-	finish := f.arrive("a", within(3*time.Second))[0].(Finish)
+	finish := f.arrive("a", withDeadline(3*time.Second))[0].(Finish)
 	if finish.Failure.Code != verdict.CodeDeadlineUnmeetable || finish.Failure.RetryAfter != 5*time.Second {
 		t.Fatalf("got %+v", finish.Failure)
 	}
-	f.expect(f.arrive("b", within(6*time.Second)), "")
+	f.expect(f.arrive("b", withDeadline(6*time.Second)), "")
 }
 
-// TestRefusedCallersCauseTheLoad guards against a model that refuses all its
-// callers because they cannot wait for its load, and so is never loaded.
+// TestRefusedCallersCountAsDemand guards against a model that refuses all its callers because they
+// cannot wait for its load, and is therefore never loaded.
 func TestRefusedCallersCauseTheLoad(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loading("m1", 30*time.Second))
-	f.pass(30 * time.Second)
+	f.advance(30 * time.Second)
 	f.status(false, loaded("m1", 4))
 	f.status(true)
-	f.pass(time.Hour)
+	f.advance(time.Hour)
 	finish := f.arrive("a", func(r *Request) { r.Deadline = f.now.Add(5 * time.Second) })[0].(Finish)
 	if finish.Failure.Code != verdict.CodeDeadlineUnmeetable || finish.Failure.RetryAfter != 30*time.Second {
 		t.Fatalf("got %+v", finish.Failure)
 	}
 	if !f.router.NewlyWaiting() {
-		t.Fatal("the refused caller is no news")
+		t.Fatal("the refused caller does not count as newly waiting")
 	}
 	for second := range 41 {
 		demand := f.router.Demand(f.now, second%2 == 0)
 		if expected := second < 40; expected != (len(demand.Models) == 1 && demand.Models[0].Waiting == 1) {
 			t.Fatalf("after %d s: %+v", second, demand.Models)
 		}
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
 	f.status(true, loading("m1", 0))
-	f.pass(29 * time.Second)
+	f.advance(29 * time.Second)
 	f.expect(f.arrive("b", func(r *Request) { r.Deadline = f.now.Add(5 * time.Second) }), "")
 }
 
+// TestDrainRefusesWaitingAndNewRequests guards against a draining node that keeps requests which
+// another node could serve, or cuts running ones.
 func TestDrain(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 1))
@@ -295,6 +312,8 @@
 	f.expect(f.step(AttemptEnded{Request: "a", Attempt: 1}), "finish a; ")
 }
 
+// TestLeavingMachineGetsNoRequests guards against requests to a machine that announced that it is
+// leaving, or whose status says so.
 func TestLeavingMachineGetsNothing(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.step(MachineLeaving{Machine: "m1"})
@@ -307,6 +326,8 @@
 	f.expect(f.arrive("b"), "")
 }
 
+// TestOldStatusesAreIgnored guards against late and duplicate statuses or those of a former lease
+// holder that revert newer ones, and against missed statuses that are not requested.
 func TestStatusOrder(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	gone := loaded("m1", 4)
@@ -336,17 +357,21 @@
 	}
 }
 
+// TestRefusedRequestWaitsForMachine guards against requests that are resent at once to a machine
+// that is full or does not hold the model, or that are never resent.
 func TestEngineFullAndModelMissing(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	f.arrive("a")
 	full := verdict.New(verdict.NotRun, verdict.CodeEngineRefused, "full")
 	f.expect(f.step(AttemptEnded{Request: "a", Attempt: 1, Failure: full, EngineFull: true}), "")
-	f.expect(f.pass(time.Second), "dispatch a/2 to m1; ")
+	f.expect(f.advance(time.Second), "dispatch a/2 to m1; ")
 	f.expect(f.step(AttemptEnded{Request: "a", Attempt: 2, Failure: full, ModelMissing: true}), "")
 	f.expect(f.status(false, loaded("m1", 4)), "dispatch a/3 to m1; ")
 }
 
+// TestDemandReportsChangedModels guards against demand reports that miss changes or repeat
+// unchanged models.
 func TestDemandDeltas(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.arrive("a")
@@ -363,13 +388,15 @@
 		t.Fatalf("got %+v", demand.Models)
 	}
 	if demand = f.router.Demand(f.now, false); len(demand.Models) != 0 {
-		t.Fatalf("unchanged, but got %+v", demand.Models)
+		t.Fatalf("models are unchanged, but got %+v", demand.Models)
 	}
 	if demand = f.router.Demand(f.now, true); len(demand.Models) != 1 {
-		t.Fatalf("full: got %+v", demand.Models)
+		t.Fatalf("full report: got %+v", demand.Models)
 	}
 }
 
+// TestZeroQueueTimeRefusesAtOnce guards against requests that wait although the policy allows no
+// queue time.
 func TestZeroQueueTimeRefusesAtOnce(t *testing.T) {
 	policy := testPolicy()
 	policy.QueueTime = 0
@@ -380,6 +407,8 @@
 	}
 }
 
+// TestLimitRefusalNamesItsSource guards against refusals that don't name the setting and the scope
+// that caused them.
 func TestLimitNamesItsSource(t *testing.T) {
 	f := newFixture(t, testPolicy(), settings.Scope{Path: "/dental", RequestsPerSecond: 1})
 	f.arrive("a")
@@ -389,17 +418,19 @@
 	if finish.Reason != want || finish.Failure.RetryAfter != 2*time.Second || finish.Failure.Verdict != verdict.NotRun {
 		t.Fatalf("got %+v, %+v", finish.Failure, finish.Reason)
 	}
-	f.expect(f.pass(2*time.Second), "")
+	f.expect(f.advance(2*time.Second), "")
 	f.expect(f.arrive("c"), "")
 }
 
+// TestLostRoutersKeepTheirShareOfLimits guards against exceeding a limit by taking over the share
+// of routers that are only partitioned from this one.
 func TestLostRoutersKeepTheirPartOfLimits(t *testing.T) {
 	f := newFixture(t, testPolicy(), settings.Scope{Path: "/dental", MaxConcurrency: 4})
 	f.step(RoutersChanged{Routers: 4})
 	f.step(RoutersChanged{Routers: 1})
 	f.expect(f.arrive("a"), "")
 	f.expect(f.arrive("b"), "finish b concurrency_limit not-run; ")
-	f.pass(11 * time.Minute)
+	f.advance(11 * time.Minute)
 	f.router.Demand(f.now, true)
 	f.expect(f.arrive("c"), "")
 	f.expect(f.arrive("d"), "")
--- a/routing/silence.go
+++ b/routing/silence.go
@@ -2,23 +2,23 @@
 
 import "github.com/valveslip/valveslip/cluster"
 
-// attemptSilent takes a request away from a machine that says nothing, if another machine
-// has room for it now and the budget pays for the attempt. The room is kept until the first
-// attempt has ended. Otherwise the machine goes on: it may be slow, and to end its attempt
-// would end the request, whose caller has time left.
+// attemptSilent moves a request away from a silent machine if another machine has room for it now
+// and the retry budget allows it. A slot on that machine is reserved until the first attempt has
+// ended. Otherwise the attempt goes on: the machine may only be slow, and cancelling would end a
+// request whose caller still has time.
 func (r *Router) attemptSilent(event *AttemptSilent) {
 	silent := r.requests[event.Request]
 	if silent == nil || !silent.running || silent.attempt != event.Attempt || !r.mayMove(silent) {
 		return
 	}
-	successor := r.successor(silent)
+	successor := r.findMoveTarget(silent)
 	if successor == nil {
 		return
 	}
-	if paid, _ := r.payRetry(silent); !paid {
+	if paid, _ := r.spendRetry(silent); !paid {
 		return
 	}
-	silent.successor = successor
+	silent.moveTarget = successor
 	successor.machine.reserved++
 	r.poison.Left(r.now, silent.Content, silent.machine.id)
 	r.emit(CancelAttempt{
@@ -26,24 +26,24 @@
 	})
 }
 
-// mayMove reports whether another attempt may follow the present one, has time for an
-// answer, and is not on its way already.
+// mayMove reports whether another attempt may follow the current one, has time for an answer, and
+// is not pending already.
 func (r *Router) mayMove(silent *request) bool {
 	inTime := r.nanos+int64(silent.Objective) < silent.deadline
-	return silent.successor == nil && !r.draining && inTime && silent.answerable() && silent.mayFollow()
+	return silent.moveTarget == nil && !r.draining && inTime && silent.canStillAnswer() && silent.retryAllowed()
 }
 
-// answerable reports whether another attempt's answer could still be given to the caller.
-func (silent *request) answerable() bool {
-	return silent.model.configured != nil && (!silent.firstByte || silent.Resumable)
+// canStillAnswer reports whether the answer of another attempt could still be relayed to the caller.
+func (silent *request) canStillAnswer() bool {
+	return silent.model.configured != nil && (!silent.firstByteSent || silent.Resumable)
 }
 
-// successor returns a replica on a machine that the request was not sent to and that takes
-// it now, the nearest first; nil without one.
-func (r *Router) successor(silent *request) *replica {
+// findMoveTarget returns the nearest replica on another machine that takes the request now and on
+// which it has not failed; nil without one.
+func (r *Router) findMoveTarget(silent *request) *replica {
 	for _, tier := range silent.model.tiers {
 		for _, candidate := range tier {
-			if candidate.machine != silent.machine && r.usable(silent, candidate, false) == "" {
+			if candidate.machine != silent.machine && r.unusableCause(silent, candidate, false) == "" {
 				return candidate
 			}
 		}
@@ -51,45 +51,45 @@
 	return nil
 }
 
-// endMove gives back the room that is kept for a request, and what was paid for it.
-func (r *Router) endMove(moving *request) {
-	if moving.successor == nil {
+// cancelMove releases the slot reserved for a request and refunds its retry.
+func (r *Router) cancelMove(moving *request) {
+	if moving.moveTarget == nil {
 		return
 	}
-	r.takeRoom(moving)
-	r.refund(moving.model)
+	r.releaseReservation(moving)
+	r.refundRetry(moving.model)
 }
 
-// takeRoom ends the keeping of room and returns where it was.
-func (r *Router) takeRoom(moving *request) *replica {
-	successor := moving.successor
-	moving.successor = nil
+// releaseReservation releases the reserved slot and returns its replica.
+func (r *Router) releaseReservation(moving *request) *replica {
+	successor := moving.moveTarget
+	moving.moveTarget = nil
 	successor.machine.reserved--
-	r.freed = append(r.freed, successor.machine)
+	r.freedMachines = append(r.freedMachines, successor.machine)
 	return successor
 }
 
-// move dispatches a request whose attempt was cancelled for another, and reports whether it
-// did. The caller may have left meanwhile, the answer may have begun, the replica may be
-// gone.
-func (r *Router) move(failed *request, event *AttemptEnded) bool {
-	if failed.successor == nil {
+// moveAttempt dispatches a request to its reserved slot after its attempt was cancelled, and
+// reports whether it did. It doesn't if meanwhile the caller left, the answer began or the replica
+// is gone.
+func (r *Router) moveAttempt(failed *request, event *AttemptEnded) bool {
+	if failed.moveTarget == nil {
 		return false
 	}
-	successor := r.takeRoom(failed)
-	possible := !r.draining && !permanent(event.Failure.Code) && failed.answerable() && !r.convicted(failed.Content)
-	if !possible || !successor.here() || r.usable(failed, successor, false) != "" {
-		r.refund(failed.model)
+	successor := r.releaseReservation(failed)
+	possible := !r.draining && !isPermanent(event.Failure.Code) && failed.canStillAnswer() && !r.convicted(failed.Content)
+	if !possible || !successor.isPresent() || r.unusableCause(failed, successor, false) != "" {
+		r.refundRetry(failed.model)
 		return false
 	}
 	if event.Unreached {
-		failed.tries--
+		failed.countedAttempts--
 	}
-	r.dispatch(failed, successor, r.choice(failed.model, []scored{r.score(failed, successor)}))
+	r.dispatch(failed, successor, r.recordChoice(failed.model, []scoredReplica{r.score(failed, successor)}))
 	return true
 }
 
-// here reports whether a replica is still loaded on its machine.
-func (c *replica) here() bool {
+// isPresent reports whether a replica is still loaded on its machine.
+func (c *replica) isPresent() bool {
 	return c.state == cluster.ReplicaLoaded && c.machine.replica(c.model) == c
 }
--- a/routing/start_test.go
+++ b/routing/start_estimate_test.go
@@ -13,23 +13,23 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// aimed states an objective of 2 s, a patience of 8 s and 20 s in all.
-func aimed(change ...func(*Request)) func(*Request) {
+// withObjective sets an objective of 2 s, a patience of 8 s and a deadline of 20 s.
+func withObjective(change ...func(*Request)) func(*Request) {
 	return func(r *Request) {
 		r.Objective, r.Patience = 2*time.Second, 8*time.Second
-		within(20 * time.Second)(r)
+		withDeadline(20 * time.Second)(r)
 		for _, c := range change {
 			c(r)
 		}
 	}
 }
 
-func patient(patience time.Duration) func(*Request) {
+func withPatience(patience time.Duration) func(*Request) {
 	return func(r *Request) { r.Patience = patience }
 }
 
-// TestLateAnswerIsBetterThanNone: a request waits for a load that ends after its objective
-// as long as its caller stays, and is refused at once when the caller will have left.
+// TestRequestWaitsForLoadWithinPatience guards against refusing a request whose load ends after its
+// objective but while its caller still waits, and against keeping one whose caller will have left.
 func TestLateAnswerIsBetterThanNone(t *testing.T) {
 	for name, test := range map[string]struct {
 		ready   time.Duration
@@ -37,13 +37,13 @@
 		want    string
 		setting string
 	}{
-		"in time":              {time.Second, aimed(), "", ""},
-		"late":                 {5 * time.Second, aimed(), "", ""},
-		"at the last moment":   {7600 * time.Millisecond, aimed(), "", ""},
-		"after the patience":   {7700 * time.Millisecond, aimed(), "finish a deadline_unmeetable not-run; ", "patience"},
-		"after the deadline":   {5 * time.Second, aimed(within(4 * time.Second)), "finish a deadline_unmeetable not-run; ", "deadline"},
-		"after the queue time": {11 * time.Second, aimed(patient(0)), "finish a deadline_unmeetable not-run; ", "queue_time"},
-		"little left":          {3 * time.Second, aimed(within(4 * time.Second)), "", ""},
+		"in time":                  {time.Second, withObjective(), "", ""},
+		"after the objective":      {5 * time.Second, withObjective(), "", ""},
+		"at the last moment":       {7600 * time.Millisecond, withObjective(), "", ""},
+		"after the patience":       {7700 * time.Millisecond, withObjective(), "finish a deadline_unmeetable not-run; ", "patience"},
+		"after the deadline":       {5 * time.Second, withObjective(withDeadline(4 * time.Second)), "finish a deadline_unmeetable not-run; ", "deadline"},
+		"after the queue time":     {11 * time.Second, withObjective(withPatience(0)), "finish a deadline_unmeetable not-run; ", "queue_time"},
+		"just before the deadline": {3 * time.Second, withObjective(withDeadline(4 * time.Second)), "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, testPolicy())
@@ -51,20 +51,20 @@
 			effects := f.status(true, loading("m1", test.ready))
 			f.expect(effects, test.want)
 			if test.setting != "" && effects[0].(Finish).Reason.Setting != test.setting {
-				t.Fatalf("decided by %q, want %q", effects[0].(Finish).Reason.Setting, test.setting)
+				t.Fatalf("refused because of %q, want %q", effects[0].(Finish).Reason.Setting, test.setting)
 			}
 		})
 	}
 }
 
-// TestRefusalSaysWhen: the refused caller is told when the model is expected, and it
-// counts as waiting until then.
+// TestRefusalStatesEndOfLoad guards against refused callers that are not told when the model is
+// expected, or that don't count as waiting until then.
 func TestRefusalSaysWhen(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loading("m1", 9*time.Second))
-	finish := f.arrive("a", aimed())[0].(Finish)
+	finish := f.arrive("a", withObjective())[0].(Finish)
 	if finish.Failure.Verdict != verdict.NotRun || finish.Failure.RetryAfter != 9*time.Second {
-		t.Fatalf("got %+v, want to come back in 9 s", finish.Failure)
+		t.Fatalf("got %+v, want a retry time of 9 s", finish.Failure)
 	}
 	demand := f.router.Demand(f.now, true)
 	if len(demand.Models) != 1 || demand.Models[0].Waiting != 1 || demand.Models[0].Objective != 2*time.Second {
@@ -72,33 +72,32 @@
 	}
 }
 
-// TestWaitIsJudgedByWhatIsLeft: a request that has waited is given up at the moment at
-// which a load is known to end after its caller's patience, whatever the objective.
+// TestWaitingRequestIsRefusedWhenLoadEndsAfterPatience guards against a waiting request that is
+// kept although the load is now known to end after its caller's patience, whatever the objective.
 func TestWaitIsJudgedByWhatIsLeft(t *testing.T) {
 	f := newFixture(t, testPolicy())
-	f.arrive("a", aimed())
-	f.pass(5 * time.Second)
+	f.arrive("a", withObjective())
+	f.advance(5 * time.Second)
 	f.expect(f.status(true, loading("m1", 2500*time.Millisecond)), "")
 	f.expect(f.status(true, loading("m1", 2700*time.Millisecond)), "finish a deadline_unmeetable not-run; ")
 }
 
-// TestReturnedCallerKeepsItsTurn: a caller that was refused and comes back when it was
-// told to goes before those who came while it was away.
+// TestReturnedCallerGoesFirst guards against a refused caller that returns at the stated time and
+// is served after those that arrived while it was away.
 func TestReturnedCallerKeepsItsTurn(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loading("m1", 9*time.Second))
-	f.expect(f.arrive("a", aimed()), "finish a deadline_unmeetable not-run; ")
-	f.pass(5 * time.Second)
-	f.expect(f.arrive("b", aimed(within(25*time.Second))), "")
-	f.pass(3 * time.Second)
-	f.expect(f.arrive("a again", aimed()), "")
-	f.pass(time.Second)
+	f.expect(f.arrive("a", withObjective()), "finish a deadline_unmeetable not-run; ")
+	f.advance(5 * time.Second)
+	f.expect(f.arrive("b", withObjective(withDeadline(25*time.Second))), "")
+	f.advance(3 * time.Second)
+	f.expect(f.arrive("a again", withObjective()), "")
+	f.advance(time.Second)
 	f.expect(f.status(true, loaded("m1", 1)), "dispatch a again/1 to m1; ")
 }
 
-// TestToldTimesAreTurns: refused callers are told to come back in the order in which they
-// came, no more at a time than the loading replica has slots, and the others as slots are
-// freed.
+// TestRetryTimesFollowFreeSlots guards against retry times out of the order of arrival, and against
+// more callers told to return at a time than the loading replica then has free slots.
 func TestToldTimesAreTurns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "slots")
@@ -118,22 +117,21 @@
 			request := Request{ID: cluster.RequestID(fmt.Sprint(i)), Model: "chat", TokenPath: "/", Deadline: now.Add(time.Second)}
 			finish, ended := router.Step(now, RequestArrived{Request: request})[0].(Finish)
 			if !ended || finish.Failure.Verdict != verdict.NotRun {
-				t.Fatalf("got %+v, want a refusal that says that nothing ran", finish)
+				t.Fatalf("got %+v, want a refusal with verdict NotRun", finish)
 			}
 			told := now.Add(finish.Failure.RetryAfter)
 			place := i*routers + rank + 1
 			room := slots + int(math.Ceil(told.Sub(ready).Seconds()*float64(slots)/router.config.DefaultService.Seconds()-1e-6))
 			if told.Before(last) || place > room || place < room-1 && told.After(ready) {
-				t.Fatalf("caller %d, place %d of %d, told %v after the load, the one before %v", i, place, room, told.Sub(ready), last.Sub(ready))
+				t.Fatalf("caller %d, position %d of %d slots, is told to retry %v after the load, the one before %v", i, place, room, told.Sub(ready), last.Sub(ready))
 			}
 			last = told
 		}
 	})
 }
 
-// TestReturnsAreServedInOrder: callers that were refused and come back, earlier or later
-// than they were told, are served in the order in which they first came, before newer ones
-// of the same kind.
+// TestReturnedCallersAreServedInOrderOfArrival guards against refused callers that return earlier
+// or later than stated and are not served in the order in which they first arrived.
 func TestReturnsAreServedInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := testPolicy()
@@ -143,7 +141,7 @@
 		count := rapid.IntRange(2, 20).Draw(t, "callers")
 		first := make(map[cluster.RequestID]int)
 		now := start
-		for _, caller := range rapid.Permutation(seq(count)).Draw(t, "order of return") {
+		for _, caller := range rapid.Permutation(indices(count)).Draw(t, "order of return") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "milliseconds")) * time.Millisecond)
 			id := cluster.RequestID(fmt.Sprint("r", caller))
 			first[id] = caller
@@ -160,7 +158,7 @@
 				break
 			}
 			if first[dispatch.Request] != served {
-				t.Fatalf("%s served as number %d", dispatch.Request, served)
+				t.Fatalf("%s served at position %d", dispatch.Request, served)
 			}
 			served++
 			now = now.Add(time.Millisecond)
@@ -172,7 +170,7 @@
 	})
 }
 
-func seq(n int) []int {
+func indices(n int) []int {
 	list := make([]int, n)
 	for i := range list {
 		list[i] = i
@@ -180,32 +178,33 @@
 	return list
 }
 
-// TestRefusedMakeRoom: waiting requests that a late load makes hopeless are refused, and
-// those behind them move up.
+// TestRefusedRequestsDoNotDelayOthers guards against refusing a request because of others before it
+// that are themselves refused when a load is late.
 func TestRefusedMakeRoom(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 1))
 	f.arrive("served")
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.expect(f.step(AttemptEnded{Request: "served", Attempt: 1}), "finish served; ")
 	f.status(true)
-	f.arrive("short", within(4*time.Second))
-	f.arrive("first", within(9*time.Second))
-	f.arrive("second", within(9100*time.Millisecond))
+	f.arrive("short", withDeadline(4*time.Second))
+	f.arrive("first", withDeadline(9*time.Second))
+	f.arrive("second", withDeadline(9100*time.Millisecond))
 	record := loading("m1", 7500*time.Millisecond)
 	record.Slots = 1
 	f.expect(f.status(true, record), "finish short deadline_unmeetable not-run; finish second deadline_unmeetable not-run; ")
 }
 
-// crowded fills a single slot that serves a request a second, and lets so many wait.
-func crowded(t *testing.T, waiting int) *fixture {
+// newFullFixture returns a router whose only slot, with a service time of 1 s, is taken, and with
+// the given number of waiting requests.
+func newFullFixture(t *testing.T, waiting int) *fixture {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 1))
 	f.arrive("r0")
 	f.arrive("r1")
 	f.arrive("r2")
 	for i := range 2 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.step(AttemptEnded{Request: cluster.RequestID(fmt.Sprint("r", i)), Attempt: 1})
 	}
 	for i := range waiting {
@@ -214,39 +213,38 @@
 	return f
 }
 
-// TestCrowdIsForetoldByItsPace: a request is refused on arrival when at the pace at which
-// those before it start its turn comes too late, and is told its turn. In front of it
-// count only those that go before it.
+// TestRefusalUsesIntervalBetweenStarts guards against a request that waits although its turn, at
+// the mean interval between starts, comes too late. Only requests that go before it count as ahead.
 func TestCrowdIsForetoldByItsPace(t *testing.T) {
 	soon := func(f *fixture, d time.Duration) func(*Request) {
 		return func(r *Request) { r.Deadline = f.now.Add(d) }
 	}
-	f := crowded(t, 3)
-	finish := f.arrive("last", patient(2*time.Second))[0].(Finish)
+	f := newFullFixture(t, 3)
+	finish := f.arrive("last", withPatience(2*time.Second))[0].(Finish)
 	if finish.Failure.Code != verdict.CodeDeadlineUnmeetable || finish.Failure.Verdict != verdict.NotRun || finish.Failure.RetryAfter != 3*time.Second {
-		t.Fatalf("got %+v, want to come back in 3 s", finish.Failure)
+		t.Fatalf("got %+v, want a retry time of 3 s", finish.Failure)
 	}
-	if next := f.arrive("next", patient(2*time.Second))[0].(Finish); next.Failure.RetryAfter != 4*time.Second {
-		t.Fatalf("got %+v, want to come back a second later", next.Failure)
+	if next := f.arrive("next", withPatience(2*time.Second))[0].(Finish); next.Failure.RetryAfter != 4*time.Second {
+		t.Fatalf("got %+v, want a retry time one second later", next.Failure)
 	}
-	f.expect(f.arrive("urgent", soon(f, 1500*time.Millisecond), patient(2*time.Second)), "")
+	f.expect(f.arrive("urgent", soon(f, 1500*time.Millisecond), withPatience(2*time.Second)), "")
 }
 
-// TestHopelessGivesWay: a waiting request that would not end by its deadline leaves its
-// place to those that would, and runs if nobody else waits.
+// TestLateRequestIsShedWhenOthersWait guards against a request that would not end by its deadline
+// and takes the slot of one that would. It runs if no other waits.
 func TestHopelessGivesWay(t *testing.T) {
 	for others, want := range []string{"finish r2; dispatch short/1 to m1; ", "finish r2; finish short deadline_unmeetable not-run; dispatch w0/1 to m1; "} {
-		f := crowded(t, others)
+		f := newFullFixture(t, others)
 		f.expect(f.arrive("short", func(r *Request) { r.Deadline = f.now.Add(1400 * time.Millisecond) }), "")
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.expect(f.step(AttemptEnded{Request: "r2", Attempt: 1}), want)
 	}
 }
 
-// TestNobodyGivesWayWithoutNeed: a request that would not end by its deadline runs when
-// there are places for all that wait, and none gives way to a model that isn't loaded.
+// TestLateRequestIsKeptWhenSlotsSuffice guards against shedding a late request when there are slots
+// for all that wait, or when the model isn't loaded.
 func TestNobodyGivesWayWithoutNeed(t *testing.T) {
-	f := crowded(t, 0)
+	f := newFullFixture(t, 0)
 	f.step(AttemptEnded{Request: "r2", Attempt: 1})
 	f.status(true)
 	short := func(r *Request) { r.Deadline = f.now.Add(500 * time.Millisecond) }
@@ -256,107 +254,109 @@
 	f.expect(f.status(true, loaded("m1", 4)), "dispatch a/1 to m1; dispatch b/1 to m1; dispatch c/1 to m1; ")
 }
 
-// TestFailedReplicaIsNoCrowd: requests that wait since the only replica failed are not
-// refused for want of time to end: once it is tried again there may be places for all.
+// TestFailedReplicaIsNotFull guards against refusing requests by their time to end while the only
+// replica is in back-off after a failure: when it is tried again there may be slots for all.
 func TestFailedReplicaIsNoCrowd(t *testing.T) {
-	f := crowded(t, 0)
+	f := newFullFixture(t, 0)
 	f.step(AttemptEnded{Request: "r2", Attempt: 1})
 	f.status(false, loaded("m1", 4))
 	f.expect(f.arrive("a", repeatable), "dispatch a/1 to m1; ")
-	f.fails("a", 1, verdict.NotRun)
+	f.failAttempt("a", 1, verdict.NotRun)
 	f.expect(f.arrive("b", func(r *Request) { r.Deadline = f.now.Add(500 * time.Millisecond) }), "")
-	f.expect(f.pass(200*time.Millisecond), "dispatch b/1 to m1; dispatch a/2 to m1; ")
+	f.expect(f.advance(200*time.Millisecond), "dispatch b/1 to m1; dispatch a/2 to m1; ")
 }
 
-// TestBegunAnswerDoesNotGiveWay: a stream that is to be continued after its first events
-// keeps its place, however little time is left.
+// TestBegunAnswerIsNotShed guards against shedding a stream that is to be continued after its first
+// events, however little time is left.
 func TestBegunAnswerDoesNotGiveWay(t *testing.T) {
-	f := crowded(t, 0)
+	f := newFullFixture(t, 0)
 	f.step(AttemptEnded{Request: "r2", Attempt: 1})
 	resumable := func(r *Request) { r.Resumable, r.Repeatable, r.Deadline = true, true, f.now.Add(1400*time.Millisecond) }
 	f.expect(f.arrive("stream", resumable), "dispatch stream/1 to m1; ")
 	f.step(FirstByteSent{Request: "stream"})
 	f.expect(f.arrive("w0"), "")
 	f.expect(f.arrive("w1"), "")
-	f.fails("stream", 1, verdict.Ran)
-	f.expect(f.pass(time.Second), "dispatch stream/2 to m1; ")
+	f.failAttempt("stream", 1, verdict.Ran)
+	f.expect(f.advance(time.Second), "dispatch stream/2 to m1; ")
 }
 
-// TestStallRefusesNobody: while none of the waiting requests starts, others wait too,
-// since they are served when the stall ends; one that gives up is told as long again.
+// TestStallRefusesNoRequest guards against refusing requests while none of the waiting ones starts:
+// they are served when the stall ends. One that gives up is told to retry after the time that the
+// stall has lasted.
 func TestStallRefusesNobody(t *testing.T) {
-	f := crowded(t, 1)
-	f.pass(5 * time.Second)
-	f.expect(f.arrive("a", patient(4*time.Second)), "")
-	finish := f.pass(4 * time.Second)[0].(Finish)
+	f := newFullFixture(t, 1)
+	f.advance(5 * time.Second)
+	f.expect(f.arrive("a", withPatience(4*time.Second)), "")
+	finish := f.advance(4 * time.Second)[0].(Finish)
 	if finish.Failure.Code != verdict.CodeQueueTimeout || finish.Failure.RetryAfter != 11*time.Second {
-		t.Fatalf("got %+v, want to come back in 11 s", finish.Failure)
+		t.Fatalf("got %+v, want a retry time of 11 s", finish.Failure)
 	}
 }
 
-// TestTypicalLoadTimeIsTold: a caller that gave up on a model that nobody loads is told as
-// long again as nobody has begun a load, and the time that loads of other models of the
-// kind took. It isn't refused for it.
+// TestRetryTimeIncludesMeanLoadTimeOfKind guards against a retry time that ignores how long no load
+// has begun and how long loads of other models of the kind took, and against refusals because of
+// them.
 func TestTypicalLoadTimeIsTold(t *testing.T) {
 	f := newFixture(t, testPolicy())
-	f.step(SettingsChanged{Snapshot: machineSnapshot(machineModels)})
+	f.step(SettingsChanged{Snapshot: snapshotOf(testModels)})
 	f.status(true, loading("m1", 3*time.Second))
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	f.status(false, loaded("m1", 4))
 	rare := func(r *Request) { r.Model = "recall" }
-	f.expect(f.arrive("a", rare, patient(2*time.Second)), "")
-	finish := f.pass(2 * time.Second)[0].(Finish)
+	f.expect(f.arrive("a", rare, withPatience(2*time.Second)), "")
+	finish := f.advance(2 * time.Second)[0].(Finish)
 	if finish.Failure.Code != verdict.CodeQueueTimeout || finish.Failure.RetryAfter != 5*time.Second {
-		t.Fatalf("got %+v, want to come back in 5 s", finish.Failure)
+		t.Fatalf("got %+v, want a retry time of 5 s", finish.Failure)
 	}
-	f.expect(f.arrive("b", rare, patient(2*time.Second)), "")
-	if finish := f.pass(2 * time.Second)[0].(Finish); finish.Failure.RetryAfter != 7*time.Second {
-		t.Fatalf("got %+v, want the next one to come back in 7 s", finish.Failure)
+	f.expect(f.arrive("b", rare, withPatience(2*time.Second)), "")
+	if finish := f.advance(2 * time.Second)[0].(Finish); finish.Failure.RetryAfter != 7*time.Second {
+		t.Fatalf("got %+v, want a retry time of 7 s for the next one", finish.Failure)
 	}
-	f.pass(time.Hour)
-	f.expect(f.arrive("c", rare, patient(2*time.Second)), "")
-	if finish := f.pass(2 * time.Second)[0].(Finish); finish.Failure.RetryAfter != 5*time.Second {
-		t.Fatalf("got %+v, want one after a quiet hour to come back in 5 s", finish.Failure)
+	f.advance(time.Hour)
+	f.expect(f.arrive("c", rare, withPatience(2*time.Second)), "")
+	if finish := f.advance(2 * time.Second)[0].(Finish); finish.Failure.RetryAfter != 5*time.Second {
+		t.Fatalf("got %+v, want a retry time of 5 s after an hour without requests", finish.Failure)
 	}
 }
 
-// TestExpectedLoadTimeIsTold: a load that another model's controller expects to take 4 s is
-// evidence before it has ended. Callers of a model that nobody loads are told that time,
-// however many they are, since nothing is known of the slots that it will have.
+// TestRetryTimeIncludesExpectedLoadTime guards against ignoring a load time of 4 s that another
+// model's controller expects before that load has ended. All callers of a model that is not loading
+// get the same retry time, since the slots of its replica are not known.
 func TestExpectedLoadTimeIsTold(t *testing.T) {
 	f := newFixture(t, testPolicy())
-	f.step(SettingsChanged{Snapshot: machineSnapshot(machineModels)})
+	f.step(SettingsChanged{Snapshot: snapshotOf(testModels)})
 	f.status(true, loading("m1", 4*time.Second))
 	rare := func(r *Request) { r.Model = "recall" }
 	for i := range 4 {
-		f.expect(f.arrive(cluster.RequestID(fmt.Sprint(i)), rare, patient(2*time.Second)), "")
+		f.expect(f.arrive(cluster.RequestID(fmt.Sprint(i)), rare, withPatience(2*time.Second)), "")
 	}
-	for _, effect := range f.pass(2 * time.Second) {
+	for _, effect := range f.advance(2 * time.Second) {
 		if finish := effect.(Finish); finish.Failure.RetryAfter != 6*time.Second {
-			t.Fatalf("got %+v, want to come back in 6 s", finish.Failure)
+			t.Fatalf("got %+v, want a retry time of 6 s", finish.Failure)
 		}
 	}
 }
 
-// TestOnlyKnownTimesRefuse: while nobody loads the model, a request is refused only if the
-// quickest load seen would end too late, and is told the usual time.
+// TestOnlyShortestLoadTimeRefuses guards against refusing a request for a model that is not
+// loading, unless even the shortest load observed would end too late. The retry time is based on
+// the mean.
 func TestOnlyKnownTimesRefuse(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	for _, took := range []time.Duration{8 * time.Second, 2 * time.Second} {
 		f.status(true, loading("m1", took))
-		f.pass(took)
+		f.advance(took)
 		f.status(false, loaded("m1", 4))
 		f.status(true)
 	}
-	f.expect(f.arrive("a", patient(3*time.Second)), "")
-	finish := f.arrive("b", patient(time.Second))[0].(Finish)
+	f.expect(f.arrive("a", withPatience(3*time.Second)), "")
+	finish := f.arrive("b", withPatience(time.Second))[0].(Finish)
 	if finish.Failure.Code != verdict.CodeDeadlineUnmeetable || finish.Failure.RetryAfter != 7400*time.Millisecond {
-		t.Fatalf("got %+v, want to come back in 7.4 s", finish.Failure)
+		t.Fatalf("got %+v, want a retry time of 7.4 s", finish.Failure)
 	}
 }
 
-// TestUrgentCallersReturnFirst: a caller is told its turn after those that are as urgent,
-// however many less urgent ones were told before.
+// TestUrgentCallersAreToldToReturnFirst guards against an urgent caller whose retry time comes
+// after those of less urgent callers that were refused before it.
 func TestUrgentCallersReturnFirst(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.step(RoutersChanged{Routers: 1})
@@ -364,20 +364,20 @@
 	record.Slots = 1
 	f.status(true, record)
 	told := func(id cluster.RequestID, priority int) time.Duration {
-		return f.arrive(id, within(time.Second), func(r *Request) { r.Priority = priority })[0].(Finish).Failure.RetryAfter
+		return f.arrive(id, withDeadline(time.Second), func(r *Request) { r.Priority = priority })[0].(Finish).Failure.RetryAfter
 	}
 	for i, test := range []struct {
 		priority int
 		want     time.Duration
 	}{{3, 20 * time.Second}, {3, 21 * time.Second}, {3, 22 * time.Second}, {7, 20 * time.Second}, {7, 21 * time.Second}, {3, 25 * time.Second}} {
 		if got := told(cluster.RequestID(fmt.Sprint(i)), test.priority); got != test.want {
-			t.Fatalf("caller %d is told %v, want %v", i, got, test.want)
+			t.Fatalf("caller %d is told to retry after %v, want %v", i, got, test.want)
 		}
 	}
 }
 
-// TestRetriesAtOnceDelayNobody: a caller that ignores the time it is told and comes back at
-// once, again and again, counts once among those that have yet to come back.
+// TestEarlyRetriesDelayNoOtherCaller guards against a caller that ignores its retry time and
+// retries at once, and counts several times among those expected back.
 func TestRetriesAtOnceDelayNobody(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.step(RoutersChanged{Routers: 1})
@@ -385,23 +385,24 @@
 	record.Slots = 1
 	f.status(true, record)
 	told := func(id cluster.RequestID, back bool) time.Duration {
-		return f.arrive(id, within(time.Second), func(r *Request) { r.Returned = back })[0].(Finish).Failure.RetryAfter
+		return f.arrive(id, withDeadline(time.Second), func(r *Request) { r.Returned = back })[0].(Finish).Failure.RetryAfter
 	}
 	first := told("a", false)
 	for i := range 50 {
 		if again := told(cluster.RequestID(fmt.Sprint("a", i)), true); again != first {
-			t.Fatalf("try %d is told %v, the first %v", i, again, first)
+			t.Fatalf("attempt %d is told to retry after %v, the first after %v", i, again, first)
 		}
 	}
 	if second := told("b", false); second != first+time.Second {
-		t.Fatalf("the second caller is told %v, want a second after %v", second, first)
+		t.Fatalf("the second caller is told to retry after %v, want one second more than %v", second, first)
 	}
 }
 
-// TestWaitEndsWithPatience: a caller that would leave soon is told when to come back.
+// TestWaitEndsBeforePatience guards against a caller that leaves without having been told when to
+// retry.
 func TestWaitEndsWithPatience(t *testing.T) {
 	f := newFixture(t, testPolicy())
-	f.arrive("a", aimed(patient(4*time.Second)))
-	f.expect(f.pass(3700*time.Millisecond), "")
-	f.expect(f.pass(100*time.Millisecond), "finish a queue_timeout not-run; ")
+	f.arrive("a", withObjective(withPatience(4*time.Second)))
+	f.expect(f.advance(3700*time.Millisecond), "")
+	f.expect(f.advance(100*time.Millisecond), "finish a queue_timeout not-run; ")
 }
--- a/routing/timers.go
+++ b/routing/timers.go
@@ -1,20 +1,20 @@
 package routing
 
-// timer is due at a time for one request or one machine; exactly one is set.
+// timer is the timer of one request or one machine; exactly one of them is set.
 type timer struct {
 	at int64
-	// order breaks ties: armed first, due first.
-	order   uint64
-	index   int
-	armed   bool
-	request *request
-	machine *machine
+	// sequence breaks ties: the timer that was armed first is due first.
+	sequence uint64
+	index    int
+	armed    bool
+	request  *request
+	machine  *machine
 }
 
 // arm sets or moves a timer.
 func (r *Router) arm(t *timer, at int64) {
-	r.armings++
-	t.at, t.order = at, r.armings
+	r.timerSequence++
+	t.at, t.sequence = at, r.timerSequence
 	if t.armed {
 		r.timers.Fix(t.index)
 		return
@@ -31,25 +31,25 @@
 	}
 }
 
-// expire runs all timers that are due.
-func (r *Router) expire() {
+// runDueTimers runs all timers that are due.
+func (r *Router) runDueTimers() {
 	for r.timers.Len() > 0 && r.timers.First().at <= r.nanos {
 		due := r.timers.First()
 		r.disarm(due)
 		if due.request != nil {
-			r.requestDue(due.request)
+			r.requestTimerDue(due.request)
 		} else {
-			r.machineDue(due.machine)
+			r.machineTimerDue(due.machine)
 		}
 	}
 }
 
-// Before implements binaryheap.Element: by time, then by when they were armed.
+// Before implements binaryheap.Element: by time, then by the order in which the timers were armed.
 func (t *timer) Before(other *timer) bool {
 	if t.at != other.at {
 		return t.at < other.at
 	}
-	return t.order < other.order
+	return t.sequence < other.sequence
 }
 
 // Moved implements binaryheap.Element.
--- a/routing/turns_test.go
+++ b/routing/turns_test.go
@@ -8,17 +8,17 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// limited has machine m1 say that it takes so many requests a second.
-func (f *fixture) limited(perSecond float64) []Effect {
+// reportLimit reports an answer of machine m1 that states a rate limit.
+func (f *fixture) reportLimit(perSecond float64) []Effect {
 	return f.step(MachineHeard{Machine: "m1", Notice: Notice{Limited: true, PerSecond: perSecond}})
 }
 
-func (f *fixture) turn(granted bool, wait time.Duration) []Effect {
+func (f *fixture) decideTurn(granted bool, wait time.Duration) []Effect {
 	return f.step(TurnDecided{Machine: "m1", Granted: granted, Wait: wait})
 }
 
-// wanted counts the questions for turns.
-func wanted(effects []Effect) int {
+// countTurnRequests counts the turn requests among the effects.
+func countTurnRequests(effects []Effect) int {
 	count := 0
 	for _, effect := range effects {
 		if _, asks := effect.(TurnWanted); asks {
@@ -28,31 +28,31 @@
 	return count
 }
 
-// TestRequestsTakeTurnsAtLimitedMachine guards against requests that are sent to a machine with
-// a limit without a turn, or more than one by one turn.
+// TestRequestsTakeTurnsAtLimitedMachine guards against requests that are sent to a machine with a
+// rate limit without a turn, or several by one turn.
 func TestRequestsTakeTurnsAtLimitedMachine(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
-	f.limited(1)
-	if asked := wanted(f.arrive("a")); asked != 1 {
-		t.Fatalf("%d questions for the first request", asked)
+	f.reportLimit(1)
+	if asked := countTurnRequests(f.arrive("a")); asked != 1 {
+		t.Fatalf("%d turn requests for the first request, want 1", asked)
 	}
-	if asked := wanted(f.arrive("b")); asked != 0 {
-		t.Fatalf("%d more questions while one is under way", asked)
+	if asked := countTurnRequests(f.arrive("b")); asked != 0 {
+		t.Fatalf("%d more turn requests while one is pending, want 0", asked)
 	}
-	f.expect(f.turn(true, 500*time.Millisecond), "")
-	f.expect(f.pass(499*time.Millisecond), "")
-	effects := f.pass(time.Millisecond)
+	f.expect(f.decideTurn(true, 500*time.Millisecond), "")
+	f.expect(f.advance(499*time.Millisecond), "")
+	effects := f.advance(time.Millisecond)
 	f.expect(effects, "dispatch a/1 to m1; ")
-	if wanted(effects) != 1 {
-		t.Fatal("no turn is asked for though another request waits")
+	if countTurnRequests(effects) != 1 {
+		t.Fatal("no turn is requested although another request waits")
 	}
-	f.expect(f.turn(false, time.Second), "")
-	if asked := wanted(f.pass(999 * time.Millisecond)); asked != 0 {
-		t.Fatal("a turn is asked for before the time told")
+	f.expect(f.decideTurn(false, time.Second), "")
+	if asked := countTurnRequests(f.advance(999 * time.Millisecond)); asked != 0 {
+		t.Fatal("a turn is requested before the stated time")
 	}
-	if asked := wanted(f.pass(time.Millisecond)); asked != 1 {
-		t.Fatal("no turn is asked for at the time told")
+	if asked := countTurnRequests(f.advance(time.Millisecond)); asked != 1 {
+		t.Fatal("no turn is requested at the stated time")
 	}
 }
 
@@ -61,37 +61,37 @@
 func TestMachineWithoutLimitIsPreferred(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
-	f.limited(1)
+	f.reportLimit(1)
 	f.expect(f.arrive("a"), "dispatch a/1 to m2; ")
 }
 
 // TestRequestBeyondLimitIsRefusedAtOnce guards against requests that are kept until their caller
-// leaves though no machine takes them in time.
+// leaves although no machine takes them in time.
 func TestRequestBeyondLimitIsRefusedAtOnce(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
-	f.limited(1)
-	f.arrive("a", within(2*time.Second))
-	f.arrive("b", within(9*time.Second))
-	failure := finished(t, f.turn(false, 3*time.Second)).Failure
+	f.reportLimit(1)
+	f.arrive("a", withDeadline(2*time.Second))
+	f.arrive("b", withDeadline(9*time.Second))
+	failure := finishOf(t, f.decideTurn(false, 3*time.Second)).Failure
 	if failure.Verdict != verdict.NotRun || failure.RetryAfter < 3*time.Second {
-		t.Errorf("ended by %v, to come back after %s", failure, failure.RetryAfter)
+		t.Errorf("finished with %v, retry time %s", failure, failure.RetryAfter)
 	}
 	if f.router.Waiting() != 1 {
-		t.Errorf("%d wait, the one with time does", f.router.Waiting())
+		t.Errorf("%d requests wait, want the one with time left", f.router.Waiting())
 	}
-	failure = finished(t, f.arrive("c", within(time.Second))).Failure
+	failure = finishOf(t, f.arrive("c", withDeadline(time.Second))).Failure
 	if failure.Verdict != verdict.NotRun || failure.RetryAfter < 3*time.Second {
-		t.Errorf("a later one ended by %v, to come back after %s", failure, failure.RetryAfter)
+		t.Errorf("a later request finished with %v, retry time %s", failure, failure.RetryAfter)
 	}
 }
 
-// TestLimitEndsByAnswerSentUnderIt guards against a limit that ends by an answer from before it,
-// and against one that never ends.
+// TestLimitEndsByAnswerSentUnderIt guards against a limit that is ended by an answer to an earlier
+// request, and against one that never ends.
 func TestLimitEndsByAnswerSentUnderIt(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
-	f.limited(1)
+	f.reportLimit(1)
 	f.step(MachineHeard{Machine: "m1"})
 	f.expect(f.arrive("a"), "")
 	effects := f.step(MachineHeard{Machine: "m1", SentUnderLimit: true})
@@ -101,117 +101,118 @@
 			return
 		}
 	}
-	t.Error("the other routers are not told of the end")
+	t.Error("the end of the limit is not published")
 }
 
-// TestLeavingThatAnAnswerToldStays guards against requests to a machine whose answer said that it
-// leaves, once its cell's status, which is older, says that it stays.
+// TestLeavingNoticeOverridesLaterStatus guards against requests to a machine whose answer stated
+// that it is leaving, when its cell's status, which is based on older information, lists it as
+// staying.
 func TestLeavingThatAnAnswerToldStays(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
 	effects := f.step(MachineHeard{Machine: "m1", Request: "z", Notice: Notice{Leaving: true}})
 	if len(effects) != 1 || effects[0] != (MachineLeavingFound{Machine: "m1", Request: "z"}) {
-		t.Errorf("found: %v", effects)
+		t.Errorf("effects: %v, want one MachineLeavingFound", effects)
 	}
 	f.status(true, loaded("m1", 4))
-	f.expect(f.placed("m1", 1, 0), "")
+	f.expect(f.place("m1", 1, 0), "")
 	f.expect(f.step(MachineHeard{Machine: "m1", SentUnderLimit: true}), "")
 	f.status(true, loaded("m1", 8))
 	if f.router.Waiting() != 1 {
-		t.Error("the kept attempt does not wait for another machine")
+		t.Error("the request of the held attempt does not wait for another machine")
 	}
 	f.expect(f.status(false, loaded("m2", 4)), "dispatch a/2 to m2; ")
 }
 
-// rests has machine m1 say that it wants nothing for a time.
-func (f *fixture) rests(length time.Duration) []Effect {
+// reportRest reports an answer of machine m1 that asks for rest.
+func (f *fixture) reportRest(length time.Duration) []Effect {
 	return f.step(MachineHeard{Machine: "m1", Request: "z", Notice: Notice{Rest: length}})
 }
 
-// TestMachineGetsTheRestThatItWants guards against requests, new ones, retries and those that are
-// kept for their time, that are sent to a machine which wants rest; the latest end counts.
+// TestRestingMachineGetsNoRequests guards against new requests, retries and held attempts that are
+// sent to a machine during its rest period. The latest end of a rest period counts.
 func TestMachineGetsTheRestThatItWants(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
-	f.rests(3 * time.Second)
-	f.rests(time.Second)
-	f.expect(f.placed("m1", 1, 0), "")
+	f.reportRest(3 * time.Second)
+	f.reportRest(time.Second)
+	f.expect(f.place("m1", 1, 0), "")
 	f.expect(f.arrive("b"), "")
-	f.expect(f.pass(2999*time.Millisecond), "")
-	f.expect(f.pass(time.Millisecond), "dispatch a/2 to m1; dispatch b/1 to m1; ")
+	f.expect(f.advance(2999*time.Millisecond), "")
+	f.expect(f.advance(time.Millisecond), "dispatch a/2 to m1; dispatch b/1 to m1; ")
 }
 
-// TestCallersAreToldOfTheRest guards against callers that are kept until they leave while all
-// machines want rest, or told to come back before it is over.
+// TestRetryTimeCoversRestPeriod guards against callers that are kept until they leave while all
+// machines rest, or told to retry before the rest period is over.
 func TestCallersAreToldOfTheRest(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	f.step(MachineHeard{Machine: "m1", Notice: Notice{Limited: true, PerSecond: 1}})
-	f.arrive("a", within(2*time.Second))
-	failure := finished(t, f.rests(3*time.Second)).Failure
+	f.arrive("a", withDeadline(2*time.Second))
+	failure := finishOf(t, f.reportRest(3*time.Second)).Failure
 	if failure.Verdict != verdict.NotRun || failure.RetryAfter < 3*time.Second {
-		t.Errorf("ended by %v, to come back after %s", failure, failure.RetryAfter)
+		t.Errorf("finished with %v, retry time %s", failure, failure.RetryAfter)
 	}
 	f.status(false, loaded("m2", 4))
-	f.expect(f.arrive("b", within(time.Second)), "dispatch b/1 to m2; ")
+	f.expect(f.arrive("b", withDeadline(time.Second)), "dispatch b/1 to m2; ")
 }
 
-// TestOtherRoutersAreToldOnce guards against a limit of which only one router knows, and against
-// one that each answer spreads anew.
+// TestLimitIsPublishedOnce guards against a limit that only one router knows, and against one that
+// is published again with each answer.
 func TestOtherRoutersAreToldOnce(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	told := 0
 	for _, rate := range []float64{2, 2, 2.1, 3, 3} {
-		for _, effect := range f.limited(rate) {
+		for _, effect := range f.reportLimit(rate) {
 			if _, tells := effect.(MachineLimitFound); tells {
 				told++
 			}
 		}
 	}
 	if told != 2 {
-		t.Errorf("told %d times, want when it is new and when it has changed", told)
+		t.Errorf("published %d times, want 2: when it is new and when it has changed", told)
 	}
 	f.step(MachineLimitTold{Machine: "m1", Notice: Notice{Limited: true, PerSecond: 8}})
-	for _, effect := range f.limited(8) {
+	for _, effect := range f.reportLimit(8) {
 		if _, tells := effect.(MachineLimitFound); tells {
-			t.Error("told on what another router told")
+			t.Error("published a limit that was received from another router")
 		}
 	}
 }
 
-// TestKeptAttemptLosesItsTurn guards against attempts that are kept for their time at an engine
-// and sent long after their turn, or at a machine that named a limit meanwhile.
+// TestHeldAttemptLosesItsTurn guards against held attempts that are sent long after their turn, or
+// to a machine that stated a limit meanwhile.
 func TestKeptAttemptLosesItsTurn(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
-	f.limited(1)
-	f.expect(f.placed("m1", 1, 0), "")
-	f.turn(true, 0)
-	f.expect(f.placed("m1", 2, 0), "dispatch a/2 to m1; ")
+	f.reportLimit(1)
+	f.expect(f.place("m1", 1, 0), "")
+	f.decideTurn(true, 0)
+	f.expect(f.place("m1", 2, 0), "dispatch a/2 to m1; ")
 
 	f = newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
-	f.limited(1)
+	f.reportLimit(1)
 	f.arrive("a", repeatable)
-	f.expect(f.turn(true, 0), "dispatch a/1 to m1; ")
-	f.now = f.now.Add(sendWithin + time.Millisecond)
-	f.expect(f.placed("m1", 1, 0), "")
+	f.expect(f.decideTurn(true, 0), "dispatch a/1 to m1; ")
+	f.now = f.now.Add(turnSendWindow + time.Millisecond)
+	f.expect(f.place("m1", 1, 0), "")
 }
 
-// TestTurnGoesBackWithItsAttempt guards against turns that are lost when an attempt goes to
-// another machine than its node had chosen.
+// TestTurnIsRestoredWhenAttemptMoves guards against turns that are lost when an attempt is placed
+// on another machine.
 func TestTurnGoesBackWithItsAttempt(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
-	f.limited(1)
+	f.reportLimit(1)
 	f.arrive("a", repeatable)
-	f.expect(f.turn(true, 0), "dispatch a/1 to m1; ")
+	f.expect(f.decideTurn(true, 0), "dispatch a/1 to m1; ")
 	f.status(false, loaded("m2", 4))
-	f.expect(f.placed("m2", 1, 0), "dispatch a/1 to m2; ")
+	f.expect(f.place("m2", 1, 0), "dispatch a/1 to m2; ")
 	f.step(MachineLeaving{Machine: cluster.MachineID("m2")})
 	f.expect(f.arrive("b", repeatable), "dispatch b/1 to m1; ")
 }
