--- a/routing/admission.go
+++ b/routing/admission.go
@@ -217,8 +217,8 @@
 	waiting.model.updateUnserved(r.nanos)
 	r.markDemandChanged(waiting.model)
 	end := min(waiting.deadline, r.nanos+waiting.queueBudget)
-	if hopeless := r.unstartableAt(waiting); hopeless > r.nanos {
-		end = min(end, hopeless)
+	if unstartable := r.unstartableAt(waiting); unstartable > r.nanos {
+		end = min(end, unstartable)
 	}
 	r.arm(&waiting.timer, end)
 }
--- a/routing/checker_defects_test.go
+++ b/routing/checker_defects_test.go
@@ -19,7 +19,7 @@
 
 // TestCheckerDetectsInjectedDefects guards against a checker that misses violations: it replays
 // logs with one violation each, and one without any.
-func TestCheckerFindsPlantedDefects(t *testing.T) {
+func TestCheckerDetectsInjectedDefects(t *testing.T) {
 	arrives := RequestArrived{Request: Request{ID: "a", Model: "chat", Deadline: start.Add(5 * time.Second)}}
 	dispatch := func(attempt cluster.Attempt) Dispatch {
 		return Dispatch{Request: "a", Attempt: attempt, Machine: "m1", Model: "chat"}
--- a/routing/checker_test.go
+++ b/routing/checker_test.go
@@ -13,16 +13,16 @@
 // checker verifies a log of events and effects without access to the router's state. Its method
 // observe returns the first violation.
 type checker struct {
-	config   Config
-	snapshot *settings.Snapshot
-	started  time.Time
-	draining bool
-	open     map[cluster.RequestID]*observedRequest
-	ended    map[cluster.RequestID]bool
-	leaving  map[cluster.MachineID]bool
-	zones    map[cluster.ZoneID]*observedZone
-	admitted map[cluster.ModelID]int
-	retried  map[cluster.ModelID]int
+	config     Config
+	snapshot   *settings.Snapshot
+	started    time.Time
+	draining   bool
+	unfinished map[cluster.RequestID]*observedRequest
+	ended      map[cluster.RequestID]bool
+	leaving    map[cluster.MachineID]bool
+	zones      map[cluster.ZoneID]*observedZone
+	admitted   map[cluster.ModelID]int
+	retried    map[cluster.ModelID]int
 	// limits holds the turns at machines with a rate limit.
 	limits map[cluster.MachineID]*observedLimit
 	// restUntil is the end of the machines' rest periods.
@@ -63,7 +63,7 @@
 func newChecker(config Config, started time.Time) *checker {
 	return &checker{
 		config: config.withDefaults(), started: started,
-		open: make(map[cluster.RequestID]*observedRequest), ended: make(map[cluster.RequestID]bool),
+		unfinished: make(map[cluster.RequestID]*observedRequest), ended: make(map[cluster.RequestID]bool),
 		leaving: make(map[cluster.MachineID]bool), zones: make(map[cluster.ZoneID]*observedZone),
 		limits: make(map[cluster.MachineID]*observedLimit), restUntil: make(map[cluster.MachineID]time.Time),
 		admitted: make(map[cluster.ModelID]int), retried: make(map[cluster.ModelID]int),
@@ -122,7 +122,7 @@
 	case RequestArrived:
 		c.arrive(now, event.Request)
 	case FirstByteSent:
-		if request := c.open[event.Request]; request != nil {
+		if request := c.unfinished[event.Request]; request != nil {
 			request.firstByteSent = true
 		}
 	case AttemptSilent:
@@ -155,19 +155,19 @@
 }
 
 func (c *checker) arrive(now time.Time, request Request) {
-	if c.open[request.ID] != nil {
+	if c.unfinished[request.ID] != nil {
 		return
 	}
 	opened := &observedRequest{request: request, deadline: request.Deadline, waitFrom: now}
 	if model := c.snapshot.Model(request.Model); request.Deadline.IsZero() && model != nil {
 		opened.deadline = now.Add(model.Policy.Deadline)
 	}
-	c.open[request.ID] = opened
+	c.unfinished[request.ID] = opened
 	c.admitted[request.Model]++
 }
 
 func (c *checker) attemptEnded(now time.Time, event AttemptEnded) cluster.RequestID {
-	request := c.open[event.Request]
+	request := c.unfinished[event.Request]
 	if request == nil || !request.running || request.attempt != event.Attempt || !now.Before(request.deadline) {
 		return ""
 	}
@@ -209,7 +209,7 @@
 }
 
 func (c *checker) dispatch(now time.Time, effect Dispatch) error {
-	request := c.open[effect.Request]
+	request := c.unfinished[effect.Request]
 	switch {
 	case request == nil:
 		return fmt.Errorf("%s dispatched, but it has not arrived or has finished", effect.Request)
@@ -242,8 +242,8 @@
 }
 
 // checkRetryBudget compares the retries with the most that requests and time can have credited.
-func (c *checker) checkRetryBudget(now time.Time, model cluster.ModelID, tries int) error {
-	if tries < 2 {
+func (c *checker) checkRetryBudget(now time.Time, model cluster.ModelID, attempts int) error {
+	if attempts < 2 {
 		return nil
 	}
 	c.retried[model]++
@@ -266,7 +266,7 @@
 }
 
 func (c *checker) cancel(effect CancelAttempt) error {
-	request := c.open[effect.Request]
+	request := c.unfinished[effect.Request]
 	if request == nil || !request.running || request.attempt != effect.Attempt || request.machine != effect.Machine {
 		return fmt.Errorf("cancellation of %s/%d on %s, which does not run", effect.Request, effect.Attempt, effect.Machine)
 	}
@@ -288,7 +288,7 @@
 }
 
 func (c *checker) finish(effect Finish, succeeded cluster.RequestID) error {
-	request := c.open[effect.Request]
+	request := c.unfinished[effect.Request]
 	switch {
 	case c.ended[effect.Request]:
 		return fmt.Errorf("%s finished twice", effect.Request)
@@ -303,7 +303,7 @@
 	case effect.Failure != nil && isRefusal(effect.Failure.Code) && effect.Failure.RetryAfter <= 0:
 		return fmt.Errorf("%s refused with %s without a retry time", effect.Request, effect.Failure.Code)
 	}
-	delete(c.open, effect.Request)
+	delete(c.unfinished, effect.Request)
 	c.ended[effect.Request] = true
 	return nil
 }
@@ -320,7 +320,7 @@
 
 // checkOpen checks that no request is kept longer than its deadline and queue time allow.
 func (c *checker) checkOpen(now time.Time) error {
-	for id, request := range c.open {
+	for id, request := range c.unfinished {
 		if !now.Before(request.deadline) {
 			return fmt.Errorf("%s is still open at its deadline", id)
 		}
--- a/routing/choice.go
+++ b/routing/choice.go
@@ -165,14 +165,14 @@
 	if cause := m.turns.blockCause(r.nanos); cause != "" {
 		return cause
 	}
-	taken := m.inFlight + m.reserved
-	if r.nanos < m.maxInFlightUntil && taken >= m.maxInFlight {
+	used := m.inFlight + m.reserved
+	if r.nanos < m.maxInFlightUntil && used >= m.maxInFlight {
 		return FilterRecent
 	}
-	if taken < r.slotShare(m) {
+	if used < r.slotShare(m) {
 		return ""
 	}
-	work := float64(taken)
+	work := float64(used)
 	if r.nanos < r.reportExpiry(m) {
 		work += m.otherWork
 	}
--- a/routing/choice_test.go
+++ b/routing/choice_test.go
@@ -12,7 +12,7 @@
 // TestChoicePrefersNearAndCachedReplicas guards against choices that ignore distance, cached
 // prefixes or reported load. Requests go one after another to three idle replicas in the same zone,
 // the same region and another region.
-func TestChoicePrefers(t *testing.T) {
+func TestChoicePrefersNearAndCachedReplicas(t *testing.T) {
 	zones := []cluster.ZoneID{"z1", "z2", "z3"}
 	prefixes := []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
 	for _, test := range []struct {
--- a/routing/herding_test.go
+++ b/routing/herding_test.go
@@ -125,7 +125,7 @@
 // TestBurstIsSpreadOverReplicas guards against herding: routers with the same view that all send a
 // burst to the same replicas. It compares random choice, two choices and choice by shares, both if
 // the reported work, a second old, has ended by now and if it still runs.
-func TestBurstDoesNotHerd(t *testing.T) {
+func TestBurstIsSpreadOverReplicas(t *testing.T) {
 	for _, s := range []burst{
 		{name: "nothing reported", slots: 64},
 		{name: "10 of 12 reported busy", slots: 64, reportedBusy: 10, reportedWork: 20},
--- a/routing/load_time_test.go
+++ b/routing/load_time_test.go
@@ -21,7 +21,7 @@
 // models stored only in the weight store: with loads of 13 to 20 s and callers that stay 7.6 of 8
 // s, all waited until they left. The refusal states when a load that begins now would end, and the
 // caller counts as demand until then.
-func TestHopelessRequestsAreRefusedAtOnce(t *testing.T) {
+func TestRequestThatNoLoadCanServeIsRefusedOnArrival(t *testing.T) {
 	f := newUnloadedFixture(t, 13*time.Second)
 	finish, ended := f.arrive("a", withObjective())[0].(Finish)
 	if !ended || finish.Failure.Verdict != verdict.NotRun || finish.Failure.Code != verdict.CodeDeadlineUnmeetable {
@@ -37,7 +37,7 @@
 
 // TestWaitingRequestIsRefusedOnceNoLoadCanServeIt guards against a request that waits longer than
 // any load could still serve it, and against the refusal of one whose load has begun in time.
-func TestRequestIsRefusedOnceItIsHopeless(t *testing.T) {
+func TestWaitingRequestIsRefusedOnceNoLoadCanServeIt(t *testing.T) {
 	f := newUnloadedFixture(t, 2*time.Second)
 	f.expect(f.arrive("a", withObjective()), "")
 	f.expect(f.advance(5500*time.Millisecond), "")
--- a/routing/notices.go
+++ b/routing/notices.go
@@ -15,7 +15,7 @@
 // Notice is what the headers of a machine's answer state about the machine.
 type Notice struct {
 	// Limited is set when the machine takes at most PerSecond requests per second from all routers
-	// together. An answer without a limit ends it.
+	// together. The limit holds until an answer to a request sent under it states none.
 	Limited   bool
 	PerSecond float64
 	// Leaving is set when the machine is leaving.
--- a/routing/placed_random_test.go
+++ b/routing/placed_random_test.go
@@ -179,7 +179,7 @@
 // TestRandomEventsKeepInvariantsOfPlacedAttempts guards against events during the wait for
 // placement that make the router send an attempt twice, after its deadline or to a leaving machine,
 // or report a request that was never sent as possibly run.
-func TestRandomEventsKeepThePromisesOfPlacedAttempts(t *testing.T) {
+func TestRandomEventsKeepInvariantsOfPlacedAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPlacementStateMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
--- a/routing/placed_test.go
+++ b/routing/placed_test.go
@@ -37,7 +37,7 @@
 // TestUnsentAttemptIsFinishedAsNotRun guards against a request that is reported as possibly run
 // though its attempt was never sent. Its caller may retry it, no attempt is to be cancelled, and
 // its content is not suspected when the machine ends.
-func TestUnsentAttemptDidNotRun(t *testing.T) {
+func TestUnsentAttemptIsFinishedAsNotRun(t *testing.T) {
 	content := poison.Fingerprint{1}
 	for _, test := range []struct {
 		name string
@@ -63,7 +63,7 @@
 
 // TestHeldRouterDoesNotSendPlacedAttempt guards against sending by outdated knowledge of machines:
 // an attempt that is placed during a hold waits like all others.
-func TestHeldRouterSendsNothing(t *testing.T) {
+func TestHeldRouterDoesNotSendPlacedAttempt(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
@@ -75,7 +75,7 @@
 
 // TestMachineWithoutModelIsNotBackedOff guards against a back-off of a machine that unloaded the
 // model before the attempt was sent: it never got the attempt, and still serves its other models.
-func TestMachineThatGaveTheModelUpIsNotBlamed(t *testing.T) {
+func TestMachineWithoutModelIsNotBackedOff(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
@@ -94,7 +94,7 @@
 
 // TestSecondPlacementIsIgnored guards against a second AttemptPlaced that sends a running attempt
 // again.
-func TestPlacedOnce(t *testing.T) {
+func TestSecondPlacementIsIgnored(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
 	f.arrive("a", repeatable)
@@ -104,7 +104,7 @@
 
 // TestPrefillIsCountedOnceAcrossRetries guards against counting a prompt twice in the demand when
 // it is sent again because the first machine could not be reached.
-func TestReadingIsCountedOnce(t *testing.T) {
+func TestPrefillIsCountedOnceAcrossRetries(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
 	f.arrive("a", repeatable, func(r *Request) { r.PromptTokens = 9000 })
@@ -121,7 +121,7 @@
 // TestMovedAttemptRemovesOnlyItsOwnDispatch guards against an attempt that is placed on another
 // machine and removes dispatch times of other attempts from the first machine, so that its next
 // load report is misread.
-func TestMovedAttemptLeavesOthersAlone(t *testing.T) {
+func TestMovedAttemptRemovesOnlyItsOwnDispatch(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
@@ -149,7 +149,7 @@
 
 // TestWithdrawnAttemptFreesItsSlot guards against a withdrawn attempt whose slot stays unused while
 // another request waits for the machine.
-func TestWithdrawnAttemptGivesItsRoom(t *testing.T) {
+func TestWithdrawnAttemptFreesItsSlot(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 1))
 	f.arrive("a", repeatable)
--- a/routing/poisoned_test.go
+++ b/routing/poisoned_test.go
@@ -12,7 +12,7 @@
 
 // TestEndOfLeavingMachineConvictsNoRequest guards against the conviction of a request whose machine
 // ended as planned after it announced that it was leaving.
-func TestMachinesThatLeaveConvictNobody(t *testing.T) {
+func TestEndOfLeavingMachineConvictsNoRequest(t *testing.T) {
 	content := poison.Fingerprint{7}
 	for name, leaves := range map[string]bool{"leaving": true, "ended": false} {
 		router := New(Config{}, 1)
@@ -41,7 +41,7 @@
 
 // TestPoisonTestsRunOneAtATime guards against the conviction of an innocent request because the
 // machine on which it is tested ends under a harmful one tested at the same time.
-func TestTrialsRunOneByOne(t *testing.T) {
+func TestPoisonTestsRunOneAtATime(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	harmful, innocent := poison.Fingerprint{1}, poison.Fingerprint{2}
--- a/routing/prefixes_test.go
+++ b/routing/prefixes_test.go
@@ -20,7 +20,7 @@
 
 // TestOnlyPromptsReadByEngineArePublished guards against publishing a prompt that an engine refused
 // and thus did not cache. Only the machine that began to answer it is published.
-func TestOnlyReadPromptsAreTold(t *testing.T) {
+func TestOnlyPromptsReadByEngineArePublished(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
 	refusing := f.arrive("a", func(r *Request) { r.Prefixes = longPrompt })[0].(Dispatch).Machine
@@ -41,7 +41,7 @@
 
 // TestPublishedPrefixesDirectRequests guards against requests that ignore prefixes published by
 // other routers, or that follow those that are late, wrong or outdated.
-func TestToldPrefixes(t *testing.T) {
+func TestPublishedPrefixesDirectRequests(t *testing.T) {
 	const others = 11
 	for _, test := range []struct {
 		name  string
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -86,7 +86,7 @@
 		request.Deadline = m.now.Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "deadline")) * time.Millisecond)
 	}
 	m.step(RequestArrived{Request: request})
-	if m.checker.open[request.ID] != nil && rapid.IntRange(0, 9).Draw(t, "duplicate") == 0 {
+	if m.checker.unfinished[request.ID] != nil && rapid.IntRange(0, 9).Draw(t, "duplicate") == 0 {
 		m.step(RequestArrived{Request: request})
 	}
 }
@@ -230,12 +230,12 @@
 
 // check compares the router's internal state with the checker's log.
 func (m *routerStateMachine) check(t *rapid.T) {
-	if m.router.InFlight() != len(m.checker.open) {
-		t.Fatalf("%d requests in flight, want %d", m.router.InFlight(), len(m.checker.open))
+	if m.router.InFlight() != len(m.checker.unfinished) {
+		t.Fatalf("%d requests in flight, want %d", m.router.InFlight(), len(m.checker.unfinished))
 	}
 	running := make(map[cluster.MachineID]int)
 	waiting := 0
-	for _, request := range m.checker.open {
+	for _, request := range m.checker.unfinished {
 		if request.running {
 			running[request.machine]++
 		} else {
@@ -250,8 +250,8 @@
 			t.Fatalf("%d requests in flight on %s, want %d", m.router.machines[id].inFlight, id, count)
 		}
 	}
-	if len(m.checker.open) > testScope.MaxConcurrency/2 {
-		t.Fatalf("%d requests admitted, this router's share is %d", len(m.checker.open), testScope.MaxConcurrency/2)
+	if len(m.checker.unfinished) > testScope.MaxConcurrency/2 {
+		t.Fatalf("%d requests admitted, this router's share is %d", len(m.checker.unfinished), testScope.MaxConcurrency/2)
 	}
 	m.checkQueues(t)
 	m.checkStartable(t)
@@ -288,7 +288,7 @@
 			}
 		}
 	}
-	if next, due := m.router.NextDeadline(); len(m.checker.open) > 0 && !due {
+	if next, due := m.router.NextDeadline(); len(m.checker.unfinished) > 0 && !due {
 		t.Fatalf("requests are open without a timer")
 	} else if due && !next.After(m.now) {
 		t.Fatalf("a timer at %v is overdue", next)
@@ -297,7 +297,7 @@
 
 // TestRandomEventsKeepInvariants guards against any order of events, late, repeated or missing,
 // that makes the router break an invariant or lose a request.
-func TestRandomEventsKeepThePromises(t *testing.T) {
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRouterStateMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -307,14 +307,14 @@
 		})
 		m.now = m.now.Add(time.Hour)
 		m.step(Tick{})
-		if m.router.InFlight() != 0 || len(m.checker.open) != 0 {
-			t.Fatalf("%d requests never finished", len(m.checker.open))
+		if m.router.InFlight() != 0 || len(m.checker.unfinished) != 0 {
+			t.Fatalf("%d requests never finished", len(m.checker.unfinished))
 		}
 	})
 }
 
 // TestSameSeedGivesSameEffects guards against effects that depend on the iteration order of maps.
-func TestSameSeedSameEffects(t *testing.T) {
+func TestSameSeedGivesSameEffects(t *testing.T) {
 	run := func() string {
 		return rapid.Custom(func(t *rapid.T) string {
 			m := newRouterStateMachine(t)
--- a/routing/refusal_test.go
+++ b/routing/refusal_test.go
@@ -93,7 +93,7 @@
 // TestBurstAgainstFullEnginesBoundsRefusals guards against back-offs that are too short, which
 // cause many refusals, or too long, which leave slots unused. 400 requests of 1 s at 12 engines
 // with 4 slots take at least 9 rounds.
-func TestBurstAgainstFullEngines(t *testing.T) {
+func TestBurstAgainstFullEnginesBoundsRefusals(t *testing.T) {
 	const slots, best = 4, 9 * simulatedService
 	for _, senders := range []int{1, burstRouters} {
 		t.Run(fmt.Sprint("senders ", senders), func(t *testing.T) {
--- a/routing/restarts_test.go
+++ b/routing/restarts_test.go
@@ -14,8 +14,8 @@
 
 // TestRestAppliesToRestartedMachine guards against requests to a machine that asked for rest before
 // its restart was known, or in an answer that arrived just after.
-func TestRestCountsForLaterStart(t *testing.T) {
-	for name, play := range map[string]func(*fixture){
+func TestRestAppliesToRestartedMachine(t *testing.T) {
+	for name, report := range map[string]func(*fixture){
 		"rest before the restart is known": func(f *fixture) {
 			f.reportRest(3 * time.Second)
 			f.restart()
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, testPolicy())
 			f.status(true, loaded("m1", 4))
-			play(f)
+			report(f)
 			f.expect(f.arrive("a"), "")
 			f.expect(f.advance(2999*time.Millisecond), "")
 			f.expect(f.advance(time.Millisecond), "dispatch a/1 to m2; ")
@@ -40,7 +40,7 @@
 // TestLimitAppliesToRestartedMachine guards against requests without a turn to a machine that
 // stated a limit before its restart was known, and against a limit that outlasts the first answer
 // without it.
-func TestLimitCountsForLaterStart(t *testing.T) {
+func TestLimitAppliesToRestartedMachine(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	f.reportLimit(1)
@@ -54,7 +54,7 @@
 
 // TestOldNoticesDoNotApplyToRestartedMachine guards against a restarted machine that gets no
 // requests because its previous start was leaving, or because of older notices.
-func TestEarlierStartLeavesItsPast(t *testing.T) {
+func TestOldNoticesDoNotApplyToRestartedMachine(t *testing.T) {
 	for name, notice := range map[string]Notice{
 		"leaving": {Leaving: true}, "rest": {Rest: time.Minute}, "limit": {Limited: true, PerSecond: 0},
 	} {
--- a/routing/retries_test.go
+++ b/routing/retries_test.go
@@ -23,7 +23,7 @@
 
 // TestWindowBudgetCountsResends guards against resends after an engine's refusal that the budget
 // doesn't count, and against retries that are not available again after the window.
-func TestWindowBudgetCountsRefusedSends(t *testing.T) {
+func TestWindowBudgetCountsResends(t *testing.T) {
 	f := newWindowFixture(t, 2)
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
 	refuse := func(attempt cluster.Attempt) string {
@@ -54,7 +54,7 @@
 
 // TestWindowBudgetBoundsEveryWindow guards against a sequence of requests and retries with a window
 // that exceeds the budget.
-func TestWindowBudgetHolds(t *testing.T) {
+func TestWindowBudgetBoundsEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 6}
 		routers := rapid.IntRange(1, 4).Draw(t, "routers")
@@ -92,7 +92,7 @@
 
 // TestUnreachedAttemptIsNotCounted guards against attempts without a connection, of which nothing
 // was sent, that use up the request's attempts or the budget.
-func TestUnreachedAttemptCostsNothing(t *testing.T) {
+func TestUnreachedAttemptIsNotCounted(t *testing.T) {
 	f := newWindowFixture(t, 0)
 	f.status(true, loaded("m1", 4), loaded("m2", 4), loaded("m3", 4))
 	f.arrive("a", func(r *Request) { r.Attempts = 1 })
@@ -109,7 +109,7 @@
 
 // TestRequestAttemptsOverridePolicy guards against a request's own bound on attempts that is
 // ignored in favour of the policy's.
-func TestAttemptsOfTheRequest(t *testing.T) {
+func TestRequestAttemptsOverridePolicy(t *testing.T) {
 	f := newWindowFixture(t, 10)
 	f.status(true, loaded("m1", 4), loaded("m2", 4), loaded("m3", 4))
 	effects := f.arrive("a", repeatable, func(r *Request) { r.Attempts = 2 })
@@ -125,7 +125,7 @@
 
 // TestOnlyResumableAnswerContinuesAfterFirstByte guards against a cut answer that is not continued
 // although it could be, or that is restarted although it couldn't.
-func TestResumableGoesOnAfterItsFirstByte(t *testing.T) {
+func TestOnlyResumableAnswerContinuesAfterFirstByte(t *testing.T) {
 	f := newWindowFixture(t, 10)
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
 	f.arrive("a", repeatable, func(r *Request) { r.Attempts, r.Resumable = 2, true })
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -122,7 +122,7 @@
 
 // TestRequestWaitsForColdStart guards against a request that is not dispatched when its model's
 // load ends, and against a repeated outcome that has an effect.
-func TestColdStartThenServe(t *testing.T) {
+func TestRequestWaitsForColdStart(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.expect(f.arrive("a"), "")
 	f.expect(f.status(true, loading("m1", 3*time.Second)), "")
@@ -138,7 +138,7 @@
 // TestRetryDependsOnVerdict guards against retries of requests that may have run and are not
 // repeatable, or whose answer has begun, and against requests that are not retried although they
 // may be.
-func TestRetryByVerdict(t *testing.T) {
+func TestRetryDependsOnVerdict(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4), loaded("m2", 4))
 	for _, test := range []struct {
@@ -179,7 +179,7 @@
 
 // TestFailureAfterLastRetryCoversAllAttempts guards against a final verdict that ignores an earlier
 // attempt which may have run.
-func TestRetryAttemptsAndTruthfulVerdict(t *testing.T) {
+func TestFailureAfterLastRetryCoversAllAttempts(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4), loaded("m2", 4), loaded("m3", 4))
 	f.arrive("a", repeatable)
@@ -193,7 +193,7 @@
 
 // TestRetryBudgetBoundsRetries guards against retries that multiply the load when every request
 // fails.
-func TestRetryBudget(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.router.config.RetryReserve = 2
 	f.status(true, loaded("m1", 100), loaded("m2", 100))
@@ -224,7 +224,7 @@
 
 // TestQueueBoundsAndTimeouts guards against queues that exceed their length or bytes, and against
 // requests that wait past their queue time or deadline.
-func TestQueueBoundsAndTimes(t *testing.T) {
+func TestQueueBoundsAndTimeouts(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	for _, id := range []cluster.RequestID{"a", "b", "c", "d"} {
 		f.expect(f.arrive(id), "")
@@ -246,7 +246,7 @@
 
 // TestDeadlineCancelsRunningAttempt guards against an attempt that holds its slot past its
 // request's deadline while others wait.
-func TestDeadlineWhileRunning(t *testing.T) {
+func TestDeadlineCancelsRunningAttempt(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 1))
 	f.arrive("a", withDeadline(time.Second))
@@ -271,7 +271,7 @@
 
 // TestRefusedCallersCountAsDemand guards against a model that refuses all its callers because they
 // cannot wait for its load, and is therefore never loaded.
-func TestRefusedCallersCauseTheLoad(t *testing.T) {
+func TestRefusedCallersCountAsDemand(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loading("m1", 30*time.Second))
 	f.advance(30 * time.Second)
@@ -299,7 +299,7 @@
 
 // TestDrainRefusesWaitingAndNewRequests guards against a draining node that keeps requests which
 // another node could serve, or cuts running ones.
-func TestDrain(t *testing.T) {
+func TestDrainRefusesWaitingAndNewRequests(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 1))
 	f.arrive("a")
@@ -314,7 +314,7 @@
 
 // TestLeavingMachineGetsNoRequests guards against requests to a machine that announced that it is
 // leaving, or whose status says so.
-func TestLeavingMachineGetsNothing(t *testing.T) {
+func TestLeavingMachineGetsNoRequests(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.step(MachineLeaving{Machine: "m1"})
 	f.expect(f.status(true, loaded("m1", 4)), "")
@@ -328,7 +328,7 @@
 
 // TestOldStatusesAreIgnored guards against late and duplicate statuses or those of a former lease
 // holder that revert newer ones, and against missed statuses that are not requested.
-func TestStatusOrder(t *testing.T) {
+func TestOldStatusesAreIgnored(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	gone := loaded("m1", 4)
 	gone.State = cluster.ReplicaAbsent
@@ -359,7 +359,7 @@
 
 // TestRefusedRequestWaitsForMachine guards against requests that are resent at once to a machine
 // that is full or does not hold the model, or that are never resent.
-func TestEngineFullAndModelMissing(t *testing.T) {
+func TestRefusedRequestWaitsForMachine(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	f.arrive("a")
@@ -372,7 +372,7 @@
 
 // TestDemandReportsChangedModels guards against demand reports that miss changes or repeat
 // unchanged models.
-func TestDemandDeltas(t *testing.T) {
+func TestDemandReportsChangedModels(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.arrive("a")
 	f.now = f.now.Add(time.Second)
@@ -409,7 +409,7 @@
 
 // TestLimitRefusalNamesItsSource guards against refusals that don't name the setting and the scope
 // that caused them.
-func TestLimitNamesItsSource(t *testing.T) {
+func TestLimitRefusalNamesItsSource(t *testing.T) {
 	f := newFixture(t, testPolicy(), settings.Scope{Path: "/dental", RequestsPerSecond: 1})
 	f.arrive("a")
 	finish := f.arrive("b")[0].(Finish)
@@ -424,7 +424,7 @@
 
 // TestLostRoutersKeepTheirShareOfLimits guards against exceeding a limit by taking over the share
 // of routers that are only partitioned from this one.
-func TestLostRoutersKeepTheirPartOfLimits(t *testing.T) {
+func TestLostRoutersKeepTheirShareOfLimits(t *testing.T) {
 	f := newFixture(t, testPolicy(), settings.Scope{Path: "/dental", MaxConcurrency: 4})
 	f.step(RoutersChanged{Routers: 4})
 	f.step(RoutersChanged{Routers: 1})
--- a/routing/silence_test.go
+++ b/routing/silent_attempts_test.go
@@ -17,7 +17,7 @@
 
 // TestSilentAttemptMovesOnce guards against a silent attempt that is not moved to a machine with
 // room, or is moved or paid for twice.
-func TestSilentAttemptMoves(t *testing.T) {
+func TestSilentAttemptMovesOnce(t *testing.T) {
 	f := newWindowFixture(t, 1)
 	f.status(true, loaded("m1", 4))
 	f.expect(f.arrive("a", repeatable), "dispatch a/1 to m1; ")
@@ -30,7 +30,7 @@
 
 // TestSilentAttemptGoesOnIfItMayNotMove guards against the cancellation of a silent attempt whose
 // end would end the request or run it twice.
-func TestSilentAttemptGoesOn(t *testing.T) {
+func TestSilentAttemptGoesOnIfItMayNotMove(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		budget  float64
@@ -61,7 +61,7 @@
 }
 
 // TestFullMachineIsNoMoveTarget guards against a move to a machine without a free slot.
-func TestFullMachinesAreNoSuccessors(t *testing.T) {
+func TestFullMachineIsNoMoveTarget(t *testing.T) {
 	f := newWindowFixture(t, 9)
 	f.status(true, loaded("m1", 1))
 	f.expect(f.arrive("a", repeatable), "dispatch a/1 to m1; ")
@@ -74,7 +74,7 @@
 
 // TestMoveIsDroppedWhenNoLongerNeeded guards against sending a request to another machine after its
 // caller left or its answer began, although the retry was paid for.
-func TestMoveEndsWithItsReason(t *testing.T) {
+func TestMoveIsDroppedWhenNoLongerNeeded(t *testing.T) {
 	begin := func(f *fixture) { f.step(FirstByteSent{Request: "a"}) }
 	for _, test := range []struct {
 		code   verdict.Code
@@ -96,7 +96,7 @@
 
 // TestSlotIsReservedForMove guards against giving the reserved slot to another request during the
 // cancellation, and against a slot that stays reserved when the move is dropped.
-func TestRoomIsKeptForAMove(t *testing.T) {
+func TestSlotIsReservedForMove(t *testing.T) {
 	f := newWindowFixture(t, 9)
 	f.status(true, loaded("m1", 1))
 	f.expect(f.arrive("a", repeatable), "dispatch a/1 to m1; ")
@@ -116,7 +116,7 @@
 
 // TestUnusedMoveIsRefunded guards against a retry budget that loses a retry when the silent attempt
 // succeeds after all.
-func TestUnusedMoveIsNotPaid(t *testing.T) {
+func TestUnusedMoveIsRefunded(t *testing.T) {
 	f := newWindowFixture(t, 1)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
@@ -135,7 +135,7 @@
 
 // TestNoMoveWithoutTimeLeftOrWhileDraining guards against the move of a request with too little
 // time for another attempt, or on a draining node.
-func TestNoMoveWithoutTime(t *testing.T) {
+func TestNoMoveWithoutTimeLeftOrWhileDraining(t *testing.T) {
 	objective := func(r *Request) { r.Repeatable, r.Objective, r.Deadline = true, time.Second, start.Add(10*time.Second) }
 	f := newWindowFixture(t, 9)
 	f.status(true, loaded("m1", 4))
--- a/routing/start_estimate.go
+++ b/routing/start_estimate.go
@@ -82,8 +82,8 @@
 	if model.queue.Len() < 2 || waiting.firstByteSent || r.nanos <= waiting.latestTimelyStart() {
 		return false
 	}
-	places := r.freeSlots(model)
-	return places > 0 && places < model.queue.Len()
+	slots := r.freeSlots(model)
+	return slots > 0 && slots < model.queue.Len()
 }
 
 // freeSlots returns the number of requests that the model's replicas would take now.
--- a/routing/start_estimate_test.go
+++ b/routing/start_estimate_test.go
@@ -30,7 +30,7 @@
 
 // TestRequestWaitsForLoadWithinPatience guards against refusing a request whose load ends after its
 // objective but while its caller still waits, and against keeping one whose caller will have left.
-func TestLateAnswerIsBetterThanNone(t *testing.T) {
+func TestRequestWaitsForLoadWithinPatience(t *testing.T) {
 	for name, test := range map[string]struct {
 		ready   time.Duration
 		change  func(*Request)
@@ -59,7 +59,7 @@
 
 // TestRefusalStatesEndOfLoad guards against refused callers that are not told when the model is
 // expected, or that don't count as waiting until then.
-func TestRefusalSaysWhen(t *testing.T) {
+func TestRefusalStatesEndOfLoad(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loading("m1", 9*time.Second))
 	finish := f.arrive("a", withObjective())[0].(Finish)
@@ -74,7 +74,7 @@
 
 // TestWaitingRequestIsRefusedWhenLoadEndsAfterPatience guards against a waiting request that is
 // kept although the load is now known to end after its caller's patience, whatever the objective.
-func TestWaitIsJudgedByWhatIsLeft(t *testing.T) {
+func TestWaitingRequestIsRefusedWhenLoadEndsAfterPatience(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.arrive("a", withObjective())
 	f.advance(5 * time.Second)
@@ -84,7 +84,7 @@
 
 // TestReturnedCallerGoesFirst guards against a refused caller that returns at the stated time and
 // is served after those that arrived while it was away.
-func TestReturnedCallerKeepsItsTurn(t *testing.T) {
+func TestReturnedCallerGoesFirst(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loading("m1", 9*time.Second))
 	f.expect(f.arrive("a", withObjective()), "finish a deadline_unmeetable not-run; ")
@@ -98,7 +98,7 @@
 
 // TestRetryTimesFollowFreeSlots guards against retry times out of the order of arrival, and against
 // more callers told to return at a time than the loading replica then has free slots.
-func TestToldTimesAreTurns(t *testing.T) {
+func TestRetryTimesFollowFreeSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "slots")
 		routers := rapid.IntRange(1, 4).Draw(t, "routers")
@@ -119,20 +119,20 @@
 			if !ended || finish.Failure.Verdict != verdict.NotRun {
 				t.Fatalf("got %+v, want a refusal with verdict NotRun", finish)
 			}
-			told := now.Add(finish.Failure.RetryAfter)
+			retryAt := now.Add(finish.Failure.RetryAfter)
 			place := i*routers + rank + 1
-			room := slots + int(math.Ceil(told.Sub(ready).Seconds()*float64(slots)/router.config.DefaultService.Seconds()-1e-6))
-			if told.Before(last) || place > room || place < room-1 && told.After(ready) {
-				t.Fatalf("caller %d, position %d of %d slots, is told to retry %v after the load, the one before %v", i, place, room, told.Sub(ready), last.Sub(ready))
+			room := slots + int(math.Ceil(retryAt.Sub(ready).Seconds()*float64(slots)/router.config.DefaultService.Seconds()-1e-6))
+			if retryAt.Before(last) || place > room || place < room-1 && retryAt.After(ready) {
+				t.Fatalf("caller %d, position %d of %d slots, is told to retry %v after the load, the one before %v", i, place, room, retryAt.Sub(ready), last.Sub(ready))
 			}
-			last = told
+			last = retryAt
 		}
 	})
 }
 
 // TestReturnedCallersAreServedInOrderOfArrival guards against refused callers that return earlier
 // or later than stated and are not served in the order in which they first arrived.
-func TestReturnsAreServedInOrder(t *testing.T) {
+func TestReturnedCallersAreServedInOrderOfArrival(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := testPolicy()
 		policy.QueueLength, policy.QueueBytes, policy.QueueTime = 100, 1<<20, time.Hour
@@ -180,7 +180,7 @@
 
 // TestRefusedRequestsDoNotDelayOthers guards against refusing a request because of others before it
 // that are themselves refused when a load is late.
-func TestRefusedMakeRoom(t *testing.T) {
+func TestRefusedRequestsDoNotDelayOthers(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 1))
 	f.arrive("served")
@@ -215,7 +215,7 @@
 
 // TestRefusalUsesIntervalBetweenStarts guards against a request that waits although its turn, at
 // the mean interval between starts, comes too late. Only requests that go before it count as ahead.
-func TestCrowdIsForetoldByItsPace(t *testing.T) {
+func TestRefusalUsesIntervalBetweenStarts(t *testing.T) {
 	soon := func(f *fixture, d time.Duration) func(*Request) {
 		return func(r *Request) { r.Deadline = f.now.Add(d) }
 	}
@@ -232,7 +232,7 @@
 
 // TestLateRequestIsShedWhenOthersWait guards against a request that would not end by its deadline
 // and takes the slot of one that would. It runs if no other waits.
-func TestHopelessGivesWay(t *testing.T) {
+func TestLateRequestIsShedWhenOthersWait(t *testing.T) {
 	for others, want := range []string{"finish r2; dispatch short/1 to m1; ", "finish r2; finish short deadline_unmeetable not-run; dispatch w0/1 to m1; "} {
 		f := newFullFixture(t, others)
 		f.expect(f.arrive("short", func(r *Request) { r.Deadline = f.now.Add(1400 * time.Millisecond) }), "")
@@ -243,7 +243,7 @@
 
 // TestLateRequestIsKeptWhenSlotsSuffice guards against shedding a late request when there are slots
 // for all that wait, or when the model isn't loaded.
-func TestNobodyGivesWayWithoutNeed(t *testing.T) {
+func TestLateRequestIsKeptWhenSlotsSuffice(t *testing.T) {
 	f := newFullFixture(t, 0)
 	f.step(AttemptEnded{Request: "r2", Attempt: 1})
 	f.status(true)
@@ -256,7 +256,7 @@
 
 // TestFailedReplicaIsNotFull guards against refusing requests by their time to end while the only
 // replica is in back-off after a failure: when it is tried again there may be slots for all.
-func TestFailedReplicaIsNoCrowd(t *testing.T) {
+func TestFailedReplicaIsNotFull(t *testing.T) {
 	f := newFullFixture(t, 0)
 	f.step(AttemptEnded{Request: "r2", Attempt: 1})
 	f.status(false, loaded("m1", 4))
@@ -268,7 +268,7 @@
 
 // TestBegunAnswerIsNotShed guards against shedding a stream that is to be continued after its first
 // events, however little time is left.
-func TestBegunAnswerDoesNotGiveWay(t *testing.T) {
+func TestBegunAnswerIsNotShed(t *testing.T) {
 	f := newFullFixture(t, 0)
 	f.step(AttemptEnded{Request: "r2", Attempt: 1})
 	resumable := func(r *Request) { r.Resumable, r.Repeatable, r.Deadline = true, true, f.now.Add(1400*time.Millisecond) }
@@ -283,7 +283,7 @@
 // TestStallRefusesNoRequest guards against refusing requests while none of the waiting ones starts:
 // they are served when the stall ends. One that gives up is told to retry after the time that the
 // stall has lasted.
-func TestStallRefusesNobody(t *testing.T) {
+func TestStallRefusesNoRequest(t *testing.T) {
 	f := newFullFixture(t, 1)
 	f.advance(5 * time.Second)
 	f.expect(f.arrive("a", withPatience(4*time.Second)), "")
@@ -296,7 +296,7 @@
 // TestRetryTimeIncludesMeanLoadTimeOfKind guards against a retry time that ignores how long no load
 // has begun and how long loads of other models of the kind took, and against refusals because of
 // them.
-func TestTypicalLoadTimeIsTold(t *testing.T) {
+func TestRetryTimeIncludesMeanLoadTimeOfKind(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.step(SettingsChanged{Snapshot: snapshotOf(testModels)})
 	f.status(true, loading("m1", 3*time.Second))
@@ -322,7 +322,7 @@
 // TestRetryTimeIncludesExpectedLoadTime guards against ignoring a load time of 4 s that another
 // model's controller expects before that load has ended. All callers of a model that is not loading
 // get the same retry time, since the slots of its replica are not known.
-func TestExpectedLoadTimeIsTold(t *testing.T) {
+func TestRetryTimeIncludesExpectedLoadTime(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.step(SettingsChanged{Snapshot: snapshotOf(testModels)})
 	f.status(true, loading("m1", 4*time.Second))
@@ -340,7 +340,7 @@
 // TestOnlyShortestLoadTimeRefuses guards against refusing a request for a model that is not
 // loading, unless even the shortest load observed would end too late. The retry time is based on
 // the mean.
-func TestOnlyKnownTimesRefuse(t *testing.T) {
+func TestOnlyShortestLoadTimeRefuses(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	for _, took := range []time.Duration{8 * time.Second, 2 * time.Second} {
 		f.status(true, loading("m1", took))
@@ -357,20 +357,20 @@
 
 // TestUrgentCallersAreToldToReturnFirst guards against an urgent caller whose retry time comes
 // after those of less urgent callers that were refused before it.
-func TestUrgentCallersReturnFirst(t *testing.T) {
+func TestUrgentCallersAreToldToReturnFirst(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.step(RoutersChanged{Routers: 1})
 	record := loading("m1", 20*time.Second)
 	record.Slots = 1
 	f.status(true, record)
-	told := func(id cluster.RequestID, priority int) time.Duration {
+	retryTime := func(id cluster.RequestID, priority int) time.Duration {
 		return f.arrive(id, withDeadline(time.Second), func(r *Request) { r.Priority = priority })[0].(Finish).Failure.RetryAfter
 	}
 	for i, test := range []struct {
 		priority int
 		want     time.Duration
 	}{{3, 20 * time.Second}, {3, 21 * time.Second}, {3, 22 * time.Second}, {7, 20 * time.Second}, {7, 21 * time.Second}, {3, 25 * time.Second}} {
-		if got := told(cluster.RequestID(fmt.Sprint(i)), test.priority); got != test.want {
+		if got := retryTime(cluster.RequestID(fmt.Sprint(i)), test.priority); got != test.want {
 			t.Fatalf("caller %d is told to retry after %v, want %v", i, got, test.want)
 		}
 	}
@@ -378,29 +378,29 @@
 
 // TestEarlyRetriesDelayNoOtherCaller guards against a caller that ignores its retry time and
 // retries at once, and counts several times among those expected back.
-func TestRetriesAtOnceDelayNobody(t *testing.T) {
+func TestEarlyRetriesDelayNoOtherCaller(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.step(RoutersChanged{Routers: 1})
 	record := loading("m1", 20*time.Second)
 	record.Slots = 1
 	f.status(true, record)
-	told := func(id cluster.RequestID, back bool) time.Duration {
+	retryTime := func(id cluster.RequestID, back bool) time.Duration {
 		return f.arrive(id, withDeadline(time.Second), func(r *Request) { r.Returned = back })[0].(Finish).Failure.RetryAfter
 	}
-	first := told("a", false)
+	first := retryTime("a", false)
 	for i := range 50 {
-		if again := told(cluster.RequestID(fmt.Sprint("a", i)), true); again != first {
+		if again := retryTime(cluster.RequestID(fmt.Sprint("a", i)), true); again != first {
 			t.Fatalf("attempt %d is told to retry after %v, the first after %v", i, again, first)
 		}
 	}
-	if second := told("b", false); second != first+time.Second {
+	if second := retryTime("b", false); second != first+time.Second {
 		t.Fatalf("the second caller is told to retry after %v, want one second more than %v", second, first)
 	}
 }
 
 // TestWaitEndsBeforePatience guards against a caller that leaves without having been told when to
 // retry.
-func TestWaitEndsWithPatience(t *testing.T) {
+func TestWaitEndsBeforePatience(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.arrive("a", withObjective(withPatience(4*time.Second)))
 	f.expect(f.advance(3700*time.Millisecond), "")
--- a/routing/turns_test.go
+++ b/routing/turns_test.go
@@ -107,7 +107,7 @@
 // TestLeavingNoticeOverridesLaterStatus guards against requests to a machine whose answer stated
 // that it is leaving, when its cell's status, which is based on older information, lists it as
 // staying.
-func TestLeavingThatAnAnswerToldStays(t *testing.T) {
+func TestLeavingNoticeOverridesLaterStatus(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
@@ -132,7 +132,7 @@
 
 // TestRestingMachineGetsNoRequests guards against new requests, retries and held attempts that are
 // sent to a machine during its rest period. The latest end of a rest period counts.
-func TestMachineGetsTheRestThatItWants(t *testing.T) {
+func TestRestingMachineGetsNoRequests(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
@@ -146,7 +146,7 @@
 
 // TestRetryTimeCoversRestPeriod guards against callers that are kept until they leave while all
 // machines rest, or told to retry before the rest period is over.
-func TestCallersAreToldOfTheRest(t *testing.T) {
+func TestRetryTimeCoversRestPeriod(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	f.step(MachineHeard{Machine: "m1", Notice: Notice{Limited: true, PerSecond: 1}})
@@ -161,19 +161,19 @@
 
 // TestLimitIsPublishedOnce guards against a limit that only one router knows, and against one that
 // is published again with each answer.
-func TestOtherRoutersAreToldOnce(t *testing.T) {
+func TestLimitIsPublishedOnce(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
-	told := 0
+	publications := 0
 	for _, rate := range []float64{2, 2, 2.1, 3, 3} {
 		for _, effect := range f.reportLimit(rate) {
 			if _, tells := effect.(MachineLimitFound); tells {
-				told++
+				publications++
 			}
 		}
 	}
-	if told != 2 {
-		t.Errorf("published %d times, want 2: when it is new and when it has changed", told)
+	if publications != 2 {
+		t.Errorf("published %d times, want 2: when it is new and when it has changed", publications)
 	}
 	f.step(MachineLimitTold{Machine: "m1", Notice: Notice{Limited: true, PerSecond: 8}})
 	for _, effect := range f.reportLimit(8) {
@@ -185,7 +185,7 @@
 
 // TestHeldAttemptLosesItsTurn guards against held attempts that are sent long after their turn, or
 // to a machine that stated a limit meanwhile.
-func TestKeptAttemptLosesItsTurn(t *testing.T) {
+func TestHeldAttemptLosesItsTurn(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
@@ -205,7 +205,7 @@
 
 // TestTurnIsRestoredWhenAttemptMoves guards against turns that are lost when an attempt is placed
 // on another machine.
-func TestTurnGoesBackWithItsAttempt(t *testing.T) {
+func TestTurnIsRestoredWhenAttemptMoves(t *testing.T) {
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.reportLimit(1)
