--- a/fleet/core.go
+++ b/fleet/core.go
@@ -257,7 +257,7 @@
 	case wire.MachineLimit:
 		c.pacer.told(&m)
 	case wire.TurnRequest, wire.TurnAnswer:
-		c.pacer.step(pacing.Received{Message: message})
+		c.pacer.step(pacing.MessageReceived{Message: message})
 	case wire.EngineRequest, wire.EngineAnswer, wire.EngineNews:
 		if c.dispatching != nil {
 			c.dispatching.step(dispatch.Received{Message: message})
--- a/fleet/pacer.go
+++ b/fleet/pacer.go
@@ -44,7 +44,7 @@
 		switch e := effect.(type) {
 		case pacing.Send:
 			p.core.send(e.Address, e.Message)
-		case pacing.Decided:
+		case pacing.TurnDecided:
 			p.core.log(eventlog.TurnDecided{Machine: e.Machine, Granted: e.Granted, Wait: e.Wait, By: e.By})
 			p.decided = append(p.decided, routing.TurnDecided{Machine: e.Machine, Granted: e.Granted, Wait: e.Wait})
 		}
--- a/fleet/pacing/core.go
+++ b/fleet/pacing/core.go
@@ -12,67 +12,68 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Core asks for turns and grants them for one node; it is not safe for concurrent use.
+// Core requests turns from pacers and grants turns as a pacer, on behalf of one node. It is not
+// safe for concurrent use.
 type Core struct {
 	self Peer
 	now  time.Time
-	// peers are the live nodes, this one among them; none before the first PeersChanged.
+	// peers are the live nodes, including this one; empty before the first PeersChanged.
 	peers []Peer
-	// ranked are the first of the live nodes that pace a machine, by machine; made when it is
-	// first asked for.
-	ranked map[cluster.MachineID][]Peer
-	// silentUntil are the nodes that did not answer lately.
-	silentUntil map[cluster.NodeID]time.Time
-	// asks are the questions without an answer, by number.
-	asks    map[int64]*ask
-	numbers int64
-	// answeredAt is when a node answered last, or the first question was asked.
-	answeredAt time.Time
-	// paces are of the machines that this node paces for all, parts of those of which it grants
-	// itself an even part, since nobody answers.
-	paces, parts map[cluster.MachineID]*pace
-	sweptAt      time.Time
-	effects      []Effect
-}
-
-// ask is a question without an answer.
-type ask struct {
-	wanted Wanted
-	to     cluster.NodeID
-	until  time.Time
-}
-
-// New returns a core that knows no nodes, and is given no turn until it does.
+	// pacersByMachine caches the ranked pacers of each machine until the live nodes change.
+	pacersByMachine map[cluster.MachineID][]Peer
+	// unresponsiveUntil is the time until which nodes that missed a timeout are skipped.
+	unresponsiveUntil map[cluster.NodeID]time.Time
+	// pending holds the unanswered turn requests by number.
+	pending    map[int64]*pendingRequest
+	lastNumber int64
+	// lastAnswerAt is the time of the last answer from any node, or of the first request.
+	lastAnswerAt time.Time
+	// schedules are the machines for which this node is a pacer. evenShares are the machines of
+	// which this node grants itself an even share because no pacer answers.
+	schedules, evenShares map[cluster.MachineID]*turnSchedule
+	lastSweepAt           time.Time
+	effects               []Effect
+}
+
+// pendingRequest is an unanswered turn request to another node.
+type pendingRequest struct {
+	request  TurnRequested
+	to       cluster.NodeID
+	deadline time.Time
+}
+
+// New returns a core without peers. It grants no turns until the first PeersChanged.
 func New(self Peer) *Core {
 	return &Core{
-		self: self, ranked: map[cluster.MachineID][]Peer{}, silentUntil: map[cluster.NodeID]time.Time{},
-		asks: map[int64]*ask{}, paces: map[cluster.MachineID]*pace{}, parts: map[cluster.MachineID]*pace{},
+		self: self, pacersByMachine: map[cluster.MachineID][]Peer{}, unresponsiveUntil: map[cluster.NodeID]time.Time{},
+		pending: map[int64]*pendingRequest{}, schedules: map[cluster.MachineID]*turnSchedule{}, evenShares: map[cluster.MachineID]*turnSchedule{},
 	}
 }
 
-// Step takes one event and returns the effects, valid until the next Step.
+// Step handles one event at the given time and returns the effects, which are valid until the
+// next Step.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	c.now = now
 	c.effects = c.effects[:0]
 	switch e := event.(type) {
 	case PeersChanged:
-		c.peersChanged(e.Peers)
-	case Wanted:
-		c.wanted(e)
-	case Received:
-		c.received(e.Message)
-	}
-	c.tickAsks()
-	c.sweep()
+		c.setPeers(e.Peers)
+	case TurnRequested:
+		c.requestTurn(e)
+	case MessageReceived:
+		c.handleMessage(e.Message)
+	}
+	c.expirePending()
+	c.evictIdle()
 	return c.effects
 }
 
-// NextDue returns when the next Tick has something to do, zero for never.
+// NextDue returns the time of the next required Tick, zero for none.
 func (c *Core) NextDue() time.Time {
 	var next time.Time
-	for _, a := range c.asks {
-		if next.IsZero() || a.until.Before(next) {
-			next = a.until
+	for _, request := range c.pending {
+		if next.IsZero() || request.deadline.Before(next) {
+			next = request.deadline
 		}
 	}
 	return next
@@ -80,163 +81,166 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// peersChanged takes the live nodes. A process of this machine that was there before is not
-// among those that are asked.
-func (c *Core) peersChanged(peers []Peer) {
+// setPeers replaces the live nodes. Earlier processes on this node's own host are left out, so
+// that they are never asked.
+func (c *Core) setPeers(peers []Peer) {
 	c.peers = append(c.peers[:0], c.self)
 	for _, p := range peers {
 		if p.ID != c.self.ID && p.Machine != c.self.Machine {
 			c.peers = append(c.peers, p)
 		}
 	}
-	clear(c.ranked)
-	for id, until := range c.silentUntil {
+	clear(c.pacersByMachine)
+	for id, until := range c.unresponsiveUntil {
 		if !c.now.Before(until) {
-			delete(c.silentUntil, id)
+			delete(c.unresponsiveUntil, id)
 		}
 	}
 }
 
-// ranked is a node with its place in the order of those that pace a machine.
-type ranked struct {
+// rankedPeer is a node with its rendezvous hash for one machine.
+type rankedPeer struct {
 	Peer
 	weight uint64
 }
 
-func (r ranked) compare(other ranked) int {
+func (r rankedPeer) compare(other rankedPeer) int {
 	return cmp.Or(cmp.Compare(r.weight, other.weight), cmp.Compare(r.ID, other.ID))
 }
 
-// pacers lists the nodes that pace a machine, the first to be asked first.
+// pacers returns the nodes that pace a machine, in the order in which they are asked.
 func (c *Core) pacers(machine cluster.MachineID) []Peer {
-	if known := c.ranked[machine]; known != nil {
-		return known
+	if cached := c.pacersByMachine[machine]; cached != nil {
+		return cached
 	}
-	var first []ranked
+	var ranked []rankedPeer
 	for _, p := range c.peers {
-		first = topk.Insert(first, ranked{p, xxhash.Sum64String(string(machine) + "/" + p.Machine)}, maxPacers, ranked.compare)
+		ranked = topk.Insert(ranked, rankedPeer{p, xxhash.Sum64String(string(machine) + "/" + p.Machine)}, maxPacers, rankedPeer.compare)
 	}
-	list := make([]Peer, len(first))
-	for i := range first {
-		list[i] = first[i].Peer
+	list := make([]Peer, len(ranked))
+	for i := range ranked {
+		list[i] = ranked[i].Peer
 	}
-	c.ranked[machine] = list
+	c.pacersByMachine[machine] = list
 	return list
 }
 
-// wanted asks the first pacer that isn't silent, which may be this node itself.
-func (c *Core) wanted(w Wanted) {
+// requestTurn requests a turn from the first responsive pacer, which may be this node itself. If
+// none responds for isolatedAfter, this node grants itself an even share.
+func (c *Core) requestTurn(request TurnRequested) {
 	if len(c.peers) == 0 {
-		c.emit(Decided{Machine: w.Machine, Wait: alonePause, By: c.self.ID})
+		c.emit(TurnDecided{Machine: request.Machine, Wait: noPeersRetryDelay, By: c.self.ID})
 		return
 	}
-	interval := spacing(w.PerSecond)
-	for _, p := range c.pacers(w.Machine) {
+	interval := turnInterval(request.PerSecond)
+	for _, p := range c.pacers(request.Machine) {
 		if p.ID == c.self.ID {
-			c.decide(w, c.paceOf(w.Machine, interval), interval)
+			c.decideLocally(request, c.scheduleFor(request.Machine, interval), interval)
 			return
 		}
-		if !c.now.Before(c.silentUntil[p.ID]) {
-			c.ask(p, w)
+		if !c.now.Before(c.unresponsiveUntil[p.ID]) {
+			c.sendRequest(p, request)
 			return
 		}
 	}
-	if c.now.Sub(c.answeredAt) < aloneAfter {
-		c.emit(Decided{Machine: w.Machine, Wait: silentTime, By: c.self.ID})
+	if c.now.Sub(c.lastAnswerAt) < isolatedAfter {
+		c.emit(TurnDecided{Machine: request.Machine, Wait: unresponsiveBackoff, By: c.self.ID})
 		return
 	}
 	interval *= time.Duration(len(c.peers))
-	c.decide(w, c.partOf(w.Machine, interval), interval)
+	c.decideLocally(request, c.evenShareFor(request.Machine, interval), interval)
 }
 
-// decide answers a question of this node itself.
-func (c *Core) decide(w Wanted, p *pace, interval time.Duration) {
-	wait, granted := p.take(c.now, interval)
-	c.emit(Decided{Machine: w.Machine, Granted: granted, Wait: wait, By: c.self.ID})
+// decideLocally answers this node's own request from the given schedule.
+func (c *Core) decideLocally(request TurnRequested, schedule *turnSchedule, interval time.Duration) {
+	wait, granted := schedule.grantNext(c.now, interval)
+	c.emit(TurnDecided{Machine: request.Machine, Granted: granted, Wait: wait, By: c.self.ID})
 }
 
-// paceOf returns the pace of a machine that this node paces for all.
-func (c *Core) paceOf(machine cluster.MachineID, interval time.Duration) *pace {
-	known := c.paces[machine]
-	if known == nil {
-		known = newPace(c.now.Add(untilFirst(interval)))
-		c.paces[machine] = known
+// scheduleFor returns the schedule by which this node paces a machine for all nodes.
+func (c *Core) scheduleFor(machine cluster.MachineID, interval time.Duration) *turnSchedule {
+	schedule := c.schedules[machine]
+	if schedule == nil {
+		schedule = newTurnSchedule(c.now.Add(firstTurnDelay(interval)))
+		c.schedules[machine] = schedule
 	}
-	return known
+	return schedule
 }
 
-// partOf returns the pace of this node's even part. It begins at a time that differs by node.
-func (c *Core) partOf(machine cluster.MachineID, interval time.Duration) *pace {
-	known := c.parts[machine]
-	if known == nil {
+// evenShareFor returns the schedule of this node's even share of a machine's limit. Its phase
+// differs by node, so that isolated nodes don't send at the same moments.
+func (c *Core) evenShareFor(machine cluster.MachineID, interval time.Duration) *turnSchedule {
+	schedule := c.evenShares[machine]
+	if schedule == nil {
 		phase := float64(xxhash.Sum64String(string(machine)+"/"+string(c.self.ID))) / (1 << 64)
-		known = newPace(c.now.Add(time.Duration(phase * float64(interval))))
-		c.parts[machine] = known
+		schedule = newTurnSchedule(c.now.Add(time.Duration(phase * float64(interval))))
+		c.evenShares[machine] = schedule
 	}
-	return known
+	return schedule
 }
 
-// ask sends a question.
-func (c *Core) ask(to Peer, w Wanted) {
-	if c.numbers == 0 {
-		// Answers to an earlier process of the machine are no answers to this one.
-		c.numbers = c.now.UnixNano()
-		c.answeredAt = c.now
+// sendRequest sends a turn request to a pacer.
+func (c *Core) sendRequest(to Peer, request TurnRequested) {
+	if c.lastNumber == 0 {
+		// Numbers start at the clock's time, so that answers to an earlier process of this host
+		// match no request of this one.
+		c.lastNumber = c.now.UnixNano()
+		c.lastAnswerAt = c.now
 	}
-	c.numbers++
-	c.asks[c.numbers] = &ask{wanted: w, to: to.ID, until: c.now.Add(askPatience)}
+	c.lastNumber++
+	c.pending[c.lastNumber] = &pendingRequest{request: request, to: to.ID, deadline: c.now.Add(answerTimeout)}
 	c.emit(Send{Address: to.Address, Message: wire.TurnRequest{
-		From: c.self.ID, FromAddress: c.self.Address, Number: c.numbers, Machine: w.Machine, PerSecond: w.PerSecond,
+		From: c.self.ID, FromAddress: c.self.Address, Number: c.lastNumber, Machine: request.Machine, PerSecond: request.PerSecond,
 	}})
 }
 
-// tickAsks ends questions without an answer: the next node is asked.
-func (c *Core) tickAsks() {
+// expirePending drops requests that have timed out and asks the next pacer for each.
+func (c *Core) expirePending() {
 	var due []int64
-	for number, a := range c.asks {
-		if !c.now.Before(a.until) {
+	for number, request := range c.pending {
+		if !c.now.Before(request.deadline) {
 			due = append(due, number)
 		}
 	}
 	slices.Sort(due)
 	for _, number := range due {
-		a := c.asks[number]
-		delete(c.asks, number)
-		c.silentUntil[a.to] = c.now.Add(silentTime)
-		c.wanted(a.wanted)
+		request := c.pending[number]
+		delete(c.pending, number)
+		c.unresponsiveUntil[request.to] = c.now.Add(unresponsiveBackoff)
+		c.requestTurn(request.request)
 	}
 }
 
-// received takes a message of another node.
-func (c *Core) received(message wire.Message) {
+// handleMessage handles a message of another node.
+func (c *Core) handleMessage(message wire.Message) {
 	switch m := message.(type) {
 	case wire.TurnRequest:
-		interval := spacing(m.PerSecond)
-		wait, granted := c.paceOf(m.Machine, interval).take(c.now, interval)
+		interval := turnInterval(m.PerSecond)
+		wait, granted := c.scheduleFor(m.Machine, interval).grantNext(c.now, interval)
 		c.emit(Send{Address: m.FromAddress, Message: wire.TurnAnswer{From: c.self.ID, Number: m.Number, Granted: granted, Wait: wait}})
 	case wire.TurnAnswer:
-		// A late answer is no turn, but its sender can be reached.
-		c.answeredAt = c.now
-		a := c.asks[m.Number]
-		if a == nil || a.to != m.From {
+		// A late answer grants no turn, but shows that its sender is reachable.
+		c.lastAnswerAt = c.now
+		request := c.pending[m.Number]
+		if request == nil || request.to != m.From {
 			return
 		}
-		delete(c.asks, m.Number)
-		delete(c.silentUntil, m.From)
-		c.emit(Decided{Machine: a.wanted.Machine, Granted: m.Granted, Wait: m.Wait, By: m.From})
+		delete(c.pending, m.Number)
+		delete(c.unresponsiveUntil, m.From)
+		c.emit(TurnDecided{Machine: request.request.Machine, Granted: m.Granted, Wait: m.Wait, By: m.From})
 	}
 }
 
-// sweep forgets machines that nobody has asked about for long.
-func (c *Core) sweep() {
-	if c.now.Sub(c.sweptAt) < idlePace {
+// evictIdle drops the schedules of machines without a request for idleTimeout.
+func (c *Core) evictIdle() {
+	if c.now.Sub(c.lastSweepAt) < idleTimeout {
 		return
 	}
-	c.sweptAt = c.now
-	for _, paces := range []map[cluster.MachineID]*pace{c.paces, c.parts} {
-		for machine, p := range paces {
-			if c.now.Sub(p.askedAt) >= idlePace {
-				delete(paces, machine)
+	c.lastSweepAt = c.now
+	for _, schedules := range []map[cluster.MachineID]*turnSchedule{c.schedules, c.evenShares} {
+		for machine, schedule := range schedules {
+			if c.now.Sub(schedule.lastRequestAt) >= idleTimeout {
+				delete(schedules, machine)
 			}
 		}
 	}
--- a/fleet/pacing/events.go
+++ b/fleet/pacing/events.go
@@ -10,43 +10,43 @@
 // Event is an input of the core.
 type Event interface{ pacingEvent() }
 
-// Tick lets time pass. The shell sends one at least at Core.NextDue.
+// Tick advances the core's time. The shell sends one at Core.NextDue at the latest.
 type Tick struct{}
 
-// PeersChanged brings the live nodes.
+// PeersChanged replaces the live nodes.
 type PeersChanged struct{ Peers []Peer }
 
-// Wanted asks for a turn at a machine with a limit of so many requests a second.
-type Wanted struct {
+// TurnRequested asks for a turn at a machine that is limited to PerSecond requests per second.
+type TurnRequested struct {
 	Machine   cluster.MachineID
 	PerSecond float64
 }
 
-// Received brings a message of another node.
-type Received struct{ Message wire.Message }
+// MessageReceived delivers a message of another node.
+type MessageReceived struct{ Message wire.Message }
 
-func (Tick) pacingEvent()         {}
-func (PeersChanged) pacingEvent() {}
-func (Wanted) pacingEvent()       {}
-func (Received) pacingEvent()     {}
+func (Tick) pacingEvent()            {}
+func (PeersChanged) pacingEvent()    {}
+func (TurnRequested) pacingEvent()   {}
+func (MessageReceived) pacingEvent() {}
 
 // Effect is an output of the core.
 type Effect interface{ pacingEffect() }
 
-// Send sends a message to another node; it may be lost.
+// Send sends a message to another node; delivery is not guaranteed.
 type Send struct {
 	Address string
 	Message wire.Message
 }
 
-// Decided answers Wanted: one request may be sent to the machine after Wait if Granted, else
-// another turn may be asked for then. By is the node that decided.
-type Decided struct {
+// TurnDecided answers TurnRequested. If Granted, one request may be sent to the machine after
+// Wait; otherwise a turn may be requested again after Wait. By is the node that decided.
+type TurnDecided struct {
 	Machine cluster.MachineID
 	Granted bool
 	Wait    time.Duration
 	By      cluster.NodeID
 }
 
-func (Send) pacingEffect()    {}
-func (Decided) pacingEffect() {}
+func (Send) pacingEffect()        {}
+func (TurnDecided) pacingEffect() {}
--- a/fleet/pacing/pacing_test.go
+++ b/fleet/pacing/pacing_test.go
@@ -6,60 +6,59 @@
 	"time"
 )
 
-// The bound on what a machine gets of all nodes: in a window so many times its limit, and so many
-// requests beside that.
+// The bound on the turns granted by all nodes: in any window of boundWindow at most boundFactor
+// times the limit, plus boundExtraTurns.
 const (
-	window  = 4 * time.Second
-	overrun = 1.5
-	beside  = 5
+	boundWindow     = 4 * time.Second
+	boundFactor     = 1.5
+	boundExtraTurns = 5
 )
 
-// requireBound holds the fullest window to the bound.
-func requireBound(t *testing.T, p *play) {
+// requireWithinBound checks the busiest window of a simulation against the bound.
+func requireWithinBound(t *testing.T, s *simulation) {
 	t.Helper()
-	if most, got := overrun*p.perSecond*window.Seconds()+beside, p.fullest(window); float64(got) > most {
-		t.Errorf("%d turns in %s, at most %.1f are allowed", got, window, most)
+	if limit, got := boundFactor*s.perSecond*boundWindow.Seconds()+boundExtraTurns, s.maxTurnsWithin(boundWindow); float64(got) > limit {
+		t.Errorf("%d turns in %s, want at most %.1f", got, boundWindow, limit)
 	}
 }
 
-// TestLimitHoldsOverAnyNumberOfNodes guards against limits that are kept by each node for itself,
-// whose sum grows with the nodes. What is allowed is also used: a machine in need isn't idle.
-func TestLimitHoldsOverAnyNumberOfNodes(t *testing.T) {
+// Guards against limits that each node enforces on its own, whose sum grows with the number of
+// nodes. Also checks that the limit is used: a limited machine must not sit idle.
+func TestMachineLimitHoldsForAnyNumberOfNodes(t *testing.T) {
 	for _, nodes := range []int{1, 9, 87, 340} {
 		for _, perSecond := range []float64{0, 0.2, 1, 3.3, 40} {
 			t.Run(fmt.Sprintf("nodes=%d,limit=%g", nodes, perSecond), func(t *testing.T) {
-				p := newPlay(1, nodes, perSecond)
-				p.runFor(time.Minute)
-				requireBound(t, p)
-				if least := 0.6 * perSecond * 60; float64(len(p.turns)) < least {
-					t.Errorf("%d turns in a minute, at least %.0f are due", len(p.turns), least)
+				s := newSimulation(1, nodes, perSecond)
+				s.runFor(time.Minute)
+				requireWithinBound(t, s)
+				if lower := 0.6 * perSecond * 60; float64(len(s.turns)) < lower {
+					t.Errorf("%d turns in a minute, want at least %.0f", len(s.turns), lower)
 				}
 			})
 		}
 	}
 }
 
-// TestLimitHoldsUnderTrouble guards against a limit that is exceeded while the nodes that pace a
-// machine die, freeze or come, while messages are lost, and while nodes differ in what they know
-// of each other.
-func TestLimitHoldsUnderTrouble(t *testing.T) {
-	troubles := map[string]func(p *play){
-		"lost messages": func(p *play) { p.loss = 0.1 },
-		"slow messages": func(p *play) { p.delay = 150 * time.Millisecond },
-		"pacers die":    killPacers,
-		"all start":     startAll,
-		"two views":     splitViews,
+// Guards against exceeding the limit while pacers die, freeze or join, while messages are lost or
+// late, and while nodes have different views of the membership.
+func TestMachineLimitHoldsUnderNodeAndNetworkFailures(t *testing.T) {
+	failures := map[string]func(p *simulation){
+		"lost messages":     func(p *simulation) { p.lossShare = 0.1 },
+		"slow messages":     func(p *simulation) { p.maxMessageDelay = 150 * time.Millisecond },
+		"pacers die":        killPacerRepeatedly,
+		"all nodes restart": restartAllNodes,
+		"diverging views":   addNodesKnownToHalfFirst,
 	}
-	for name, trouble := range troubles {
+	for name, inject := range failures {
 		for _, nodes := range []int{9, 87} {
 			for _, perSecond := range []float64{0.2, 1, 3.3, 40} {
 				for seed := range uint64(5) {
 					t.Run(fmt.Sprintf("%s,nodes=%d,limit=%g,seed=%d", name, nodes, perSecond, seed), func(t *testing.T) {
 						t.Parallel()
-						p := newPlay(seed, nodes, perSecond)
-						p.after(10*time.Second, func() { trouble(p) })
-						p.runFor(time.Minute)
-						requireBound(t, p)
+						s := newSimulation(seed, nodes, perSecond)
+						s.after(10*time.Second, func() { inject(s) })
+						s.runFor(time.Minute)
+						requireWithinBound(t, s)
 					})
 				}
 			}
@@ -67,74 +66,74 @@
 	}
 }
 
-// killPacers kills the node that paces the machine, again and again; it is started again soon.
-func killPacers(p *play) {
-	first := p.nodes[0].core.pacers(playedMachine)[0]
-	for _, n := range p.nodes {
+// killPacerRepeatedly kills the machine's first pacer every 7 s and restarts it 2 s later.
+func killPacerRepeatedly(s *simulation) {
+	first := s.nodes[0].core.pacers(testMachine)[0]
+	for _, n := range s.nodes {
 		if n.self.ID == first.ID {
 			n.dead = true
 		}
 	}
-	p.after(2*time.Second, func() {
-		p.start(first.Machine)
-		p.know(p.nodes)
+	s.after(2*time.Second, func() {
+		s.start(first.Machine)
+		s.announceNodes(s.nodes)
 	})
-	p.after(7*time.Second, func() { killPacers(p) })
+	s.after(7*time.Second, func() { killPacerRepeatedly(s) })
 }
 
-// startAll starts every node again.
-func startAll(p *play) {
-	for _, n := range append([]*playedNode(nil), p.nodes...) {
-		p.start(n.self.Machine)
+// restartAllNodes restarts every node; the nodes learn of each other a second later.
+func restartAllNodes(s *simulation) {
+	for _, n := range append([]*simulatedNode(nil), s.nodes...) {
+		s.start(n.self.Machine)
 	}
-	p.after(time.Second, func() { p.know(p.nodes) })
+	s.after(time.Second, func() { s.announceNodes(s.nodes) })
 }
 
-// splitViews adds nodes of which half of the others hear two seconds later.
-func splitViews(p *play) {
+// addNodesKnownToHalfFirst adds nodes that one half of the nodes learns of two seconds after the
+// other half.
+func addNodesKnownToHalfFirst(s *simulation) {
 	for i := range 4 {
-		p.start(fmt.Sprintf("new%d", i))
+		s.start(fmt.Sprintf("new%d", i))
 	}
-	half := len(p.nodes) / 2
-	p.know(p.nodes[half:])
-	p.after(2*time.Second, func() { p.know(p.nodes) })
+	half := len(s.nodes) / 2
+	s.announceNodes(s.nodes[half:])
+	s.after(2*time.Second, func() { s.announceNodes(s.nodes) })
 }
 
-// apart is how many times a limit turns are granted where no node reaches another.
-const apart = 2.25
+// partitionedFactor is how many times the limit is granted at most while no node reaches another.
+const partitionedFactor = 2.25
 
-// TestNodesApart guards against a machine that gets nothing from nodes that reach no other, or
-// the whole limit from each.
-func TestNodesApart(t *testing.T) {
+// Guards against isolated nodes that grant nothing, or the whole limit each.
+func TestPartitionedNodesGrantBoundedTurns(t *testing.T) {
 	const length = 2 * time.Minute
 	for _, nodes := range []int{9, 87} {
-		p := newPlay(1, nodes, 3)
-		p.loss = 1
-		p.runFor(length)
-		most, least := apart*p.perSecond*length.Seconds()+beside, p.perSecond*length.Seconds()/3
-		if got := float64(len(p.turns)); got > most || got < least {
-			t.Errorf("%d nodes: %.0f turns in %s, %.0f to %.0f are due", nodes, got, length, least, most)
+		s := newSimulation(1, nodes, 3)
+		s.lossShare = 1
+		s.runFor(length)
+		upper, lower := partitionedFactor*s.perSecond*length.Seconds()+boundExtraTurns, s.perSecond*length.Seconds()/3
+		if got := float64(len(s.turns)); got > upper || got < lower {
+			t.Errorf("%d nodes: %.0f turns in %s, want %.0f to %.0f", nodes, got, length, lower, upper)
 		}
 	}
 }
 
-// TestFirstTurnsAreLeftOut guards against turns that come on top of what the machine got before its
-// limit was known, and against a long pause of a machine that takes much.
-func TestFirstTurnsAreLeftOut(t *testing.T) {
+// Guards against turns granted on top of what the machine received before its limit was known,
+// and against a long initial pause of a machine with a high limit.
+func TestFirstTurnIsDelayedWhenPacingBegins(t *testing.T) {
 	for perSecond, want := range map[float64]time.Duration{0.2: 6666 * time.Millisecond, 1: 2666 * time.Millisecond, 40: 66 * time.Millisecond} {
-		p := newPlay(1, 9, perSecond)
-		began := p.now
-		p.runFor(20 * time.Second)
-		if first := p.turns[0].Sub(began); first < want || first > want+100*time.Millisecond {
-			t.Errorf("limit %g: the first turn comes after %s, want %s", perSecond, first, want)
+		s := newSimulation(1, 9, perSecond)
+		began := s.now
+		s.runFor(20 * time.Second)
+		if first := s.turns[0].Sub(began); first < want || first > want+100*time.Millisecond {
+			t.Errorf("limit %g: first turn after %s, want %s", perSecond, first, want)
 		}
 	}
 }
 
-// TestLateAnswersAreNoTurns guards against turns that come long after they were asked for.
-func TestLateAnswersAreNoTurns(t *testing.T) {
-	p := newPlay(1, 9, 1)
-	p.delay = 10 * time.Second
-	p.runFor(time.Minute)
-	requireBound(t, p)
+// Guards against turns used long after they were requested.
+func TestLateAnswersGrantNoTurns(t *testing.T) {
+	s := newSimulation(1, 9, 1)
+	s.maxMessageDelay = 10 * time.Second
+	s.runFor(time.Minute)
+	requireWithinBound(t, s)
 }
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -52,7 +52,7 @@
 		case routing.PoisonFound:
 			c.poison.found(e.Records)
 		case routing.TurnWanted:
-			c.pacer.step(pacing.Wanted{Machine: e.Machine, PerSecond: e.PerSecond})
+			c.pacer.step(pacing.TurnRequested{Machine: e.Machine, PerSecond: e.PerSecond})
 		case routing.MachineLeavingFound:
 			c.leavingFound(&e)
 		case routing.MachineRestFound:
