--- a/fleet/capacity_test.go
+++ b/fleet/capacity_test.go
@@ -9,8 +9,8 @@
 // the record of the last holder, and the next one begins with it.
 func TestSuccessorKnowsStoreCapacity(t *testing.T) {
 	core := New(Config{Self: NodeEntry{ID: "n1", Machine: "m1"}}, 1)
-	if got := core.StoreCapacity(); got != firstLoads {
-		t.Fatalf("%d loads at once before anything is known, want %d", got, firstLoads)
+	if got := core.StoreCapacity(); got != initialStoreLoads {
+		t.Fatalf("%d loads at once before anything is known, want %d", got, initialStoreLoads)
 	}
 	entry, err := DecodeNodeEntry(NodeEntry{ID: "n2", Machine: "m2", Bears: 7}.Encode())
 	if err != nil {
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -11,57 +11,59 @@
 	"github.com/valveslip/valveslip/routing/work"
 )
 
-// Config holds the node's place and the core's tuning. A zero field takes the
-// documented default.
+// Config holds the node's identity and the core's tuning. Where a default is documented, a zero
+// field takes it.
 type Config struct {
-	// Self is the node; its ID is unique for each start.
+	// Self is this node's entry. Its ID is unique to each start of the process.
 	Self NodeEntry
 	Zone cluster.ZoneID
-	// Regions gives the region of each zone.
+	// Regions maps each zone to its region.
 	Regions map[cluster.ZoneID]cluster.RegionID
 	Routing routing.Config
-	// Placement tunes the planner.
+	// Placement tunes the placement planner.
 	Placement placement.Config
-	// FirstStart is true when no node ran before this start of the system, so
-	// that there is no earlier holder whose orders must have ended.
+	// FirstStart is true if no node ran before this start of the system. No earlier lease holder
+	// can then have orders under way.
 	FirstStart bool
-	// OrderPause is how long must pass between the orders of two holders.
+	// OrderPause is the minimum time between the orders of two lease holders.
 	OrderPause time.Duration
-	// FencingEnforced is true when engines refuse orders under a token smaller
-	// than one they have seen. Without it, time alone keeps holders apart.
+	// FencingEnforced is true if engines reject orders whose fencing token is smaller than one
+	// that they have seen. Without it, only elapsed time separates the orders of two lease
+	// holders.
 	FencingEnforced bool
-	// LoadWindow is the time over which loads from the weight store are counted, and
-	// LoadOverrun how many times the steady loads of a window may begin in it.
+	// LoadWindow is the window in which loads from the weight store are counted. LoadOverrun is
+	// the factor by which the loads that begin within one window may exceed the steady rate.
 	// Defaults 5 s and 1.1.
 	LoadWindow  time.Duration
 	LoadOverrun float64
-	// HolderTTL is for how long the holder's lease lasts without a renewal.
-	// Default 2 s.
+	// HolderTTL is the TTL of the order lease. Default 2 s.
 	HolderTTL time.Duration
-	// NodeTTL is the same for the node's own record. Default 30 s: others step in for a
-	// silent node and a new start replaces its record long before, while each renewal
-	// of hundreds of nodes is paid for, and so is each record that a cut let lapse.
+	// NodeTTL is the TTL of the node's own record. Default 30 s: other nodes take over from a
+	// silent node and a restarted process replaces its record long before that, while each
+	// renewal by hundreds of nodes has a cost, and so has each record that expires during a
+	// network cut.
 	NodeTTL time.Duration
-	// KeyProof is how old the proof may be that the keys of callers are those in force, when
-	// a request that needs one is sent. Zero wants no proof.
+	// KeyProof bounds the age of the proof that the configured caller keys are current when a
+	// request that needs a key is sent. Zero requires no proof.
 	KeyProof time.Duration
-	// Dispatching has one node place all nodes' attempts at engines; Work tunes what it learns
-	// of them.
+	// Dispatching makes one node, the dispatcher, place the attempts of all nodes at engines.
+	// Work tunes the estimates that it learns from them.
 	Dispatching bool
 	Work        work.Config
-	// Fetches is set where engines take what others keep of prompts.
+	// Fetches is set if engines can fetch cached prompt prefixes from each other.
 	Fetches bool
-	// HeedShare is up to what part of the time that they have left callers heed the time that
-	// they are told to come back. Default 1.
+	// HeedShare is the largest share of their remaining time for which callers follow a
+	// Retry-After. Default 1.
 	HeedShare float64
-	// Lending tunes how tenants' limits are divided; Self is filled in.
+	// Lending tunes how the limits of tenants are divided. The core fills in Self and
+	// ProofWithin.
 	Lending lending.Config
-	// PauseHold bounds how long dispatches wait after a pause for the store to
-	// be read again. Default 300 ms.
+	// PauseHold bounds how long dispatches are held after a pause of the process until the store
+	// has been read again. Default 300 ms.
 	PauseHold time.Duration
 }
 
-// withDefaults fills zero fields.
+// withDefaults returns the configuration with zero fields replaced by their defaults.
 func (c Config) withDefaults() Config {
 	c.LoadWindow = cmp.Or(c.LoadWindow, 5*time.Second)
 	c.LoadOverrun = cmp.Or(c.LoadOverrun, 1.1)
@@ -69,7 +71,7 @@
 	c.NodeTTL = cmp.Or(c.NodeTTL, 30*time.Second)
 	c.HeedShare = cmp.Or(c.HeedShare, 1)
 	c.PauseHold = cmp.Or(c.PauseHold, 300*time.Millisecond)
-	c.Lending.Self, c.Lending.ProofWithin = c.Self.peer(), c.KeyProof
+	c.Lending.Self, c.Lending.ProofWithin = c.Self.lendingPeer(), c.KeyProof
 	c.Lending = c.Lending.WithDefaults()
 	return c
 }
--- a/fleet/core.go
+++ b/fleet/core.go
@@ -19,137 +19,137 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Core composes the deciding cores. It is not safe for concurrent use; a shell
-// serializes Step.
+// Core composes the deciding cores of one node. It is not safe for concurrent use; a shell
+// serializes the calls of Step.
 type Core struct {
-	config   Config
-	now      time.Time
-	compiled *catalog.Compiled
-	router   *routing.Router
-	view     *machineView
-	nodes    nodeSet
-	peers    *peerNews
-	record   *nodeRecord
-	cell     *cell
-	poison   *poisonKeeper
-	gate     *gate
-	lending  *lending.Core
-	// dispatching is nil where nodes place attempts by themselves.
-	dispatching *dispatching
-	pacer       *pacer
-	reporter    demandReporter
-	synced      bool
-	// succeeds is set once the store showed a record of an earlier process of this machine.
-	succeeds bool
-	// sharers is the last count of nodes that the router was told.
-	sharers routing.RoutersChanged
-	effects []Effect
-	// withheld are attempts that the gate ended, of which the router is told once it has
-	// taken the event at hand.
-	withheld []routing.AttemptEnded
-	// depth counts the router's steps whose effects are being taken.
-	depth int
+	config       Config
+	now          time.Time
+	compiled     *catalog.Compiled
+	router       *routing.Router
+	view         *machineView
+	nodes        nodeSet
+	peerNotifier *peerNotifier
+	nodeLease    *nodeLease
+	controller   *controller
+	poison       *poisonSync
+	gate         *gate
+	lending      *lending.Core
+	// dispatchClient is nil if each node places its attempts itself.
+	dispatchClient *dispatchClient
+	pacer          *pacer
+	reporter       demandReporter
+	synced         bool
+	// restarted is set once the store has shown a record of an earlier process of this machine.
+	restarted bool
+	// reportedRouters is the last node count that was sent to the router.
+	reportedRouters routing.RoutersChanged
+	effects         []Effect
+	// withheldAttempts are attempts that the gate ended. They are reported to the router after it
+	// has handled the current event.
+	withheldAttempts []routing.AttemptEnded
+	// routerDepth is the number of nested router steps whose effects are being handled.
+	routerDepth int
 }
 
-// New returns a core that knows nothing yet.
+// New returns a core without any configuration, machines or peers.
 func New(config Config, seed uint64) *Core {
 	config = config.withDefaults()
 	config.Routing.Zone, config.Routing.Region = config.Zone, config.Regions[config.Zone]
 	core := &Core{config: config, nodes: newNodeSet()}
-	core.peers = &peerNews{core: core}
+	core.peerNotifier = &peerNotifier{core: core}
 	core.view = newMachineView(core)
-	config.Routing.LeastLoad = core.view.leastLoad
+	config.Routing.LeastLoad = core.view.minLoadTime
 	if config.Dispatching {
-		core.dispatching = newDispatching(core)
-		config.Routing.ListAlternatives = core.dispatching.concerns
+		core.dispatchClient = newDispatchClient(core)
+		config.Routing.ListAlternatives = core.dispatchClient.targetsEngines
 	}
 	core.router = routing.New(config.Routing, seed)
-	core.record = newNodeRecord(core)
-	core.cell = newCell(core)
-	core.poison = newPoisonKeeper(core)
+	core.nodeLease = newNodeLease(core)
+	core.controller = newController(core)
+	core.poison = newPoisonSync(core)
 	core.gate = newGate(core)
 	core.lending = lending.New(config.Lending)
 	core.pacer = newPacer(core)
 	return core
 }
 
-// Step takes one event at the given time and returns the effects in the order
-// they must begin. The slice is valid until the next Step.
+// Step handles one event at the given time and returns the effects in the order in which they
+// must be started. The slice is valid until the next Step.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	c.now = now
 	c.effects = c.effects[:0]
 	switch e := event.(type) {
 	case Tick:
-		c.routing(routing.Tick{})
+		c.feedRouter(routing.Tick{})
 	case RoutingInput:
-		c.routingInput(e.Event)
+		c.handleRoutingInput(e.Event)
 	case KeysProven:
-		c.gate.proven(e.At)
+		c.gate.recordProof(e.At)
 	case ConfigurationRead:
-		c.configurationRead(e.Compiled)
+		c.applyConfiguration(e.Compiled)
 	case WorkersRead:
-		c.workersRead(e)
+		c.applyWorkers(e)
 	case NodesRead:
-		c.nodesRead(e)
+		c.applyNodes(e)
 	case HolderRead:
-		c.cell.holderRead(e)
+		c.controller.holderRead(e)
 	case LastHolderRead:
-		c.cell.lastRead(e)
+		c.controller.lastHolderRead(e)
 	case StoreSynced:
 		c.synced = true
-		c.released()
+		c.releaseDispatches()
 	case Paused:
-		c.routing(routing.DispatchesHeld{Until: now.Add(c.config.PauseHold)})
-		c.poison.asked = false
-		c.poison.ask()
+		c.feedRouter(routing.DispatchesHeld{Until: now.Add(c.config.PauseHold)})
+		c.poison.peersQueried = false
+		c.poison.queryPeers()
 	case MessageReceived:
-		c.messageReceived(e.Message)
+		c.handleMessage(e.Message)
 	case LeaseAnswered:
 		c.leaseAnswered(e)
 	case OrderAnswered:
-		c.cell.orderAnswered(e)
+		c.controller.orderAnswered(e)
 	case ReportRead:
-		c.cell.ledgerStep(e.Read)
-		c.cell.news = true
+		c.controller.feedLedger(e.Read)
+		c.controller.planStale = true
 	case ResignStarted:
-		c.cell.resign()
-		c.lend(lending.Stopping{})
+		c.controller.resign()
+		c.feedLending(lending.Stopping{})
 	case TicketTaken:
-		c.lend(lending.TicketGranted{Shard: e.Shard, Number: e.Number})
+		c.feedLending(lending.TicketGranted{Shard: e.Shard, Number: e.Number})
 	case PoisonRead:
-		c.poison.read(e)
+		c.poison.recordsRead(e)
 	case StoreWritten:
-		c.poison.written(e)
+		c.poison.writeAnswered(e)
 	case DrainStarted:
-		c.routing(routing.DrainStarted{})
+		c.feedRouter(routing.DrainStarted{})
 	}
-	c.peers.tick()
+	c.peerNotifier.tick()
 	c.view.tick()
-	c.record.tick()
-	c.cell.tick()
+	c.nodeLease.tick()
+	c.controller.tick()
 	c.reporter.tick(c)
 	c.poison.tick()
 	c.gate.tick()
-	if c.dispatching != nil {
-		c.dispatching.tick()
+	if c.dispatchClient != nil {
+		c.dispatchClient.tick()
 	}
 	if due := c.lending.NextDue(); !due.IsZero() && !now.Before(due) {
-		c.lend(lending.Tick{})
+		c.feedLending(lending.Tick{})
 	}
 	c.pacer.tick()
 	return c.effects
 }
 
-// NextDue returns when the next Tick has something to do.
+// NextDue returns the time of the next required Tick.
 func (c *Core) NextDue() time.Time {
-	due := []time.Time{c.peers.due(), c.record.due(), c.cell.due(), c.reporter.due(c), c.view.due(), c.poison.due(), c.lending.NextDue(), c.pacer.due()}
-	if c.dispatching != nil {
-		due = append(due, c.dispatching.due())
+	due := []time.Time{c.peerNotifier.due(), c.nodeLease.due(), c.controller.due(), c.reporter.due(c), c.view.due(), c.poison.due(), c.lending.NextDue(), c.pacer.due()}
+	if c.dispatchClient != nil {
+		due = append(due, c.dispatchClient.due())
 	}
 	if at, waiting := c.router.NextDeadline(); waiting {
 		due = append(due, at)
 	}
-	next := c.now.Add(maxIdle)
+	next := c.now.Add(maxTickInterval)
 	for _, at := range due {
 		if !at.IsZero() && at.Before(next) {
 			next = at
@@ -158,63 +158,66 @@
 	return next
 }
 
-// maxIdle is the longest time without a Tick; chosen, not measured.
-const maxIdle = time.Second
+// maxTickInterval is the longest time without a Tick, since the gate's checks announce no due
+// time of their own.
+const maxTickInterval = time.Second
 
-// Nodes returns the live nodes, one of each machine, in no order.
+// Nodes returns the live nodes, at most one per machine, in no particular order.
 func (c *Core) Nodes() []NodeEntry { return slices.Collect(maps.Values(c.nodes.live)) }
 
-// Ready reports whether the node knows what it needs to serve.
+// Ready reports whether the node has a configuration and has read the whole store.
 func (c *Core) Ready() bool { return c.compiled != nil && c.synced }
 
-// KnowsPoison reports whether the fingerprint of a request with this head matters now.
+// KnowsPoison reports whether a request with this head may match a request that ends machines, so
+// that its fingerprint must be computed.
 func (c *Core) KnowsPoison(head poison.Head) bool { return c.router.KnowsPoison(head) }
 
-// PoisonCounts returns how many requests are suspected to end machines, and convicted.
+// PoisonCounts returns the number of requests that are suspected of ending machines, and the
+// number of convicted ones.
 func (c *Core) PoisonCounts() (suspected, convicted int) { return c.router.PoisonCounts() }
 
-// MaySend says in the instant of a send why a request must not be sent any more, nil if it
-// may be.
+// MaySend checks at the moment of a send whether the request may still be sent. It returns the
+// reason if it must not be, else nil.
 func (c *Core) MaySend(now time.Time, id cluster.RequestID) *verdict.Error {
 	return c.gate.maySend(now, id)
 }
 
-// KeysAge is how old the proof is that the keys of callers are those in force; false where
-// there is none.
-func (c *Core) KeysAge(now time.Time) (time.Duration, bool) { return c.gate.age(now) }
+// KeysAge returns the age of the proof that the configured caller keys are current. It returns
+// false if there is no proof.
+func (c *Core) KeysAge(now time.Time) (time.Duration, bool) { return c.gate.proofAge(now) }
 
-// ShardsLent counts the shards of tenants of which this node lends the tokens.
+// ShardsLent returns the number of tenant shards whose tokens this node lends.
 func (c *Core) ShardsLent() int { return c.lending.ShardsLent() }
 
-// Tenants lists how the tenants stand of which this node lends the tokens.
+// Tenants lists the state of the tenants whose tokens this node lends.
 func (c *Core) Tenants() []lending.TenantState { return c.lending.Tenants() }
 
-// TenantTallies counts the requests of tenants with a limit of which this node decided.
+// TenantTallies returns the counts of requests of limited tenants that this node decided.
 func (c *Core) TenantTallies() []lending.Tally { return c.lending.Tallies() }
 
-// Serves reports whether callers who need a key can be served: the keys are proven, and
-// whoever lends tokens can be reached.
-func (c *Core) Serves(now time.Time) bool { return !c.gate.unproven(now) && !c.lending.Deaf() }
+// Serves reports whether callers who need a key can be served: the keys are proven to be current
+// and the lenders of tokens can be reached.
+func (c *Core) Serves(now time.Time) bool { return !c.gate.proofExpired(now) && !c.lending.Deaf() }
 
-// DispatchCounts tells how attempts at engines were placed so far.
+// DispatchCounts returns how attempts at engines were placed so far.
 func (c *Core) DispatchCounts() DispatchCounts {
-	if c.dispatching == nil {
+	if c.dispatchClient == nil {
 		return DispatchCounts{}
 	}
-	counts := c.dispatching.counts
-	counts.Known = c.dispatching.place.Known()
+	counts := c.dispatchClient.counts
+	counts.Known = c.dispatchClient.dispatcher.Known()
 	return counts
 }
 
-// InFlight counts the requests that have not ended.
-func (c *Core) InFlight() int { return c.router.InFlight() + c.gate.arriving() }
+// InFlight returns the number of requests that have not ended.
+func (c *Core) InFlight() int { return c.router.InFlight() + c.gate.heldArrivals() }
 
-// StoreCapacity is how many loads at once the weight store is believed to bear, by this
-// node as the holder or by the last holder's record.
-func (c *Core) StoreCapacity() int { return cmp.Or(c.cell.bears, firstLoads) }
+// StoreCapacity returns the estimated number of concurrent loads that the weight store sustains,
+// learned by this node as the lease holder or read from the last holder's record.
+func (c *Core) StoreCapacity() int { return cmp.Or(c.controller.learnedStoreLoads, initialStoreLoads) }
 
-// Holding reports whether this node gives the orders.
-func (c *Core) Holding() bool { return c.cell.ledger.Holding() }
+// Holding reports whether this node holds the order lease and its term has begun.
+func (c *Core) Holding() bool { return c.controller.ledger.Holding() }
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
@@ -226,61 +229,61 @@
 	}
 }
 
-// lend feeds what lends and borrows tokens.
-func (c *Core) lend(event lending.Event) {
+// feedLending hands an event to the lending core and carries out its effects.
+func (c *Core) feedLending(event lending.Event) {
 	for _, effect := range slices.Clone(c.lending.Step(c.now, event)) {
 		switch e := effect.(type) {
 		case lending.Send:
 			c.send(e.Address, e.Message)
 		case lending.Answered:
-			c.gate.answered(e)
+			c.gate.handleTokensAnswer(e)
 		case lending.TicketWanted:
 			c.emit(StoreTicket{Key: KeyTickets + strconv.Itoa(e.Shard), Lasts: e.Lasts, Shard: e.Shard, Number: e.Number})
 		case lending.LeaseChanged:
 			c.log(eventlog.LendingChanged{Shard: e.Shard, Held: e.Held, Settled: e.Settled})
 		}
 	}
-	c.endWithheld()
+	c.reportWithheld()
 }
 
-// messageReceived takes a message of another node.
-func (c *Core) messageReceived(message wire.Message) {
+// handleMessage handles a message of another node.
+func (c *Core) handleMessage(message wire.Message) {
 	switch m := message.(type) {
 	case wire.Demand:
-		c.cell.demandReceived(m)
+		c.controller.demandReceived(m)
 	case wire.CellStatus:
 		c.view.statusReceived(&m)
 	case wire.PoisonReport:
-		c.poison.told(&m)
+		c.poison.reportReceived(&m)
 	case wire.LenderClaim, wire.LenderVote, wire.TokensRequest, wire.TokensAnswer:
-		c.lend(lending.Received{Message: message})
+		c.feedLending(lending.Received{Message: message})
 	case wire.MachineLimit:
-		c.pacer.told(&m)
+		c.pacer.limitReceived(&m)
 	case wire.TurnRequest, wire.TurnAnswer:
 		c.pacer.step(pacing.MessageReceived{Message: message})
 	case wire.EngineRequest, wire.EngineAnswer, wire.EngineNews:
-		if c.dispatching != nil {
-			c.dispatching.step(dispatch.Received{Message: message})
+		if c.dispatchClient != nil {
+			c.dispatchClient.step(dispatch.Received{Message: message})
 		}
 	}
 }
 
-// released lets requests go once the store has been read, and other nodes have had the time
-// to answer.
-func (c *Core) released() {
-	if until := c.poison.heldUntil; c.now.Before(until) {
-		c.routing(routing.DispatchesHeld{Until: until})
+// releaseDispatches lets requests be dispatched once the store has been read and other nodes have
+// had time to answer the query for harmful requests.
+func (c *Core) releaseDispatches() {
+	if until := c.poison.holdUntil; c.now.Before(until) {
+		c.feedRouter(routing.DispatchesHeld{Until: until})
 		return
 	}
-	c.routing(routing.DispatchesReleased{})
+	c.feedRouter(routing.DispatchesReleased{})
 }
 
-// leaseAnswered takes the answer to a call for one of the records.
+// leaseAnswered handles the answer to a call for one of the node's leases.
 func (c *Core) leaseAnswered(answered LeaseAnswered) {
 	switch answered.Record {
 	case RecordNode:
-		c.record.answered(answered.Answer)
+		c.nodeLease.leaseAnswered(answered.Answer)
 	case RecordHolder:
-		c.cell.leaseAnswered(answered.Answer)
+		c.controller.leaseAnswered(answered.Answer)
 	}
 }
--- a/fleet/dispatching_test.go
+++ b/fleet/dispatch_client_test.go
@@ -26,13 +26,13 @@
 func TestCallerLeavesWhileHeld(t *testing.T) {
 	n := newEngineNode(t, "e1")
 	held := n.askUntilHeld()
-	known := n.core.dispatching.place.Known()
+	known := n.core.dispatchClient.dispatcher.Known()
 	n.step(RoutingInput{Event: routing.CallerGone{Request: held}})
 	n.pass(4 * time.Second)
 	if machine, sent := n.sent[held]; sent {
 		t.Errorf("sent to %s though the caller has left", machine)
 	}
-	if after := n.core.dispatching.place.Known(); after != known-1 {
+	if after := n.core.dispatchClient.dispatcher.Known(); after != known-1 {
 		t.Errorf("%d attempts are booked, %d before the caller left", after, known)
 	}
 }
--- a/fleet/dispatching_fixture_test.go
+++ b/fleet/dispatch_fixture_test.go
@@ -110,7 +110,7 @@
 
 // attempt is the last one of a request.
 func (n *engineNode) attempt(id cluster.RequestID) cluster.Attempt {
-	return n.core.dispatching.requests[id].attempt
+	return n.core.dispatchClient.requests[id].attempt
 }
 
 // joins enters a node with more capacity, and has what is asked of it at first be over.
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,9 +1,10 @@
-// Package fleet composes the deciding cores for deployments whose nodes each
-// read the platform's store themselves: configuration, machines and other nodes
-// are known to every node from its own watch, and nodes tell each other only what
-// models their callers wait for and what became of orders. Any node may hold the
-// lease under which orders are given.
+// Package fleet composes the deciding cores of a node for deployments in which every node reads
+// the platform's store itself. Each node learns the configuration, the machines and the other
+// nodes from its own watch on the store. Nodes send each other only the demand of their callers,
+// the outcome of load orders, and the messages of the parts that they share: tenants' tokens,
+// dispatching, pacing and requests that end machines. Any node may hold the lease under which
+// load orders are given to engines.
 //
-// The composition is a pure core like package node: it takes the time and an
-// event and returns effects, and a shell carries them out.
+// The composition is a pure core like package node: it takes the time and an event and returns
+// effects, and a shell carries out the effects.
 package fleet
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -16,128 +16,125 @@
 // Event is an input of the core.
 type Event interface{ fleetEvent() }
 
-// Tick lets time pass. The shell sends one at least at Core.NextDue.
+// Tick advances the core's time. The shell sends one at Core.NextDue at the latest.
 type Tick struct{}
 
-// ConfigurationRead brings a configuration that was read from the store.
+// ConfigurationRead delivers a configuration that was read from the store.
 type ConfigurationRead struct{ Compiled *catalog.Compiled }
 
-// WorkersRead brings machines' entries. With Full, machines that are not named
-// are gone.
+// WorkersRead delivers machines' entries. With Full, machines that are not listed are gone.
 type WorkersRead struct {
 	Workers []catalog.Worker
 	Gone    []cluster.MachineID
 	Full    bool
-	// Restarted are later starts of machines that are gone.
+	// Restarted are machines of Gone that have started again.
 	Restarted []routing.MachineRestarted
-	// Unread are machines whose entries can't be read. Such an entry counts later than one
-	// of Workers of the same machine.
+	// Unread are machines whose entries can't be decoded. Such an entry is newer than an entry of
+	// the same machine in Workers.
 	Unread []UnreadWorker
-	// Revision of the store that the entries were read at.
+	// Revision is the store revision at which the entries were read.
 	Revision int64
 }
 
-// UnreadWorker is a machine whose entry can't be read.
+// UnreadWorker is a machine whose entry can't be decoded.
 type UnreadWorker struct {
 	ID cluster.MachineID
-	// Leaving is set when the entry says as much as that the machine is not ready.
+	// Leaving is set if the entry at least shows that the machine is not ready.
 	Leaving bool
-	// Cause is why it can't be read.
+	// Cause is the decoding error.
 	Cause string
 }
 
-// NodesRead brings the entries of nodes. With Full, nodes that are not named
-// are gone.
+// NodesRead delivers the entries of nodes. With Full, nodes that are not listed are gone.
 type NodesRead struct {
 	Nodes []NodeEntry
 	Gone  []cluster.NodeID
 	Full  bool
 }
 
-// HolderRead brings the record of the lease under which orders are given; an
-// empty node means that there is none.
+// HolderRead delivers the record of the order lease. An empty node means that there is no record.
 type HolderRead struct {
 	Node  NodeEntry
 	Token cluster.FencingToken
 }
 
-// LastHolderRead brings the record of the machine that gave orders last.
+// LastHolderRead delivers the record of the machine that last gave orders.
 type LastHolderRead struct {
 	Node NodeEntry
-	// Revision of the record.
+	// Revision is the store revision of the record.
 	Revision int64
 }
 
-// PoisonStored is a record of the store on a request that ends machines.
+// PoisonStored is a stored record of a request that ends machines.
 type PoisonStored struct {
 	Record poison.Record
-	// Tests are how often a node was let send the request once more, Tester the last one.
-	// EndsBefore is how many machines had ended under the request by then.
+	// Tests is how often a node was allowed to send the request once more, and Tester the node of
+	// the last test. EndsBefore is the number of machines that had ended under the request before
+	// that test.
 	Tests      int
 	Tester     cluster.NodeID
 	EndsBefore int
 	Revision   int64
 }
 
-// PoisonRead brings such records. With Full, requests that are not named have none; the
-// records of Gone were deleted.
+// PoisonRead delivers stored records of requests that end machines. With Full, requests that are
+// not listed have no record. The records of Gone were deleted.
 type PoisonRead struct {
 	Records []PoisonStored
-	// Unread are records that can't be read: only their fingerprints and revisions count.
+	// Unread are records that can't be decoded; only their fingerprints and revisions are valid.
 	Unread []PoisonStored
 	Gone   []poison.Fingerprint
 	Full   bool
 }
 
-// StoreSynced says that everything that was in the store has been read.
+// StoreSynced reports that the whole content of the store has been read.
 type StoreSynced struct{}
 
-// Paused says that this process stood still, so that what it knows is old until
-// StoreSynced.
+// Paused reports that this process was suspended, so that its state is stale until StoreSynced.
 type Paused struct{ For time.Duration }
 
-// KeysProven says that the configuration in force was the newest one at a time.
+// KeysProven reports that the configuration in force was the newest one at the given time.
 type KeysProven struct{ At time.Time }
 
-// RoutingInput brings an event of the request path.
+// RoutingInput delivers an event of the request path.
 type RoutingInput struct{ Event routing.Event }
 
-// MessageReceived brings a message of another node.
+// MessageReceived delivers a message of another node.
 type MessageReceived struct{ Message wire.Message }
 
-// LeaseAnswered brings the answer to an awaited LeaseCall.
+// LeaseAnswered delivers the answer to an awaited LeaseCall.
 type LeaseAnswered struct {
 	Record Record
 	Answer lease.Answer
 }
 
-// StoreWritten brings the answer to a StoreWrite; no error when the key was written, or had
-// a value already.
+// StoreWritten delivers the answer to a StoreWrite. Err is nil if the key was written or already
+// had a value.
 type StoreWritten struct {
 	Key string
 	Err error
 }
 
-// TicketTaken says that the key of a StoreTicket was written.
+// TicketTaken reports that the key of a StoreTicket was written.
 type TicketTaken struct {
 	Shard  int
 	Number int64
 }
 
-// OrderAnswered brings the answer to a SendOrder.
+// OrderAnswered delivers the answer to a SendOrder.
 type OrderAnswered struct {
 	Answer sequence.Answered
 	Order  sequence.Order
 	Took   time.Duration
 }
 
-// ReportRead brings the answer to a ReadReport.
+// ReportRead delivers the answer to a ReadReport.
 type ReportRead struct{ Read sequence.ReportRead }
 
-// DrainStarted closes admission and gives the lease up.
+// DrainStarted stops admission of requests.
 type DrainStarted struct{}
 
-// ResignStarted gives the lease up at the beginning of a planned stop.
+// ResignStarted gives up the order lease when a planned stop begins.
 type ResignStarted struct{}
 
 func (Tick) fleetEvent()              {}
@@ -166,32 +163,32 @@
 // RoutingOutput hands an effect to the request path.
 type RoutingOutput struct{ Effect routing.Effect }
 
-// SendMessage sends a message to another node; it may be lost.
+// SendMessage sends a message to another node; delivery is not guaranteed.
 type SendMessage struct {
 	Address string
 	Message wire.Message
 }
 
-// Record is one of the records that a node keeps under a lease.
+// Record identifies one of the records that a node keeps under a lease.
 type Record uint8
 
 // The records.
 const (
-	// RecordNode says that the node lives.
+	// RecordNode shows that the node is alive.
 	RecordNode Record = iota + 1
-	// RecordHolder says that the node gives orders.
+	// RecordHolder shows that the node holds the order lease.
 	RecordHolder
 )
 
-// LeaseCall makes a call for one of the records.
+// LeaseCall makes a store call for the lease of one record.
 type LeaseCall struct {
 	Record  Record
 	Call    lease.Call
 	Awaited bool
 }
 
-// StoreWrite writes a key that must be absent to the store, or with Delete deletes the one
-// of a revision.
+// StoreWrite creates or replaces a key whose current revision is Revision, zero for an absent
+// key. With Delete it deletes the key at that revision.
 type StoreWrite struct {
 	Key      string
 	Value    []byte
@@ -199,8 +196,8 @@
 	Revision int64
 }
 
-// StoreTicket writes a key that must be absent and that lasts for a time; TicketTaken answers
-// if it was written.
+// StoreTicket writes a key that must be absent and that expires after Lasts. TicketTaken follows
+// only if the key was written.
 type StoreTicket struct {
 	Key    string
 	Lasts  time.Duration
@@ -208,17 +205,17 @@
 	Number int64
 }
 
-// SendOrder sends an order to an engine.
+// SendOrder sends a load or unload order to an engine.
 type SendOrder struct{ Send sequence.SendOrder }
 
 // ReadReport reads an engine's report.
 type ReadReport struct{ Read sequence.ReadReport }
 
-// PeersSettled says that the live nodes, Core.Nodes, have changed: whoever makes something of
-// all of them does so now.
+// PeersSettled reports that the live nodes, Core.Nodes, have changed. State that is derived from
+// all of them is recomputed on this effect.
 type PeersSettled struct{}
 
-// Log writes a line.
+// Log writes an event to the log.
 type Log struct{ Line eventlog.Event }
 
 func (RoutingOutput) fleetEffect() {}
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -24,7 +24,7 @@
 		if err != nil && entry != (NodeEntry{}) {
 			t.Fatalf("%v, and yet it says %+v", err, entry)
 		}
-		_ = entry.peer()
+		_ = entry.lendingPeer()
 	})
 }
 
--- a/fleet/gate_test.go
+++ b/fleet/gate_test.go
@@ -220,7 +220,7 @@
 	request := routing.Request{ID: "r1", Model: "m", PromptTokens: 700, MaxTokens: 50, Prefixes: []uint64{7}, Caller: 3, Deadline: time.Unix(9, 0)}
 	back := request
 	back.ID, back.Deadline, back.Returned = "r2", time.Unix(5, 0), true
-	if markOf(&request) != markOf(&back) {
+	if requestFingerprint(&request) != requestFingerprint(&back) {
 		t.Error("a caller that comes back is not known")
 	}
 	for name, change := range map[string]func(*routing.Request){
@@ -231,7 +231,7 @@
 	} {
 		other := request
 		change(&other)
-		if markOf(&other) == markOf(&request) {
+		if requestFingerprint(&other) == requestFingerprint(&request) {
 			t.Errorf("another %s is taken for the same", name)
 		}
 	}
--- a/fleet/gate_tokens.go
+++ b/fleet/gate_tokens.go
@@ -13,8 +13,9 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// charge is what the request counts against its tenant's limit now, zero without one.
-func (g *gate) charge(held *gated) float64 {
+// charge returns the amount that the request counts against its tenant's limit, zero if there is
+// no limit.
+func (g *gate) charge(held *gatedRequest) float64 {
 	tenant := g.core.compiled.Tenant(held.tenant)
 	if tenant == nil || tenant.Limit.Unlimited() {
 		return 0
@@ -22,24 +23,26 @@
 	return tenant.Limit.Charge(held.tokens)
 }
 
-// ask asks for the request's tokens; the answer may come at once.
-func (g *gate) ask(held *gated) {
-	g.numbers++
-	if g.numbers == 1 {
-		// Answers to an earlier process of the machine are no answers to this one.
-		g.numbers = g.core.now.UnixNano()
-	}
-	held.asking = g.numbers
-	g.asked[held.asking] = held
-	g.core.lend(lending.Asked{
-		Number: held.asking, Tenant: held.tenant, Amount: g.charge(held), Rank: held.rank,
-		Mark: held.mark, Heeds: g.heeds(held), Again: held.dispatch != nil, Patience: held.patience(g.core.now),
+// requestTokens requests the tokens for a request. The answer may be handled before it returns.
+func (g *gate) requestTokens(held *gatedRequest) {
+	g.lastNumber++
+	if g.lastNumber == 1 {
+		// Numbers start at the clock's time, so that answers to an earlier process of this
+		// machine match no question of this one.
+		g.lastNumber = g.core.now.UnixNano()
+	}
+	held.pendingNumber = g.lastNumber
+	g.pending[held.pendingNumber] = held
+	g.core.feedLending(lending.Asked{
+		Number: held.pendingNumber, Tenant: held.tenant, Amount: g.charge(held), Rank: held.rank,
+		Mark: held.fingerprint, Heeds: g.maxHeededWait(held), Again: held.heldDispatch != nil, Patience: held.tokenPatience(g.core.now),
 	})
 }
 
-// markOf tells what a request asks for. A caller that comes back has the same, through
-// whatever node; others may share it, and then take each other's turns.
-func markOf(request *routing.Request) int64 {
+// requestFingerprint returns a hash of what a request asks for. A caller that returns with the
+// request gets the same fingerprint at every node. Distinct requests may share a fingerprint, and
+// then use each other's turns.
+func requestFingerprint(request *routing.Request) int64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(request.Model))
 	word := make([]byte, 0, 8*(3+len(request.Prefixes)))
@@ -53,47 +56,47 @@
 	return int64(digest.Sum64())
 }
 
-// heeds is the longest wait that a request's caller heeds by now.
-func (g *gate) heeds(held *gated) time.Duration {
+// maxHeededWait returns the longest Retry-After that the request's caller can still follow.
+func (g *gate) maxHeededWait(held *gatedRequest) time.Duration {
 	left := held.deadline.Sub(g.core.now)
 	return max(time.Duration(float64(left)*g.core.config.HeedShare), 0)
 }
 
-// askShare is the part of what an arriving request has left that it may wait for its tokens
-// where nobody lends yet, so that the rest is enough to be served; chosen, not measured.
-const askShare = 0.5
+// tokenWaitShare is the share of its remaining time for which an arriving request may wait for
+// tokens while no node lends them, so that the rest is enough to serve it.
+const tokenWaitShare = 0.5
 
-// patience is how long a request may wait for its tokens; zero for the usual time.
-func (r *gated) patience(now time.Time) time.Duration {
-	if r.arrival == nil {
+// tokenPatience returns how long a request may wait for its tokens; zero selects the default.
+func (r *gatedRequest) tokenPatience(now time.Time) time.Duration {
+	if r.heldArrival == nil {
 		return 0
 	}
-	return time.Duration(askShare * float64(r.arrival.Deadline.Sub(now)))
+	return time.Duration(tokenWaitShare * float64(r.heldArrival.Deadline.Sub(now)))
 }
 
-// answered takes the answer to a question for tokens.
-func (g *gate) answered(e lending.Answered) {
-	held := g.asked[e.Number]
-	delete(g.asked, e.Number)
+// handleTokensAnswer handles the answer to a token question and resumes the held request.
+func (g *gate) handleTokensAnswer(e lending.Answered) {
+	held := g.pending[e.Number]
+	delete(g.pending, e.Number)
 	if held == nil {
 		if e.Granted {
-			g.core.lend(lending.Returned{Number: e.Number, Tenant: e.Tenant})
+			g.core.feedLending(lending.Returned{Number: e.Number, Tenant: e.Tenant})
 		}
 		return
 	}
-	held.asking = 0
+	held.pendingNumber = 0
 	if e.Granted {
-		held.granted, held.loan, held.askedAt, held.sent = e.Amount, e.Number, e.AskedAt, false
+		held.grantedTokens, held.grantNumber, held.tokensAskedAt, held.sent = e.Amount, e.Number, e.AskedAt, false
 	}
-	failure := g.limited(&e)
-	arrival, dispatch := held.arrival, held.dispatch
-	held.arrival, held.dispatch = nil, nil
+	failure := g.tokenFailure(&e)
+	arrival, dispatch := held.heldArrival, held.heldDispatch
+	held.heldArrival, held.heldDispatch = nil, nil
 	switch {
 	case arrival != nil && failure != nil:
 		delete(g.requests, held.id)
 		g.refuse(held.id, failure)
 	case arrival != nil:
-		g.core.routing(routing.RequestArrived{Request: *arrival})
+		g.core.feedRouter(routing.RequestArrived{Request: *arrival})
 	case dispatch != nil && failure != nil:
 		g.withhold(*dispatch, failure)
 	case dispatch != nil:
@@ -101,17 +104,18 @@
 	}
 }
 
-// limited says why a request is refused by the answer to the question for its tokens.
-func (g *gate) limited(e *lending.Answered) *verdict.Error {
+// tokenFailure returns the refusal that follows from the answer to a token question, nil if the
+// tokens are granted.
+func (g *gate) tokenFailure(e *lending.Answered) *verdict.Error {
 	switch {
 	case e.Granted:
 		return nil
 	case !e.Decided && g.core.lending.Deaf():
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable,
-			"this node reaches no other to ask for the tokens of tenant %s", e.Tenant).After(movedBack)
+			"this node reaches no other to ask for the tokens of tenant %s", e.Tenant).After(otherNodeRetryAfter)
 	case !e.Decided:
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable,
-			"nobody lends the tokens of tenant %s at the moment", e.Tenant).After(unlentBack)
+			"nobody lends the tokens of tenant %s at the moment", e.Tenant).After(noLenderRetryAfter)
 	}
 	var limit catalog.Limit
 	if tenant := g.core.compiled.Tenant(e.Tenant); tenant != nil {
@@ -119,11 +123,11 @@
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeTokenRateLimit,
 		"tenant %s is beyond its limit of %.0f a second and a burst of %.0f: %s has not %.0f left, %s",
-		e.Tenant, limit.Rate, limit.Burst, e.Lender, e.Amount, standingText(e)).After(e.Wait)
+		e.Tenant, limit.Rate, limit.Burst, e.Lender, e.Amount, describeStanding(e)).After(e.Wait)
 }
 
-// standingText tells how the tenant stood when its request was refused.
-func standingText(e *lending.Answered) string {
+// describeStanding describes the tenant's usage at the time of the refusal.
+func describeStanding(e *lending.Answered) string {
 	text := fmt.Sprintf("%.0f of %.0f are used in the window", e.Standing.Used, e.Standing.Grants)
 	if e.Standing.FirstAmount > 0 {
 		text += fmt.Sprintf(", first in line is rank %d with %.0f", e.Standing.FirstRank, e.Standing.FirstAmount)
@@ -134,34 +138,36 @@
 	return text
 }
 
-// fresh reports whether the tokens may be used now, with so much of their lifetime left.
-func (g *gate) fresh(now time.Time, held *gated, left time.Duration) bool {
-	return held.granted > 0 && now.Sub(held.askedAt) <= g.core.config.Lending.Lifetime-left
+// tokensValid reports whether the granted tokens may be used now and remain valid for at least
+// left.
+func (g *gate) tokensValid(now time.Time, held *gatedRequest, left time.Duration) bool {
+	return held.grantedTokens > 0 && now.Sub(held.tokensAskedAt) <= g.core.config.Lending.Lifetime-left
 }
 
-// giveBack gives tokens back that were not used.
-func (g *gate) giveBack(held *gated) {
-	if held.granted > 0 && !held.sent {
-		g.core.lend(lending.Returned{Number: held.loan, Tenant: held.tenant})
+// returnTokens returns unused tokens to the lender.
+func (g *gate) returnTokens(held *gatedRequest) {
+	if held.grantedTokens > 0 && !held.sent {
+		g.core.feedLending(lending.Returned{Number: held.grantNumber, Tenant: held.tenant})
 	}
-	held.granted = 0
+	held.grantedTokens = 0
 }
 
-// returnUnused gives back the tokens of requests that wait for longer than they last.
-func (g *gate) returnUnused() {
-	if len(g.requests) == 0 || g.core.now.Before(g.returnAt) {
+// returnExpiredTokens returns the tokens of requests that have waited for longer than the tokens
+// are valid.
+func (g *gate) returnExpiredTokens() {
+	if len(g.requests) == 0 || g.core.now.Before(g.nextReturnAt) {
 		return
 	}
-	g.returnAt = g.core.now.Add(returnEvery)
+	g.nextReturnAt = g.core.now.Add(tokenReturnInterval)
 	for _, held := range g.requests {
-		if held.granted > 0 && !held.sent && !g.fresh(g.core.now, held, dispatchMargin) {
-			g.giveBack(held)
+		if held.grantedTokens > 0 && !held.sent && !g.tokensValid(g.core.now, held, dispatchTokenMargin) {
+			g.returnTokens(held)
 		}
 	}
 }
 
-// attemptEnded notes whether an attempt used its tokens: one that its machine did not run
-// may be made again with them.
+// attemptEnded records whether an attempt used its tokens. An attempt that its machine did not
+// run may be repeated with the same tokens.
 func (g *gate) attemptEnded(e *routing.AttemptEnded) {
 	held := g.requests[e.Request]
 	if held == nil {
@@ -171,5 +177,5 @@
 		held.sent = false
 		return
 	}
-	held.granted, held.sent = 0, false
+	held.grantedTokens, held.sent = 0, false
 }
--- a/fleet/held_test.go
+++ b/fleet/held_test.go
@@ -17,7 +17,7 @@
 		n := newEngineNode(t, "e1")
 		held := n.askUntilHeld()
 		n.engines(false, "e2")
-		known := n.core.dispatching.place.Known()
+		known := n.core.dispatchClient.dispatcher.Known()
 		if gone {
 			known = 0
 			n.step(WorkersRead{Gone: []cluster.MachineID{"e1"}})
@@ -27,7 +27,7 @@
 		if n.sent[held] != "e2" {
 			t.Errorf("gone=%t: sent to %q at once, want e2", gone, n.sent[held])
 		}
-		if after := n.core.dispatching.place.Known(); after != max(known, 1) {
+		if after := n.core.dispatchClient.dispatcher.Known(); after != max(known, 1) {
 			t.Errorf("gone=%t: %d attempts are booked, want %d", gone, after, max(known, 1))
 		}
 	}
@@ -130,9 +130,9 @@
 		}
 	}
 	n.pass(20 * time.Second)
-	d := n.core.dispatching
-	if left := len(d.requests) + len(d.asked) + len(d.held) + d.place.Known() + d.place.UnderWay(); left != 0 {
+	d := n.core.dispatchClient
+	if left := len(d.requests) + len(d.pending) + len(d.held) + d.dispatcher.Known() + d.dispatcher.UnderWay(); left != 0 {
 		t.Errorf("%d requests, %d asked, %d held, %d booked, %d under way",
-			len(d.requests), len(d.asked), len(d.held), d.place.Known(), d.place.UnderWay())
+			len(d.requests), len(d.pending), len(d.held), d.dispatcher.Known(), d.dispatcher.UnderWay())
 	}
 }
--- a/fleet/holder.go
+++ b/fleet/holder.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// candidacyStep delays the attempts of nodes to take the lease: the first
-	// singleTurns of them stand alone, after that each turn has twice as many as the
-	// one before, so that a few calls suffice when the first ones live and the last
-	// of hundreds stands within two seconds when they don't. A step is enough for two
-	// calls and for the record to be read: 4 ms an answer and a poll each 300 ms,
-	// of which one that comes too late costs a refused write.
+	// candidacyStep is the delay between the turns in which nodes try to acquire the vacant
+	// lease. Each of the first soloTurns turns belongs to one node; each later turn has twice as
+	// many candidates as the one before it. A few calls therefore suffice while the first nodes
+	// are alive, and the last of hundreds of nodes tries within two seconds if they are not. One
+	// step covers two store calls of 4 ms and the polls of the record every 300 ms, except for a
+	// late poll, which costs a rejected write.
 	candidacyStep = 120 * time.Millisecond
-	singleTurns   = 6
-	// renewalsPerHold is how often the holder renews its lease within its time.
-	renewalsPerHold = 5
-	// orderShare is the part of the lease's time since the last renewal in which
-	// orders are given; the rest keeps a holder from ordering until the end.
+	soloTurns     = 6
+	// renewalsPerHolderTTL is the number of renewals within the TTL of the order lease.
+	renewalsPerHolderTTL = 5
+	// orderShare is the share of the lease's TTL since the last renewal in which orders are
+	// given. The rest is a safety margin, so that no holder gives orders up to the moment of
+	// expiry.
 	orderShare = 0.5
-	// resignTime is how long a stopping holder keeps the lease without ordering; chosen, not
-	// measured.
-	resignTime = time.Second
+	// resignDelay is how long a stopping holder keeps the lease without giving orders: the order
+	// pause of its successor then counts from a time without orders.
+	resignDelay = time.Second
 )
 
-// holderRead takes the record of the lease.
-func (c *cell) holderRead(read HolderRead) {
-	c.known = true
+// holderRead handles the record of the order lease.
+func (c *controller) holderRead(read HolderRead) {
+	c.holderKnown = true
 	if read.Node.ID == c.core.config.Self.ID {
 		c.holder, c.vacantSince = read.Node, time.Time{}
 		return
@@ -42,10 +43,10 @@
 		c.core.log(eventlog.LeaseChanged{Holder: read.Node.ID, Token: read.Token, Cause: "record read"})
 	}
 	c.holder = read.Node
-	if c.own(read.Node) {
-		// An earlier start of this node, which has ended: its place is taken at
-		// once. It is not removed first, because whoever finds the record absent
-		// takes it to have lapsed.
+	if c.sameMachine(read.Node) {
+		// An earlier process of this machine, which has ended, holds the lease, so the lease is
+		// replaced at once. The record is not deleted first, because other nodes would take its
+		// absence for an expired lease.
 		c.lease.Replace(read.Token)
 		c.vacantSince = c.core.now
 		return
@@ -61,73 +62,74 @@
 		if c.lease.Holding() && read.Token > c.lease.Token() {
 			c.stepDown("another node holds the lease")
 		}
-		c.core.reporter.next = c.core.now
+		c.core.reporter.nextReportAt = c.core.now
 	}
 }
 
-// lastRead takes the record of the last holder and what it learned.
-func (c *cell) lastRead(read LastHolderRead) {
-	c.last, c.lastRevision = read.Node, read.Revision
-	if read.Node.Bears > 0 && !c.began {
-		c.bears = read.Node.Bears
+// lastHolderRead handles the last holder's record and takes over the store capacity that it
+// learned.
+func (c *controller) lastHolderRead(read LastHolderRead) {
+	c.lastHolder, c.lastHolderRevision = read.Node, read.Revision
+	if read.Node.Bears > 0 && !c.termBegan {
+		c.learnedStoreLoads = read.Node.Bears
 	}
 }
 
-// own reports whether an entry is of this node's machine.
-func (c *cell) own(entry NodeEntry) bool {
+// sameMachine reports whether an entry belongs to this node's machine.
+func (c *controller) sameMachine(entry NodeEntry) bool {
 	return entry.Machine != "" && entry.Machine == c.core.config.Self.Machine
 }
 
-// stand tries to take the lease when there is no holder and the nodes ranked
-// before this one have had their turn.
-func (c *cell) stand() {
+// tryAcquire tries to acquire the lease if it is vacant and the candidates that precede this node
+// have had their turns.
+func (c *controller) tryAcquire() {
 	now := c.core.now
-	if !c.known || c.core.compiled == nil || c.vacantSince.IsZero() || now.Before(c.retryAt) {
+	if !c.holderKnown || c.core.compiled == nil || c.vacantSince.IsZero() || now.Before(c.retryAt) {
 		return
 	}
-	if now.Before(c.turn()) {
+	if now.Before(c.candidacyTime()) {
 		return
 	}
-	c.retryAt = now.Add(c.core.config.HolderTTL / renewalsPerHold)
+	c.retryAt = now.Add(c.core.config.HolderTTL / renewalsPerHolderTTL)
 	if c.lease.Lease() == 0 {
-		// A write whose answer was lost may have put this machine on record already:
-		// what was read before the first try decides.
-		c.succeeds = c.own(c.last) && c.last.Acting || c.core.config.FirstStart && c.lastRevision == 0
+		// A write whose answer was lost may already have stored this machine as the last holder,
+		// so only the record read before the first attempt counts.
+		c.skipOrderPause = c.sameMachine(c.lastHolder) && c.lastHolder.Acting || c.core.config.FirstStart && c.lastHolderRevision == 0
 	}
-	c.lease.WriteBeside(lease.Beside{Key: KeyLast, Value: c.lastEntry(c.succeeds), Revision: c.lastRevision})
+	c.lease.WriteBeside(lease.Beside{Key: KeyLast, Value: c.lastHolderEntry(c.skipOrderPause), Revision: c.lastHolderRevision})
 	c.lease.Acquire()
 }
 
-// lastEntry is the record of this machine as the last holder.
-func (c *cell) lastEntry(acting bool) []byte {
+// lastHolderEntry returns the record of this machine as the last holder.
+func (c *controller) lastHolderEntry(acting bool) []byte {
 	entry := c.core.config.Self
-	entry.Acting, entry.Bears = acting, c.bears
+	entry.Acting, entry.Bears = acting, c.learnedStoreLoads
 	return entry.Encode()
 }
 
-// turn is when this node may try to take the vacant lease: at once on the machine
-// that gave orders last, since it need not wait for its own, else by rank. Planning
-// takes processor time, so machines of greater capacity come first.
-func (c *cell) turn() time.Time {
-	if c.own(c.last) {
+// candidacyTime returns the time from which this node may try to acquire the vacant lease. The
+// machine that last gave orders tries at once, since it need not wait out its own orders. All
+// others try by rank. Planning takes processor time, so machines of greater capacity come first.
+func (c *controller) candidacyTime() time.Time {
+	if c.sameMachine(c.lastHolder) {
 		return c.vacantSince
 	}
-	return c.vacantSince.Add(time.Duration(turnOf(c.rank())) * candidacyStep)
+	return c.vacantSince.Add(time.Duration(candidacyTurn(c.rank())) * candidacyStep)
 }
 
-// turnOf is the turn of the node that a number of others come before.
-func turnOf(rank int) int {
-	if rank < singleTurns {
+// candidacyTurn returns the turn of the candidate with the given rank.
+func candidacyTurn(rank int) int {
+	if rank < soloTurns {
 		return rank + 1
 	}
-	return singleTurns + bits.Len(uint(rank-singleTurns+1))
+	return soloTurns + bits.Len(uint(rank-soloTurns+1))
 }
 
-// rank counts the live nodes whose turn comes before this one's. It is asked for at each step
-// while there is no holder, and counted anew when the live nodes are told of.
-func (c *cell) rank() int {
-	if c.rankKnown {
-		return c.ranked
+// rank returns the number of live nodes that precede this one as candidates. The value is cached
+// until the live nodes change, since it is needed at each step while there is no holder.
+func (c *controller) rank() int {
+	if c.rankCached {
+		return c.cachedRank
 	}
 	self, rank := &c.core.config.Self, 0
 	for id, entry := range c.core.nodes.live {
@@ -138,15 +140,15 @@
 			rank++
 		}
 	}
-	c.ranked, c.rankKnown = rank, true
+	c.cachedRank, c.rankCached = rank, true
 	return rank
 }
 
-// leaseAnswered takes the answer to a call for the lease.
-func (c *cell) leaseAnswered(answer lease.Answer) {
+// leaseAnswered handles the answer to a call for the order lease.
+func (c *controller) leaseAnswered(answer lease.Answer) {
 	switch c.lease.Answered(answer) {
 	case lease.Won:
-		c.won()
+		c.leaseWon()
 	case lease.Taken:
 		value, token := c.lease.Holder()
 		if entry, err := DecodeNodeEntry(value); err == nil {
@@ -156,84 +158,86 @@
 		c.stepDown("the lease ran out")
 		c.vacantSince = c.core.now
 	case lease.NoAnswer:
-		c.renewAt = c.core.now.Add(c.core.config.HolderTTL / renewalsPerHold / 2)
+		c.renewAt = c.core.now.Add(c.core.config.HolderTTL / renewalsPerHolderTTL / 2)
 	}
 }
 
-// won notes that the lease is this node's. A holder before it gave its last order
-// at most orderShare of the lease's time after its last renewal.
-func (c *cell) won() {
+// leaseWon starts the pause before this node's orders. The previous holder gave its last order at
+// most orderShare of the TTL after its last renewal.
+func (c *controller) leaseWon() {
 	config := &c.core.config
 	now := c.core.now
 	c.holder, c.vacantSince = config.Self, time.Time{}
-	c.renewAt = now.Add(config.HolderTTL / renewalsPerHold)
-	c.began = false
-	c.actAt = now
-	if !c.succeeds {
-		rest := time.Duration((1 - orderShare) * float64(config.HolderTTL))
-		c.actAt = now.Add(max(config.OrderPause-rest, 0) + orderMargin)
+	c.renewAt = now.Add(config.HolderTTL / renewalsPerHolderTTL)
+	c.termBegan = false
+	c.ordersFrom = now
+	if !c.skipOrderPause {
+		sinceLastOrder := time.Duration((1 - orderShare) * float64(config.HolderTTL))
+		c.ordersFrom = now.Add(max(config.OrderPause-sinceLastOrder, 0) + orderPauseMargin)
 	}
 	c.core.log(eventlog.LeaseChanged{Holder: config.Self.ID, Token: c.lease.Token(), Own: true, Cause: "won"})
 }
 
-// orderMargin is added to the pause between the orders of two holders; chosen, not measured.
-const orderMargin = 150 * time.Millisecond
+// orderPauseMargin is added to the pause between the orders of two holders, since an order may
+// reach its engine late.
+const orderPauseMargin = 150 * time.Millisecond
 
-// beginTerm starts giving orders.
-func (c *cell) beginTerm() {
-	c.began = true
-	if !c.succeeds {
-		c.writeLast()
+// beginTerm begins the term, in which this node gives orders.
+func (c *controller) beginTerm() {
+	c.termBegan = true
+	if !c.skipOrderPause {
+		c.writeLastHolder()
 	}
 	config := c.plannerConfig()
-	config.AssumeStarts = !c.core.config.FirstStart || c.lastRevision != 0
+	config.AssumeStarts = !c.core.config.FirstStart || c.lastHolderRevision != 0
 	c.planner = placement.NewPlanner(config)
-	c.ledgerStep(sequence.TermBegan{Holder: c.core.config.Self.ID, Token: c.lease.Token()})
-	c.news = true
+	c.feedLedger(sequence.TermBegan{Holder: c.core.config.Self.ID, Token: c.lease.Token()})
+	c.planStale = true
 }
 
-// writeLast writes the record of the last holder.
-func (c *cell) writeLast() {
+// writeLastHolder writes this machine's record as the last holder, if this node still holds the
+// lease.
+func (c *controller) writeLastHolder() {
 	c.core.emit(LeaseCall{Record: RecordHolder, Call: lease.Call{Operation: lease.Txn, Txn: keyvalue.Transaction{
 		Compares:   []keyvalue.Compare{{Key: KeyHolder, ModRevision: int64(c.lease.Token())}},
-		Operations: []keyvalue.Operation{{Key: KeyLast, Value: c.lastEntry(true)}},
+		Operations: []keyvalue.Operation{{Key: KeyLast, Value: c.lastHolderEntry(true)}},
 	}}})
 }
 
 // stepDown ends the term.
-func (c *cell) stepDown(cause string) {
-	if c.lease.Holding() || c.began {
+func (c *controller) stepDown(cause string) {
+	if c.lease.Holding() || c.termBegan {
 		c.core.log(eventlog.LeaseChanged{Token: c.lease.Token(), Cause: cause})
 	}
 	c.lease.Reset()
-	c.began = false
-	c.ledgerStep(sequence.TermEnded{})
+	c.termBegan = false
+	c.feedLedger(sequence.TermEnded{})
 	if c.holder.ID == c.core.config.Self.ID {
 		c.holder = NodeEntry{}
 	}
 }
 
-// resign ends orders at once and gives the lease back a little later, so that the
-// next holder's wait counts from a time at which this one gave none.
-func (c *cell) resign() {
-	if !c.resigned.IsZero() {
+// resign stops orders at once. The lease is released after resignDelay, so that the order pause
+// of the next holder counts from a time at which this one gave no orders.
+func (c *controller) resign() {
+	if !c.resignedAt.IsZero() {
 		return
 	}
-	c.resigned = c.core.now
-	c.ledgerStep(sequence.TermEnded{})
+	c.resignedAt = c.core.now
+	c.feedLedger(sequence.TermEnded{})
 }
 
-func (c *cell) finishResigning() {
-	if c.lease.Holding() && c.core.now.Sub(c.resigned) >= resignTime {
+func (c *controller) finishResigning() {
+	if c.lease.Holding() && c.core.now.Sub(c.resignedAt) >= resignDelay {
 		c.lease.Release()
 	}
 }
 
-// mayOrder reports whether orders may be given now. Where engines don't check
-// tokens, the time since the last renewal alone keeps this holder apart from the
-// next one. Where they do, a holder that can't reach the store goes on: no one
-// else is then in the place to order, or engines tell.
-func (c *cell) mayOrder() bool {
+// mayOrder reports whether orders may be given now. If engines don't check fencing tokens, only
+// the time since the last renewal separates this holder from the next one. If they do, a holder
+// that can't reach the store continues: until another holder exists nobody else gives orders, and
+// engines reject the orders of a superseded holder.
+func (c *controller) mayOrder() bool {
 	if !c.ledger.Holding() {
 		return false
 	}
--- a/fleet/delays_test.go
+++ b/fleet/load_delays_test.go
@@ -11,11 +11,11 @@
 // TestAlternatingCausesAreLoggedOnce: two causes that alternate from plan to plan would
 // fill the log; one that lasts is written.
 func TestAlternatingCausesAreLoggedOnce(t *testing.T) {
-	var current delay
+	var current loadDelay
 	var logged []placement.Cause
 	now := time.Unix(1000, 0)
 	step := func(cause placement.Cause) {
-		next, logs := current.with(cause, now)
+		next, logs := current.update(cause, now)
 		if logs {
 			logged = append(logged, cause)
 		}
--- a/fleet/copies.go
+++ b/fleet/load_time.go
@@ -8,17 +8,17 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// leastLoad is how long a load of a model, or of an adapter's base, takes at least: from the
-// machine that has a copy nearest at hand. Zero when it is loaded somewhere or nothing is
-// known. It looks at the entries of all machines, 10 us for 140 of them: requests for models
-// that nobody holds are few.
-func (v *machineView) leastLoad(id cluster.ModelID) time.Duration {
+// minLoadTime returns the shortest load time of a model, or of an adapter's base model: the time
+// from the fastest tier at which any machine has a copy. It returns zero if the model is loaded
+// somewhere or nothing is known about it. It scans the entries of all machines, which takes 10 us
+// for 140 machines and happens only for requests for models that no machine holds.
+func (v *machineView) minLoadTime(id cluster.ModelID) time.Duration {
 	service, name, _ := catalog.Split(id)
 	spec := v.core.compiled.Service(service).Model(name)
 	if spec == nil || len(v.machines) == 0 {
 		return 0
 	}
-	least := spec.LoadTime
+	shortest := spec.LoadTime
 	for _, known := range v.machines {
 		worker := &known.worker
 		if worker.Service != service || worker.Draining {
@@ -28,10 +28,10 @@
 		case slices.ContainsFunc(worker.Held, func(held catalog.HeldModel) bool { return held.Name == name }):
 			return 0
 		case slices.Contains(worker.InMemory, name):
-			least = min(least, spec.MemoryTime)
+			shortest = min(shortest, spec.MemoryTime)
 		case slices.Contains(worker.OnDisk, name):
-			least = min(least, spec.DiskTime)
+			shortest = min(shortest, spec.DiskTime)
 		}
 	}
-	return least
+	return shortest
 }
--- a/fleet/nodeset.go
+++ b/fleet/nodeset.go
@@ -2,11 +2,11 @@
 
 import "github.com/valveslip/valveslip/cluster"
 
-// nodeSet holds the newest record of each machine: that of a process which was started
-// anew takes the place of the one before it, whose lease may last for a while.
+// nodeSet holds the newest record of each machine. The record of a restarted process replaces
+// that of its predecessor, whose lease may not have expired yet.
 type nodeSet struct {
 	live map[cluster.NodeID]NodeEntry
-	// machines are the nodes of those that name their machine.
+	// machines maps each named machine to its node.
 	machines map[string]cluster.NodeID
 }
 
@@ -14,7 +14,7 @@
 	return nodeSet{live: map[cluster.NodeID]NodeEntry{}, machines: map[string]cluster.NodeID{}}
 }
 
-// put takes a record unless its machine has a newer one.
+// put adds a record unless its machine has a newer one.
 func (s nodeSet) put(entry NodeEntry) {
 	if entry.Machine != "" {
 		if id, known := s.machines[entry.Machine]; known && id != entry.ID {
@@ -28,7 +28,7 @@
 	s.live[entry.ID] = entry
 }
 
-// remove takes the record of a node out.
+// remove removes the record of a node.
 func (s nodeSet) remove(id cluster.NodeID) {
 	if machine := s.live[id].Machine; s.machines[machine] == id {
 		delete(s.machines, machine)
@@ -36,7 +36,7 @@
 	delete(s.live, id)
 }
 
-// clear takes all records out.
+// clear removes all records.
 func (s nodeSet) clear() {
 	clear(s.live)
 	clear(s.machines)
--- a/fleet/pacer.go
+++ b/fleet/pacer.go
@@ -11,48 +11,48 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// pacer keeps requests to machines within the limits that these named: it has all nodes know
-// of a limit, and gets the router its turns.
+// pacer keeps requests to machines within the limits that the machines reported. It announces
+// limits to all nodes and obtains turns for the router.
 type pacer struct {
-	core *Core
-	pace *pacing.Core
-	// decided are answers that the router has yet to be told.
-	decided []routing.TurnDecided
+	core  *Core
+	turns *pacing.Core
+	// pendingDecisions are decisions that the router has not been told yet.
+	pendingDecisions []routing.TurnDecided
 }
 
 func newPacer(core *Core) *pacer {
-	return &pacer{core: core, pace: pacing.New(core.config.Self.pacer())}
+	return &pacer{core: core, turns: pacing.New(core.config.Self.pacingPeer())}
 }
 
-// pacer is the node as those that pace machines are chosen from.
-func (e *NodeEntry) pacer() pacing.Peer {
+// pacingPeer returns the node as a peer of package pacing.
+func (e *NodeEntry) pacingPeer() pacing.Peer {
 	return pacing.Peer{ID: e.ID, Address: e.Address, Machine: e.Machine}
 }
 
-// peersChanged tells who paces of the live nodes.
+// peersChanged passes the live nodes to the pacing core.
 func (p *pacer) peersChanged() {
 	peers := make([]pacing.Peer, 0, len(p.core.nodes.live))
 	for _, entry := range p.core.nodes.live {
-		peers = append(peers, entry.pacer())
+		peers = append(peers, entry.pacingPeer())
 	}
 	p.step(pacing.PeersChanged{Peers: peers})
 }
 
-// step feeds the pacing core and carries its effects out.
+// step hands an event to the pacing core and carries out its effects.
 func (p *pacer) step(event pacing.Event) {
-	for _, effect := range p.pace.Step(p.core.now, event) {
+	for _, effect := range p.turns.Step(p.core.now, event) {
 		switch e := effect.(type) {
 		case pacing.Send:
 			p.core.send(e.Address, e.Message)
 		case pacing.TurnDecided:
 			p.core.log(eventlog.TurnDecided{Machine: e.Machine, Granted: e.Granted, Wait: e.Wait, By: e.By})
-			p.decided = append(p.decided, routing.TurnDecided{Machine: e.Machine, Granted: e.Granted, Wait: e.Wait})
+			p.pendingDecisions = append(p.pendingDecisions, routing.TurnDecided{Machine: e.Machine, Granted: e.Granted, Wait: e.Wait})
 		}
 	}
 }
 
-// found tells all nodes what this one heard of a machine's limit.
-func (p *pacer) found(e *routing.MachineLimitFound) {
+// broadcastLimit announces a limit, which a machine reported to this node, to all other nodes.
+func (p *pacer) broadcastLimit(e *routing.MachineLimitFound) {
 	self := p.core.config.Self.ID
 	p.core.log(eventlog.WorkerLimited{Machine: e.Machine, Limited: e.Notice.Limited, Limit: e.Notice.PerSecond, By: self, Request: e.Request})
 	for _, id := range slices.Sorted(maps.Keys(p.core.nodes.live)) {
@@ -64,25 +64,25 @@
 	}
 }
 
-// told takes what another node heard of a machine's limit.
-func (p *pacer) told(m *wire.MachineLimit) {
+// limitReceived handles a machine's limit announced by another node.
+func (p *pacer) limitReceived(m *wire.MachineLimit) {
 	p.core.log(eventlog.WorkerLimited{Machine: m.Machine, Limited: m.Limited, Limit: m.PerSecond, By: m.From})
-	p.core.routing(routing.MachineLimitTold{
+	p.core.feedRouter(routing.MachineLimitTold{
 		Machine: m.Machine, Notice: routing.Notice{Limited: m.Limited, PerSecond: m.PerSecond},
 	})
 }
 
-// due returns when the next tick has something to do.
-func (p *pacer) due() time.Time { return p.pace.NextDue() }
+// due returns the time of the next required tick.
+func (p *pacer) due() time.Time { return p.turns.NextDue() }
 
-// tick lets the pacing core's time pass, and tells the router what was decided.
+// tick advances the pacing core's time and passes its decisions to the router.
 func (p *pacer) tick() {
 	if due := p.due(); !due.IsZero() && !p.core.now.Before(due) {
 		p.step(pacing.Tick{})
 	}
-	for len(p.decided) > 0 {
-		next := p.decided[0]
-		p.decided = p.decided[1:]
-		p.core.routing(next)
+	for len(p.pendingDecisions) > 0 {
+		next := p.pendingDecisions[0]
+		p.pendingDecisions = p.pendingDecisions[1:]
+		p.core.feedRouter(next)
 	}
 }
--- a/fleet/peernews_test.go
+++ b/fleet/peer_notifier_test.go
@@ -48,11 +48,11 @@
 		now = core.NextDue()
 		step(Tick{})
 	}
-	if told != core.peers.told {
-		t.Errorf("%d nodes: told %d times, and the feed %d times", nodes, core.peers.told, told)
+	if told != core.peerNotifier.notifications {
+		t.Errorf("%d nodes: told %d times, and the feed %d times", nodes, core.peerNotifier.notifications, told)
 	}
-	if core.sharers.Routers != nodes || core.peers.stale {
-		t.Errorf("%d nodes: the router was told of %d", nodes, core.sharers.Routers)
+	if core.reportedRouters.Routers != nodes || core.peerNotifier.changePending {
+		t.Errorf("%d nodes: the router was told of %d", nodes, core.reportedRouters.Routers)
 	}
 	return work
 }
@@ -76,12 +76,12 @@
 	for i := range 40 {
 		now = now.Add(time.Second)
 		core.Step(now, NodesRead{Nodes: []NodeEntry{startedNode(i)}})
-		if core.sharers.Routers != i+1 {
-			t.Fatalf("after %d nodes the router was told of %d", i+1, core.sharers.Routers)
+		if core.reportedRouters.Routers != i+1 {
+			t.Fatalf("after %d nodes the router was told of %d", i+1, core.reportedRouters.Routers)
 		}
 	}
 	core.Step(now.Add(time.Second), NodesRead{Gone: []cluster.NodeID{"node-7"}})
-	if core.sharers.Routers != 39 {
-		t.Fatalf("after one has gone the router was told of %d", core.sharers.Routers)
+	if core.reportedRouters.Routers != 39 {
+		t.Fatalf("after one has gone the router was told of %d", core.reportedRouters.Routers)
 	}
 }
--- a/fleet/planning_spacing_test.go
+++ b/fleet/planning_spacing_test.go
@@ -21,9 +21,9 @@
 	}{{12, 0.4, 20 * time.Millisecond}, {9755, 0.8, 400 * time.Millisecond}, {9755, 0, 320 * time.Millisecond}, {19510, 0.8, 800 * time.Millisecond}} {
 		core := New(Config{Self: NodeEntry{ID: "n", Capacity: test.capacity}}, 1)
 		for i := range test.engines {
-			core.cell.ledger.Step(time.Unix(1000, 0), sequence.MachineSeen{Worker: catalog.Worker{ID: cluster.MachineID(fmt.Sprintf("e%05d", i))}})
+			core.controller.ledger.Step(time.Unix(1000, 0), sequence.MachineSeen{Worker: catalog.Worker{ID: cluster.MachineID(fmt.Sprintf("e%05d", i))}})
 		}
-		if spacing := core.cell.planSpacing(); spacing > test.most {
+		if spacing := core.controller.currentPlanInterval(); spacing > test.most {
 			t.Errorf("%d engines, %v cores: a plan each %s, want each %s", test.engines, test.capacity, spacing, test.most)
 		}
 	}
--- a/fleet/planning_test.go
+++ b/fleet/planning_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := longestPause(compiled); got != 300*time.Millisecond {
+	if got := strictestLongestPause(compiled); got != 300*time.Millisecond {
 		t.Errorf("longest pause %v, want 300ms", got)
 	}
 }
--- a/fleet/poison.go
+++ b/fleet/poison.go
@@ -14,165 +14,168 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// KeyPoison holds a record for each request that must not be sent because machines end
-// under it. The records outlive all nodes; deleting one pardons its request.
+// KeyPoison is the prefix of the records of requests that must not be sent because machines end
+// under them. The records have no expiry; deleting one pardons its request.
 const KeyPoison = KeyRoot + "poison/"
 
-// How what is known of requests that end machines is told to other nodes.
+// Timing and limits of the reports, tests and stored records of requests that end machines.
 const (
-	// poisonSpacing is the least time between two messages to one node, so that the many
-	// requests that were at one machine go together.
-	poisonSpacing = 5 * time.Millisecond
-	// poisonTellings is how often each record is told, the second after poisonRepeat, each
-	// further one after three times as long: messages may be lost, and what three machines
-	// ended for must be known within half of a bound of 3 s.
-	poisonTellings = 3
-	poisonRepeat   = 300 * time.Millisecond
-	// tellAllNodes is up to how many nodes all are told of suspects; among more, only
-	// poisonOwners nodes by the request's fingerprint, who count its ends for all.
-	tellAllNodes = 16
-	poisonOwners = 5
-	// removeInterval spaces looks at all stored records: one at 4,096 takes 2 ms, and on each
-	// step it made a small request nine times as dear.
-	removeInterval = 10 * time.Second
-	// mostTests is how often in all a convicted request is sent once more: three further
-	// sends are what the users allow. testSpacing leaves the node that has the first one the
-	// time to use it. A node that has ended meanwhile is waited for no longer, and one more
-	// test follows its last one: what many ask for was refused for an hour once both nodes
-	// that were to try it had been stopped. So does one that follows a test by which no machine
-	// ended and none answered.
-	mostTests   = 2
-	testSpacing = 10 * time.Second
-	// poisonAskHold is for how long a node that began or stood still sends nothing after it
-	// has asked others what the store may not have: what waits by then would be sent in the
-	// same instant. A message and its answer take 2 to 40 ms within a region.
-	poisonAskHold = 50 * time.Millisecond
-	// poisonWriteRetry spaces attempts to write a record to the store; it doubles up to
-	// longestPoisonWriteRetry.
-	poisonWriteRetry        = time.Second
-	longestPoisonWriteRetry = 8 * time.Second
-	// poisonBackup is after how long others write a record that the store still lacks: the
-	// node that found it may have ended.
-	poisonBackup = 2 * time.Second
+	// poisonReportSpacing is the least time between two messages to one node, so that the reports
+	// on many requests that ran at the same machine share a message.
+	poisonReportSpacing = 5 * time.Millisecond
+	// poisonReportCount is how often each record is reported. The second report follows after
+	// poisonReportRepeat, and each further interval is three times as long. Messages may be lost,
+	// and a conviction must be known to all nodes within half of a bound of 3 s.
+	poisonReportCount  = 3
+	poisonReportRepeat = 300 * time.Millisecond
+	// maxBroadcastNodes is the largest number of live nodes with which suspects are reported to
+	// all nodes. In larger systems only poisonOwners nodes, selected by the request's
+	// fingerprint, receive the reports on a suspect and count its ends on behalf of all.
+	maxBroadcastNodes = 16
+	poisonOwners      = 5
+	// poisonCleanupInterval is the time between scans of all stored records. A scan of 4,096
+	// records takes 2 ms; on each step it made a small request nine times as expensive.
+	poisonCleanupInterval = 10 * time.Second
+	// maxPoisonTests is how often in all a convicted request is sent once more, since at most
+	// three further sends are acceptable. poisonTestSpacing gives the node of the first test the
+	// time to use it. A node that has ended meanwhile is not waited for, and one more test is
+	// allowed after its last one: a frequent request was refused for an hour after both nodes
+	// that were to test it had been stopped. One more test is also allowed after a test by which
+	// no machine ended and none answered.
+	maxPoisonTests    = 2
+	poisonTestSpacing = 10 * time.Second
+	// poisonQueryHold is how long a node that has started or was suspended holds all dispatches
+	// after it has asked other nodes for convictions that the store may lack: otherwise
+	// everything that waits would be sent at once. A message and its answer take 2 to 40 ms
+	// within a region.
+	poisonQueryHold = 50 * time.Millisecond
+	// minPoisonWriteRetry is the first pause between attempts to write a record to the store; it
+	// doubles up to maxPoisonWriteRetry.
+	minPoisonWriteRetry = time.Second
+	maxPoisonWriteRetry = 8 * time.Second
+	// poisonBackupDelay is the time after which other nodes write a record that the store still
+	// lacks, because the node that found it may have ended.
+	poisonBackupDelay = 2 * time.Second
 )
 
-// telling is a record that is to be told.
-type telling struct {
-	left int
-	next time.Time
-	// wait until the one after next.
-	wait time.Duration
+// pendingReport is a record that is to be reported.
+type pendingReport struct {
+	// remaining is the number of reports left.
+	remaining int
+	dueAt     time.Time
+	// interval is the time between the next report and the one after it.
+	interval time.Duration
 }
 
-// poisonWrite is a record that the store lacks.
-type poisonWrite struct {
-	// idle is set where other nodes are to write it.
-	idle bool
-	// revision of the record that it takes the place of, zero for none.
-	revision int64
-	next     time.Time
-	wait     time.Duration
-	underWay bool
+// pendingWrite is a record that the store lacks, or that is to be deleted from it.
+type pendingWrite struct {
+	// leftToOthers is set if other nodes are to write the record.
+	leftToOthers bool
+	// revision is the revision of the stored record to be replaced, zero for none.
+	revision   int64
+	dueAt      time.Time
+	retryDelay time.Duration
+	inFlight   bool
 }
 
-// storedPoison is what is known of a record in the store.
+// storedPoison is this node's state of a stored record.
 type storedPoison struct {
 	PoisonStored
-	// since is when this node read it.
-	since time.Time
-	// claimed is when this node last asked the store for a test, zero for not.
-	claimed time.Time
+	// readAt is when this node read the record.
+	readAt time.Time
+	// claimedAt is when this node last tried to claim a test in the store, zero for never.
+	claimedAt time.Time
 }
 
-// poisonKeeper tells other nodes and the store of requests that end machines, and learns
-// from them.
-type poisonKeeper struct {
-	core     *Core
-	tellings map[poison.Fingerprint]*telling
-	writes   map[poison.Fingerprint]*poisonWrite
-	// removals are records that are to be deleted from the store.
-	removals map[poison.Fingerprint]*poisonWrite
+// poisonSync exchanges records of requests that end machines with other nodes and the store.
+type poisonSync struct {
+	core    *Core
+	reports map[poison.Fingerprint]*pendingReport
+	writes  map[poison.Fingerprint]*pendingWrite
+	// removals are the records to be deleted from the store.
+	removals map[poison.Fingerprint]*pendingWrite
 	// stored are the requests that have a record in the store.
 	stored map[poison.Fingerprint]*storedPoison
-	// received are the requests that the present event says are convicted.
-	received map[poison.Fingerprint]bool
-	// lifted are the requests of which all nodes must learn that they are convicted no more.
-	lifted   map[poison.Fingerprint]bool
-	learning bool
-	lastTold time.Time
-	// removeAt is when the holder next looks for records whose time is over.
-	removeAt time.Time
-	// asked is set once other nodes were asked for what the store may not have; until
-	// heldUntil their answers are waited for.
-	asked     bool
-	heldUntil time.Time
+	// receivedConvictions are the requests that the records being learned convict.
+	receivedConvictions map[poison.Fingerprint]bool
+	// liftedConvictions are the requests whose acquittal must be reported to all nodes.
+	liftedConvictions  map[poison.Fingerprint]bool
+	learningFromOthers bool
+	lastReportAt       time.Time
+	// nextCleanupAt is when the lease holder next scans for expired records.
+	nextCleanupAt time.Time
+	// peersQueried is set once other nodes were asked for convictions that the store may lack.
+	// Their answers are awaited until holdUntil.
+	peersQueried bool
+	holdUntil    time.Time
 }
 
-func newPoisonKeeper(core *Core) *poisonKeeper {
-	return &poisonKeeper{
-		core: core, tellings: map[poison.Fingerprint]*telling{}, writes: map[poison.Fingerprint]*poisonWrite{}, removals: map[poison.Fingerprint]*poisonWrite{},
-		stored: map[poison.Fingerprint]*storedPoison{}, received: map[poison.Fingerprint]bool{}, lifted: map[poison.Fingerprint]bool{},
+func newPoisonSync(core *Core) *poisonSync {
+	return &poisonSync{
+		core: core, reports: map[poison.Fingerprint]*pendingReport{}, writes: map[poison.Fingerprint]*pendingWrite{}, removals: map[poison.Fingerprint]*pendingWrite{},
+		stored: map[poison.Fingerprint]*storedPoison{}, receivedConvictions: map[poison.Fingerprint]bool{}, liftedConvictions: map[poison.Fingerprint]bool{},
 	}
 }
 
 // convicts reports whether a record forbids that its request is sent.
-func (k *poisonKeeper) convicts(record *poison.Record) bool {
-	return k.core.config.Routing.Poison.Convicts(record)
+func (s *poisonSync) convicts(record *poison.Record) bool {
+	return s.core.config.Routing.Poison.Convicts(record)
 }
 
-// found takes what the router newly knows. What others told is not told on, but for a
-// conviction that only follows from it together with what was known here.
-func (k *poisonKeeper) found(records []poison.Record) {
+// recordsFound handles records that are new to the router. Records received from other nodes are
+// not reported again, except a conviction that follows only from the received records together
+// with those of this node.
+func (s *poisonSync) recordsFound(records []poison.Record) {
 	for i := range records {
 		record := &records[i]
-		convicts := k.convicts(record)
-		if convicts && k.stored[record.Content] == nil {
-			k.mustStore(record.Content)
+		convicts := s.convicts(record)
+		if convicts && s.stored[record.Content] == nil {
+			s.scheduleWrite(record.Content)
 		}
-		if k.learning && (!convicts || k.received[record.Content]) {
+		if s.learningFromOthers && (!convicts || s.receivedConvictions[record.Content]) {
 			continue
 		}
-		k.log(record, convicts)
-		k.tellings[record.Content] = &telling{left: k.tellingsOf(convicts), next: k.core.now, wait: poisonRepeat}
+		s.logVerdict(record, convicts)
+		s.reports[record.Content] = &pendingReport{remaining: s.reportCount(convicts), dueAt: s.core.now, interval: poisonReportRepeat}
 		if record.Standing() == 0 {
-			k.remove(record.Content)
+			s.scheduleDelete(record.Content)
 		}
 	}
 }
 
-// tellingsOf is how often a record is told: once where many nodes are told of a conviction,
-// which the store's record brings as well.
-func (k *poisonKeeper) tellingsOf(convicts bool) int {
-	if convicts && len(k.core.nodes.live) > tellAllNodes {
+// reportCount returns how often a record is reported: once for a conviction in a large system,
+// since the stored record announces it as well.
+func (s *poisonSync) reportCount(convicts bool) int {
+	if convicts && len(s.core.nodes.live) > maxBroadcastNodes {
 		return 1
 	}
-	return poisonTellings
+	return poisonReportCount
 }
 
-// mustStore sees to it that a conviction comes into the store: the node that found it writes
-// it at once, a few others when it isn't there a while later.
-func (k *poisonKeeper) mustStore(content poison.Fingerprint) {
-	if k.writes[content] != nil {
+// scheduleWrite schedules the write of a conviction to the store. The node that found it writes
+// at once. If the store still lacks it after poisonBackupDelay, its owners write it.
+func (s *poisonSync) scheduleWrite(content poison.Fingerprint) {
+	if s.writes[content] != nil {
 		return
 	}
-	due := &poisonWrite{next: k.core.now, wait: poisonWriteRetry}
-	if k.learning && k.received[content] {
-		due.next = k.core.now.Add(poisonBackup)
-		due.idle = !slices.Contains(k.owners(content), k.core.config.Self.ID)
+	write := &pendingWrite{dueAt: s.core.now, retryDelay: minPoisonWriteRetry}
+	if s.learningFromOthers && s.receivedConvictions[content] {
+		write.dueAt = s.core.now.Add(poisonBackupDelay)
+		write.leftToOthers = !slices.Contains(s.ownersOf(content), s.core.config.Self.ID)
 	}
-	k.writes[content] = due
+	s.writes[content] = write
 }
 
-// owners lists the few nodes that count a request's ends where there are many.
-func (k *poisonKeeper) owners(content poison.Fingerprint) []cluster.NodeID {
-	ids := slices.Collect(maps.Keys(k.core.nodes.live))
+// ownersOf returns the nodes that count a request's ends on behalf of all in a large system.
+func (s *poisonSync) ownersOf(content poison.Fingerprint) []cluster.NodeID {
+	ids := slices.Collect(maps.Keys(s.core.nodes.live))
 	slices.SortFunc(ids, func(a, b cluster.NodeID) int {
-		return cmp.Or(cmp.Compare(ownerRank(b, content), ownerRank(a, content)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(ownerWeight(b, content), ownerWeight(a, content)), cmp.Compare(a, b))
 	})
 	return ids[:min(len(ids), poisonOwners)]
 }
 
-func (k *poisonKeeper) log(record *poison.Record, convicts bool) {
+func (s *poisonSync) logVerdict(record *poison.Record, convicts bool) {
 	line := eventlog.PoisonJudged{Content: record.Content.String(), Machines: joinMachines(record.Ends), Ends: record.Standing(), Outcome: "suspected"}
 	switch {
 	case convicts:
@@ -180,7 +183,7 @@
 	case line.Ends == 0:
 		line.Outcome = "cleared"
 	}
-	k.core.log(line)
+	s.core.log(line)
 }
 
 func joinMachines(ids []cluster.MachineID) string {
@@ -191,79 +194,81 @@
 	return strings.Join(names, ",")
 }
 
-// learn hands records of others to the router.
-func (k *poisonKeeper) learn(records []poison.Record) {
+// learn passes records of other nodes or of the store to the router.
+func (s *poisonSync) learn(records []poison.Record) {
 	for i := range records {
-		if k.convicts(&records[i]) {
-			k.received[records[i].Content] = true
+		if s.convicts(&records[i]) {
+			s.receivedConvictions[records[i].Content] = true
 		}
 	}
-	k.learning = true
-	k.core.routing(routing.PoisonLearned{Records: records})
-	k.learning = false
-	clear(k.received)
+	s.learningFromOthers = true
+	s.core.feedRouter(routing.PoisonLearned{Records: records})
+	s.learningFromOthers = false
+	clear(s.receivedConvictions)
 }
 
-// told takes another node's message. One that doesn't know of a conviction is answered.
-func (k *poisonKeeper) told(message *wire.PoisonReport) {
-	if unstored := k.unstored(); len(message.Records) == 0 && len(unstored) > 0 {
-		k.send(message.FromAddress, unstored)
+// reportReceived handles a report of another node. A query, which has no records, is answered
+// with the convictions that the store may lack. A sender that lacks a conviction known here gets
+// a report in return.
+func (s *poisonSync) reportReceived(message *wire.PoisonReport) {
+	if unstored := s.unstored(); len(message.Records) == 0 && len(unstored) > 0 {
+		s.send(message.FromAddress, unstored)
 	}
-	k.learn(message.Records)
+	s.learn(message.Records)
 	var unknown []poison.Record
 	for i := range message.Records {
-		said := &message.Records[i]
-		known, found := k.core.router.PoisonRecord(said.Content)
-		if found && k.convicts(&known) && !k.convicts(said) {
+		sent := &message.Records[i]
+		known, found := s.core.router.PoisonRecord(sent.Content)
+		if found && s.convicts(&known) && !s.convicts(sent) {
 			unknown = append(unknown, known)
 		}
 	}
 	if len(unknown) > 0 {
-		k.send(message.FromAddress, unknown)
+		s.send(message.FromAddress, unknown)
 	}
 }
 
-// nodeCame tells a node that is new here of the convictions that the store may not have yet.
-func (k *poisonKeeper) nodeCame(entry NodeEntry) {
-	if unstored := k.unstored(); len(unstored) > 0 && entry.ID != k.core.config.Self.ID {
-		k.send(entry.Address, unstored)
+// nodeJoined reports the convictions that the store may lack to a new node.
+func (s *poisonSync) nodeJoined(entry NodeEntry) {
+	if unstored := s.unstored(); len(unstored) > 0 && entry.ID != s.core.config.Self.ID {
+		s.send(entry.Address, unstored)
 	}
 }
 
-// unstored lists the convictions that the store lacks as far as this node knows.
-func (k *poisonKeeper) unstored() []poison.Record {
+// unstored returns the convictions that the store lacks as far as this node knows.
+func (s *poisonSync) unstored() []poison.Record {
 	var unstored []poison.Record
-	for _, content := range sortedContents(k.writes) {
-		if record, found := k.core.router.PoisonRecord(content); found && k.convicts(&record) {
+	for _, content := range sortedContents(s.writes) {
+		if record, found := s.core.router.PoisonRecord(content); found && s.convicts(&record) {
 			unstored = append(unstored, record)
 		}
 	}
 	return unstored
 }
 
-// ask asks some nodes, once after a start or pause, for what the store may not have: a
-// message without records.
-func (k *poisonKeeper) ask() {
-	if k.asked {
+// queryPeers asks some nodes, once after a start or pause, for the convictions that the store may
+// lack. The query is a report without records.
+func (s *poisonSync) queryPeers() {
+	if s.peersQueried {
 		return
 	}
-	self := poison.Content{Caller: string(k.core.config.Self.ID)}
-	ids := slices.DeleteFunc(k.owners(self.Fingerprint()), func(id cluster.NodeID) bool { return id == k.core.config.Self.ID })
+	self := poison.Content{Caller: string(s.core.config.Self.ID)}
+	ids := slices.DeleteFunc(s.ownersOf(self.Fingerprint()), func(id cluster.NodeID) bool { return id == s.core.config.Self.ID })
 	if len(ids) == 0 {
 		return
 	}
-	k.asked, k.heldUntil = true, k.core.now.Add(poisonAskHold)
-	k.core.routing(routing.DispatchesHeld{Until: k.heldUntil})
+	s.peersQueried, s.holdUntil = true, s.core.now.Add(poisonQueryHold)
+	s.core.feedRouter(routing.DispatchesHeld{Until: s.holdUntil})
 	for _, id := range ids {
-		k.send(k.core.nodes.live[id].Address, nil)
+		s.send(s.core.nodes.live[id].Address, nil)
 	}
 }
 
-// read takes the store's records.
-func (k *poisonKeeper) read(read PoisonRead) {
+// recordsRead handles records read from the store.
+func (s *poisonSync) recordsRead(read PoisonRead) {
 	if read.Full {
-		for _, content := range sortedContents(k.stored) {
-			if !read.names(content) {
+		for _, content := range sortedContents(s.stored) {
+			if !read.includes(content) {
 				read.Gone = append(read.Gone, content)
 			}
 		}
@@ -273,74 +278,74 @@
 	for i := range read.Records {
 		record := &read.Records[i]
 		content := record.Record.Content
-		before := k.stored[content]
-		k.stored[content] = &storedPoison{PoisonStored: *record, since: k.core.now}
-		if before != nil && !before.claimed.IsZero() && before.Tests < record.Tests && record.Tester == k.core.config.Self.ID {
+		before := s.stored[content]
+		s.stored[content] = &storedPoison{PoisonStored: *record, readAt: s.core.now}
+		if before != nil && !before.claimedAt.IsZero() && before.Tests < record.Tests && record.Tester == s.core.config.Self.ID {
 			granted = append(granted, content)
 		}
-		delete(k.writes, content)
+		delete(s.writes, content)
 		records = append(records, record.Record)
 	}
 	for i := range read.Unread {
-		k.replace(&read.Unread[i])
+		s.rewriteUnreadable(&read.Unread[i])
 	}
-	k.learn(records)
+	s.learn(records)
 	for i := range records {
-		if known, found := k.core.router.PoisonRecord(records[i].Content); found && k.convicts(&records[i]) && !k.convicts(&known) {
-			// It was found harmless, and the record that says otherwise was read since.
-			k.remove(records[i].Content)
+		if known, found := s.core.router.PoisonRecord(records[i].Content); found && s.convicts(&records[i]) && !s.convicts(&known) {
+			// The request was acquitted before the store's outdated record was read.
+			s.scheduleDelete(records[i].Content)
 		}
 	}
 	for _, content := range granted {
-		k.core.routing(routing.PoisonTestGranted{Content: content})
+		s.core.feedRouter(routing.PoisonTestGranted{Content: content})
 	}
 	for _, content := range read.Gone {
-		if k.stored[content] != nil {
-			delete(k.stored, content)
-			k.core.routing(routing.PoisonPardoned{Content: content})
+		if s.stored[content] != nil {
+			delete(s.stored, content)
+			s.core.feedRouter(routing.PoisonPardoned{Content: content})
 		}
 	}
 }
 
-// names reports whether there is a record of the request, readable or not.
-func (r *PoisonRead) names(content poison.Fingerprint) bool {
+// includes reports whether the request has a record, decodable or not.
+func (r *PoisonRead) includes(content poison.Fingerprint) bool {
 	same := func(stored PoisonStored) bool { return stored.Record.Content == content }
 	return slices.ContainsFunc(r.Records, same) || slices.ContainsFunc(r.Unread, same)
 }
 
-// replace writes a record anew that can't be read, if this node knows what it said.
-func (k *poisonKeeper) replace(unread *PoisonStored) {
+// rewriteUnreadable replaces a record that can't be decoded if this node knows the conviction.
+func (s *poisonSync) rewriteUnreadable(unread *PoisonStored) {
 	content := unread.Record.Content
-	known, found := k.core.router.PoisonRecord(content)
-	if !found || !k.convicts(&known) {
+	known, found := s.core.router.PoisonRecord(content)
+	if !found || !s.convicts(&known) {
 		return
 	}
-	k.mustStore(content)
-	k.writes[content].revision = unread.Revision
-	k.writes[content].idle = false
+	s.scheduleWrite(content)
+	s.writes[content].revision = unread.Revision
+	s.writes[content].leftToOthers = false
 }
 
-// tick tells and writes what is due.
-func (k *poisonKeeper) tick() {
-	k.tell()
-	k.write()
-	k.removeOver()
+// tick sends the reports and writes that are due.
+func (s *poisonSync) tick() {
+	s.sendReports()
+	s.sendWrites()
+	s.deleteExpired()
 }
 
-// due returns when something is to be told or written, zero for never.
-func (k *poisonKeeper) due() time.Time {
+// due returns the time of the next required tick, zero for none.
+func (s *poisonSync) due() time.Time {
 	var next time.Time
-	for _, at := range []time.Time{k.tellDue(), k.writeDue()} {
+	for _, at := range []time.Time{s.nextReportAt(), s.nextWriteAt()} {
 		if !at.IsZero() {
 			next = earliest(next, at)
 		}
 	}
-	if k.heldUntil.After(k.core.now) {
-		next = earliest(next, k.heldUntil)
+	if s.holdUntil.After(s.core.now) {
+		next = earliest(next, s.holdUntil)
 	}
 	return next
 }
 
-func sortedContents[V any](of map[poison.Fingerprint]V) []poison.Fingerprint {
-	return slices.SortedFunc(maps.Keys(of), func(a, b poison.Fingerprint) int { return slices.Compare(a[:], b[:]) })
+func sortedContents[V any](byContent map[poison.Fingerprint]V) []poison.Fingerprint {
+	return slices.SortedFunc(maps.Keys(byContent), func(a, b poison.Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
--- a/fleet/poison_record_test.go
+++ b/fleet/poison_record_test.go
@@ -137,9 +137,9 @@
 		tests, endsBefore int
 		want              bool
 	}{
-		{"no machine ended by the last test", mostTests, 3, true},
-		{"a machine ended by it", mostTests, 2, false},
-		{"all that is allowed", mostTests + 1, 3, false},
+		{"no machine ended by the last test", maxPoisonTests, 3, true},
+		{"a machine ended by it", maxPoisonTests, 2, false},
+		{"all that is allowed", maxPoisonTests + 1, 3, false},
 	} {
 		p := newPoisonPlay(7, 4, 3)
 		p.runFor(2 * time.Second)
@@ -148,7 +148,7 @@
 			Tests:  c.tests, Tester: p.nodes[1].id, EndsBefore: c.endsBefore,
 		}
 		p.write(keyvalue.Operation{Key: KeyPoison + popularContent.String(), Value: encodePoison(&stored)})
-		p.runFor(testSpacing + 2*time.Second)
+		p.runFor(poisonTestSpacing + 2*time.Second)
 		for n := range 6 {
 			id := cluster.RequestID(fmt.Sprintf("r%d", n))
 			p.same[id] = true
--- a/fleet/poison_store.go
+++ b/fleet/poison_store.go
@@ -11,140 +11,141 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// write puts convictions into the store, one call for each.
-func (k *poisonKeeper) write() {
-	if next := k.writeDue(); next.IsZero() || next.After(k.core.now) {
+// sendWrites writes the due convictions to the store, one call for each.
+func (s *poisonSync) sendWrites() {
+	if next := s.nextWriteAt(); next.IsZero() || next.After(s.core.now) {
 		return
 	}
-	k.deleteDue()
-	for _, content := range sortedContents(k.writes) {
-		due := k.writes[content]
-		record, found := k.core.router.PoisonRecord(content)
-		if !found || !k.convicts(&record) {
-			delete(k.writes, content)
+	s.sendDeletes()
+	for _, content := range sortedContents(s.writes) {
+		write := s.writes[content]
+		record, found := s.core.router.PoisonRecord(content)
+		if !found || !s.convicts(&record) {
+			delete(s.writes, content)
 			continue
 		}
-		if due.idle || due.underWay || due.next.After(k.core.now) {
+		if write.leftToOthers || write.inFlight || write.dueAt.After(s.core.now) {
 			continue
 		}
-		due.underWay = true
-		k.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&PoisonStored{Record: record}), Revision: due.revision})
+		write.inFlight = true
+		s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&PoisonStored{Record: record}), Revision: write.revision})
 	}
 }
 
-// deleteDue deletes the records whose time for it has come.
-func (k *poisonKeeper) deleteDue() {
-	for _, content := range sortedContents(k.removals) {
-		due, stored := k.removals[content], k.stored[content]
+// sendDeletes deletes the due records from the store.
+func (s *poisonSync) sendDeletes() {
+	for _, content := range sortedContents(s.removals) {
+		removal, stored := s.removals[content], s.stored[content]
 		switch {
 		case stored == nil:
-			delete(k.removals, content)
-		case !due.underWay && !due.next.After(k.core.now):
-			due.underWay = true
-			k.core.emit(StoreWrite{Key: KeyPoison + content.String(), Delete: true, Revision: stored.Revision})
+			delete(s.removals, content)
+		case !removal.inFlight && !removal.dueAt.After(s.core.now):
+			removal.inFlight = true
+			s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Delete: true, Revision: stored.Revision})
 		}
 	}
 }
 
-// testWanted claims one of the few tests of a convicted request: the store lets one node
-// have it. A node that ends before it uses it leaves the request to the next test.
-func (k *poisonKeeper) testWanted(content poison.Fingerprint) {
-	stored := k.stored[content]
-	if stored == nil || k.core.now.Sub(stored.claimed) < poisonWriteRetry {
+// claimTest claims one of the few tests of a convicted request; a write to the store grants it to
+// a single node. If that node ends before it uses the test, the request waits for the next test.
+func (s *poisonSync) claimTest(content poison.Fingerprint) {
+	stored := s.stored[content]
+	if stored == nil || s.core.now.Sub(stored.claimedAt) < minPoisonWriteRetry {
 		return
 	}
-	most, spacing := mostTests, testSpacing
+	allowed, spacing := maxPoisonTests, poisonTestSpacing
 	switch {
-	case k.testerEnded(stored):
-		most, spacing = mostTests+1, 0
-	case k.saidNothing(stored):
-		most = mostTests + 1
+	case s.testerEnded(stored):
+		allowed, spacing = maxPoisonTests+1, 0
+	case s.lastTestInconclusive(stored):
+		allowed = maxPoisonTests + 1
 	}
-	if stored.Tests >= most || stored.Tests > 0 && k.core.now.Sub(stored.since) < spacing {
+	if stored.Tests >= allowed || stored.Tests > 0 && s.core.now.Sub(stored.readAt) < spacing {
 		return
 	}
-	stored.claimed = k.core.now
+	stored.claimedAt = s.core.now
 	claim := PoisonStored{
-		Record: stored.Record, Tests: stored.Tests + 1, Tester: k.core.config.Self.ID, EndsBefore: k.ends(content),
+		Record: stored.Record, Tests: stored.Tests + 1, Tester: s.core.config.Self.ID, EndsBefore: s.standingEnds(content),
 	}
-	k.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&claim), Revision: stored.Revision})
+	s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&claim), Revision: stored.Revision})
 }
 
-// testerEnded reports whether the node that has the last test is known to have ended: its
-// record is gone, or another process of its machine has one.
-func (k *poisonKeeper) testerEnded(stored *storedPoison) bool {
-	_, lives := k.core.nodes.live[stored.Tester]
-	return stored.Tests > 0 && !lives && stored.Tester != k.core.config.Self.ID
+// testerEnded reports whether the node of the last test is known to have ended: its record is
+// gone or was replaced by that of another process of its machine.
+func (s *poisonSync) testerEnded(stored *storedPoison) bool {
+	_, lives := s.core.nodes.live[stored.Tester]
+	return stored.Tests > 0 && !lives && stored.Tester != s.core.config.Self.ID
 }
 
-// saidNothing reports whether no machine has ended under the request since its last test, which
-// did not acquit it either: its machine may have answered nothing.
-func (k *poisonKeeper) saidNothing(stored *storedPoison) bool {
-	return stored.EndsBefore > 0 && k.ends(stored.Record.Content) <= stored.EndsBefore
+// lastTestInconclusive reports whether no machine has ended under the request since its last
+// test, although the request was not acquitted either. The machine may not have answered.
+func (s *poisonSync) lastTestInconclusive(stored *storedPoison) bool {
+	return stored.EndsBefore > 0 && s.standingEnds(stored.Record.Content) <= stored.EndsBefore
 }
 
-// ends is how many machines ended under a request.
-func (k *poisonKeeper) ends(content poison.Fingerprint) int {
-	record, _ := k.core.router.PoisonRecord(content)
+// standingEnds returns the number of machines that ended under a request, without acquittals.
+func (s *poisonSync) standingEnds(content poison.Fingerprint) int {
+	record, _ := s.core.router.PoisonRecord(content)
 	return len(record.StandingEnds())
 }
 
-// written takes the outcome of a write. A record that another node wrote before counts.
-func (k *poisonKeeper) written(answered StoreWritten) {
+// writeAnswered handles the answer to a write. A record that another node has already written
+// counts as success.
+func (s *poisonSync) writeAnswered(answered StoreWritten) {
 	content, err := poison.ParseFingerprint(strings.TrimPrefix(answered.Key, KeyPoison))
 	if err != nil {
 		return
 	}
-	// What is neither is the claim of a test: the record tells what became of it.
-	for _, pending := range []map[poison.Fingerprint]*poisonWrite{k.writes, k.removals} {
-		due := pending[content]
+	// A key in neither map belongs to the claim of a test, whose outcome is read from the record.
+	for _, pending := range []map[poison.Fingerprint]*pendingWrite{s.writes, s.removals} {
+		write := pending[content]
 		switch {
-		case due == nil:
+		case write == nil:
 		case answered.Err == nil:
 			delete(pending, content)
 		default:
-			due.underWay, due.next = false, k.core.now.Add(due.wait)
-			due.wait = min(2*due.wait, longestPoisonWriteRetry)
+			write.inFlight, write.dueAt = false, s.core.now.Add(write.retryDelay)
+			write.retryDelay = min(2*write.retryDelay, maxPoisonWriteRetry)
 		}
 	}
 }
 
-// remove sees to it that the record of a request is deleted that is not to blame any more:
-// nodes that start would refuse it by the record.
-func (k *poisonKeeper) remove(content poison.Fingerprint) {
-	if k.stored[content] != nil && k.removals[content] == nil {
-		k.lifted[content] = true
-		k.removals[content] = &poisonWrite{next: k.core.now, wait: poisonWriteRetry}
+// scheduleDelete schedules the deletion of the stored record of an acquitted request. Nodes that
+// start later would otherwise refuse the request because of the record.
+func (s *poisonSync) scheduleDelete(content poison.Fingerprint) {
+	if s.stored[content] != nil && s.removals[content] == nil {
+		s.liftedConvictions[content] = true
+		s.removals[content] = &pendingWrite{dueAt: s.core.now, retryDelay: minPoisonWriteRetry}
 	}
 }
 
-// removeOver has the holder of the lease delete the records whose time is over.
-func (k *poisonKeeper) removeOver() {
-	if len(k.stored) == 0 || k.core.now.Before(k.removeAt) || !k.core.cell.ledger.Holding() {
+// deleteExpired makes the lease holder delete expired records.
+func (s *poisonSync) deleteExpired() {
+	if len(s.stored) == 0 || s.core.now.Before(s.nextCleanupAt) || !s.core.controller.ledger.Holding() {
 		return
 	}
-	k.removeAt = k.core.now.Add(removeInterval)
-	for _, content := range sortedContents(k.stored) {
-		if _, kept := k.core.router.PoisonRecord(content); !kept {
-			k.remove(content)
+	s.nextCleanupAt = s.core.now.Add(poisonCleanupInterval)
+	for _, content := range sortedContents(s.stored) {
+		if _, kept := s.core.router.PoisonRecord(content); !kept {
+			s.scheduleDelete(content)
 		}
 	}
 }
 
-// writeDue returns when a record is to be written next, zero for never.
-func (k *poisonKeeper) writeDue() time.Time {
+// nextWriteAt returns the time of the next write or deletion, zero for none.
+func (s *poisonSync) nextWriteAt() time.Time {
 	var next time.Time
-	for _, pending := range []map[poison.Fingerprint]*poisonWrite{k.writes, k.removals} {
-		for _, due := range pending {
-			if !due.idle && !due.underWay {
-				next = earliest(next, due.next)
+	for _, pending := range []map[poison.Fingerprint]*pendingWrite{s.writes, s.removals} {
+		for _, write := range pending {
+			if !write.leftToOthers && !write.inFlight {
+				next = earliest(next, write.dueAt)
 			}
 		}
 	}
 	return next
 }
 
-// poisonDocument is a record's form in the store.
+// poisonDocument is the stored form of a record.
 type poisonDocument struct {
 	Ends    []cluster.MachineID `json:"ends"`
 	Cleared []cluster.MachineID `json:"cleared,omitempty"`
@@ -162,7 +163,7 @@
 	return data
 }
 
-// DecodePoison reads a record of the store; its revision is left to the caller.
+// DecodePoison decodes a stored record. The caller sets its revision.
 func DecodePoison(key string, value []byte) (PoisonStored, error) {
 	content, err := poison.ParseFingerprint(strings.TrimPrefix(key, KeyPoison))
 	if err != nil {
@@ -171,7 +172,7 @@
 	stored := PoisonStored{Record: poison.Record{Content: content}}
 	var document poisonDocument
 	if err := json.Unmarshal(value, &document); err != nil {
-		return stored, eris.Wrap(err, "record of a poison request")
+		return stored, eris.Wrap(err, "decode poison record")
 	}
 	record := poison.Record{Content: content, Ends: document.Ends, Cleared: document.Cleared}
 	stored.Record, stored.Tests, stored.Tester, stored.EndsBefore = record.Valid(), document.Tests, document.Tester, document.Before
--- a/fleet/poison_test.go
+++ b/fleet/poison_test.go
@@ -306,7 +306,7 @@
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			p := newPoisonPlay(seed, 3*tellAllNodes, 16)
+			p := newPoisonPlay(seed, 3*maxBroadcastNodes, 16)
 			p.lossy = 0.1
 			p.arrive(false, 30*time.Millisecond)
 			p.arrive(true, 100*time.Millisecond)
--- a/fleet/rank_test.go
+++ b/fleet/rank_test.go
@@ -17,7 +17,7 @@
 	for _, self := range entries {
 		core := New(Config{Self: self}, 1)
 		core.Step(time.Unix(1000, 0), NodesRead{Nodes: entries, Full: true})
-		if rank := core.cell.rank(); rank != want[self.ID] {
+		if rank := core.controller.rank(); rank != want[self.ID] {
 			t.Errorf("node %s has rank %d, want %d", self.ID, rank, want[self.ID])
 		}
 	}
--- a/fleet/records.go
+++ b/fleet/records.go
@@ -15,45 +15,45 @@
 	KeyRoot   = "valveslip/"
 	KeyNodes  = KeyRoot + "nodes/"
 	KeyHolder = KeyRoot + "holder"
-	// KeyLast names the machine that gave orders last. It is written with each
-	// record of a holder and outlives it.
+	// KeyLast holds the record of the machine that last gave orders. It is written together with
+	// each holder's record and has no expiry.
 	KeyLast = KeyRoot + "last-holder"
-	// KeyTickets holds a key for each shard of tenants whose lender has lately been given what
-	// is lent once in a window.
+	// KeyTickets is the prefix of the keys that mark, per tenant shard, that a lender has
+	// recently been granted the amount that may be granted only once per window.
 	KeyTickets = KeyRoot + "tickets/"
-	// KeyStarters holds for each zone the node that was last to read everything for those that
-	// start after it.
+	// KeyStarters is the prefix of the keys that name, per zone, the last node to have read the
+	// whole store on behalf of the nodes that start after it.
 	KeyStarters = KeyRoot + "starters/"
 )
 
-// NodeEntry is what a node's record says of it.
+// NodeEntry is a node's record in the store.
 type NodeEntry struct {
 	ID cluster.NodeID `json:"id"`
-	// Machine that the node runs on; it stays the same when the node starts anew.
+	// Machine is the host that the node runs on. It stays the same when the node restarts.
 	Machine string `json:"machine"`
-	// Acting is set in the record of the last holder once it gives orders, having
-	// waited out the pause after another machine.
+	// Acting is set in the last holder's record once the holder may give orders, after waiting
+	// out the pause that separates it from the previous holder.
 	Acting bool `json:"acting,omitempty"`
-	// Bears, in the record of the last holder, is how many loads at once the weight
-	// store was learned to bear; zero for not.
+	// Bears, in the last holder's record, is the learned number of concurrent loads that the
+	// weight store sustains; zero if unknown.
 	Bears int `json:"bears,omitempty"`
-	// Address, host:port, takes messages of other nodes.
+	// Address is the host:port that accepts messages of other nodes.
 	Address string `json:"address"`
-	// Zone of the machine, and Capacity in processor cores.
+	// Zone is the zone of the machine, Capacity its processor cores.
 	Zone     cluster.ZoneID `json:"zone,omitempty"`
 	Capacity float64        `json:"capacity,omitempty"`
-	// Revision at which the store took the record.
+	// Revision is the store revision of the record.
 	Revision int64 `json:"-"`
 }
 
-// peer is the node as one that lends tokens.
-func (e NodeEntry) peer() lending.Peer {
+// lendingPeer returns the node as a peer of package lending.
+func (e NodeEntry) lendingPeer() lending.Peer {
 	return lending.Peer{
 		ID: e.ID, Machine: cmp.Or(e.Machine, string(e.ID)), Address: e.Address, Zone: e.Zone, Capacity: e.Capacity,
 	}
 }
 
-// Encode returns the record's form in the store.
+// Encode returns the stored form of the record.
 func (e NodeEntry) Encode() []byte {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return data
 }
 
-// DecodeNodeEntry reads a record; with an error, it says nothing of a node.
+// DecodeNodeEntry decodes and validates a stored node record. On an error the returned entry is
+// empty.
 func DecodeNodeEntry(data []byte) (NodeEntry, error) {
 	var entry NodeEntry
 	err := json.Unmarshal(data, &entry)
@@ -74,7 +75,7 @@
 		err = eris.New("capacity, bears: must not be negative")
 	}
 	if err != nil {
-		return NodeEntry{}, eris.Wrap(err, "node record")
+		return NodeEntry{}, eris.Wrap(err, "decode node record")
 	}
 	return entry, nil
 }
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -6,11 +6,11 @@
 	"github.com/valveslip/valveslip/routing"
 )
 
-// routingInput takes an event of the request path.
-func (c *Core) routingInput(event routing.Event) {
+// handleRoutingInput handles an event of the request path.
+func (c *Core) handleRoutingInput(event routing.Event) {
 	switch e := event.(type) {
 	case routing.RequestArrived:
-		c.gate.arrive(e.Request)
+		c.gate.admit(e.Request)
 		return
 	case routing.CallerGone:
 		if c.gate.callerGone(e.Request) {
@@ -19,56 +19,57 @@
 	case routing.AttemptEnded:
 		c.gate.attemptEnded(&e)
 	case routing.FirstByteSent:
-		if c.dispatching != nil {
-			c.dispatching.firstByteSent(e.Request)
+		if c.dispatchClient != nil {
+			c.dispatchClient.firstByteSent(e.Request)
 		}
 	}
-	c.routing(event)
+	c.feedRouter(event)
 }
 
-// routing feeds the router, and then what the gate ended meanwhile.
-func (c *Core) routing(event routing.Event) {
+// feedRouter hands an event to the router, and then the attempts that the gate ended meanwhile.
+func (c *Core) feedRouter(event routing.Event) {
 	c.routerStep(event)
-	c.endWithheld()
+	c.reportWithheld()
 }
 
-// endWithheld tells the router of what the gate ended, once its effects are taken.
-func (c *Core) endWithheld() {
-	for c.depth == 0 && len(c.withheld) > 0 {
-		next := c.withheld[0]
-		c.withheld = c.withheld[1:]
+// reportWithheld reports the attempts that the gate ended to the router, once no router step is
+// being handled.
+func (c *Core) reportWithheld() {
+	for c.routerDepth == 0 && len(c.withheldAttempts) > 0 {
+		next := c.withheldAttempts[0]
+		c.withheldAttempts = c.withheldAttempts[1:]
 		c.routerStep(next)
 	}
 }
 
-// routerStep feeds one event to the router and takes its effects.
+// routerStep hands one event to the router and handles its effects.
 func (c *Core) routerStep(event routing.Event) {
-	c.depth++
-	defer func() { c.depth-- }()
-	c.noteForDispatcher(event)
+	c.routerDepth++
+	defer func() { c.routerDepth-- }()
+	c.notifyDispatchClient(event)
 	for _, effect := range c.router.Step(c.now, event) {
 		switch e := effect.(type) {
 		case routing.StatusNeeded:
 		case routing.PoisonFound:
-			c.poison.found(e.Records)
+			c.poison.recordsFound(e.Records)
 		case routing.TurnWanted:
 			c.pacer.step(pacing.TurnRequested{Machine: e.Machine, PerSecond: e.PerSecond})
 		case routing.MachineLeavingFound:
-			c.leavingFound(&e)
+			c.machineLeaving(&e)
 		case routing.MachineRestFound:
-			c.restFound(&e)
+			c.machineResting(&e)
 		case routing.MachineLimitFound:
-			c.pacer.found(&e)
+			c.pacer.broadcastLimit(&e)
 		case routing.PoisonTestWanted:
-			c.poison.testWanted(e.Content)
+			c.poison.claimTest(e.Content)
 		case routing.Dispatch:
-			if c.dispatching == nil || !c.dispatching.dispatch(&e) {
+			if c.dispatchClient == nil || !c.dispatchClient.dispatch(&e) {
 				c.gate.dispatch(e)
 			}
 		case routing.Finish:
-			c.gate.finished(e.Request)
-			if c.dispatching != nil {
-				c.dispatching.finished(e.Request)
+			c.gate.requestFinished(e.Request)
+			if c.dispatchClient != nil {
+				c.dispatchClient.requestFinished(e.Request)
 			}
 			c.emit(RoutingOutput{Effect: e})
 		default:
@@ -77,34 +78,35 @@
 	}
 }
 
-// leavingFound takes an answer's word that its machine leaves. What waits for the machine looks for
-// another.
-func (c *Core) leavingFound(e *routing.MachineLeavingFound) {
+// machineLeaving handles a response header by which a machine announces that it leaves. Attempts
+// that are held for the machine are placed elsewhere.
+func (c *Core) machineLeaving(e *routing.MachineLeavingFound) {
 	c.log(eventlog.WorkerLeaving{Machine: e.Machine, Request: e.Request})
-	if c.dispatching != nil {
-		c.dispatching.machineLeft(e.Machine)
+	if c.dispatchClient != nil {
+		c.dispatchClient.releaseHeldFor(e.Machine)
 	}
-	c.cell.news = true
+	c.controller.planStale = true
 }
 
-// restFound takes an answer's word that its machine wants nothing from this node for a time. What
-// waits for the machine looks for another.
-func (c *Core) restFound(e *routing.MachineRestFound) {
+// machineResting handles a response header by which a machine asks for no requests from this node
+// for a while. Attempts that are held for the machine are placed elsewhere.
+func (c *Core) machineResting(e *routing.MachineRestFound) {
 	c.log(eventlog.WorkerRests{Machine: e.Machine, Request: e.Request, Rest: e.Rest})
-	if c.dispatching != nil {
-		c.dispatching.machineLeft(e.Machine)
+	if c.dispatchClient != nil {
+		c.dispatchClient.releaseHeldFor(e.Machine)
 	}
 }
 
-// noteForDispatcher tells who places attempts of what the router is about to learn.
-func (c *Core) noteForDispatcher(event routing.Event) {
-	if c.dispatching == nil {
+// notifyDispatchClient passes router events to the dispatch client before the router handles
+// them.
+func (c *Core) notifyDispatchClient(event routing.Event) {
+	if c.dispatchClient == nil {
 		return
 	}
 	switch e := event.(type) {
 	case routing.RequestArrived:
-		c.dispatching.arrived(&e.Request)
+		c.dispatchClient.requestArrived(&e.Request)
 	case routing.AttemptEnded:
-		c.dispatching.attemptEnded(&e)
+		c.dispatchClient.attemptEnded(&e)
 	}
 }
--- /dev/null
+++ b/fleet/store_events.go
@@ -0,0 +1,88 @@
+package fleet
+
+import (
+	"github.com/valveslip/valveslip/authority/sequence"
+	"github.com/valveslip/valveslip/catalog"
+	"github.com/valveslip/valveslip/fleet/dispatch"
+	"github.com/valveslip/valveslip/fleet/lending"
+	"github.com/valveslip/valveslip/routing"
+)
+
+// applyConfiguration puts a configuration in force unless the current one is at least as new.
+func (c *Core) applyConfiguration(compiled *catalog.Compiled) {
+	if c.compiled != nil && compiled.Version <= c.compiled.Version {
+		return
+	}
+	c.compiled = compiled
+	c.feedRouter(routing.SettingsChanged{Snapshot: compiled.Snapshot})
+	c.view.configurationChanged()
+	c.controller.configurationChanged()
+	c.updateTenantLimits()
+	c.gate.configurationChanged()
+}
+
+// updateTenantLimits passes the tenants' limits to the lending core.
+func (c *Core) updateTenantLimits() {
+	limits := map[string]lending.Limit{}
+	for i := range c.compiled.Tenants {
+		if tenant := &c.compiled.Tenants[i]; !tenant.Limit.Unlimited() {
+			limits[tenant.Name] = lending.Limit{Rate: tenant.Limit.Rate, Burst: tenant.Limit.Burst}
+		}
+	}
+	c.feedLending(lending.LimitsChanged{Limits: limits})
+}
+
+// applyWorkers applies machines' entries.
+func (c *Core) applyWorkers(read WorkersRead) {
+	gone := read.Gone
+	if read.Full {
+		gone = c.view.machinesWithoutEntry(&read)
+	}
+	for _, restarted := range read.Restarted {
+		c.feedRouter(restarted)
+	}
+	for _, id := range gone {
+		if c.view.endedUnannounced(id) {
+			c.feedRouter(routing.MachineEnded{Machine: id})
+		}
+		c.view.remove(id)
+		c.controller.feedLedger(sequence.MachineGone{Machine: id})
+		if c.dispatchClient != nil {
+			c.dispatchClient.step(dispatch.EngineGone{Machine: id})
+			c.dispatchClient.releaseHeldFor(id)
+		}
+	}
+	for i := range read.Workers {
+		if c.view.put(&read.Workers[i], read.Revision) {
+			c.controller.registerMachine(&read.Workers[i])
+		}
+		if c.dispatchClient != nil && read.Workers[i].Draining {
+			c.dispatchClient.releaseHeldFor(read.Workers[i].ID)
+		}
+	}
+	for i := range read.Unread {
+		if changed := c.view.markUnreadable(&read.Unread[i], read.Revision); changed != nil {
+			c.controller.registerMachine(changed)
+		}
+	}
+}
+
+// applyNodes applies the entries of nodes.
+func (c *Core) applyNodes(read NodesRead) {
+	if read.Full {
+		c.nodes.clear()
+	}
+	for _, id := range read.Gone {
+		c.nodes.remove(id)
+		c.controller.demand.Forget(id)
+	}
+	for _, entry := range read.Nodes {
+		if _, known := c.nodes.live[entry.ID]; !known {
+			c.poison.nodeJoined(entry)
+		}
+		c.nodes.put(entry)
+		c.restarted = c.restarted || c.controller.sameMachine(entry) && entry.ID != c.config.Self.ID
+	}
+	c.poison.queryPeers()
+	c.peerNotifier.markChanged()
+}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -13,42 +13,42 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// entryLag is how much later a machine's entry may be than what the holder of
-// the lease says of it.
-const entryLag = 3500 * time.Millisecond
+// maxEntryLag is how much later a machine's entry in the store may show a change than the lease
+// holder's status message: after that the entry alone counts.
+const maxEntryLag = 3500 * time.Millisecond
 
-// viewToken is the token under which the router is told of machines: this node's
-// own view is the only source.
+// viewToken is the fencing token of the statuses passed to the router. It is constant because
+// this node's own view is the only source.
 const viewToken = 1
 
-// machineView is what this node knows of machines: their entries in the store,
-// and over them, while an entry may be late, what the holder of the lease said.
+// machineView is this node's view of the machines. It consists of their entries in the store and,
+// while an entry may lag, the replica states that the lease holder reported.
 type machineView struct {
 	core     *Core
 	machines map[cluster.MachineID]*viewedMachine
-	// sequences number what the router is told of each zone.
+	// sequences number the statuses passed to the router, per zone.
 	sequences map[cluster.ZoneID]uint64
-	// notes are what the holder said and an entry may not show yet.
-	notes map[noteKey]note
-	next  time.Time
+	// overrides are replica states reported by the lease holder that an entry may not show yet.
+	overrides    map[replicaKey]replicaOverride
+	nextExpiryAt time.Time
 }
 
 type viewedMachine struct {
 	worker catalog.Worker
-	// told are the replicas that the router knows, with their states, sorted by model. A map
-	// of each of 10,000 machines would take 12 MB.
-	told []wire.ReplicaRecord
+	// reported are the replicas last passed to the router, sorted by model. A map for each of
+	// 10,000 machines would take 12 MB.
+	reported []wire.ReplicaRecord
 }
 
-type noteKey struct {
+type replicaKey struct {
 	machine cluster.MachineID
 	model   cluster.ModelID
 }
 
-// note is what the holder said of one replica.
-type note struct {
+// replicaOverride is the state of one replica as reported by the lease holder.
+type replicaOverride struct {
 	state cluster.ReplicaState
-	// readyAt of a loading replica.
+	// readyAt is when a loading replica is expected to be ready.
 	readyAt time.Time
 	until   time.Time
 }
@@ -56,11 +56,11 @@
 func newMachineView(core *Core) *machineView {
 	return &machineView{
 		core: core, machines: map[cluster.MachineID]*viewedMachine{},
-		sequences: map[cluster.ZoneID]uint64{}, notes: map[noteKey]note{},
+		sequences: map[cluster.ZoneID]uint64{}, overrides: map[replicaKey]replicaOverride{},
 	}
 }
 
-// put takes a machine's entry and reports whether it says something new.
+// put stores a machine's entry and reports whether it differs from the previous one.
 func (v *machineView) put(worker *catalog.Worker, revision int64) bool {
 	known := v.machines[worker.ID]
 	if known == nil {
@@ -78,25 +78,25 @@
 		Machine: worker.ID, Service: worker.Service, Address: worker.Address, Draining: worker.Draining,
 		Held: len(worker.Held), Revision: revision,
 	})
-	v.dropAnswered(&before, worker)
-	v.tell(known)
+	v.dropConfirmed(&before, worker)
+	v.report(known)
 	return true
 }
 
-// dropAnswered drops notes on replicas that an entry newly names: the load that the
-// holder told of is done, though it, or its successor, has not said so.
-func (v *machineView) dropAnswered(before, now *catalog.Worker) {
-	earlier := heldBy(before)
-	for id := range heldBy(now) {
-		key := noteKey{machine: now.ID, model: id}
-		if said, noted := v.notes[key]; noted && !earlier[id] && said.state == cluster.ReplicaLoading {
-			delete(v.notes, key)
+// dropConfirmed drops the overrides of loading replicas that an entry newly lists. Their load is
+// complete, although the lease holder or its successor has not reported it.
+func (v *machineView) dropConfirmed(before, now *catalog.Worker) {
+	earlier := modelsHeldBy(before)
+	for id := range modelsHeldBy(now) {
+		key := replicaKey{machine: now.ID, model: id}
+		if override, noted := v.overrides[key]; noted && !earlier[id] && override.state == cluster.ReplicaLoading {
+			delete(v.overrides, key)
 		}
 	}
 }
 
-// heldBy lists what an entry names.
-func heldBy(worker *catalog.Worker) map[cluster.ModelID]bool {
+// modelsHeldBy returns the models and adapters that an entry lists.
+func modelsHeldBy(worker *catalog.Worker) map[cluster.ModelID]bool {
 	held := make(map[cluster.ModelID]bool)
 	for _, model := range worker.Held {
 		held[catalog.ModelID(worker.Service, model.Name)] = true
@@ -107,9 +107,9 @@
 	return held
 }
 
-// missing lists the known machines that have no entry, neither one that was read nor one
-// that can't be.
-func (v *machineView) missing(read *WorkersRead) []cluster.MachineID {
+// machinesWithoutEntry returns the known machines that have neither a decoded nor an undecodable
+// entry.
+func (v *machineView) machinesWithoutEntry(read *WorkersRead) []cluster.MachineID {
 	named := make(map[cluster.MachineID]bool, len(read.Workers))
 	for i := range read.Workers {
 		named[read.Workers[i].ID] = true
@@ -127,14 +127,14 @@
 	return missing
 }
 
-// endedUnannounced reports whether the machine, whose entry is gone, had not said that it
-// would leave.
+// endedUnannounced reports whether the machine, whose entry is gone, had not announced that it
+// leaves.
 func (v *machineView) endedUnannounced(id cluster.MachineID) bool {
 	known := v.machines[id]
 	return known != nil && !known.worker.Draining
 }
 
-// addressOf is where a machine that stays is reached, empty for none.
+// addressOf returns the address of a machine, empty if it is unknown or leaves.
 func (v *machineView) addressOf(id cluster.MachineID) string {
 	if known := v.machines[id]; known != nil && !known.worker.Draining {
 		return known.worker.Address
@@ -149,20 +149,20 @@
 		return
 	}
 	delete(v.machines, id)
-	for key := range v.notes {
+	for key := range v.overrides {
 		if key.machine == id {
-			delete(v.notes, key)
+			delete(v.overrides, key)
 		}
 	}
 	v.core.log(eventlog.WorkerGone{Machine: id, Cause: "its entry is gone"})
-	v.sendRecords(known, nil, true)
+	v.reportChanges(known, nil, true)
 }
 
-// configurationChanged tells the router of all machines anew, since services may
-// have become engines or the other way round.
+// configurationChanged passes all machines to the router again, since a service may have gained
+// or lost its engine configuration.
 func (v *machineView) configurationChanged() {
 	for _, known := range v.sorted() {
-		v.tell(known)
+		v.report(known)
 	}
 }
 
@@ -175,16 +175,16 @@
 	return machines
 }
 
-// statusReceived takes what the holder says of replicas.
+// statusReceived applies the replica states that the lease holder reports.
 func (v *machineView) statusReceived(status *wire.CellStatus) {
 	for i := range status.Replicas {
 		record := &status.Replicas[i]
-		v.note(record.Machine, record.Model, record.State, record.ReadyIn)
+		v.setOverride(record.Machine, record.Model, record.State, record.ReadyIn)
 	}
 }
 
-// note takes what the holder says of one replica.
-func (v *machineView) note(machine cluster.MachineID, model cluster.ModelID, state cluster.ReplicaState, readyIn time.Duration) {
+// setOverride applies the reported state of one replica.
+func (v *machineView) setOverride(machine cluster.MachineID, model cluster.ModelID, state cluster.ReplicaState, readyIn time.Duration) {
 	known := v.machines[machine]
 	if known == nil {
 		return
@@ -193,12 +193,12 @@
 	if state == cluster.ReplicaUnloading {
 		state = cluster.ReplicaAbsent
 	}
-	v.notes[noteKey{machine: machine, model: model}] = note{state: state, readyAt: readyAt, until: readyAt.Add(entryLag)}
-	v.next = earliest(v.next, readyAt)
-	v.tell(known)
+	v.overrides[replicaKey{machine: machine, model: model}] = replicaOverride{state: state, readyAt: readyAt, until: readyAt.Add(maxEntryLag)}
+	v.nextExpiryAt = earliest(v.nextExpiryAt, readyAt)
+	v.report(known)
 }
 
-// earliest returns the earlier of two times; zero means none.
+// earliest returns the earlier of two times. A zero a means none; b must not be zero.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -206,44 +206,44 @@
 	return a
 }
 
-// tick lets notes end: a loading adapter is taken to be loaded at its time, and
-// when the entry must have caught up it counts alone.
+// tick updates the overrides that are due. A loading adapter counts as loaded from its expected
+// time. An override expires when the entry must have caught up.
 func (v *machineView) tick() {
-	if v.next.IsZero() || v.core.now.Before(v.next) {
+	if v.nextExpiryAt.IsZero() || v.core.now.Before(v.nextExpiryAt) {
 		return
 	}
-	v.next = time.Time{}
+	v.nextExpiryAt = time.Time{}
 	changed := map[cluster.MachineID]bool{}
-	for key, said := range v.notes {
+	for key, override := range v.overrides {
 		_, _, adapter := catalog.Split(key.model)
 		switch {
-		case !v.core.now.Before(said.until):
-			delete(v.notes, key)
+		case !v.core.now.Before(override.until):
+			delete(v.overrides, key)
 			changed[key.machine] = true
 			continue
-		case said.state == cluster.ReplicaLoading && adapter != "" && !v.core.now.Before(said.readyAt):
-			said.state = cluster.ReplicaLoaded
-			v.notes[key] = said
+		case override.state == cluster.ReplicaLoading && adapter != "" && !v.core.now.Before(override.readyAt):
+			override.state = cluster.ReplicaLoaded
+			v.overrides[key] = override
 			changed[key.machine] = true
 		}
-		if said.state == cluster.ReplicaLoading && v.core.now.Before(said.readyAt) {
-			v.next = earliest(v.next, said.readyAt)
+		if override.state == cluster.ReplicaLoading && v.core.now.Before(override.readyAt) {
+			v.nextExpiryAt = earliest(v.nextExpiryAt, override.readyAt)
 		}
-		v.next = earliest(v.next, said.until)
+		v.nextExpiryAt = earliest(v.nextExpiryAt, override.until)
 	}
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
 		if known := v.machines[id]; known != nil {
-			v.tell(known)
+			v.report(known)
 		}
 	}
 }
 
-func (v *machineView) due() time.Time { return v.next }
+func (v *machineView) due() time.Time { return v.nextExpiryAt }
 
-// tell tells the router what a machine holds.
-func (v *machineView) tell(known *viewedMachine) { v.sendRecords(known, v.records(known), false) }
+// report passes the changed replicas of a machine to the router.
+func (v *machineView) report(known *viewedMachine) { v.reportChanges(known, v.records(known), false) }
 
-// records lists what a machine holds, by its entry and the notes.
+// records returns the replicas of a machine by its entry and the overrides.
 func (v *machineView) records(known *viewedMachine) map[cluster.ModelID]wire.ReplicaRecord {
 	worker := &known.worker
 	records := map[cluster.ModelID]wire.ReplicaRecord{}
@@ -264,7 +264,7 @@
 			add(catalog.AdapterID(worker.Service, held.Name, adapter), cluster.ReplicaLoaded, 0)
 		}
 	}
-	for key, said := range v.notes {
+	for key, said := range v.overrides {
 		if key.machine != worker.ID {
 			continue
 		}
@@ -273,12 +273,12 @@
 			add(key.model, said.state, max(said.readyAt.Sub(v.core.now), 0))
 		}
 	}
-	v.dropOrphans(records)
+	v.dropOrphanAdapters(records)
 	return records
 }
 
-// dropOrphans drops adapters whose base model the machine does not hold.
-func (v *machineView) dropOrphans(records map[cluster.ModelID]wire.ReplicaRecord) {
+// dropOrphanAdapters drops adapters whose base model is not loaded on the machine.
+func (v *machineView) dropOrphanAdapters(records map[cluster.ModelID]wire.ReplicaRecord) {
 	for id := range records {
 		service, model, adapter := catalog.Split(id)
 		if adapter == "" {
@@ -290,21 +290,21 @@
 	}
 }
 
-// sendRecords tells the router what differs from what it was told.
-func (v *machineView) sendRecords(known *viewedMachine, records map[cluster.ModelID]wire.ReplicaRecord, gone bool) {
+// reportChanges passes the differences from the last reported replicas to the router.
+func (v *machineView) reportChanges(known *viewedMachine, records map[cluster.ModelID]wire.ReplicaRecord, gone bool) {
 	var changes []wire.ReplicaRecord
-	for _, before := range known.told {
+	for _, before := range known.reported {
 		if _, kept := records[before.Model]; !kept {
 			before.State, before.Leaving = cluster.ReplicaAbsent, gone || known.worker.Draining
 			changes = append(changes, before)
-			v.core.unloaded(known.worker.ID, before.Model)
+			v.core.modelUnloaded(known.worker.ID, before.Model)
 		}
 	}
 	for _, record := range records {
-		before, told := known.toldOf(record.Model)
+		before, reported := known.reportedRecord(record.Model)
 		compared := record
 		compared.ReadyIn = before.ReadyIn
-		if !told || compared != before {
+		if !reported || compared != before {
 			changes = append(changes, record)
 		}
 	}
@@ -312,10 +312,10 @@
 		return
 	}
 	slices.SortFunc(changes, compareModels)
-	known.told = slices.SortedFunc(maps.Values(records), compareModels)
+	known.reported = slices.SortedFunc(maps.Values(records), compareModels)
 	zone := known.worker.Zone
 	v.sequences[zone]++
-	v.core.routing(routing.CellStatusChanged{Status: wire.CellStatus{
+	v.core.feedRouter(routing.CellStatusChanged{Status: wire.CellStatus{
 		Zone: zone, Region: v.core.config.Regions[zone], Token: viewToken, Sequence: v.sequences[zone],
 		Full: v.sequences[zone] == 1, Replicas: changes,
 	}})
@@ -323,11 +323,11 @@
 
 func compareModels(a, b wire.ReplicaRecord) int { return cmp.Compare(a.Model, b.Model) }
 
-// toldOf returns what the router knows of a replica of the machine.
-func (m *viewedMachine) toldOf(model cluster.ModelID) (wire.ReplicaRecord, bool) {
-	at, told := slices.BinarySearchFunc(m.told, model, func(r wire.ReplicaRecord, id cluster.ModelID) int { return cmp.Compare(r.Model, id) })
-	if !told {
+// reportedRecord returns the record of a replica as last passed to the router.
+func (m *viewedMachine) reportedRecord(model cluster.ModelID) (wire.ReplicaRecord, bool) {
+	at, found := slices.BinarySearchFunc(m.reported, model, func(r wire.ReplicaRecord, id cluster.ModelID) int { return cmp.Compare(r.Model, id) })
+	if !found {
 		return wire.ReplicaRecord{}, false
 	}
-	return m.told[at], true
+	return m.reported[at], true
 }
