--- a/fleet/rank_test.go
+++ b/fleet/candidacy_rank_test.go
@@ -7,9 +7,9 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// TestGreatestMachineStandsFirst: of the nodes that may take the vacant lease those
-// on machines of the greatest capacity come first, others by their names.
-func TestGreatestMachineStandsFirst(t *testing.T) {
+// Guards against a small machine that takes the vacant lease before a large one, since planning
+// takes processor time. Nodes of equal capacity rank by ID.
+func TestCandidatesRankByCapacity(t *testing.T) {
 	entries := []NodeEntry{
 		{ID: "a", Capacity: 0.2}, {ID: "b", Capacity: 0.8}, {ID: "c", Capacity: 0.2}, {ID: "d", Capacity: 0.8},
 	}
--- a/fleet/core.go
+++ b/fleet/core.go
@@ -168,12 +168,11 @@
 // Ready reports whether the node has a configuration and has read the whole store.
 func (c *Core) Ready() bool { return c.compiled != nil && c.synced }
 
-// KnowsPoison reports whether a request with this head may match a request that ends machines, so
-// that its fingerprint must be computed.
+// KnowsPoison reports whether a request with this head may match a known poison request, so that
+// its fingerprint must be computed.
 func (c *Core) KnowsPoison(head poison.Head) bool { return c.router.KnowsPoison(head) }
 
-// PoisonCounts returns the number of requests that are suspected of ending machines, and the
-// number of convicted ones.
+// PoisonCounts returns the numbers of suspected and of convicted poison requests.
 func (c *Core) PoisonCounts() (suspected, convicted int) { return c.router.PoisonCounts() }
 
 // MaySend checks at the moment of a send whether the request may still be sent. It returns the
@@ -269,7 +268,7 @@
 }
 
 // releaseDispatches lets requests be dispatched once the store has been read and other nodes have
-// had time to answer the query for harmful requests.
+// had time to answer the query for poison requests.
 func (c *Core) releaseDispatches() {
 	if until := c.poison.holdUntil; c.now.Before(until) {
 		c.feedRouter(routing.DispatchesHeld{Until: until})
--- a/fleet/dispatch_fixture_test.go
+++ b/fleet/dispatch_fixture_test.go
@@ -14,57 +14,58 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// engineNode is a node with a few engines that hold the model p/m.
+// engineNode is a node under test with a few engines that hold the model p/m.
 type engineNode struct {
 	t    *testing.T
 	core *Core
 	now  time.Time
 	sent map[cluster.RequestID]cluster.MachineID
 	// last is the last attempt that was sent.
-	last routing.Dispatch
-	ends map[cluster.RequestID]*verdict.Error
-	out  []wire.Message
-	asks int
-	// credential and tenant of the caller, empty where callers need no key.
+	last         routing.Dispatch
+	failures     map[cluster.RequestID]*verdict.Error
+	messages     []wire.Message
+	requestCount int
+	// credential and tenant belong to the caller; they are empty if callers need no key.
 	credential, tenant string
 }
 
 func newEngineNode(t *testing.T, engines ...cluster.MachineID) *engineNode {
 	t.Helper()
-	return newEngineNodeOf(t, nil, engines...)
+	return newEngineNodeWithKeys(t, nil, engines...)
 }
 
-// newKeyedEngineNode is one whose only tenant holds a key, and lends its tokens itself.
+// newKeyedEngineNode returns a node that requires keys and itself lends the tokens of its only
+// tenant.
 func newKeyedEngineNode(t *testing.T, engines ...cluster.MachineID) *engineNode {
 	t.Helper()
-	n := newEngineNodeOf(t, []string{"h1"}, engines...)
+	n := newEngineNodeWithKeys(t, []string{"h1"}, engines...)
 	n.step(KeysProven{At: n.now})
-	n.pass(3 * time.Second)
+	n.advance(3 * time.Second)
 	n.step(KeysProven{At: n.now})
 	n.credential, n.tenant = "h1", "clinic"
 	return n
 }
 
-func newEngineNodeOf(t *testing.T, keys []string, engines ...cluster.MachineID) *engineNode {
+func newEngineNodeWithKeys(t *testing.T, keys []string, engines ...cluster.MachineID) *engineNode {
 	t.Helper()
 	n := &engineNode{
 		t: t, now: time.Unix(1_000_000, 0), sent: map[cluster.RequestID]cluster.MachineID{},
-		ends: map[cluster.RequestID]*verdict.Error{},
+		failures: map[cluster.RequestID]*verdict.Error{},
 	}
 	n.core = New(Config{
 		Self: NodeEntry{ID: "n1", Machine: "m1", Address: "a1", Capacity: 1}, Zone: "z",
 		Regions: map[cluster.ZoneID]cluster.RegionID{"z": "r"}, Dispatching: true,
-		KeyProof: gateProof, Lending: lending.Config{Window: 8 * time.Second, Overrun: 0.1, Slack: 1000},
+		KeyProof: testKeyProof, Lending: lending.Config{Window: 8 * time.Second, Overrun: 0.1, Slack: 1000},
 		Routing: routing.Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000},
 	}, 1)
 	n.configure(1, "m", keys...)
 	n.step(NodesRead{Full: true})
-	n.engines(false, engines...)
+	n.putEngines(false, engines...)
 	n.step(StoreSynced{})
 	return n
 }
 
-// configure puts a configuration in force with one model and the keys of a tenant.
+// configure applies a configuration with one model and the keys of a tenant.
 func (n *engineNode) configure(version int64, model string, keys ...string) {
 	n.t.Helper()
 	configuration := catalog.Configuration{Version: version, Services: []catalog.Service{{
@@ -81,8 +82,8 @@
 	n.step(ConfigurationRead{Compiled: compiled})
 }
 
-// engines enters engines, those that leave or those that don't.
-func (n *engineNode) engines(draining bool, ids ...cluster.MachineID) {
+// putEngines adds or updates the entries of engines.
+func (n *engineNode) putEngines(draining bool, ids ...cluster.MachineID) {
 	var workers []catalog.Worker
 	for _, id := range ids {
 		workers = append(workers, catalog.Worker{
@@ -96,42 +97,43 @@
 	for _, effect := range slices.Clone(n.core.Step(n.now, e)) {
 		switch e := effect.(type) {
 		case SendMessage:
-			n.out = append(n.out, e.Message)
+			n.messages = append(n.messages, e.Message)
 		case RoutingOutput:
 			switch routed := e.Effect.(type) {
 			case routing.Dispatch:
 				n.sent[routed.Request], n.last = routed.Machine, routed
 			case routing.Finish:
-				n.ends[routed.Request] = routed.Failure
+				n.failures[routed.Request] = routed.Failure
 			}
 		}
 	}
 }
 
-// attempt is the last one of a request.
+// attempt returns the number of a request's last attempt.
 func (n *engineNode) attempt(id cluster.RequestID) cluster.Attempt {
 	return n.core.dispatchClient.requests[id].attempt
 }
 
-// joins enters a node with more capacity, and has what is asked of it at first be over.
-func (n *engineNode) joins(id cluster.NodeID) {
+// addDispatcher adds a node with more capacity, which becomes the dispatcher, and waits until the
+// initial queries to it have timed out.
+func (n *engineNode) addDispatcher(id cluster.NodeID) {
 	n.step(NodesRead{Nodes: []NodeEntry{{ID: id, Machine: "machine of " + string(id), Address: "address of " + string(id), Zone: "z", Capacity: 2}}})
 	n.step(StoreSynced{})
-	n.pass(2 * time.Second)
+	n.advance(2 * time.Second)
 }
 
-// pass lets time pass until the node has nothing due before.
-func (n *engineNode) pass(d time.Duration) {
+// advance moves the clock forward in steps of 1 ms.
+func (n *engineNode) advance(d time.Duration) {
 	for end := n.now.Add(d); n.now.Before(end); {
 		n.now = n.now.Add(time.Millisecond)
 		n.step(Tick{})
 	}
 }
 
-// ask sends a request of 9,200 tokens, whose answer is to begin within 4 s.
-func (n *engineNode) ask() cluster.RequestID {
-	n.asks++
-	id := cluster.RequestID(fmt.Sprint("r", n.asks))
+// sendRequest sends a request of 9,200 prompt tokens with an objective of 4 s to the first byte.
+func (n *engineNode) sendRequest() cluster.RequestID {
+	n.requestCount++
+	id := cluster.RequestID(fmt.Sprint("r", n.requestCount))
 	n.step(RoutingInput{Event: routing.RequestArrived{Request: routing.Request{
 		ID: id, Model: "p/m", TokenPath: "/", Credential: n.credential, Tenant: n.tenant, Deadline: n.now.Add(13 * time.Second), Objective: 4 * time.Second, Attempts: 2,
 		Repeatable: true, Resumable: true, PromptTokens: 9200, MaxTokens: 60, LongestPause: 500 * time.Millisecond,
@@ -139,26 +141,27 @@
 	return id
 }
 
-// answer has n2 answer the last question, and returns what was asked.
-func (n *engineNode) answer(a wire.EngineAnswer) wire.EngineWork {
+// answerLastQuestion answers the last placement question as n2 and returns the work that was
+// asked about.
+func (n *engineNode) answerLastQuestion(a wire.EngineAnswer) wire.EngineWork {
 	n.t.Helper()
-	for _, message := range slices.Backward(n.out) {
+	for _, message := range slices.Backward(n.messages) {
 		if asked, ok := message.(wire.EngineRequest); ok {
 			a.From, a.Number = "n2", asked.Number
 			n.step(MessageReceived{Message: a})
 			return asked.Work
 		}
 	}
-	n.t.Fatal("nobody was asked")
+	n.t.Fatal("no placement question was sent")
 	return wire.EngineWork{}
 }
 
-// askUntilHeld sends requests to the only engine until one is held, and returns that one.
-func (n *engineNode) askUntilHeld() cluster.RequestID {
+// sendUntilHeld sends requests to the only engine until one is held, and returns that one.
+func (n *engineNode) sendUntilHeld() cluster.RequestID {
 	n.t.Helper()
 	for range 8 {
-		id := n.ask()
-		n.pass(time.Millisecond)
+		id := n.sendRequest()
+		n.advance(time.Millisecond)
 		if _, sent := n.sent[id]; !sent {
 			return id
 		}
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -65,7 +65,7 @@
 	Revision int64
 }
 
-// PoisonStored is a stored record of a request that ends machines.
+// PoisonStored is a stored record of a poison request.
 type PoisonStored struct {
 	Record poison.Record
 	// Tests is how often a node was allowed to send the request once more, and Tester the node of
@@ -77,8 +77,8 @@
 	Revision   int64
 }
 
-// PoisonRead delivers stored records of requests that end machines. With Full, requests that are
-// not listed have no record. The records of Gone were deleted.
+// PoisonRead delivers stored records of poison requests. With Full, requests that are not listed
+// have no record. The records of Gone were deleted.
 type PoisonRead struct {
 	Records []PoisonStored
 	// Unread are records that can't be decoded; only their fingerprints and revisions are valid.
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -10,7 +10,8 @@
 	`{"id":"n","capacity":1e400}`, `{"id":"n","bears":-1}`, `{"ends":7}`, `{"ends":[""],"tests":-1}`, `{"ends":["a","a"],"cleared":["a"]}`,
 }
 
-// FuzzDecodeNodeEntry: whatever a record of a node holds, it names a node or nothing.
+// Guards against node records that decode without an error but have no valid ID, capacity or
+// store limit, and against partial entries on an error.
 func FuzzDecodeNodeEntry(f *testing.F) {
 	whole := NodeEntry{ID: "n1", Machine: "m", Address: "10.0.0.1:80", Zone: "z", Capacity: 0.4, Acting: true, Bears: 3}
 	for _, value := range append(hostileRecords, string(whole.Encode())) {
@@ -19,17 +20,17 @@
 	f.Fuzz(func(t *testing.T, value []byte) {
 		entry, err := DecodeNodeEntry(value)
 		if err == nil && (entry.ID == "" || entry.Capacity < 0 || entry.Bears < 0) {
-			t.Fatalf("read without an error: %+v", entry)
+			t.Fatalf("decoded an invalid entry without an error: %+v", entry)
 		}
 		if err != nil && entry != (NodeEntry{}) {
-			t.Fatalf("%v, and yet it says %+v", err, entry)
+			t.Fatalf("error %v, but the result is %+v", err, entry)
 		}
 		_ = entry.lendingPeer()
 	})
 }
 
-// FuzzDecodePoison: whatever a record of a harmful request holds, it is of the request that
-// its key names, or says nothing.
+// Guards against poison records that decode without a request, and against partial records on an
+// error.
 func FuzzDecodePoison(f *testing.F) {
 	const key = KeyPoison + "00112233445566778899aabbccddeeff"
 	for _, value := range append(hostileRecords, `{"ends":["a","b"],"cleared":["c"],"tests":2,"tester":"n"}`) {
@@ -40,10 +41,10 @@
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		stored, err := DecodePoison(key, value)
 		if err == nil && stored.Record.Content.IsZero() {
-			t.Fatalf("a record of no request is read: %+v", stored)
+			t.Fatalf("decoded a record without a request: %+v", stored)
 		}
 		if err != nil && len(stored.Record.Ends) > 0 {
-			t.Fatalf("%v, and yet it says %+v", err, stored)
+			t.Fatalf("error %v, but the result is %+v", err, stored)
 		}
 	})
 }
--- a/fleet/gate_test.go
+++ b/fleet/gate_test.go
@@ -13,34 +13,35 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-const gateProof = 4500 * time.Millisecond
+const testKeyProof = 4500 * time.Millisecond
 
-// gated is a node alone, which lends to itself, with one tenant of 1,000 tokens a second.
-type gatedNode struct {
-	t    *testing.T
-	core *Core
-	now  time.Time
-	sent int
+// gateTestNode is a single node, which lends tokens to itself, with one tenant of 1,000 tokens
+// per second.
+type gateTestNode struct {
+	t            *testing.T
+	core         *Core
+	now          time.Time
+	requestCount int
 }
 
-func newGatedNode(t *testing.T) *gatedNode {
+func newGateTestNode(t *testing.T) *gateTestNode {
 	t.Helper()
-	n := &gatedNode{t: t, now: time.Unix(1_000_000, 0)}
+	n := &gateTestNode{t: t, now: time.Unix(1_000_000, 0)}
 	n.core = New(Config{
 		Self: NodeEntry{ID: "n1", Machine: "m1", Address: "a1"}, Zone: "z", Regions: map[cluster.ZoneID]cluster.RegionID{"z": "r"},
-		KeyProof: gateProof, Lending: lending.Config{Window: 8 * time.Second, Overrun: 0.1, Slack: 1000},
+		KeyProof: testKeyProof, Lending: lending.Config{Window: 8 * time.Second, Overrun: 0.1, Slack: 1000},
 	}, 1)
 	n.configure(1, "h1")
 	n.step(NodesRead{Full: true})
 	n.step(StoreSynced{})
-	n.prove()
-	n.pass(3 * time.Second)
-	n.prove()
+	n.proveKeys()
+	n.advance(3 * time.Second)
+	n.proveKeys()
 	return n
 }
 
-// configure puts a configuration in force in which the tenant holds the keys.
-func (n *gatedNode) configure(version int64, keys ...string) {
+// configure applies a configuration in which the tenant has the given keys.
+func (n *gateTestNode) configure(version int64, keys ...string) {
 	n.t.Helper()
 	compiled, err := catalog.Configuration{
 		Version: version, Services: []catalog.Service{{Name: "s"}},
@@ -52,39 +53,39 @@
 	n.step(ConfigurationRead{Compiled: compiled})
 }
 
-func (n *gatedNode) step(e Event) []Effect {
+func (n *gateTestNode) step(e Event) []Effect {
 	var effects []Effect
 	return append(effects, n.core.Step(n.now, e)...)
 }
 
-// pass lets time pass in steps that are shorter than a lease.
-func (n *gatedNode) pass(d time.Duration) {
-	const most = 100 * time.Millisecond
+// advance moves the clock forward in steps shorter than a lease.
+func (n *gateTestNode) advance(d time.Duration) {
+	const maxStep = 100 * time.Millisecond
 	for end := n.now.Add(d); n.now.Before(end); {
-		n.now = n.now.Add(min(end.Sub(n.now), most))
+		n.now = n.now.Add(min(end.Sub(n.now), maxStep))
 		n.step(Tick{})
 	}
 }
 
-func (n *gatedNode) prove() { n.step(KeysProven{At: n.now}) }
+func (n *gateTestNode) proveKeys() { n.step(KeysProven{At: n.now}) }
 
-// machine enters the service's only machine.
-func (n *gatedNode) machine() []Effect {
+// addMachine adds the service's only machine.
+func (n *gateTestNode) addMachine() []Effect {
 	return n.step(WorkersRead{Full: true, Workers: []catalog.Worker{{ID: "i1", Service: "s", Address: "w", Zone: "z", Slots: 100}}})
 }
 
-// ask sends a request of the tenant and returns its name.
-func (n *gatedNode) ask(tokens int) (cluster.RequestID, []Effect) {
-	n.sent++
-	id := cluster.RequestID(fmt.Sprint("r", n.sent))
+// sendRequest sends a request of the tenant and returns its ID.
+func (n *gateTestNode) sendRequest(tokens int) (cluster.RequestID, []Effect) {
+	n.requestCount++
+	id := cluster.RequestID(fmt.Sprint("r", n.requestCount))
 	return id, n.step(RoutingInput{Event: routing.RequestArrived{Request: routing.Request{
 		ID: id, Model: "s", TokenPath: "/", Deadline: n.now.Add(20 * time.Second), Attempts: 2,
 		Credential: "h1", Tenant: "clinic", PromptTokens: tokens,
 	}}})
 }
 
-// outcome is what became of a request by some effects: "sent", a code, or nothing.
-func outcome(effects []Effect, id cluster.RequestID) string {
+// outcomeOf returns the outcome of a request in the effects: "sent", an error code, or nothing.
+func outcomeOf(effects []Effect, id cluster.RequestID) string {
 	for _, effect := range effects {
 		out, isRouting := effect.(RoutingOutput)
 		if !isRouting {
@@ -104,70 +105,69 @@
 	return ""
 }
 
-// TestProofIsJudgedAtTheDispatch: a request that waits for a machine until the proof of its
-// key has lapsed is not sent. One whose proof was renewed is.
-func TestProofIsJudgedAtTheDispatch(t *testing.T) {
+// Guards against sending a request whose key proof expired while it waited for a machine. A
+// request whose proof was renewed is sent.
+func TestExpiredKeyProofStopsDispatch(t *testing.T) {
 	for name, renewed := range map[string]bool{"unavailable": false, "sent": true} {
-		n := newGatedNode(t)
-		id, effects := n.ask(10)
-		if got := outcome(effects, id); got != "" {
-			t.Fatalf("without a machine: %s", got)
+		n := newGateTestNode(t)
+		id, effects := n.sendRequest(10)
+		if got := outcomeOf(effects, id); got != "" {
+			t.Fatalf("outcome without a machine: %s", got)
 		}
-		n.pass(gateProof)
+		n.advance(testKeyProof)
 		if renewed {
-			n.prove()
+			n.proveKeys()
 		}
-		if got := outcome(n.machine(), id); got != name {
+		if got := outcomeOf(n.addMachine(), id); got != name {
 			t.Errorf("got %q, want %q", got, name)
 		}
 	}
 }
 
-// TestSendIsJudgedInItsInstant: a process that stood still between the dispatch and the send
-// finds that the proof, or the tokens, have lapsed.
-func TestSendIsJudgedInItsInstant(t *testing.T) {
-	n := newGatedNode(t)
-	n.machine()
-	id, effects := n.ask(10)
-	if got := outcome(effects, id); got != "sent" {
+// Guards against sending after the process was suspended between the dispatch and the send, when
+// the key proof or the tokens have expired.
+func TestExpiredProofOrTokensStopSend(t *testing.T) {
+	n := newGateTestNode(t)
+	n.addMachine()
+	id, effects := n.sendRequest(10)
+	if got := outcomeOf(effects, id); got != "sent" {
 		t.Fatalf("got %q", got)
 	}
 	if failure := n.core.MaySend(n.now, id); failure != nil {
 		t.Fatal(failure)
 	}
-	for _, late := range []time.Duration{500 * time.Millisecond, 5 * time.Second} {
-		if failure := n.core.MaySend(n.now.Add(late), id); failure == nil || failure.Verdict != verdict.NotRun {
-			t.Errorf("%v late: %v", late, failure)
+	for _, delay := range []time.Duration{500 * time.Millisecond, 5 * time.Second} {
+		if failure := n.core.MaySend(n.now.Add(delay), id); failure == nil || failure.Verdict != verdict.NotRun {
+			t.Errorf("%v late: %v", delay, failure)
 		}
 	}
 }
 
-// TestTokensAreAskedForAgain: a request that waited for longer than its tokens last asks for
-// new ones when it is sent, and gives the first ones back: what it was granted twice counts
-// once.
-func TestTokensAreAskedForAgain(t *testing.T) {
-	n := newGatedNode(t)
-	n.pass(2 * time.Second)
-	n.prove()
-	waiting, _ := n.ask(1000)
-	n.pass(2 * time.Second)
-	if got := outcome(n.machine(), waiting); got != "sent" {
+// Guards against sending with expired tokens after a long wait, and against counting the request
+// twice: the first tokens are returned when new ones are requested.
+func TestExpiredTokensAreRequestedAgainAtDispatch(t *testing.T) {
+	n := newGateTestNode(t)
+	n.advance(2 * time.Second)
+	n.proveKeys()
+	waiting, _ := n.sendRequest(1000)
+	n.advance(2 * time.Second)
+	if got := outcomeOf(n.addMachine(), waiting); got != "sent" {
 		t.Fatalf("got %q", got)
 	}
-	if next, effects := n.ask(10); outcome(effects, next) != "sent" {
-		t.Errorf("the next one: %q, want the tokens of the first given back", outcome(effects, next))
+	if next, effects := n.sendRequest(10); outcomeOf(effects, next) != "sent" {
+		t.Errorf("second request: %q, want it sent with the tokens that the first returned", outcomeOf(effects, next))
 	}
 }
 
-// TestBeyondTheLimitIsRefusedAtOnce: with the time at which the tokens are there, and a
-// request that asks then is served.
-func TestBeyondTheLimitIsRefusedAtOnce(t *testing.T) {
-	n := newGatedNode(t)
-	n.machine()
+// Guards against a request beyond the limit that waits instead of being refused, and against a
+// Retry-After at which the tokens are not available.
+func TestRequestBeyondLimitIsRefusedWithRetryAfter(t *testing.T) {
+	n := newGateTestNode(t)
+	n.addMachine()
 	var refused *verdict.Error
 	for range 100 {
-		id, effects := n.ask(100)
-		if outcome(effects, id) == string(verdict.CodeTokenRateLimit) {
+		id, effects := n.sendRequest(100)
+		if outcomeOf(effects, id) == string(verdict.CodeTokenRateLimit) {
 			for _, effect := range effects {
 				if out, ok := effect.(RoutingOutput); ok {
 					if finish, ended := out.Effect.(routing.Finish); ended {
@@ -181,19 +181,19 @@
 	if refused == nil || refused.RetryAfter <= 0 || refused.RetryAfter > time.Second {
 		t.Fatalf("refused: %+v", refused)
 	}
-	n.pass(refused.RetryAfter)
-	if id, effects := n.ask(100); outcome(effects, id) != "sent" {
-		t.Errorf("back in time: %q", outcome(effects, id))
+	n.advance(refused.RetryAfter)
+	if id, effects := n.sendRequest(100); outcomeOf(effects, id) != "sent" {
+		t.Errorf("retry after Retry-After: %q, want sent", outcomeOf(effects, id))
 	}
 }
 
-// TestRefusalTellsTheWindow: a refusal by a limit says what is used of the window, what was asked
-// for and who is first in line, and whether room is kept.
-func TestRefusalTellsTheWindow(t *testing.T) {
-	n := newGatedNode(t)
-	n.machine()
+// Guards against a refusal that doesn't explain itself: it gives the window's usage, the amount
+// requested, the first request in line and whether room is reserved.
+func TestLimitRefusalDescribesWindowUsage(t *testing.T) {
+	n := newGateTestNode(t)
+	n.addMachine()
 	for range 100 {
-		id, effects := n.ask(300)
+		id, effects := n.sendRequest(300)
 		for _, effect := range effects {
 			out, isRouting := effect.(RoutingOutput)
 			if !isRouting {
@@ -211,17 +211,17 @@
 			return
 		}
 	}
-	t.Error("nothing was refused")
+	t.Error("no request was refused")
 }
 
-// TestCallersWhoComeBackAreKnown: what a request asks for is told from what others do, and is the
-// same through whatever node it comes and however much time is left to it.
-func TestCallersWhoComeBackAreKnown(t *testing.T) {
+// Guards against treating a retry as a different request, or different requests as the same. The
+// fingerprint depends on neither the node nor the remaining time.
+func TestRequestFingerprintIsStableAcrossRetries(t *testing.T) {
 	request := routing.Request{ID: "r1", Model: "m", PromptTokens: 700, MaxTokens: 50, Prefixes: []uint64{7}, Caller: 3, Deadline: time.Unix(9, 0)}
-	back := request
-	back.ID, back.Deadline, back.Returned = "r2", time.Unix(5, 0), true
-	if requestFingerprint(&request) != requestFingerprint(&back) {
-		t.Error("a caller that comes back is not known")
+	retry := request
+	retry.ID, retry.Deadline, retry.Returned = "r2", time.Unix(5, 0), true
+	if requestFingerprint(&request) != requestFingerprint(&retry) {
+		t.Error("the retry of a request has another fingerprint")
 	}
 	for name, change := range map[string]func(*routing.Request){
 		"model":  func(r *routing.Request) { r.Model = "n" },
@@ -232,22 +232,22 @@
 		other := request
 		change(&other)
 		if requestFingerprint(&other) == requestFingerprint(&request) {
-			t.Errorf("another %s is taken for the same", name)
+			t.Errorf("a request that differs in its %s has the same fingerprint", name)
 		}
 	}
 }
 
-// TestTakenAwayKeyIsNotSent: what waits under it is refused when the configuration comes.
-func TestTakenAwayKeyIsNotSent(t *testing.T) {
-	n := newGatedNode(t)
-	id, _ := n.ask(10)
+// Guards against sending a waiting request whose key a new configuration has revoked.
+func TestRevokedKeyEndsWaitingRequest(t *testing.T) {
+	n := newGateTestNode(t)
+	id, _ := n.sendRequest(10)
 	compiled, err := catalog.Configuration{
 		Version: 2, Services: []catalog.Service{{Name: "s"}}, Tenants: []catalog.Tenant{{Name: "clinic", Keys: []string{"h2"}}},
 	}.Compile()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := outcome(n.step(ConfigurationRead{Compiled: compiled}), id); got != string(verdict.CodeUnauthorized) {
+	if got := outcomeOf(n.step(ConfigurationRead{Compiled: compiled}), id); got != string(verdict.CodeUnauthorized) {
 		t.Errorf("got %q", got)
 	}
 	if n.core.InFlight() != 0 {
--- a/fleet/load_delays_test.go
+++ b/fleet/load_delays_test.go
@@ -8,8 +8,8 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// TestAlternatingCausesAreLoggedOnce: two causes that alternate from plan to plan would
-// fill the log; one that lasts is written.
+// Guards against two causes that alternate from plan to plan and fill the log. A cause that lasts
+// is logged.
 func TestAlternatingCausesAreLoggedOnce(t *testing.T) {
 	var current loadDelay
 	var logged []placement.Cause
--- a/fleet/nodeset_test.go
+++ b/fleet/nodeset_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestNewStartReplacesRecord: of two records of one machine the later one counts, in
-// whichever order they are read; nodes without a machine are told apart by their names.
-func TestNewStartReplacesRecord(t *testing.T) {
+// Guards against counting a restarted node twice while its previous record has not expired,
+// whichever record is read first. Nodes without a machine are distinguished by ID.
+func TestRestartedNodeReplacesItsRecord(t *testing.T) {
 	before := NodeEntry{ID: "a-1", Machine: "a", Revision: 5}
 	after := NodeEntry{ID: "a-2", Machine: "a", Revision: 9}
 	other := NodeEntry{ID: "b-1", Machine: "b", Revision: 7}
--- a/fleet/pacing/simulation_test.go
+++ b/fleet/pacing/simulation_test.go
@@ -135,12 +135,12 @@
 // maxTurnsWithin returns the largest number of turns within any window of the given length.
 func (s *simulation) maxTurnsWithin(length time.Duration) int {
 	slices.SortFunc(s.turns, time.Time.Compare)
-	most, first := 0, 0
+	busiest, first := 0, 0
 	for last := range s.turns {
 		for s.turns[last].Sub(s.turns[first]) >= length {
 			first++
 		}
-		most = max(most, last-first+1)
+		busiest = max(busiest, last-first+1)
 	}
-	return most
+	return busiest
 }
--- a/fleet/planning_spacing_test.go
+++ b/fleet/plan_interval_test.go
@@ -10,10 +10,10 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// TestPlansFollowCapacity: plans come as often as the node's processor allows, so that what
-// waits for an adapter of a fleet with 10,000 engines is not held up for longer than its
-// objective of 800 ms where the node has most of a core.
-func TestPlansFollowCapacity(t *testing.T) {
+// Guards against planning that takes too much of a small node's processor, or that is too rare on
+// a large one. With 10,000 engines and most of a core, a request that waits for an adapter must
+// not miss its objective of 800 ms.
+func TestPlanIntervalFollowsNodeCapacity(t *testing.T) {
 	for _, test := range []struct {
 		engines  int
 		capacity float64
--- a/fleet/planning_test.go
+++ b/fleet/planning_test.go
@@ -7,10 +7,9 @@
 	"github.com/valveslip/valveslip/catalog"
 )
 
-// TestLongestPauseIsTheShortestOfEngines: the streams of all routes share the engines, so
-// that the strictest route to one counts; routes to other services and those that state
-// none don't.
-func TestLongestPauseIsTheShortestOfEngines(t *testing.T) {
+// Guards against a plan that interrupts the streams of the strictest route. Streams of all routes
+// share the engines; routes to other services and routes without a longest pause don't count.
+func TestLongestPauseIsStrictestOfEngineRoutes(t *testing.T) {
 	route := func(name, service string, pause time.Duration) catalog.Route {
 		return catalog.Route{
 			Name: name, Host: name + ".example", PathPrefix: "/", LongestPause: pause,
--- a/fleet/poison.go
+++ b/fleet/poison.go
@@ -14,18 +14,19 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// KeyPoison is the prefix of the records of requests that must not be sent because machines end
-// under them. The records have no expiry; deleting one pardons its request.
+// KeyPoison is the prefix of the records of poison requests. A poison request ends the process of
+// the machine that runs it, and must not be sent again once that has happened to enough machines.
+// The records have no expiry; deleting one pardons its request.
 const KeyPoison = KeyRoot + "poison/"
 
-// Timing and limits of the reports, tests and stored records of requests that end machines.
+// Timing and limits of the reports, tests and stored records of poison requests.
 const (
 	// poisonReportSpacing is the least time between two messages to one node, so that the reports
 	// on many requests that ran at the same machine share a message.
 	poisonReportSpacing = 5 * time.Millisecond
 	// poisonReportCount is how often each record is reported. The second report follows after
 	// poisonReportRepeat, and each further interval is three times as long. Messages may be lost,
-	// and a conviction must be known to all nodes within half of a bound of 3 s.
+	// and a conviction must be known to all nodes within 1.5 s, half of the bound of 3 s.
 	poisonReportCount  = 3
 	poisonReportRepeat = 300 * time.Millisecond
 	// maxBroadcastNodes is the largest number of live nodes with which suspects are reported to
@@ -87,7 +88,7 @@
 	claimedAt time.Time
 }
 
-// poisonSync exchanges records of requests that end machines with other nodes and the store.
+// poisonSync exchanges the records of poison requests with other nodes and the store.
 type poisonSync struct {
 	core    *Core
 	reports map[poison.Fingerprint]*pendingReport
--- a/fleet/suspension_test.go
+++ b/fleet/suspension_test.go
@@ -6,69 +6,68 @@
 	"time"
 )
 
-// How long machines are suspended, and how long they run between.
+// Bounds of the time for which a machine is suspended, and of the time between two suspensions.
 const (
-	shortestSleep = 500 * time.Millisecond
-	longestSleep  = 7 * time.Second
-	longestAwake  = 3 * time.Second
+	minSuspension         = 500 * time.Millisecond
+	maxSuspension         = 7 * time.Second
+	maxSuspensionInterval = 3 * time.Second
 )
 
-// sleeps suspends one machine after the other, most often that of the holder.
-func (w *world) sleeps() {
-	n := w.nodes[w.random.IntN(len(w.nodes))]
-	for _, holder := range w.nodes {
-		if holder.core.Holding() && !holder.dead && w.random.IntN(3) > 0 {
+// suspendMachines suspends one machine after the other, most often that of the lease holder.
+func (s *simulation) suspendMachines() {
+	n := s.nodes[s.random.IntN(len(s.nodes))]
+	for _, holder := range s.nodes {
+		if holder.core.Holding() && !holder.dead && s.random.IntN(3) > 0 {
 			n = holder
 			break
 		}
 	}
-	if !n.dead && !n.asleep {
-		slept := w.between(shortestSleep, longestSleep)
-		n.asleep = true
-		w.after(slept, func() { w.wakes(n, slept) })
+	if !n.dead && !n.suspended {
+		slept := s.randomDuration(minSuspension, maxSuspension)
+		n.suspended = true
+		s.after(slept, func() { s.resumeMachine(n, slept) })
 	}
-	w.after(w.between(time.Second, longestAwake), w.sleeps)
+	s.after(s.randomDuration(time.Second, maxSuspensionInterval), s.suspendMachines)
 }
 
-// wakes lets a suspended machine go on: its node notices by its clock that it stood still,
-// before it takes what came meanwhile.
-func (w *world) wakes(n *simulatedNode, slept time.Duration) {
-	n.asleep, n.touched = false, w.now
-	missed := n.missed
-	n.missed = nil
-	if w.steadyClocks {
-		n.lag += slept
+// resumeMachine resumes a suspended machine. Its node detects the suspension by its clock before
+// it handles the events that it missed.
+func (s *simulation) resumeMachine(n *simulatedNode, slept time.Duration) {
+	n.suspended, n.reachableSince = false, s.now
+	missed := n.missedEvents
+	n.missedEvents = nil
+	if s.clocksStopInSuspension {
+		n.clockLag += slept
 	} else if slept > time.Second {
-		w.step(n, Paused{For: slept})
+		s.step(n, Paused{For: slept})
 	}
 	for _, event := range missed {
-		w.step(n, event)
+		s.step(n, event)
 	}
-	w.step(n, Tick{})
+	s.step(n, Tick{})
 }
 
-// playSleeps runs nodes whose machines are suspended in turn, and returns what was found
-// broken.
-func playSleeps(seed uint64, fenced, steady bool) []string {
-	w := newSimulation(seed, 4, 3)
-	w.fenced, w.steadyClocks = fenced, steady
-	for _, n := range w.nodes {
+// runWithSuspensions runs nodes whose machines are suspended in turn, and returns the violations.
+func runWithSuspensions(seed uint64, fenced, steady bool) []string {
+	s := newSimulation(seed, 4, 3)
+	s.fenced, s.clocksStopInSuspension = fenced, steady
+	for _, n := range s.nodes {
 		n.core.config.FencingEnforced = fenced
 	}
-	w.after(time.Second, func() { w.ask(120 * time.Millisecond) })
-	w.after(3*time.Second, w.sleeps)
-	w.runFor(60 * time.Second)
-	return w.problems
+	s.after(time.Second, func() { s.askPeriodically(120 * time.Millisecond) })
+	s.after(3*time.Second, s.suspendMachines)
+	s.runFor(60 * time.Second)
+	return s.violations
 }
 
-// TestOrdersHoldWhileMachinesAreSuspended: no engine takes orders of two machines in turn, or
-// is ordered to hold more than it can, while machines are suspended one after the other.
-func TestOrdersHoldWhileMachinesAreSuspended(t *testing.T) {
+// Guards against overfilled engines and against orders of two machines in turn while machines are
+// suspended one after the other.
+func TestOrdersAreSafeWhileMachinesAreSuspended(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		for seed := range uint64(60) {
 			t.Run(fmt.Sprintf("fenced=%t/seed=%d", fenced, seed), func(t *testing.T) {
 				t.Parallel()
-				for _, problem := range playSleeps(seed, fenced, false) {
+				for _, problem := range runWithSuspensions(seed, fenced, false) {
 					t.Error(problem)
 				}
 			})
@@ -76,17 +75,17 @@
 	}
 }
 
-// TestSteadyClocksAreCaught: nodes whose clocks stand while their machines are suspended go
-// on with leases that are over, which the check must see.
-func TestSteadyClocksAreCaught(t *testing.T) {
-	caught := 0
+// Guards against a holder check that detects nothing. Nodes whose clocks stop during suspension
+// continue with expired leases.
+func TestHolderCheckDetectsClocksThatStopInSuspension(t *testing.T) {
+	detected := 0
 	for seed := range uint64(60) {
-		if len(playSleeps(seed, false, true)) > 0 {
-			caught++
+		if len(runWithSuspensions(seed, false, true)) > 0 {
+			detected++
 		}
 	}
-	if caught == 0 {
-		t.Error("60 plays by steady clocks broke nothing")
+	if detected == 0 {
+		t.Error("60 runs with clocks that stop in suspension caused no violation")
 	}
-	t.Logf("%d of 60 plays by steady clocks are caught", caught)
+	t.Logf("violations in %d of 60 runs with clocks that stop in suspension", detected)
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -264,13 +264,13 @@
 			add(catalog.AdapterID(worker.Service, held.Name, adapter), cluster.ReplicaLoaded, 0)
 		}
 	}
-	for key, said := range v.overrides {
+	for key, override := range v.overrides {
 		if key.machine != worker.ID {
 			continue
 		}
 		delete(records, key.model)
-		if said.state != cluster.ReplicaAbsent {
-			add(key.model, said.state, max(said.readyAt.Sub(v.core.now), 0))
+		if override.state != cluster.ReplicaAbsent {
+			add(key.model, override.state, max(override.readyAt.Sub(v.core.now), 0))
 		}
 	}
 	v.dropOrphanAdapters(records)
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -10,10 +10,10 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestEntryEndsALoadThatNobodyReported: when the holder of the lease changes while a
-// model is loaded, the entry that names it has the waiting request sent, though the
-// holder's word was that it is loading.
-func TestEntryEndsALoadThatNobodyReported(t *testing.T) {
+// Guards against a request that waits forever for a load that no holder reports as done, because
+// the holder changed meanwhile. The machine's entry that lists the model overrides the holder's
+// status.
+func TestEntryConfirmsUnreportedLoad(t *testing.T) {
 	simulation := newSimulation(1, 1, 0)
 	core := simulation.nodes[0].core
 	now := simulation.now
