--- a/fleet/controller.go
+++ b/fleet/controller.go
@@ -82,7 +82,9 @@
 	// last to give orders, or the system has started for the first time.
 	skipOrderPause bool
 	lastPlanAt     time.Time
-	planStale      bool
+	// planStale is set if the planner's input has changed since the last plan.
+	planStale bool
+	// resignedAt is when a planned stop began, zero before.
 	resignedAt     time.Time
 	statusSequence uint64
 	// learnedStoreLoads is the number of concurrent loads that the weight store was last learned
--- a/fleet/dispatch_fixture_test.go
+++ b/fleet/dispatch_fixture_test.go
@@ -29,6 +29,7 @@
 	credential, tenant string
 }
 
+// newEngineNode returns a node that requires no keys.
 func newEngineNode(t *testing.T, engines ...cluster.MachineID) *engineNode {
 	t.Helper()
 	return newEngineNodeWithKeys(t, nil, engines...)
@@ -46,6 +47,8 @@
 	return n
 }
 
+// newEngineNodeWithKeys returns a node with one model, the given engines and, if there are keys,
+// one tenant that holds them.
 func newEngineNodeWithKeys(t *testing.T, keys []string, engines ...cluster.MachineID) *engineNode {
 	t.Helper()
 	n := &engineNode{
@@ -93,6 +96,7 @@
 	n.step(WorkersRead{Workers: workers})
 }
 
+// step hands an event to the node and records its messages, sends and refusals.
 func (n *engineNode) step(e Event) {
 	for _, effect := range slices.Clone(n.core.Step(n.now, e)) {
 		switch e := effect.(type) {
--- a/fleet/fleet_simulation_test.go
+++ b/fleet/fleet_simulation_test.go
@@ -70,6 +70,7 @@
 	duplicateShare float64
 }
 
+// simulatedNode is one start of a node on a simulated machine.
 type simulatedNode struct {
 	machine string
 	id      cluster.NodeID
@@ -138,6 +139,7 @@
 	return low + time.Duration(s.random.Int64N(int64(high-low)))
 }
 
+// startNode starts a node on a machine. first is true for the first start of the system.
 func (s *simulation) startNode(machine string, first bool) {
 	s.startCount++
 	n := &simulatedNode{machine: machine, id: cluster.NodeID(fmt.Sprintf("%s-%d", machine, s.startCount)), reachableSince: s.now}
@@ -171,6 +173,7 @@
 	s.after(s.randomDuration(50*time.Millisecond, 400*time.Millisecond), func() { s.pollStore(n) })
 }
 
+// readStore hands the whole content of the store to a node.
 func (s *simulation) readStore(n *simulatedNode) {
 	s.store.Expire(s.now)
 	workers, nodes, holder := WorkersRead{Full: true}, NodesRead{Full: true}, HolderRead{}
@@ -226,6 +229,7 @@
 	}
 }
 
+// startEffect carries out an effect of a node's core after a delay.
 func (s *simulation) startEffect(n *simulatedNode, effect Effect) {
 	switch e := effect.(type) {
 	case RoutingOutput:
@@ -400,6 +404,7 @@
 	s.after(s.randomDuration(500*time.Millisecond, 5*time.Second), s.injectFaults)
 }
 
+// killNode kills a node and restarts its machine later.
 func (s *simulation) killNode(n *simulatedNode) {
 	if n.dead {
 		return
--- a/fleet/gate_test.go
+++ b/fleet/gate_test.go
@@ -13,6 +13,7 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
+// testKeyProof is the maximum age of the key proof in these tests.
 const testKeyProof = 4500 * time.Millisecond
 
 // gateTestNode is a single node, which lends tokens to itself, with one tenant of 1,000 tokens
--- a/fleet/holder.go
+++ b/fleet/holder.go
@@ -70,8 +70,8 @@
 // learned.
 func (c *controller) lastHolderRead(read LastHolderRead) {
 	c.lastHolder, c.lastHolderRevision = read.Node, read.Revision
-	if read.Node.Bears > 0 && !c.termBegan {
-		c.learnedStoreLoads = read.Node.Bears
+	if read.Node.StoreLoads > 0 && !c.termBegan {
+		c.learnedStoreLoads = read.Node.StoreLoads
 	}
 }
 
@@ -103,7 +103,7 @@
 // lastHolderEntry returns the record of this machine as the last holder.
 func (c *controller) lastHolderEntry(acting bool) []byte {
 	entry := c.core.config.Self
-	entry.Acting, entry.Bears = acting, c.learnedStoreLoads
+	entry.Acting, entry.StoreLoads = acting, c.learnedStoreLoads
 	return entry.Encode()
 }
 
@@ -178,8 +178,8 @@
 	c.core.log(eventlog.LeaseChanged{Holder: config.Self.ID, Token: c.lease.Token(), Own: true, Cause: "won"})
 }
 
-// orderPauseMargin is added to the pause between the orders of two holders, since an order may
-// reach its engine late.
+// orderPauseMargin is added to the pause between the orders of two holders: the pause must not be
+// shorter than Config.OrderPause.
 const orderPauseMargin = 150 * time.Millisecond
 
 // beginTerm begins the term, in which this node gives orders.
@@ -227,6 +227,7 @@
 	c.feedLedger(sequence.TermEnded{})
 }
 
+// finishResigning releases the lease once resignDelay has passed.
 func (c *controller) finishResigning() {
 	if c.lease.Holding() && c.core.now.Sub(c.resignedAt) >= resignDelay {
 		c.lease.Release()
--- a/fleet/pacer_test.go
+++ b/fleet/pacer_test.go
@@ -22,6 +22,7 @@
 	arrivals []time.Time
 }
 
+// limitedAnswerTime is the time that a request takes at a limited machine.
 const limitedAnswerTime = 150 * time.Millisecond
 
 // answerRequests answers requests to any machine, in place of the simulation.
--- a/fleet/poison.go
+++ b/fleet/poison.go
@@ -100,7 +100,8 @@
 	// receivedConvictions are the requests that the records being learned convict.
 	receivedConvictions map[poison.Fingerprint]bool
 	// liftedConvictions are the requests whose acquittal must be reported to all nodes.
-	liftedConvictions  map[poison.Fingerprint]bool
+	liftedConvictions map[poison.Fingerprint]bool
+	// learningFromOthers is set while the router handles records of other nodes or of the store.
 	learningFromOthers bool
 	lastReportAt       time.Time
 	// nextCleanupAt is when the lease holder next scans for expired records.
@@ -176,6 +177,7 @@
 	return ids[:min(len(ids), poisonOwners)]
 }
 
+// logVerdict logs whether a request is suspected, convicted or cleared by a record.
 func (s *poisonSync) logVerdict(record *poison.Record, convicts bool) {
 	line := eventlog.PoisonJudged{Content: record.Content.String(), Machines: joinMachines(record.Ends), Ends: record.Standing(), Outcome: "suspected"}
 	switch {
--- a/fleet/poison_reports.go
+++ b/fleet/poison_reports.go
@@ -11,7 +11,7 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// sendReports sends the due records, one message to each recipient.
+// send sends records, or a query if there are none, to another node.
 func (s *poisonSync) sendReports() {
 	now := s.core.now
 	if next := s.nextReportAt(); next.IsZero() || next.After(now) {
--- a/fleet/poison_test.go
+++ b/fleet/poison_test.go
@@ -53,6 +53,7 @@
 	onAnswer     func(e routing.Finish)
 }
 
+// simulatedRun is a request at an engine.
 type simulatedRun struct {
 	node     *simulatedNode
 	dispatch routing.Dispatch
--- a/fleet/records.go
+++ b/fleet/records.go
@@ -34,9 +34,9 @@
 	// Acting is set in the last holder's record once the holder may give orders, after waiting
 	// out the pause that separates it from the previous holder.
 	Acting bool `json:"acting,omitempty"`
-	// Bears, in the last holder's record, is the learned number of concurrent loads that the
+	// StoreLoads, in the last holder's record, is the learned number of concurrent loads that the
 	// weight store sustains; zero if unknown.
-	Bears int `json:"bears,omitempty"`
+	StoreLoads int `json:"bears,omitempty"`
 	// Address is the host:port that accepts messages of other nodes.
 	Address string `json:"address"`
 	// Zone is the zone of the machine, Capacity its processor cores.
@@ -71,7 +71,7 @@
 	case err != nil:
 	case entry.ID == "":
 		err = eris.New("id: must not be empty")
-	case entry.Capacity < 0 || entry.Bears < 0:
+	case entry.Capacity < 0 || entry.StoreLoads < 0:
 		err = eris.New("capacity, bears: must not be negative")
 	}
 	if err != nil {
--- a/fleet/simulated_engine_test.go
+++ b/fleet/simulated_engine_test.go
@@ -13,6 +13,8 @@
 	"github.com/valveslip/valveslip/keyvalue"
 )
 
+// simulatedEngine is an engine that executes load and unload orders on the virtual clock. Its
+// fence is the largest fencing token of the orders that it accepted.
 type simulatedEngine struct {
 	id         cluster.MachineID
 	held       map[string][]string
@@ -82,6 +84,7 @@
 	return e.history[0].report
 }
 
+// recordState appends the engine's current state to its history.
 func (e *simulatedEngine) recordState(now time.Time) {
 	report := catalog.Report{Busy: e.busy, OrderCount: e.orderCount}
 	for _, spec := range simulatedModels {
@@ -113,6 +116,7 @@
 	return report
 }
 
+// liveEngine returns the running engine of the given ID, nil for none.
 func (s *simulation) liveEngine(id cluster.MachineID) *simulatedEngine {
 	for _, e := range s.engines {
 		if e.id == id && !e.dead {
@@ -178,6 +182,7 @@
 	return sequence.OutcomeTaken
 }
 
+// finishOrder completes an order.
 func (e *simulatedEngine) finishOrder(now time.Time, kind cluster.OrderKind, model, adapter string) {
 	delete(e.loading, model+"/"+adapter)
 	switch {
--- a/fleet/simulated_feed_test.go
+++ b/fleet/simulated_feed_test.go
@@ -24,6 +24,7 @@
 	unansweredCallTime = 620 * time.Millisecond
 )
 
+// keyEngineEntries is the prefix of the engines' entries in the store.
 const keyEngineEntries = "w/"
 
 // nodeFeed follows the store by a feed, in place of simulation.pollStore.
--- a/fleet/store_capacity_test.go
+++ b/fleet/store_capacity_test.go
@@ -12,7 +12,7 @@
 	if got := core.StoreCapacity(); got != initialStoreLoads {
 		t.Fatalf("%d concurrent loads before any was observed, want %d", got, initialStoreLoads)
 	}
-	entry, err := DecodeNodeEntry(NodeEntry{ID: "n2", Machine: "m2", Bears: 7}.Encode())
+	entry, err := DecodeNodeEntry(NodeEntry{ID: "n2", Machine: "m2", StoreLoads: 7}.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -33,6 +33,7 @@
 	nextExpiryAt time.Time
 }
 
+// viewedMachine is a machine's entry together with the replicas that the router knows of it.
 type viewedMachine struct {
 	worker catalog.Worker
 	// reported are the replicas last passed to the router, sorted by model. A map for each of
@@ -40,6 +41,7 @@
 	reported []wire.ReplicaRecord
 }
 
+// replicaKey identifies a replica of a model or adapter on a machine.
 type replicaKey struct {
 	machine cluster.MachineID
 	model   cluster.ModelID
@@ -50,7 +52,8 @@
 	state cluster.ReplicaState
 	// readyAt is when a loading replica is expected to be ready.
 	readyAt time.Time
-	until   time.Time
+	// until is when the override expires.
+	until time.Time
 }
 
 func newMachineView(core *Core) *machineView {
@@ -166,6 +169,7 @@
 	}
 }
 
+// sorted returns the machines in the order of their IDs.
 func (v *machineView) sorted() []*viewedMachine {
 	machines := make([]*viewedMachine, 0, len(v.machines))
 	for _, known := range v.machines {
