--- a/fleet/lending/bucket.go
+++ b/fleet/lending/bucket.go
@@ -2,152 +2,157 @@
 
 import "time"
 
-// bucket is what a lender may lend of one tenant's limit.
+// bucket is the token bucket of one tenant at its lender.
 type bucket struct {
 	level    float64
 	filledAt time.Time
-	// used is what was lent within the window.
-	used usage
-	line line
-	// reserved is room for callers who were told when to come back.
+	// used is the amount that was lent within the window.
+	used      usage
+	scheduler fairScheduler
+	// reserved are the amounts kept for callers that were told when to return.
 	reserved reservations
 	demand   demand
-	// beyond is until when the limit would be taken by those who were sent back without a
-	// reservation, if all of them came.
-	beyond time.Time
+	// unreservedUntil is until when callers that were refused without a reservation would use the
+	// whole limit, if all of them returned.
+	unreservedUntil time.Time
 }
 
-// want is what one request asks for.
-type want struct {
+// tokenRequest is what one request asks for.
+type tokenRequest struct {
 	amount float64
 	rank   int
-	// mark tells what is asked for, the same when it is asked for again; zero for not known.
-	mark int64
-	// heeds is the longest wait that the caller heeds when it is told when to come back.
-	heeds time.Duration
-	// again is set for a request that had its turn: what was granted to it lapsed while it
-	// waited, and was given back. Its caller waits, so it leaves no room to others.
-	again bool
+	// fingerprint identifies the request, and is the same when it is repeated; zero if unknown.
+	fingerprint int64
+	// maxWait is the longest retry delay that the caller accepts.
+	maxWait time.Duration
+	// regrant is set for a request whose granted tokens expired while it waited, and were
+	// returned. Its caller still waits, so it need not leave room for others.
+	regrant bool
 }
 
-// terms are what a bucket answers to a want.
-type terms struct {
+// decision is a bucket's answer to a tokenRequest.
+type decision struct {
 	granted bool
-	// wait until there is room for whom there was none, and reserved if it is kept then.
+	// wait is the time until there is room, if the request was refused; reserved is set if the
+	// room is kept for the caller then.
 	wait     time.Duration
 	reserved bool
-	// came is set for a caller that came back for what was reserved.
-	came bool
+	// fromReservation is set for a caller that returned to its reservation.
+	fromReservation bool
 }
 
-// fill adds what flowed in since, and forgets what is over.
-func (b *bucket) fill(now time.Time, f flow) {
+// fill refills the bucket up to now, and drops expired usage and reservations.
+func (b *bucket) fill(now time.Time, f bucketParams) {
 	passed := max(now.Sub(b.filledAt).Seconds(), 0)
 	b.filledAt = now
 	b.level = min(b.level+passed*f.rate, f.capacity)
-	b.used.advance(now, f.span)
+	b.used.advance(now, f.window)
 	b.reserved.expire(now)
-	b.demand.pass(now)
+	b.demand.advance(now)
 }
 
-// take takes an amount, or says when there will be room for it. More than the bucket holds
-// is granted when it is full, and is then owed.
-func (b *bucket) take(now time.Time, f flow, w want) terms {
+// take takes an amount, or says when there will be room for it. An amount above the capacity is
+// granted when the bucket is full; the level is negative afterwards.
+func (b *bucket) take(now time.Time, f bucketParams, w tokenRequest) decision {
 	b.fill(now, f)
-	k := b.line.asked(now, w.rank, w.amount, f.rate)
-	if w.again && b.holds(f, w.amount) {
-		b.lend(k, w.amount)
-		return terms{granted: true}
+	k := b.scheduler.recordRequest(now, w.rank, w.amount, f.rate)
+	if w.regrant && b.hasTokens(f, w.amount) {
+		b.deduct(k, w.amount)
+		return decision{granted: true}
 	}
-	if b.reserved.redeem(now, w.mark, w.amount) {
-		if b.holds(f, w.amount) {
-			b.lend(k, w.amount)
-			return terms{granted: true, came: true}
+	if b.reserved.redeem(now, w.fingerprint, w.amount) {
+		if b.hasTokens(f, w.amount) {
+			b.deduct(k, w.amount)
+			return decision{granted: true, fromReservation: true}
 		}
 		refused := b.refuse(now, f, k, w)
-		refused.came = true
+		refused.fromReservation = true
 		return refused
 	}
 	b.demand.add(w.amount)
-	if b.fits(now, f, k, w.amount) {
-		b.lend(k, w.amount)
-		return terms{granted: true}
+	if b.hasRoom(now, f, k, w.amount) {
+		b.deduct(k, w.amount)
+		return decision{granted: true}
 	}
 	return b.refuse(now, f, k, w)
 }
 
-// holds reports whether there is as much now, whoever it is for.
-func (b *bucket) holds(f flow, amount float64) bool { return b.level >= min(amount, f.capacity) }
+// hasTokens reports whether the level covers an amount, ignoring reservations and saved room.
+func (b *bucket) hasTokens(f bucketParams, amount float64) bool {
+	return b.level >= min(amount, f.capacity)
+}
 
-// fits reports whether an amount leaves the room that is reserved, and that is saved for kinds
-// that are behind. What is saved is bounded, or a bucket too small for it would run over.
-func (b *bucket) fits(now time.Time, f flow, k *kind, amount float64) bool {
-	saved := min(b.line.saved(now, k), max(savedShare*f.capacity-amount, 0))
-	return b.reserved.room(now, b.level, f.rate) >= min(amount, f.capacity)+saved
+// hasRoom reports whether an amount leaves the reserved room, and the room that is saved for
+// classes behind class k. The saved room is bounded: a bucket too small for all of it would
+// overflow and lose tokens.
+func (b *bucket) hasRoom(now time.Time, f bucketParams, k *requestClass, amount float64) bool {
+	saved := min(b.scheduler.savedRoom(now, k), max(maxSavedShare*f.capacity-amount, 0))
+	return b.reserved.available(now, b.level, f.rate) >= min(amount, f.capacity)+saved
 }
 
-// lend takes an amount out.
-func (b *bucket) lend(k *kind, amount float64) {
+// deduct takes an amount out of the bucket and counts it for its class.
+func (b *bucket) deduct(k *requestClass, amount float64) {
 	b.level -= amount
 	b.used.add(amount)
-	k.serve(amount)
+	k.recordServed(amount)
 }
 
-// refuse says when there will be room, and keeps it for a caller that comes then.
-func (b *bucket) refuse(now time.Time, f flow, k *kind, w want) terms {
-	k.refuse(now)
+// refuse computes when there will be room, and reserves it if the caller would wait that long.
+func (b *bucket) refuse(now time.Time, f bucketParams, k *requestClass, w tokenRequest) decision {
+	k.recordRefusal(now)
 	missing := min(w.amount, f.capacity) + b.reserved.sum() - b.level
-	// Whoever comes exactly then must not miss it by a rounding.
+	// The additional millisecond keeps rounding from refusing a caller that returns exactly then.
 	due := now.Add(time.Duration(max(missing, 0)/f.rate*float64(time.Second)) + time.Millisecond)
-	due = latest(due, b.reserved.next)
-	spare := max(f.rate-b.demand.rate, returnShare*f.rate)
-	if w.mark != 0 && due.Sub(now)+earlyBy <= w.heeds && len(b.reserved.list) < maxReservations {
-		b.reserved.reserve(due, w.mark, w.amount, spare)
-		return terms{wait: due.Sub(now), reserved: true}
+	due = latest(due, b.reserved.nextDue)
+	returnRate := max(f.rate-b.demand.rate, minReturnShare*f.rate)
+	if w.fingerprint != 0 && due.Sub(now)+earlyReturnTolerance <= w.maxWait && len(b.reserved.list) < maxReservations {
+		b.reserved.reserve(due, w.fingerprint, w.amount, returnRate)
+		return decision{wait: due.Sub(now), reserved: true}
 	}
-	// Nobody is told a time at which all others come too.
-	due = latest(due, b.beyond)
-	b.beyond = earliest(due.Add(time.Duration(w.amount/f.rate*float64(time.Second))), now.Add(longestWait))
-	return terms{wait: due.Sub(now)}
+	// Callers without a reservation are told different times, so that they do not return at once.
+	due = latest(due, b.unreservedUntil)
+	b.unreservedUntil = earliest(due.Add(time.Duration(w.amount/f.rate*float64(time.Second))), now.Add(maxRetryDelay))
+	return decision{wait: due.Sub(now)}
 }
 
-// giveBack takes back what was lent some time ago and not used. What is out besides, lent so
-// lately that it may still be used, fills the bucket as what is in it does: of requests that
-// wait with their tokens for a machine twice as many went at once otherwise, from what they
-// held and from a bucket that was filled again by what others gave back.
-func (b *bucket) giveBack(now time.Time, f flow, amount float64, ago time.Duration, out float64) {
+// refund puts an amount back that was lent some time ago and not used. Outstanding tokens, lent so
+// recently that they may still be used, count towards the capacity. Otherwise requests that wait
+// with their tokens for a machine could use twice the capacity at once: the tokens that they hold,
+// and those of a bucket that refunds have filled again.
+func (b *bucket) refund(now time.Time, f bucketParams, amount float64, ago time.Duration, outstanding float64) {
 	b.fill(now, f)
-	b.level = max(b.level, min(b.level+amount, f.capacity-out))
-	b.used.giveBack(amount, ago, f.span)
+	b.level = max(b.level, min(b.level+amount, f.capacity-outstanding))
+	b.used.refund(amount, ago, f.window)
 }
 
-// raise adds what may be lent besides.
-func (b *bucket) raise(now time.Time, f flow, amount float64) {
+// addCredit adds an amount up to the capacity.
+func (b *bucket) addCredit(now time.Time, f bucketParams, amount float64) {
 	b.fill(now, f)
 	b.level = min(b.level+amount, f.capacity)
 }
 
-// demand is how fast a tenant's callers ask, those left out who come for a reservation.
+// demand estimates how much is requested per second, without callers that return to a reservation.
 type demand struct {
-	rate  float64
-	asked float64
-	since time.Time
+	rate          float64
+	accumulated   float64
+	intervalStart time.Time
 }
 
-// demandStep is over what time demand is counted; half of the rate is that of the last step.
-const demandStep = 500 * time.Millisecond
+// demandInterval is the interval over which demand is counted; the last interval counts for half
+// of the smoothed rate.
+const demandInterval = 500 * time.Millisecond
 
-// pass takes the steps that are over into the rate.
-func (d *demand) pass(now time.Time) {
-	passed := now.Sub(d.since)
-	if passed < demandStep {
+// advance adds an interval that has ended to the smoothed rate.
+func (d *demand) advance(now time.Time) {
+	passed := now.Sub(d.intervalStart)
+	if passed < demandInterval {
 		return
 	}
-	d.rate = (d.rate + d.asked/passed.Seconds()) / 2
-	d.asked, d.since = 0, now
+	d.rate = (d.rate + d.accumulated/passed.Seconds()) / 2
+	d.accumulated, d.intervalStart = 0, now
 }
 
-func (d *demand) add(amount float64) { d.asked += amount }
+func (d *demand) add(amount float64) { d.accumulated += amount }
 
 func latest(a, b time.Time) time.Time {
 	if b.After(a) {
--- a/fleet/lending/bucket_test.go
+++ b/fleet/lending/bucket_test.go
@@ -15,7 +15,7 @@
 func TestBucketsKeepTheirWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Rate: rapid.Float64Range(100, 200_000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 400_000).Draw(t, "burst")}
-		f := bucketTerms.flow(l)
+		f := bucketTerms.bucketParams(l)
 		now := time.Unix(1000, 0)
 		b := &bucket{filledAt: now, level: f.capacity}
 		type use struct {
@@ -27,10 +27,10 @@
 		for range rapid.IntRange(1, 300).Draw(t, "uses") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			amount := rapid.Float64Range(1, 3000).Draw(t, "amount")
-			asked := want{amount: amount, rank: rapid.IntRange(-1, 11).Draw(t, "rank")}
+			asked := tokenRequest{amount: amount, rank: rapid.IntRange(-1, 11).Draw(t, "rank")}
 			if b.take(now, f, asked).granted {
 				if rapid.IntRange(0, 9).Draw(t, "given back") == 0 {
-					b.giveBack(now, f, amount, 0, 0)
+					b.refund(now, f, amount, 0, 0)
 					continue
 				}
 				uses = append(uses, use{now, amount})
@@ -63,9 +63,9 @@
 			Window: time.Duration(rapid.IntRange(1, 60).Draw(t, "window")) * time.Second, Overrun: rapid.Float64Range(0, 0.3).Draw(t, "overrun"),
 			Slack: rapid.Float64Range(0, 1e5).Draw(t, "slack"),
 		}.WithDefaults()
-		f := terms.flow(l)
+		f := terms.bucketParams(l)
 		// Successors at the beginning, in the middle and at the end of a window, and one ticket.
-		credits := 3*terms.credit(l, creditShare) + terms.credit(l, ticketShare)
+		credits := 3*terms.successorCredit(l, initialCreditShare) + terms.successorCredit(l, ticketCreditShare)
 		most := f.capacity + f.rate*(terms.Window+terms.Lifetime).Seconds() + credits
 		if rule := (l.Rate*terms.Window.Seconds()+l.Burst)*(1+terms.Overrun) + terms.Slack; most > rule*(1+1e-9) {
 			t.Fatalf("%.0f in a window, the rule allows %.0f", most, rule)
@@ -80,7 +80,7 @@
 // has its urgent requests granted, and together it gets nine tenths of its window.
 func TestUrgentRanksComeFirst(t *testing.T) {
 	l := Limit{Rate: 25_000, Burst: 25_000}
-	f := bucketTerms.flow(l)
+	f := bucketTerms.bucketParams(l)
 	start := time.Unix(1000, 0)
 	b := &bucket{filledAt: start, level: f.capacity}
 	var used, urgent, granted float64
@@ -92,7 +92,7 @@
 			rank = 1
 			urgent++
 		}
-		if b.take(start.Add(time.Duration(n)*pause), f, want{amount: amount, rank: rank}).granted {
+		if b.take(start.Add(time.Duration(n)*pause), f, tokenRequest{amount: amount, rank: rank}).granted {
 			used += amount
 			if rank == 1 {
 				granted++
@@ -100,24 +100,24 @@
 		}
 	}
 	windows := (4000 * pause).Seconds() / bucketTerms.Window.Seconds()
-	if granted < 0.99*urgent || used < 0.9*windows*bucketTerms.granted(l) {
-		t.Errorf("%.0f of %.0f urgent ones are granted, and %.0f used of %.0f", granted, urgent, used, windows*bucketTerms.granted(l))
+	if granted < 0.99*urgent || used < 0.9*windows*bucketTerms.windowGrant(l) {
+		t.Errorf("%.0f of %.0f urgent ones are granted, and %.0f used of %.0f", granted, urgent, used, windows*bucketTerms.windowGrant(l))
 	}
 }
 
 // TestRequestsThatWaitedLeaveNoRoom: a request whose tokens lapsed while it waited is lent what
 // there is, also where it is kept for others; one that comes for the first time is not.
 func TestRequestsThatWaitedLeaveNoRoom(t *testing.T) {
-	f := flow{rate: 1000, capacity: 1000}
+	f := bucketParams{rate: 1000, capacity: 1000}
 	now := time.Unix(1000, 0)
 	b := &bucket{filledAt: now, level: 100}
-	if got := b.take(now, f, want{amount: 300, mark: 1, heeds: time.Second}); !got.reserved {
+	if got := b.take(now, f, tokenRequest{amount: 300, fingerprint: 1, maxWait: time.Second}); !got.reserved {
 		t.Fatalf("got %+v", got)
 	}
-	if got := b.take(now, f, want{amount: 100, mark: 2}); got.granted {
+	if got := b.take(now, f, tokenRequest{amount: 100, fingerprint: 2}); got.granted {
 		t.Errorf("what is kept for another is lent: %+v", got)
 	}
-	if got := b.take(now, f, want{amount: 100, mark: 3, again: true}); !got.granted {
+	if got := b.take(now, f, tokenRequest{amount: 100, fingerprint: 3, regrant: true}); !got.granted {
 		t.Errorf("a request that waited is sent back: %+v", got)
 	}
 }
@@ -125,12 +125,12 @@
 // TestReturningCallersComeInTurn: those sent back at one moment are told different times, one
 // request apart.
 func TestReturningCallersComeInTurn(t *testing.T) {
-	f := flow{rate: 1000, capacity: 1000}
+	f := bucketParams{rate: 1000, capacity: 1000}
 	now := time.Unix(1000, 0)
 	b := &bucket{filledAt: now}
 	var before time.Duration
 	for n := range 20 {
-		got := b.take(now, f, want{amount: 100})
+		got := b.take(now, f, tokenRequest{amount: 100})
 		wait, granted := got.wait, got.granted
 		if granted || wait <= before {
 			t.Fatalf("caller %d is told %v after %v", n, wait, before)
--- a/fleet/lending/core.go
+++ b/fleet/lending/core.go
@@ -9,47 +9,49 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Core lends, votes and borrows for one node; it is not safe for concurrent use.
+// Core is the state machine of one node as lender, voter and borrower. It is not safe for
+// concurrent use.
 type Core struct {
 	cfg       Config
 	now       time.Time
 	startedAt time.Time
 	limits    map[string]Limit
-	// peers by machine, and machines by node.
-	peers    map[string]candidate
-	machines map[cluster.NodeID]string
-	shards   [Shards]*shard
-	asks     map[int64]*ask
-	numbers  int64
-	// unheard counts the questions that got no answer since the last message of any node.
-	unheard int
-	// probeAt is when a deaf node asks next whether it still is.
+	// peers by machine, and machines by node ID.
+	peers           map[string]candidate
+	machines        map[cluster.NodeID]string
+	shards          [Shards]*shard
+	pendingRequests map[int64]*pendingRequest
+	lastNumber      int64
+	// unanswered counts the requests without an answer since the last message from any node.
+	unanswered int
+	// probeAt is when an isolated node next checks its connectivity.
 	probeAt  time.Time
 	stopping bool
-	// succeeds is set when there is a record of an earlier process of this machine, and older
-	// when some node is known to have run for longer than a promise lasts.
-	succeeds, older bool
-	// provenAt is when this node knew last what was in force.
+	// hasPredecessor is set if the store held a record of an earlier process of this machine;
+	// olderNodeSeen if some node has run for longer than a lease.
+	hasPredecessor, olderNodeSeen bool
+	// provenAt is when this node's settings were last proven to be in force.
 	provenAt time.Time
-	// tallies count what this node decided as a lender.
-	tallies map[tallyID]*[outcomes]int64
+	// tallies count the decisions of this node as a lender.
+	tallies map[tallyID]*[outcomeCount]int64
 	effects []Effect
 }
 
-// New returns a core that knows no other node.
+// New returns a core that knows no other nodes.
 func New(cfg Config) *Core {
-	c := &Core{cfg: cfg.WithDefaults(), asks: map[int64]*ask{}, tallies: map[tallyID]*[outcomes]int64{}}
+	c := &Core{cfg: cfg.WithDefaults(), pendingRequests: map[int64]*pendingRequest{}, tallies: map[tallyID]*[outcomeCount]int64{}}
 	for i := range c.shards {
 		c.shards[i] = &shard{core: c, number: i}
 	}
 	return c
 }
 
-// Step takes one event and returns the effects, valid until the next Step.
+// Step handles one event and returns the effects, which are valid until the next Step.
 func (c *Core) Step(now time.Time, e Event) []Effect {
 	if c.startedAt.IsZero() {
-		// Votes for an earlier process of the machine are no votes for this one.
-		c.startedAt, c.numbers = now, now.UnixNano()
+		// Starting from the clock keeps votes for an earlier process of the machine from counting
+		// for this process.
+		c.startedAt, c.lastNumber = now, now.UnixNano()
 	}
 	c.now = now
 	c.effects = c.effects[:0]
@@ -58,7 +60,7 @@
 	}
 	switch e := e.(type) {
 	case PeersChanged:
-		c.peersChanged(e)
+		c.setPeers(e)
 	case LimitsChanged:
 		c.limits = e.Limits
 		c.forgetTallies()
@@ -66,50 +68,50 @@
 			s.limitsChanged()
 		}
 	case Asked:
-		c.asked(e)
+		c.handleAsked(e)
 	case Returned:
-		c.giveBack(e)
+		c.handleReturned(e)
 	case Received:
-		c.received(e.Message)
+		c.handleMessage(e.Message)
 	case Proven:
 		c.provenAt = e.At
 	case TicketGranted:
-		c.ticketGranted(e)
+		c.applyTicket(e)
 	case Stopping:
 		c.stopping = true
 		for _, s := range c.shards {
-			s.release()
+			s.releaseLease()
 		}
 	}
 	for _, s := range c.shards {
 		s.tick()
 	}
-	c.tickAsks()
-	c.probe()
+	c.retryPending()
+	c.probeIsolation()
 	return c.effects
 }
 
-// NextDue returns when the next Tick has something to do, zero for never.
+// NextDue returns when the next Tick is due, zero for never.
 func (c *Core) NextDue() time.Time {
 	var next time.Time
-	note := func(at time.Time) {
+	consider := func(at time.Time) {
 		if !at.IsZero() && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
 	for _, s := range c.shards {
-		note(s.due())
+		consider(s.due())
 	}
-	for _, a := range c.asks {
-		note(a.nextAt)
+	for _, a := range c.pendingRequests {
+		consider(a.retryAt)
 	}
 	if c.Deaf() {
-		note(c.probeAt)
+		consider(c.probeAt)
 	}
 	return next
 }
 
-// ShardsLent counts the shards that this node lends for, as of the last step.
+// ShardsLent returns the number of shards that this node lent for at the last step.
 func (c *Core) ShardsLent() int {
 	count := 0
 	for _, s := range c.shards {
@@ -128,72 +130,74 @@
 	}
 }
 
-// proven reports whether this node knows well enough what is in force.
-func (c *Core) proven() bool {
+// proofIsFresh reports whether the proof that this node's settings are in force is recent enough.
+func (c *Core) proofIsFresh() bool {
 	return c.cfg.ProofWithin == 0 || c.now.Sub(c.provenAt) < c.cfg.ProofWithin
 }
 
-// active reports whether there is anything to lend.
+// active reports whether there are limits to lend for and the node is not stopping.
 func (c *Core) active() bool { return len(c.limits) > 0 && !c.stopping }
 
-// peersChanged takes the live nodes, this one among them.
-func (c *Core) peersChanged(e PeersChanged) {
+// setPeers replaces the live nodes; this node is always among them.
+func (c *Core) setPeers(e PeersChanged) {
 	before := c.peers
 	c.peers = make(map[string]candidate, len(e.Peers)+1)
 	c.machines = make(map[cluster.NodeID]string, len(e.Peers)+1)
 	for _, p := range append(slices.Clone(e.Peers), c.cfg.Self) {
-		known, weighed := before[p.Machine]
-		if !weighed {
-			known = newCandidate(p)
+		peer, wasKnown := before[p.Machine]
+		if !wasKnown {
+			peer = newCandidate(p)
 		}
-		known.Peer = p
+		peer.Peer = p
 		if other, listed := c.peers[p.Machine]; listed {
 			delete(c.machines, other.ID)
 		}
-		c.peers[p.Machine] = known
+		c.peers[p.Machine] = peer
 		c.machines[p.ID] = p.Machine
 	}
 	all := slices.Collect(maps.Values(c.peers))
-	newly := e.Succeeds && !c.succeeds
-	c.succeeds = c.succeeds || e.Succeeds
+	predecessorFound := e.Succeeds && !c.hasPredecessor
+	c.hasPredecessor = c.hasPredecessor || e.Succeeds
 	for _, s := range c.shards {
-		s.votersChanged(votersOf(s.number, all))
-		if newly && !s.lendsOrClaims() {
-			s.planClaim()
+		s.votersChanged(selectVoters(s.number, all))
+		if predecessorFound && !s.lendsOrClaims() {
+			s.scheduleClaim()
 		}
 	}
 }
 
-// Deaf reports whether this node is cut off from those that lend. One that has just started
-// does not know: others may not have.
-func (c *Core) Deaf() bool { return c.active() && c.unheard >= deafAfter && !c.young() }
+// Deaf reports whether this node is isolated: its requests get no answers. A node that has just
+// started is not considered isolated, since the others may not have started.
+func (c *Core) Deaf() bool {
+	return c.active() && c.unanswered >= isolationThreshold && !c.startedRecently()
+}
 
-// probe has a deaf node ask voters for nothing, until one answers.
-func (c *Core) probe() {
+// probeIsolation has an isolated node send voters requests for no tokens until one answers.
+func (c *Core) probeIsolation() {
 	if !c.Deaf() || c.now.Before(c.probeAt) {
 		return
 	}
-	c.probeAt = c.now.Add(probeEvery)
+	c.probeAt = c.now.Add(isolationProbeInterval)
 	tenant := slices.Min(slices.Collect(maps.Keys(c.limits)))
 	to := c.shards[shardOf(tenant)].nextVoter()
 	c.send(to.address, wire.TokensRequest{From: c.cfg.Self.ID, FromAddress: c.cfg.Self.Address, Tenant: tenant})
 }
 
-// received takes a message of another node.
-func (c *Core) received(message wire.Message) {
-	c.unheard = 0
+// handleMessage handles a message from another node.
+func (c *Core) handleMessage(message wire.Message) {
+	c.unanswered = 0
 	switch m := message.(type) {
 	case wire.LenderClaim:
 		if m.Shard >= 0 && m.Shard < Shards {
-			c.shards[m.Shard].claimed(&m)
+			c.shards[m.Shard].handleClaim(&m)
 		}
 	case wire.LenderVote:
 		if m.Shard >= 0 && m.Shard < Shards {
-			c.shards[m.Shard].voted(&m)
+			c.shards[m.Shard].handleVote(&m)
 		}
 	case wire.TokensRequest:
-		c.tokensRequested(&m)
+		c.handleTokensRequest(&m)
 	case wire.TokensAnswer:
-		c.tokensAnswered(&m)
+		c.handleTokensAnswer(&m)
 	}
 }
--- a/fleet/lending/events.go
+++ b/fleet/lending/events.go
@@ -10,55 +10,56 @@
 // Event is an input of a Core.
 type Event interface{ lendingEvent() }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// PeersChanged brings the live nodes. Succeeds says that the store has held a record of an
-// earlier process of this machine.
+// PeersChanged reports the live nodes. Succeeds is set if the store held a record of an earlier
+// process of this machine.
 type PeersChanged struct {
 	Peers    []Peer
 	Succeeds bool
 }
 
-// LimitsChanged brings the limits of the tenants that have one.
+// LimitsChanged reports the limits of all tenants that have one.
 type LimitsChanged struct{ Limits map[string]Limit }
 
-// Asked asks for tokens; Answered answers with the same number.
+// Asked requests tokens; it is answered by an Answered with the same number.
 type Asked struct {
 	Number int64
 	Tenant string
 	Amount float64
-	// Rank of the request, 0 being the most urgent.
+	// Rank of the request; 0 is the most urgent.
 	Rank int
-	// Mark tells what is asked for, the same when it is asked for again; zero for not known.
+	// Mark identifies the request, and is the same when it is repeated; zero if unknown.
 	Mark int64
-	// Heeds is the longest wait that the caller heeds when it is told when to come back.
+	// Heeds is the longest retry delay that the caller accepts.
 	Heeds time.Duration
-	// Again is set where what was granted to the request lapsed while it waited.
+	// Again is set if tokens granted to the request expired while it waited.
 	Again bool
-	// Patience is for how long an answer is worth waiting for beyond AskLimit, zero for not.
+	// Patience is how long a node that has just started may take to answer, if that is longer than
+	// RequestTimeout.
 	Patience time.Duration
 }
 
-// Returned gives tokens back that were granted by the answer of a number and not used.
+// Returned returns granted tokens that were not used; Number is that of the Asked.
 type Returned struct {
 	Number int64
 	Tenant string
 }
 
-// Proven says that this node knew at a time what was in force.
+// Proven reports when this node's settings were last proven to be in force.
 type Proven struct{ At time.Time }
 
-// Received brings a message of another node.
+// Received delivers a message from another node.
 type Received struct{ Message wire.Message }
 
-// TicketGranted says that the ticket that was wanted is this node's.
+// TicketGranted reports that this node got the ticket that it requested by TicketWanted.
 type TicketGranted struct {
 	Shard  int
 	Number int64
 }
 
-// Stopping gives up what this node lends, for others to lend it at once.
+// Stopping releases all leases, so that other nodes can lend at once.
 type Stopping struct{}
 
 func (Tick) lendingEvent()          {}
@@ -74,50 +75,50 @@
 // Effect is an output of a Core.
 type Effect interface{ lendingEffect() }
 
-// Send sends a message to a node; it may be lost.
+// Send sends a message to a node; the message may be lost.
 type Send struct {
 	Address string
 	Message wire.Message
 }
 
-// Answered answers an Asked. Decided is false when nobody could be found who lends.
+// Answered answers an Asked. Decided is false if no lender was found.
 type Answered struct {
 	Number           int64
 	Tenant           string
 	Amount           float64
 	Decided, Granted bool
-	// Wait until the tokens are there for whom they were refused; Reserved if they are kept
-	// then for the caller.
+	// Wait is the time until refused tokens are available; Reserved is set if they are then kept
+	// for the caller.
 	Wait     time.Duration
 	Reserved bool
-	// Standing is how the tenant stood when they were refused.
+	// Standing is the state of the tenant's limit when the tokens were refused.
 	Standing Standing
-	// AskedAt is from when on what was granted is used or given back.
+	// AskedAt is the time from which the lifetime of the granted tokens counts.
 	AskedAt time.Time
-	// Lender that decided.
+	// Lender is the node that decided.
 	Lender cluster.NodeID
 }
 
-// Standing is how a tenant stands with its limit.
+// Standing is the state of a tenant's limit.
 type Standing struct {
-	// Used is what was lent within the window, of what the window Grants.
+	// Used is the amount lent within the window, Grants the amount that the window grants.
 	Used, Grants float64
-	// FirstRank and FirstAmount are the refused request that is first in line; the amount is
-	// zero without any.
+	// FirstRank and FirstAmount are of the refused class that is furthest behind its share;
+	// FirstAmount is zero if there is none.
 	FirstRank   int
 	FirstAmount float64
 }
 
-// LeaseChanged says that this node begins or ends to lend for a shard.
+// LeaseChanged reports that this node gained or lost the lease of a shard.
 type LeaseChanged struct {
 	Shard int
 	Held  bool
-	// Settled is for how long nobody else had been promised the shard.
+	// Settled is how long the shard had been promised to no other node.
 	Settled time.Duration
 }
 
-// TicketWanted asks for the ticket of a shard, of which there is one in Lasts over all nodes:
-// TicketGranted with the same number answers, nothing does where another node has it.
+// TicketWanted requests the ticket of a shard, which one node can get within the time Lasts. A
+// TicketGranted with the same number answers; there is no answer if another node has the ticket.
 type TicketWanted struct {
 	Shard  int
 	Number int64
--- a/fleet/lending/first_test.go
+++ b/fleet/lending/first_test.go
@@ -9,7 +9,7 @@
 )
 
 // killAll kills all nodes at a moment; they start again within a quarter of a second.
-func (p *play) killAll() {
+func (p *simulation) killAll() {
 	for _, n := range p.live() {
 		p.kill(n, n.peer.Machine, p.between(300*time.Millisecond, 550*time.Millisecond))
 	}
@@ -45,11 +45,11 @@
 }
 
 // shardsLent counts the shards of which somebody lends.
-func (p *play) shardsLent() int {
+func (p *simulation) shardsLent() int {
 	lent := 0
 	for number := range Shards {
 		for _, n := range p.live() {
-			if s := n.core.shards[number]; s.held && p.now.Add(n.skew).Before(s.until) {
+			if s := n.core.shards[number]; s.isLender && p.now.Add(n.skew).Before(s.leaseUntil) {
 				lent++
 				break
 			}
@@ -60,7 +60,7 @@
 
 // herd kills part of the nodes, or all, again and again: those that are left may lend, and
 // some start while others die.
-func (p *play) herd() {
+func (p *simulation) herd() {
 	share := []float64{0.5, 0.9, 0.97, 1}[p.rand.IntN(4)]
 	for _, n := range p.live() {
 		if p.rand.Float64() < share {
@@ -76,8 +76,8 @@
 func TestNeverTwoLendersWhenNodesStartTogether(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(max(*plays/2, 1)) {
-		p := troubled(seed, func(p *play) {
-			p.lasts = 30 * time.Second
+		p := troubled(seed, func(p *simulation) {
+			p.duration = 30 * time.Second
 			p.after(5*time.Second, p.herd)
 		})
 		for _, problem := range p.problems {
@@ -92,9 +92,9 @@
 	t.Parallel()
 	caught := 0
 	for seed := range uint64(4) {
-		p := troubled(seed, func(p *play) {
+		p := troubled(seed, func(p *simulation) {
 			p.hasty = true
-			p.lasts = 30 * time.Second
+			p.duration = 30 * time.Second
 			p.after(5*time.Second, p.herd)
 		})
 		if len(p.problems) > 0 {
@@ -130,16 +130,16 @@
 	now := time.Unix(1000, 0)
 	for name, last := range map[string]struct{ young, lends bool }{"all have started": {true, true}, "one runs": {false, false}} {
 		c := first(now, "b", "c")
-		at := now.Add(maxVoters * candidateStep)
+		at := now.Add(maxVoters * claimRankDelay)
 		c.Step(at, Tick{})
 		s := c.shards[0]
 		c.Step(at, vote(s, "b", true))
-		if s.held {
+		if s.isLender {
 			t.Errorf("%s: it lends by two of three", name)
 		}
 		c.Step(at, vote(s, "c", last.young))
-		if s.held != last.lends {
-			t.Errorf("%s: it lends: %v", name, s.held)
+		if s.isLender != last.lends {
+			t.Errorf("%s: it lends: %v", name, s.isLender)
 		}
 		if !last.lends && s.claiming() {
 			t.Errorf("%s: it goes on to claim", name)
@@ -166,14 +166,14 @@
 
 // makeHasty has a node take the silence of others, and the word of those that have run for
 // longer, for a vote.
-func (p *play) makeHasty(n *playNode, e Event) {
+func (p *simulation) makeHasty(n *simNode, e Event) {
 	received, isMessage := e.(Received)
 	vote, isVote := received.Message.(wire.LenderVote)
 	if !isMessage || !isVote || vote.Shard < 0 || vote.Shard >= Shards {
 		return
 	}
 	s := n.core.shards[vote.Shard]
-	if s.claim.first && s.claim.number == vote.Number && vote.Granted {
+	if s.claim.isFirst && s.claim.number == vote.Number && vote.Granted {
 		for _, machine := range n.core.allMachines() {
 			s.claim.votes[machine] = 0
 		}
@@ -212,7 +212,7 @@
 		machines = append(machines, fmt.Sprint("m", i))
 	}
 	c := first(now, machines...)
-	at := now.Add(maxVoters * candidateStep)
+	at := now.Add(maxVoters * claimRankDelay)
 	claims := map[int]int{}
 	for _, effect := range c.Step(at, Tick{}) {
 		if sent, is := effect.(Send); is {
--- a/fleet/lending/flood_result_test.go
+++ b/fleet/lending/flood_result_test.go
@@ -18,7 +18,7 @@
 	// fullest of all, in parts of the rule's bound.
 	least, fullest float64
 	worth          float64
-	uses           []spent
+	uses           []tokenUse
 }
 
 // flooded plays recorded arrivals by one way. Callers come back once, if they heed.
@@ -38,7 +38,7 @@
 		if inFlood && !next.back {
 			r.asked[next.kind]++
 		}
-		w.take(next.at, want{amount: k.amount, rank: k.rank, mark: next.mark, heeds: k.heeds}, func(got terms) {
+		w.take(next.at, tokenRequest{amount: k.amount, rank: k.rank, fingerprint: next.mark, maxWait: k.heeds}, func(got decision) {
 			r.note(next, k, got, inFlood)
 			if !got.granted && !next.back && got.wait <= k.heeds {
 				late := time.Duration(random.Int64N(int64(comesBack)))
@@ -51,7 +51,7 @@
 }
 
 // note counts one answer.
-func (r *floodResult) note(a arrival, k floodKind, got terms, inFlood bool) {
+func (r *floodResult) note(a arrival, k floodKind, got decision, inFlood bool) {
 	switch {
 	case a.told:
 		r.came++
@@ -67,7 +67,7 @@
 		}
 		return
 	}
-	r.uses = append(r.uses, spent{at: a.at, amount: k.amount})
+	r.uses = append(r.uses, tokenUse{at: a.at, amount: k.amount})
 	if !inFlood {
 		return
 	}
@@ -83,7 +83,7 @@
 // windows compares what was used with what a window grants, and with the rule's bound.
 func (r *floodResult) windows(start time.Time) {
 	l := floodLimit()
-	granted, bound := floodTerms.granted(l), floodTerms.granted(l)+floodTerms.allowance(l)
+	granted, bound := floodTerms.windowGrant(l), floodTerms.windowGrant(l)+floodTerms.allowance(l)
 	r.least = math.Inf(1)
 	const step = 50 * time.Millisecond
 	for end := start.Add(floodTerms.Window); end.Before(start.Add(floodLasts)); end = end.Add(step) {
--- a/fleet/lending/flood_test.go
+++ b/fleet/lending/flood_test.go
@@ -11,8 +11,8 @@
 // the share refused again.
 func TestWaysToLendUnderAFlood(t *testing.T) {
 	t.Parallel()
-	f := floodTerms.flow(floodLimit())
-	always := func(time.Time, want) float64 { return 0 }
+	f := floodTerms.bucketParams(floodLimit())
+	always := func(time.Time, tokenRequest) float64 { return 0 }
 	ways := []struct {
 		name  string
 		begin func() lendingWay
@@ -54,16 +54,16 @@
 // BenchmarkTakeUnderAFlood is what a lender spends on a request of a flooded tenant of whom 256
 // callers were told when to come back.
 func BenchmarkTakeUnderAFlood(b *testing.B) {
-	f := floodTerms.flow(floodLimit())
+	f := floodTerms.bucketParams(floodLimit())
 	now := time.Unix(1_000_000, 0)
 	lender := &bucket{filledAt: now}
 	for mark := range int64(maxReservations) {
-		lender.take(now, f, want{amount: 9250, mark: mark + 1, heeds: time.Hour})
+		lender.take(now, f, tokenRequest{amount: 9250, fingerprint: mark + 1, maxWait: time.Hour})
 	}
 	b.ResetTimer()
 	for i := range b.N {
 		k := &floodKinds[i%len(floodKinds)]
-		lender.take(now, f, want{amount: k.amount, rank: k.rank, mark: -1})
+		lender.take(now, f, tokenRequest{amount: k.amount, rank: k.rank, fingerprint: -1})
 	}
 }
 
--- a/fleet/lending/lending_test.go
+++ b/fleet/lending/lending_test.go
@@ -12,12 +12,12 @@
 
 // troubled plays tenants that send up to eight times their limit among others, over kills,
 // freezes, cuts, lost, late and doubled messages, joiners and planned stops.
-func troubled(seed uint64, change func(*play)) *play {
+func troubled(seed uint64, change func(*simulation)) *simulation {
 	return newPlay(seed, 6+int(seed%4)*8, 6).troubled(change)
 }
 
-func (p *play) troubled(change func(*play)) *play {
-	p.lossy = 0.02
+func (p *simulation) troubled(change func(*simulation)) *simulation {
+	p.lossRate = 0.02
 	if change != nil {
 		change(p)
 	}
@@ -26,17 +26,17 @@
 }
 
 // strike floods the limits of two tenants, and lets trouble loose to the play's end.
-func (p *play) strike() {
+func (p *simulation) strike() {
 	for i := range 2 {
 		tenant := p.tenants[i]
 		p.after(p.between(4*time.Second, 12*time.Second), func() { p.demand[tenant] = 4 + 4*p.rand.Float64() })
 	}
-	if p.chased {
+	if p.faultsHitLenders {
 		p.after(4*time.Second, p.chase)
 	} else {
 		p.after(4*time.Second, p.trouble)
 	}
-	p.runFor(p.lasts)
+	p.runFor(p.duration)
 	p.check()
 }
 
@@ -45,7 +45,7 @@
 	t.Parallel()
 	asked, refused, undecided := 0, 0, 0
 	for seed := range uint64(*plays) {
-		p := troubled(seed, func(p *play) { p.chased = seed%4 == 0 })
+		p := troubled(seed, func(p *simulation) { p.faultsHitLenders = seed%4 == 0 })
 		for _, problem := range p.problems {
 			t.Errorf("seed %d: %s", seed, problem)
 		}
@@ -61,17 +61,17 @@
 // lent, clocks that stand, and tokens that are used late.
 func TestDefectsOfLendingAreCaught(t *testing.T) {
 	t.Parallel()
-	for name, plant := range map[string]func(*play){
-		"forgetful": func(p *play) { p.forgetful = true },
-		"stands":    func(p *play) { p.stands = true },
-		"hoards":    func(p *play) { p.hoards = true },
+	for name, plant := range map[string]func(*simulation){
+		"forgetful": func(p *simulation) { p.forgetful = true },
+		"stands":    func(p *simulation) { p.stands = true },
+		"hoards":    func(p *simulation) { p.hoards = true },
 	} {
 		caught := 0
 		for seed := range uint64(8) {
-			p := troubled(seed, func(p *play) {
+			p := troubled(seed, func(p *simulation) {
 				plant(p)
-				p.chased = !p.hoards
-				p.lasts = 30 * time.Second
+				p.faultsHitLenders = !p.hoards
+				p.duration = 30 * time.Second
 				p.demand[p.tenants[2]], p.demand[p.tenants[3]] = 8, 8
 			})
 			if len(p.problems) > 0 {
@@ -115,10 +115,10 @@
 		p := newPlay(seed, 87, 16)
 		p.runFor(6 * time.Second)
 		for i := range 9 {
-			p.nodes[i*9].island = 1 + i
+			p.nodes[i*9].partition = 1 + i
 		}
 		p.asked, p.refused, p.undecided = 0, 0, 0
-		p.outside = true
+		p.countOnlyConnected = true
 		p.runFor(10 * time.Second)
 		asked, refused = asked+p.asked, refused+p.refused+p.undecided
 		deaf := 0
@@ -143,9 +143,9 @@
 	tenant := p.tenants[0]
 	p.demand[tenant] = 8
 	p.runFor(10 * time.Second)
-	before := len(p.spent[tenant])
+	before := len(p.uses[tenant])
 	p.runFor(20 * time.Second)
-	used := float64((len(p.spent[tenant]) - before) * playTokens)
+	used := float64((len(p.uses[tenant]) - before) * simTokens)
 	if allowed := p.limits[tenant].Rate * 20; used < 0.9*allowed {
 		t.Errorf("it used %.0f of %.0f", used, allowed)
 	}
@@ -199,7 +199,7 @@
 		weakOnes[peer.Machine] = peer.Capacity < 0.4
 	}
 	for number := range Shards {
-		voters := votersOf(number, candidates(peers))
+		voters := selectVoters(number, candidates(peers))
 		counts := map[string]int{}
 		for _, machine := range voters {
 			counts[zone[machine]]++
@@ -215,7 +215,7 @@
 				t.Errorf("shard %d: without zone %s no majority is left", number, name)
 			}
 		}
-		if fmt.Sprint(votersOf(number, candidates(append(peers[7:], peers[:7]...)))) != fmt.Sprint(voters) {
+		if fmt.Sprint(selectVoters(number, candidates(append(peers[7:], peers[:7]...)))) != fmt.Sprint(voters) {
 			t.Errorf("shard %d: another order of the view gives other voters", number)
 		}
 	}
@@ -238,7 +238,7 @@
 			for number := range Shards {
 				lent := false
 				for _, n := range p.live() {
-					lent = lent || n.core.shards[number].held
+					lent = lent || n.core.shards[number].isLender
 				}
 				if !lent {
 					t.Errorf("seed %d, round %d: nobody lends of shard %d", seed, round, number)
@@ -253,23 +253,23 @@
 func TestDeafNodeHearsAgainWithoutCallers(t *testing.T) {
 	p := newPlay(5, 12, 2)
 	p.runFor(4 * time.Second)
-	var n *playNode
+	var n *simNode
 	for _, candidate := range p.live() {
-		if candidate.core.ShardsLent() == 0 && candidate.core.shards[0].rank() < 0 {
+		if candidate.core.ShardsLent() == 0 && candidate.core.shards[0].voterRank() < 0 {
 			n = candidate
 		}
 	}
-	n.island = 7
-	for number := range int64(deafAfter + 1) {
+	n.partition = 7
+	for number := range int64(isolationThreshold + 1) {
 		p.step(n, Asked{Number: -1 - number, Tenant: p.tenants[0], Amount: 1})
-		p.runFor(AskLimit)
+		p.runFor(RequestTimeout)
 	}
 	if !n.core.Deaf() {
 		t.Fatal("a node that hears of nobody does not know it")
 	}
-	n.island = 0
-	n.quiet = true
-	p.runFor(3 * probeEvery)
+	n.partition = 0
+	n.noRequests = true
+	p.runFor(3 * isolationProbeInterval)
 	if n.core.Deaf() {
 		t.Error("a node that hears others again does not know it")
 	}
--- a/fleet/lending/loans.go
+++ b/fleet/lending/loans.go
@@ -6,13 +6,13 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// loanID is a question that was granted: numbers are those of the node that asked.
+// loanID identifies a granted request by the asking node and that node's request number.
 type loanID struct {
 	node   cluster.NodeID
 	number int64
 }
 
-// loan is what was granted to it.
+// loan is the amount that a request was granted, and when.
 type loan struct {
 	tenant string
 	amount float64
@@ -20,48 +20,48 @@
 }
 
 const (
-	// loanMemory is for how long a loan may be given back. Later it stays counted: more than seven
-	// times the 400 ms for which tokens last.
-	loanMemory = 3 * time.Second
-	// maxLoans bounds those kept: what 2,100 requests a second leave in loanMemory.
+	// loanRetention is how long a loan may be returned; afterwards it stays counted as used. It is
+	// more than seven times the 400 ms for which tokens are valid.
+	loanRetention = 3 * time.Second
+	// maxLoans bounds the retained loans: those of 2,100 requests a second within loanRetention.
 	maxLoans = 8192
 )
 
-// loans are what a lender lent lately, so that what is given back is taken back once.
+// loans are the recent loans of a lender; they make sure that a loan is returned only once.
 type loans struct {
-	known map[loanID]loan
-	// order lists them by time; those taken back stay in it.
+	byID map[loanID]loan
+	// order lists the loans by time, including those that were returned.
 	order []loanID
 }
 
-// add notes a loan, and forgets old ones.
+// add records a loan, and drops expired ones.
 func (l *loans) add(id loanID, lent loan) {
-	if l.known == nil {
-		l.known = map[loanID]loan{}
+	if l.byID == nil {
+		l.byID = map[loanID]loan{}
 	}
 	for len(l.order) > 0 {
-		oldest, known := l.known[l.order[0]]
-		if known && len(l.order) < maxLoans && lent.at.Sub(oldest.at) < loanMemory {
+		oldest, known := l.byID[l.order[0]]
+		if known && len(l.order) < maxLoans && lent.at.Sub(oldest.at) < loanRetention {
 			break
 		}
-		delete(l.known, l.order[0])
+		delete(l.byID, l.order[0])
 		l.order = l.order[1:]
 	}
-	l.known[id] = lent
+	l.byID[id] = lent
 	l.order = append(l.order, id)
 }
 
-// has reports whether a loan is known.
+// has reports whether a loan is recorded and not returned.
 func (l *loans) has(id loanID) bool {
-	_, known := l.known[id]
+	_, known := l.byID[id]
 	return known
 }
 
-// outSince sums what a tenant was lent after a time and has not given back.
-func (l *loans) outSince(tenant string, since time.Time) float64 {
+// outstandingSince returns the sum of a tenant's loans after a time that were not returned.
+func (l *loans) outstandingSince(tenant string, since time.Time) float64 {
 	sum := 0.0
 	for i := len(l.order) - 1; i >= 0; i-- {
-		lent, known := l.known[l.order[i]]
+		lent, known := l.byID[l.order[i]]
 		if !known {
 			continue
 		}
@@ -75,9 +75,9 @@
 	return sum
 }
 
-// remove takes a loan out.
+// remove deletes and returns a loan.
 func (l *loans) remove(id loanID) (loan, bool) {
-	lent, known := l.known[id]
-	delete(l.known, id)
+	lent, known := l.byID[id]
+	delete(l.byID, id)
 	return lent, known
 }
--- a/fleet/lending/play_faults_test.go
+++ b/fleet/lending/play_faults_test.go
@@ -9,14 +9,14 @@
 )
 
 // trouble strikes nodes for a while.
-func (p *play) trouble() {
+func (p *simulation) trouble() {
 	live := p.live()
 	if len(live) == 0 {
 		p.after(100*time.Millisecond, p.trouble)
 		return
 	}
 	n := live[p.rand.IntN(len(live))]
-	if lenders := slices.DeleteFunc(slices.Clone(live), func(n *playNode) bool { return !slices.ContainsFunc(n.core.shards[:], (*shard).lends) }); len(lenders) > 0 && p.rand.IntN(2) == 0 {
+	if lenders := slices.DeleteFunc(slices.Clone(live), func(n *simNode) bool { return !slices.ContainsFunc(n.core.shards[:], (*shard).lends) }); len(lenders) > 0 && p.rand.IntN(2) == 0 {
 		n = lenders[p.rand.IntN(len(lenders))]
 	}
 	lasts := p.between(300*time.Millisecond, 6*time.Second)
@@ -29,23 +29,23 @@
 	case 2:
 		p.freeze(n, lasts)
 	case 3:
-		n.island, n.blindSince = 1000+p.starts, p.now
-		p.after(lasts, func() { n.island, n.blindSince = 0, time.Time{}; p.tellPeers() })
+		n.partition, n.noNewsSince = 1000+p.starts, p.now
+		p.after(lasts, func() { n.partition, n.noNewsSince = 0, time.Time{}; p.tellPeers() })
 	case 4:
 		p.split(live, lasts)
 	case 5:
 		p.step(n, Stopping{})
 		p.kill(n, n.peer.Machine, lasts/3)
 	case 6:
-		n.blindSince = p.now
-		p.after(lasts, func() { n.blindSince = time.Time{}; p.tellPeers() })
+		n.noNewsSince = p.now
+		p.after(lasts, func() { n.noNewsSince = time.Time{}; p.tellPeers() })
 	}
 	p.after(p.between(200*time.Millisecond, 3*time.Second), p.trouble)
 }
 
 // chase strikes whoever lends, again and again: it is stopped, or frozen for longer than a
 // lease.
-func (p *play) chase() {
+func (p *simulation) chase() {
 	for _, n := range p.live() {
 		if n.frozen || !slices.ContainsFunc(n.core.shards[:], (*shard).lends) {
 			continue
@@ -64,13 +64,13 @@
 }
 
 // checkLenders checks that no two nodes lend at a time.
-func (p *play) checkLenders() {
+func (p *simulation) checkLenders() {
 	for number := range Shards {
 		var lenders []cluster.NodeID
 		for _, n := range p.nodes {
 			s := n.core.shards[number]
 			now := p.now.Add(n.skew)
-			if !n.dead && !n.frozen && s.held && now.Before(s.until) && now.Sub(n.core.provenAt) < playProof {
+			if !n.dead && !n.frozen && s.isLender && now.Before(s.leaseUntil) && now.Sub(n.core.provenAt) < simProofWithin {
 				lenders = append(lenders, n.peer.ID)
 			}
 		}
@@ -84,22 +84,22 @@
 }
 
 // split cuts the nodes into two parts that don't hear of each other.
-func (p *play) split(live []*playNode, lasts time.Duration) {
+func (p *simulation) split(live []*simNode, lasts time.Duration) {
 	p.starts++
 	island := 1000 + p.starts
 	for _, n := range live {
-		if n.island == 0 && p.rand.IntN(2) == 0 {
-			n.island = island
+		if n.partition == 0 && p.rand.IntN(2) == 0 {
+			n.partition = island
 			p.after(lasts, func() {
-				if n.island == island {
-					n.island = 0
+				if n.partition == island {
+					n.partition = 0
 				}
 			})
 		}
 	}
 }
 
-func (p *play) freeze(n *playNode, lasts time.Duration) {
+func (p *simulation) freeze(n *simNode, lasts time.Duration) {
 	if n.frozen {
 		return
 	}
@@ -124,14 +124,14 @@
 	})
 }
 
-func (p *play) kill(n *playNode, successor string, after time.Duration) {
+func (p *simulation) kill(n *simNode, successor string, after time.Duration) {
 	n.dead, n.diedAt = true, p.now
-	p.after(playRecord+time.Millisecond, p.tellPeers)
+	p.after(simRecordLifetime+time.Millisecond, p.tellPeers)
 	p.after(after, func() {
 		before := p.records()
 		started := p.start(successor)
-		p.after(p.between(playRead, 2*playRead), func() {
-			if started.blindSince.IsZero() {
+		p.after(p.between(simStoreReadDelay, 2*simStoreReadDelay), func() {
+			if started.noNewsSince.IsZero() {
 				p.step(started, PeersChanged{Peers: before, Succeeds: p.succeeds(started)})
 			}
 		})
@@ -140,16 +140,16 @@
 }
 
 // check compares what was used in each window with the limits.
-func (p *play) check() {
+func (p *simulation) check() {
 	for _, tenant := range p.tenants {
-		l, uses := p.limits[tenant], p.spent[tenant]
-		slices.SortFunc(uses, func(a, b spent) int { return a.at.Compare(b.at) })
-		most := (l.Rate*playWindow.Seconds()+l.Burst)*(1+p.overrun) + p.slack
+		l, uses := p.limits[tenant], p.uses[tenant]
+		slices.SortFunc(uses, func(a, b tokenUse) int { return a.at.Compare(b.at) })
+		most := (l.Rate*simWindow.Seconds()+l.Burst)*(1+p.overrun) + p.slack
 		var sum float64
 		from := 0
 		for i := range uses {
 			sum += uses[i].amount
-			for uses[i].at.Sub(uses[from].at) > playWindow {
+			for uses[i].at.Sub(uses[from].at) > simWindow {
 				sum -= uses[from].amount
 				from++
 			}
--- a/fleet/lending/play_kinds_test.go
+++ b/fleet/lending/play_kinds_test.go
@@ -17,7 +17,7 @@
 }
 
 // plainKind is the only one of plays without a mix.
-var plainKind = playKind{amount: playTokens}
+var plainKind = playKind{amount: simTokens}
 
 // mixedKinds come alike often, 1,540 tokens in the mean.
 var mixedKinds = []playKind{
@@ -43,7 +43,7 @@
 type playReturns struct{ refused, came, again int }
 
 // draw makes a tenant's next request.
-func (p *play) draw(tenant string) playAsk {
+func (p *simulation) draw(tenant string) playAsk {
 	if len(p.mix) == 0 {
 		return playAsk{tenant: tenant, kind: plainKind}
 	}
@@ -51,7 +51,7 @@
 }
 
 // note counts an answer of a play with a mix, and has the caller come back if it heeds.
-func (p *play) note(a playAsk, e Answered) {
+func (p *simulation) note(a playAsk, e Answered) {
 	if len(p.mix) == 0 || !e.Decided {
 		return
 	}
@@ -82,8 +82,8 @@
 }
 
 // comeBack asks again, through any node.
-func (p *play) comeBack(a playAsk, told bool) {
-	live := slices.DeleteFunc(p.live(), func(n *playNode) bool { return n.frozen || n.island != 0 || !n.blindSince.IsZero() })
+func (p *simulation) comeBack(a playAsk, told bool) {
+	live := slices.DeleteFunc(p.live(), func(n *simNode) bool { return n.frozen || n.partition != 0 || !n.noNewsSince.IsZero() })
 	if len(live) == 0 {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // mixed makes a play one of several kinds, whose largest fits into the slack.
-func mixed(seed uint64, nodes, tenants int) *play {
+func mixed(seed uint64, nodes, tenants int) *simulation {
 	p := newPlay(seed, 0, tenants)
 	p.mix, p.slack, p.counts = mixedKinds, 4000, map[string]*playCount{}
 	for i := range nodes {
@@ -115,8 +115,8 @@
 	var returns playReturns
 	for seed := range uint64(*plays) {
 		p := mixed(seed, 6+int(seed%4)*8, 6)
-		p.lossy = 0.02
-		p.chased = seed%4 == 0
+		p.lossRate = 0.02
+		p.faultsHitLenders = seed%4 == 0
 		p.strike()
 		for _, problem := range p.problems {
 			t.Errorf("seed %d: %s", seed, problem)
--- a/fleet/lending/play_test.go
+++ b/fleet/lending/play_test.go
@@ -16,25 +16,25 @@
 // The terms of the plays: those of a deployment of 87 nodes and 16 tenants whose smallest
 // uses 13 requests in a window.
 const (
-	playWindow = 8 * time.Second
-	playTokens = 1540
-	// playOverrun and playSlack are half of a deployment's, and one request in place of its
+	simWindow = 8 * time.Second
+	simTokens = 1540
+	// simOverrun and playSlack are half of a deployment's, and one request in place of its
 	// 11,000 tokens, so that a play which goes beyond them is noticed.
-	playOverrun = 0.05
-	playSlack   = playTokens
-	// playProof is for how long a node without news of the others goes on sending.
-	playProof = 4500 * time.Millisecond
-	// playPatience is half of the time that most requests have.
-	playPatience = 2500 * time.Millisecond
-	// playRead is how long after its start a node has read the store, at least: what was there
+	simOverrun = 0.05
+	simSlack   = simTokens
+	// simProofWithin is for how long a node without news of the others goes on sending.
+	simProofWithin = 4500 * time.Millisecond
+	// simPatience is half of the time that most requests have.
+	simPatience = 2500 * time.Millisecond
+	// simStoreReadDelay is how long after its start a node has read the store, at least: what was there
 	// before its own record.
-	playRead = 60 * time.Millisecond
-	// playRecord is for how long the record of a node lasts that has died.
-	playRecord = 30 * time.Second
+	simStoreReadDelay = 60 * time.Millisecond
+	// simRecordLifetime is for how long the record of a node lasts that has died.
+	simRecordLifetime = 30 * time.Second
 )
 
-// playNode is a node and its faults.
-type playNode struct {
+// simNode is a node and its faults.
+type simNode struct {
 	peer Peer
 	core *Core
 	// skew is by how much its clock is ahead.
@@ -43,48 +43,48 @@
 	diedAt time.Time
 	// frozen nodes miss events until they thaw; island is the part of the network that the
 	// node is in.
-	frozen bool
-	missed []Event
-	island int
-	// quiet nodes get no requests.
-	quiet bool
+	frozen    bool
+	missed    []Event
+	partition int
+	// noRequests nodes get no requests.
+	noRequests bool
 	// blind nodes have no news of others since a time.
-	blindSince time.Time
-	tickAt     time.Time
+	noNewsSince time.Time
+	tickAt      time.Time
 }
 
-// spent is a use of tokens.
-type spent struct {
+// tokenUse is a use of tokens.
+type tokenUse struct {
 	at     time.Time
 	amount float64
 }
 
-// play runs nodes on virtual time.
-type play struct {
+// simulation runs nodes on virtual time.
+type simulation struct {
 	rand    *rand.Rand
 	now     time.Time
 	agenda  agenda.Agenda
-	nodes   []*playNode
+	nodes   []*simNode
 	limits  map[string]Limit
 	tenants []string
 	// demand of each tenant, as a multiple of its limit.
 	demand map[string]float64
-	spent  map[string][]spent
+	uses   map[string][]tokenUse
 	number int64
 	// pending are the questions under way: whose they are.
 	pending map[int64]playAsk
 	// asked, refused, undecided count the questions of tenants below their limits.
 	asked, refused, undecided int
 	messages                  int
-	lossy                     float64
+	lossRate                  float64
 	problems                  []string
 	starts                    int
-	// lasts is how long the play is.
-	lasts time.Duration
-	// chased plays strike lenders, in place of any nodes.
-	chased bool
-	// outside leaves nodes that are cut off out of these counts.
-	outside bool
+	// duration is how long the play is.
+	duration time.Duration
+	// faultsHitLenders plays strike lenders, in place of any nodes.
+	faultsHitLenders bool
+	// countOnlyConnected leaves nodes that are cut off out of these counts.
+	countOnlyConnected bool
 	// forgetful plants a defect: a successor begins with a full bucket.
 	forgetful bool
 	// stands plants a defect: clocks stand while nodes are frozen.
@@ -111,15 +111,15 @@
 	hasty bool
 }
 
-func newPlay(seed uint64, nodes, tenants int) *play {
-	return newPlayBeyond(seed, nodes, tenants, playOverrun, playSlack)
+func newPlay(seed uint64, nodes, tenants int) *simulation {
+	return newPlayBeyond(seed, nodes, tenants, simOverrun, simSlack)
 }
 
 // newPlayBeyond is a play in which so much may be used beyond a limit.
-func newPlayBeyond(seed uint64, nodes, tenants int, overrun, slack float64) *play {
-	p := &play{
+func newPlayBeyond(seed uint64, nodes, tenants int, overrun, slack float64) *simulation {
+	p := &simulation{
 		rand: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_000_000, 0), limits: map[string]Limit{},
-		demand: map[string]float64{}, spent: map[string][]spent{}, pending: map[int64]playAsk{}, lasts: 45 * time.Second,
+		demand: map[string]float64{}, uses: map[string][]tokenUse{}, pending: map[int64]playAsk{}, duration: 45 * time.Second,
 		overrun: overrun, slack: slack,
 	}
 	for i := range tenants {
@@ -142,15 +142,15 @@
 	return p
 }
 
-func (p *play) after(d time.Duration, run func()) {
+func (p *simulation) after(d time.Duration, run func()) {
 	p.agenda.Add(p.now.Add(d), run)
 }
 
-func (p *play) between(low, high time.Duration) time.Duration {
+func (p *simulation) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(p.rand.Int64N(int64(high-low)))
 }
 
-func (p *play) runFor(d time.Duration) {
+func (p *simulation) runFor(d time.Duration) {
 	end := p.now.Add(d)
 	for at, run, due := p.agenda.Next(end); due; at, run, due = p.agenda.Next(end) {
 		p.now = at
@@ -159,15 +159,15 @@
 	p.now = end
 }
 
-func (p *play) start(machine string) *playNode {
+func (p *simulation) start(machine string) *simNode {
 	p.starts++
 	var zone int
 	_, _ = fmt.Sscanf(machine, "machine-%d", &zone)
 	id := cluster.NodeID(fmt.Sprintf("%s-%d", machine, p.starts))
-	n := &playNode{skew: p.between(-time.Hour, time.Hour), peer: Peer{
+	n := &simNode{skew: p.between(-time.Hour, time.Hour), peer: Peer{
 		ID: id, Machine: machine, Address: machine, Zone: cluster.ZoneID(fmt.Sprint(zone % 3)), Capacity: 0.8,
 	}}
-	n.core = New(Config{Self: n.peer, Window: playWindow, Overrun: p.overrun, Slack: p.slack, ProofWithin: playProof})
+	n.core = New(Config{Self: n.peer, Window: simWindow, Overrun: p.overrun, Slack: p.slack, ProofWithin: simProofWithin})
 	p.nodes = append(p.nodes, n)
 	p.step(n, LimitsChanged{Limits: p.limits})
 	p.prove(n)
@@ -175,25 +175,25 @@
 }
 
 // prove has a node that has news of the others know what is in force.
-func (p *play) prove(n *playNode) {
+func (p *simulation) prove(n *simNode) {
 	if n.dead {
 		return
 	}
-	if n.blindSince.IsZero() {
+	if n.noNewsSince.IsZero() {
 		p.step(n, Proven{At: p.now.Add(n.skew)})
 	}
 	p.after(time.Second, func() { p.prove(n) })
 }
 
-func (p *play) live() []*playNode {
-	return slices.DeleteFunc(slices.Clone(p.nodes), func(n *playNode) bool { return n.dead })
+func (p *simulation) live() []*simNode {
+	return slices.DeleteFunc(slices.Clone(p.nodes), func(n *simNode) bool { return n.dead })
 }
 
 // records are those of the live nodes, and of the dead ones for a while.
-func (p *play) records() []Peer {
+func (p *simulation) records() []Peer {
 	records := map[string]Peer{}
 	for _, n := range p.nodes {
-		if !n.dead || p.now.Sub(n.diedAt) < playRecord {
+		if !n.dead || p.now.Sub(n.diedAt) < simRecordLifetime {
 			records[n.peer.Machine] = n.peer
 		}
 	}
@@ -201,28 +201,28 @@
 }
 
 // succeeds reports whether there is a record of an earlier process of a node's machine.
-func (p *play) succeeds(n *playNode) bool {
-	return slices.ContainsFunc(p.nodes, func(earlier *playNode) bool {
-		return earlier.dead && earlier.peer.Machine == n.peer.Machine && p.now.Sub(earlier.diedAt) < playRecord
+func (p *simulation) succeeds(n *simNode) bool {
+	return slices.ContainsFunc(p.nodes, func(earlier *simNode) bool {
+		return earlier.dead && earlier.peer.Machine == n.peer.Machine && p.now.Sub(earlier.diedAt) < simRecordLifetime
 	})
 }
 
 // tellPeers brings the live nodes to all that have news of others, each at its time.
-func (p *play) tellPeers() {
+func (p *simulation) tellPeers() {
 	peers := p.records()
 	for _, n := range p.live() {
-		if !n.blindSince.IsZero() {
+		if !n.noNewsSince.IsZero() {
 			continue
 		}
 		p.after(p.between(0, time.Second), func() {
-			if n.blindSince.IsZero() {
+			if n.noNewsSince.IsZero() {
 				p.step(n, PeersChanged{Peers: peers, Succeeds: p.succeeds(n)})
 			}
 		})
 	}
 }
 
-func (p *play) step(n *playNode, e Event) {
+func (p *simulation) step(n *simNode, e Event) {
 	if n.dead {
 		return
 	}
@@ -245,7 +245,7 @@
 		case LeaseChanged:
 			if e.Held && p.forgetful {
 				for tenant, b := range n.core.shards[e.Shard].buckets {
-					b.level = n.core.cfg.flow(p.limits[tenant]).capacity
+					b.level = n.core.cfg.bucketParams(p.limits[tenant]).capacity
 				}
 			}
 		}
@@ -264,7 +264,7 @@
 }
 
 // ticket is the store's part: one in its time for a shard, and now and then no answer.
-func (p *play) ticket(n *playNode, e TicketWanted) {
+func (p *simulation) ticket(n *simNode, e TicketWanted) {
 	slowest := 20 * time.Millisecond
 	if p.rand.IntN(8) == 0 {
 		slowest = 450 * time.Millisecond
@@ -281,21 +281,21 @@
 }
 
 // deliver brings a message, late or twice now and then, or loses it.
-func (p *play) deliver(from *playNode, address string, m wire.Message) {
+func (p *simulation) deliver(from *simNode, address string, m wire.Message) {
 	p.messages++
 	times := 1
-	if p.lossy > 0 && p.rand.IntN(50) == 0 {
+	if p.lossRate > 0 && p.rand.IntN(50) == 0 {
 		times = 2
 	}
 	for range times {
 		delay := p.between(time.Millisecond, 4*time.Millisecond)
-		if p.lossy > 0 && p.rand.IntN(20) == 0 {
+		if p.lossRate > 0 && p.rand.IntN(20) == 0 {
 			delay = p.between(50*time.Millisecond, 3*time.Second)
 		}
-		lost := p.rand.Float64() < p.lossy
+		lost := p.rand.Float64() < p.lossRate
 		p.after(delay, func() {
 			for _, to := range p.nodes {
-				if to.peer.Address == address && !lost && to.island == from.island {
+				if to.peer.Address == address && !lost && to.partition == from.partition {
 					p.step(to, Received{Message: m})
 				}
 			}
@@ -304,27 +304,27 @@
 }
 
 // request sends a tenant's next request through some node.
-func (p *play) request(tenant string) {
+func (p *simulation) request(tenant string) {
 	live := p.live()
 	if len(live) > 0 {
 		n := live[p.rand.IntN(len(live))]
-		if !n.frozen && !n.quiet && (n.blindSince.IsZero() || p.now.Sub(n.blindSince) < playProof) {
+		if !n.frozen && !n.noRequests && (n.noNewsSince.IsZero() || p.now.Sub(n.noNewsSince) < simProofWithin) {
 			p.number++
 			a := p.draw(tenant)
 			p.pending[p.number] = a
-			p.step(n, Asked{Number: p.number, Tenant: tenant, Amount: a.kind.amount, Rank: a.kind.rank, Mark: a.mark, Heeds: a.kind.heeds, Patience: playPatience})
+			p.step(n, Asked{Number: p.number, Tenant: tenant, Amount: a.kind.amount, Rank: a.kind.rank, Mark: a.mark, Heeds: a.kind.heeds, Patience: simPatience})
 		}
 	}
-	mean := playTokens / (p.limits[tenant].Rate * p.demand[tenant])
+	mean := simTokens / (p.limits[tenant].Rate * p.demand[tenant])
 	p.after(time.Duration(mean*p.rand.ExpFloat64()*float64(time.Second)), func() { p.request(tenant) })
 }
 
 // answered uses the tokens at some moment before they lapse, or gives some back.
-func (p *play) answered(n *playNode, e Answered) {
+func (p *simulation) answered(n *simNode, e Answered) {
 	a := p.pending[e.Number]
 	delete(p.pending, e.Number)
 	p.note(a, e)
-	below := p.demand[e.Tenant] < 1 && !(p.outside && n.island != 0)
+	below := p.demand[e.Tenant] < 1 && !(p.countOnlyConnected && n.partition != 0)
 	if below {
 		p.asked++
 	}
@@ -345,7 +345,7 @@
 	if p.rand.IntN(3) == 0 || p.hoards {
 		wait = p.between(0, n.core.cfg.Lifetime)
 		if p.hoards {
-			wait = playWindow - time.Duration(p.now.UnixNano())%playWindow
+			wait = simWindow - time.Duration(p.now.UnixNano())%simWindow
 		}
 	}
 	p.after(wait, func() {
@@ -353,6 +353,6 @@
 		if n.dead || n.frozen || lapsed && !p.hoards {
 			return
 		}
-		p.spent[e.Tenant] = append(p.spent[e.Tenant], spent{at: p.now, amount: e.Amount})
+		p.uses[e.Tenant] = append(p.uses[e.Tenant], tokenUse{at: p.now, amount: e.Amount})
 	})
 }
--- a/fleet/lending/reservations.go
+++ b/fleet/lending/reservations.go
@@ -6,56 +6,57 @@
 )
 
 const (
-	// maxReservations bounds those of a tenant.
+	// maxReservations bounds the reservations of a tenant.
 	maxReservations = 256
-	// earlyBy is how much before its time a caller may come: clocks of callers, and the time
-	// that it takes to tell them.
-	earlyBy = 50 * time.Millisecond
-	// reservedFor is how long room is kept for a caller that does not come: a new connection
-	// and a busy machine take that long.
-	reservedFor = 300 * time.Millisecond
-	// returnShare of a limit is for callers that come back, at least. They waited; the answer
-	// of one that came for the first time is worth more to it, so most is for those.
-	returnShare = 0.05
+	// earlyReturnTolerance is how early a caller may return; it covers clock differences and the
+	// time to tell the caller.
+	earlyReturnTolerance = 50 * time.Millisecond
+	// reservationHold is how long room is kept for a caller that is late: a new connection and
+	// a busy machine take that long.
+	reservationHold = 300 * time.Millisecond
+	// minReturnShare is the least share of a limit that is for returning callers. An answer at the
+	// first attempt is worth more to a caller than one after a wait, so most of the limit is for
+	// first attempts.
+	minReturnShare = 0.05
 )
 
-// reservation is room for a caller who was told when to come back.
+// reservation is room kept for a caller that was told when to return.
 type reservation struct {
-	// mark tells what is asked for, the same when it is asked for again.
-	mark   int64
-	amount float64
-	due    time.Time
+	// fingerprint identifies the request, and is the same when it is repeated.
+	fingerprint int64
+	amount      float64
+	due         time.Time
 }
 
-// reservations are those of one tenant, in the order of their times.
+// reservations are the reservations of one tenant, in the order of their due times.
 type reservations struct {
 	list []reservation
-	// next is when the next one may be due.
-	next time.Time
+	// nextDue is the earliest time that the next reservation may be due.
+	nextDue time.Time
 }
 
-// expire ends those whose callers did not come.
+// expire drops reservations whose callers did not return in time.
 func (r *reservations) expire(now time.Time) {
 	kept := 0
-	for kept < len(r.list) && now.Sub(r.list[kept].due) > reservedFor {
+	for kept < len(r.list) && now.Sub(r.list[kept].due) > reservationHold {
 		kept++
 	}
 	r.list = r.list[kept:]
 }
 
-// redeem takes out the one that a caller comes for.
-func (r *reservations) redeem(now time.Time, mark int64, amount float64) bool {
-	at := slices.IndexFunc(r.list, func(kept reservation) bool {
-		return kept.mark == mark && kept.amount == amount && !now.Before(kept.due.Add(-earlyBy))
+// redeem removes the reservation that a returning caller has, and reports whether there was one.
+func (r *reservations) redeem(now time.Time, fingerprint int64, amount float64) bool {
+	index := slices.IndexFunc(r.list, func(kept reservation) bool {
+		return kept.fingerprint == fingerprint && kept.amount == amount && !now.Before(kept.due.Add(-earlyReturnTolerance))
 	})
-	if mark == 0 || at < 0 {
+	if fingerprint == 0 || index < 0 {
 		return false
 	}
-	r.list = slices.Delete(r.list, at, at+1)
+	r.list = slices.Delete(r.list, index, index+1)
 	return true
 }
 
-// sum of the reserved amounts.
+// sum returns the total of the reserved amounts.
 func (r *reservations) sum() float64 {
 	sum := 0.0
 	for i := range r.list {
@@ -64,8 +65,9 @@
 	return sum
 }
 
-// room is what of a level is left when all that is reserved is there in time.
-func (r *reservations) room(now time.Time, level, rate float64) float64 {
+// available returns how much of the level can be taken such that every reservation is still covered
+// when it is due.
+func (r *reservations) available(now time.Time, level, rate float64) float64 {
 	room, sum := level, 0.0
 	for i := range r.list {
 		sum += r.list[i].amount
@@ -75,8 +77,8 @@
 	return room
 }
 
-// reserve keeps room from a time on; rate is how fast those who return may take it.
-func (r *reservations) reserve(due time.Time, mark int64, amount, rate float64) {
-	r.list = append(r.list, reservation{mark: mark, amount: amount, due: due})
-	r.next = due.Add(time.Duration(amount / rate * float64(time.Second)))
+// reserve adds a reservation; rate, in units a second, spaces the due times.
+func (r *reservations) reserve(due time.Time, fingerprint int64, amount, rate float64) {
+	r.list = append(r.list, reservation{fingerprint: fingerprint, amount: amount, due: due})
+	r.nextDue = due.Add(time.Duration(amount / rate * float64(time.Second)))
 }
--- a/fleet/lending/shard.go
+++ b/fleet/lending/shard.go
@@ -7,96 +7,95 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// shard is what a node knows and does of one shard: as a voter, as its lender, and as one of
-// those that ask for tokens.
+// shard is the state of one shard at a node, in its roles as voter, lender and borrower.
 type shard struct {
 	core   *Core
 	number int
-	// voters are the present ones, earlier those that still count.
+	// voters are the current voters; earlier are former voter sets that still count.
 	voters  voterSet
 	earlier []voterSet
 
 	promised promise
-	// claimAt is when this node, as a voter, claims the shard unless somebody lends.
+	// claimAt is when this node, as a voter, claims the shard if it has no lender; zero for never.
 	claimAt time.Time
 	claim   claim
-	// held is set while this node lends, until a time.
-	held  bool
-	until time.Time
-	// ticket is the number of the ticket that was wanted, zero for none.
-	ticket  int64
-	buckets map[string]*bucket
-	// loans are what was lent lately.
+	// isLender is set while this node holds the lease, which lasts until leaseUntil.
+	isLender   bool
+	leaseUntil time.Time
+	// ticketNumber is the number of the outstanding ticket request, zero for none.
+	ticketNumber int64
+	buckets      map[string]*bucket
+	// loans are the recent loans.
 	loans loans
 
-	// lender is who lent last, as far as is known, and next the voter to ask for it.
-	lender lender
-	next   int
+	// knownLender is the last known lender; voterCursor selects the voter to ask who lends.
+	knownLender lender
+	voterCursor int
 }
 
-// promise is a voter's: nobody else is let lend.
+// promise is a voter's commitment to grant the shard to no other node.
 type promise struct {
-	to      cluster.NodeID
+	node    cluster.NodeID
 	address string
 	until   time.Time
-	// since is when the shard was first promised to that node, or to nobody.
+	// since is when the shard was first promised to the current node, or released.
 	since time.Time
-	// number of the newest claim.
+	// number of the newest claim that was granted.
 	number int64
 }
 
-// lender is a node and where it takes messages.
+// lender is a node and the address that receives its messages.
 type lender struct {
 	id      cluster.NodeID
 	address string
 }
 
-// claim is a round of questions to the voters.
+// claim is a round of vote requests.
 type claim struct {
 	number int64
 	sentAt time.Time
-	// votes by machine, each with for how long the shard had been settled.
+	// votes by machine; each value is how long the shard had been settled at that voter.
 	votes map[string]time.Duration
-	// first is set where all nodes seem to have just started and all are asked, those that
-	// have not answered again at againAt.
-	first   bool
-	againAt time.Time
-	// won is set once there are enough of them.
+	// isFirst is set if all nodes seem to have just started and all are asked; those without an
+	// answer are asked again at resendAt.
+	isFirst  bool
+	resendAt time.Time
+	// won is set once the claim has enough votes.
 	won bool
 }
 
-// lends reports whether this node lends now.
+// lends reports whether this node may lend now: it holds the lease and its proof is fresh.
 func (s *shard) lends() bool {
-	return s.held && s.core.now.Before(s.until) && s.core.proven()
+	return s.isLender && s.core.now.Before(s.leaseUntil) && s.core.proofIsFresh()
 }
 
-// rank is this node's place among the voters, negative for none.
-func (s *shard) rank() int { return slices.Index(s.voters.machines, s.core.cfg.Self.Machine) }
+// voterRank returns this node's index among the voters, -1 if it is none.
+func (s *shard) voterRank() int { return slices.Index(s.voters.machines, s.core.cfg.Self.Machine) }
 
-// votersChanged takes the voters by the present view.
+// votersChanged replaces the current voters; the former ones still count for viewOverlap.
 func (s *shard) votersChanged(machines []string) {
 	if slices.Equal(machines, s.voters.machines) {
 		return
 	}
 	if len(s.voters.machines) > 0 {
-		s.keepEarlier(s.voters, viewOverlap)
+		s.addEarlierVoters(s.voters, viewOverlap)
 	}
 	s.voters = newVoterSet(machines, s.core.now)
-	s.next = 0
-	s.planClaim()
+	s.voterCursor = 0
+	s.scheduleClaim()
 }
 
-// keepEarlier has a set of voters count for a while that is not the present one.
-func (s *shard) keepEarlier(set voterSet, lasts time.Duration) {
-	set.until = s.core.now.Add(lasts)
+// addEarlierVoters makes a voter set count for a while besides the current one.
+func (s *shard) addEarlierVoters(set voterSet, validFor time.Duration) {
+	set.validUntil = s.core.now.Add(validFor)
 	s.earlier = append(s.earlier, set)
-	if len(s.earlier) > maxEarlier {
+	if len(s.earlier) > maxEarlierVoterSets {
 		s.earlier = s.earlier[1:]
 	}
 }
 
-// sets lists the digests of all sets that count.
-func (s *shard) sets() []int64 {
+// voterSetDigests returns the digests of all voter sets that count.
+func (s *shard) voterSetDigests() []int64 {
 	digests := []int64{s.voters.digest}
 	for i := range s.earlier {
 		digests = append(digests, s.earlier[i].digest)
@@ -104,48 +103,48 @@
 	return digests
 }
 
-// expire ends what is over.
+// expire drops expired earlier voter sets, and ends an expired lease.
 func (s *shard) expire() {
 	now := s.core.now
-	s.earlier = slices.DeleteFunc(s.earlier, func(v voterSet) bool { return !now.Before(v.until) })
-	if s.held && !now.Before(s.until) {
-		s.lost()
+	s.earlier = slices.DeleteFunc(s.earlier, func(v voterSet) bool { return !now.Before(v.validUntil) })
+	if s.isLender && !now.Before(s.leaseUntil) {
+		s.endLease()
 	}
 }
 
-// lost ends to lend.
-func (s *shard) lost() {
-	s.held, s.buckets, s.loans, s.claim, s.ticket = false, nil, loans{}, claim{}, 0
+// endLease ends this node's lease and schedules a new claim.
+func (s *shard) endLease() {
+	s.isLender, s.buckets, s.loans, s.claim, s.ticketNumber = false, nil, loans{}, claim{}, 0
 	s.core.emit(LeaseChanged{Shard: s.number})
-	s.planClaim()
+	s.scheduleClaim()
 }
 
-// planClaim plans to claim the shard once nobody can be lending any more.
-func (s *shard) planClaim() {
+// scheduleClaim sets claimAt to a time at which no other node can hold the lease.
+func (s *shard) scheduleClaim() {
 	s.claimAt = time.Time{}
-	rank := s.rank()
-	if rank < 0 || s.held {
+	rank := s.voterRank()
+	if rank < 0 || s.isLender {
 		return
 	}
-	from := s.core.startedAt.Add(s.core.cfg.Lease)
-	if s.mayClaimFirst() {
-		from = s.core.now
+	earliestClaim := s.core.startedAt.Add(s.core.cfg.Lease)
+	if s.firstClaimAllowed() {
+		earliestClaim = s.core.now
 	}
 	for _, at := range []time.Time{s.promised.until, s.core.now} {
-		if at.After(from) {
-			from = at
+		if at.After(earliestClaim) {
+			earliestClaim = at
 		}
 	}
-	s.claimAt = from.Add(time.Duration(rank) * candidateStep)
+	s.claimAt = earliestClaim.Add(time.Duration(rank) * claimRankDelay)
 }
 
-// due is when the shard has something to do, zero for never.
+// due returns when the shard next needs an action, zero for never.
 func (s *shard) due() time.Time {
 	if !s.core.active() {
 		return time.Time{}
 	}
-	if s.held {
-		return earliest(s.renewAt(), s.until)
+	if s.isLender {
+		return earliest(s.renewAt(), s.leaseUntil)
 	}
 	if s.claiming() {
 		return s.claimDue()
@@ -154,7 +153,7 @@
 }
 
 // claiming reports whether a claim is under way that has not won.
-func (s *shard) claiming() bool { return !s.held && s.claim.number != 0 && !s.claim.won }
+func (s *shard) claiming() bool { return !s.isLender && s.claim.number != 0 && !s.claim.won }
 
 func earliest(a, b time.Time) time.Time {
 	if b.Before(a) {
@@ -163,37 +162,37 @@
 	return a
 }
 
-// renewAt is when a lender asks its voters again.
+// renewAt returns when the lender sends its next renewal.
 func (s *shard) renewAt() time.Time {
 	return s.claim.sentAt.Add(time.Duration(float64(s.core.cfg.Lease) / renewalsPerLease))
 }
 
-// tick renews the lease, or claims the shard.
+// tick renews the lease, or starts, repeats or abandons a claim, as due.
 func (s *shard) tick() {
 	now := s.core.now
 	switch {
 	case !s.core.active():
-	case s.claiming() && !now.Before(s.patienceEnd()):
-		s.giveUpClaim()
-	case s.claiming() && s.claim.first && !now.Before(s.claim.againAt):
-		s.askAgain()
-	case s.held && !now.Before(s.renewAt()):
-		s.ask()
-	case !s.held && !s.claiming() && !s.claimAt.IsZero() && !now.Before(s.claimAt):
+	case s.claiming() && !now.Before(s.claimDeadline()):
+		s.abandonClaim()
+	case s.claiming() && s.claim.isFirst && !now.Before(s.claim.resendAt):
+		s.resendClaim()
+	case s.isLender && !now.Before(s.renewAt()):
+		s.startClaim()
+	case !s.isLender && !s.claiming() && !s.claimAt.IsZero() && !now.Before(s.claimAt):
 		s.claimAt = time.Time{}
-		s.ask()
+		s.startClaim()
 	}
 }
 
-// begin begins to lend, with empty buckets but for a credit where lenders have not changed
-// for a while.
-func (s *shard) begin() {
+// startLending begins a lease. The buckets start empty, or with a credit if the lender has not
+// changed for minSettledShare of a window.
+func (s *shard) startLending() {
 	c := s.core
-	s.held, s.claimAt = true, time.Time{}
-	s.lender = lender{id: c.cfg.Self.ID, address: c.cfg.Self.Address}
+	s.isLender, s.claimAt = true, time.Time{}
+	s.knownLender = lender{id: c.cfg.Self.ID, address: c.cfg.Self.Address}
 	settled := c.cfg.Window
-	for _, voted := range s.claim.votes {
-		settled = min(settled, voted)
+	for _, settledAtVoter := range s.claim.votes {
+		settled = min(settled, settledAtVoter)
 	}
 	s.buckets = map[string]*bucket{}
 	for tenant, l := range c.limits {
@@ -201,19 +200,19 @@
 			continue
 		}
 		b := &bucket{filledAt: c.now}
-		if settled >= time.Duration(creditSpacing*float64(c.cfg.Window)) {
-			b.level = c.cfg.credit(l, creditShare)
+		if settled >= time.Duration(minSettledShare*float64(c.cfg.Window)) {
+			b.level = c.cfg.successorCredit(l, initialCreditShare)
 		}
 		s.buckets[tenant] = b
 	}
-	s.wantTicket()
+	s.requestTicket()
 	c.emit(LeaseChanged{Shard: s.number, Held: true, Settled: settled})
 }
 
-// limitsChanged adds buckets of new tenants, empty, and drops those of removed ones.
+// limitsChanged adds buckets of new tenants, with only a credit, and drops those of removed tenants.
 func (s *shard) limitsChanged() {
-	if !s.held {
-		s.planClaim()
+	if !s.isLender {
+		s.scheduleClaim()
 		return
 	}
 	for tenant := range s.buckets {
@@ -223,16 +222,16 @@
 	}
 	for tenant, l := range s.core.limits {
 		if s.buckets[tenant] == nil && shardOf(tenant) == s.number {
-			s.buckets[tenant] = &bucket{filledAt: s.core.now, level: s.core.cfg.credit(l, creditShare)}
+			s.buckets[tenant] = &bucket{filledAt: s.core.now, level: s.core.cfg.successorCredit(l, initialCreditShare)}
 		}
 	}
 }
 
-// release gives the shard up.
-func (s *shard) release() {
-	if !s.held {
+// releaseLease releases the lease so that another node can lend at once.
+func (s *shard) releaseLease() {
+	if !s.isLender {
 		return
 	}
-	s.tellRelease(s.claim.number)
-	s.lost()
+	s.sendRelease(s.claim.number)
+	s.endLease()
 }
--- a/fleet/lending/tally.go
+++ b/fleet/lending/tally.go
@@ -7,86 +7,86 @@
 	"slices"
 )
 
-// maxTallies is how many kinds of all tenants get counts of their own; later ones count under
-// their tenant and rank with largestSize, at most one more for each. Chosen, not measured.
+// maxTallies bounds the counted classes of all tenants; later classes are counted under their
+// tenant and rank with maxSize, which adds at most one entry for each tenant and rank.
 const maxTallies = 1024
 
-// Outcome is what became of a question for tokens.
+// Outcome is the result of a request for tokens.
 type Outcome uint8
 
-// The outcomes: lent, sent back, lent to a caller that came back to room that was kept for it,
-// and sent back again although it was.
+// The outcomes: granted, refused, granted to a caller that returned to its reservation, and refused
+// to a caller that returned to its reservation.
 const (
 	Lent Outcome = iota
 	Refused
 	ReturnLent
 	ReturnRefused
-	outcomes
+	outcomeCount
 )
 
-// String is the outcome as figures name it.
+// String returns the outcome's name in metrics.
 func (o Outcome) String() string {
-	return [outcomes]string{"lent", "refused", "lent on return", "refused on return"}[o]
+	return [outcomeCount]string{"lent", "refused", "lent on return", "refused on return"}[o]
 }
 
-// Tally counts a tenant's requests of a kind, by outcome, of which this node decided.
+// Tally counts this node's decisions on one class of a tenant's requests by outcome.
 type Tally struct {
 	Tenant string
 	Rank   int
-	// SizeBelow is what the kind's requests ask for less than.
+	// SizeBelow is the exclusive upper bound of the amounts in the class.
 	SizeBelow float64
-	Counts    [outcomes]int64
+	Counts    [outcomeCount]int64
 }
 
-// Count of an outcome.
+// Count returns the number of decisions with an outcome.
 func (t *Tally) Count(o Outcome) int64 { return t.Counts[o] }
 
-// tallyID tells the kinds of all tenants apart.
+// tallyID identifies a class of a tenant.
 type tallyID struct {
 	tenant string
-	kind   kindID
+	class  classID
 }
 
-// count counts the answer to a want.
-func (c *Core) count(tenant string, asked want, lent terms) {
-	id := tallyID{tenant: tenant, kind: kindOf(asked.rank, asked.amount)}
+// countDecision counts the decision on a request.
+func (c *Core) countDecision(tenant string, asked tokenRequest, lent decision) {
+	id := tallyID{tenant: tenant, class: classOf(asked.rank, asked.amount)}
 	if c.tallies[id] == nil {
 		if len(c.tallies) >= maxTallies {
-			id.kind.size = largestSize
+			id.class.size = maxSize
 		}
 		if c.tallies[id] == nil {
-			c.tallies[id] = new([outcomes]int64)
+			c.tallies[id] = new([outcomeCount]int64)
 		}
 	}
 	c.tallies[id][lent.outcome()]++
 }
 
-// outcome of the terms.
-func (t terms) outcome() Outcome {
+// outcome returns the outcome of a decision.
+func (t decision) outcome() Outcome {
 	switch {
-	case t.granted && t.came:
+	case t.granted && t.fromReservation:
 		return ReturnLent
 	case t.granted:
 		return Lent
-	case t.came:
+	case t.fromReservation:
 		return ReturnRefused
 	}
 	return Refused
 }
 
-// forgetTallies drops those of tenants without a limit.
+// forgetTallies drops the tallies of tenants without a limit.
 func (c *Core) forgetTallies() {
-	maps.DeleteFunc(c.tallies, func(id tallyID, _ *[outcomes]int64) bool {
+	maps.DeleteFunc(c.tallies, func(id tallyID, _ *[outcomeCount]int64) bool {
 		_, limited := c.limits[id.tenant]
 		return !limited
 	})
 }
 
-// Tallies lists what this node decided, by tenant, rank and size.
+// Tallies returns this node's decision counts by tenant, rank and size.
 func (c *Core) Tallies() []Tally {
 	var list []Tally
 	for id, counts := range c.tallies {
-		list = append(list, Tally{Tenant: id.tenant, Rank: id.kind.rank, SizeBelow: math.Pow(sizeBase, float64(id.kind.size+1)), Counts: *counts})
+		list = append(list, Tally{Tenant: id.tenant, Rank: id.class.rank, SizeBelow: math.Pow(sizeFactor, float64(id.class.size+1)), Counts: *counts})
 	}
 	slices.SortFunc(list, func(a, b Tally) int {
 		return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.SizeBelow, b.SizeBelow))
@@ -94,16 +94,16 @@
 	return list
 }
 
-// TenantState is how a tenant stands of which this node lends the tokens.
+// TenantState is the state of a tenant whose limit this node lends.
 type TenantState struct {
 	Tenant string
 	Limit  Limit
 	Standing
-	// Reserved is kept for callers who were told when to come back.
+	// Reserved is the amount kept for callers that were told when to return.
 	Reserved float64
 }
 
-// Tenants lists how the tenants stand of which this node lends the tokens, as of the last step.
+// Tenants returns the tenants whose limits this node lends, by name, as of the last step.
 func (c *Core) Tenants() []TenantState {
 	var list []TenantState
 	for _, s := range c.shards {
--- a/fleet/lending/ticket.go
+++ b/fleet/lending/ticket.go
@@ -1,34 +1,34 @@
 package lending
 
-// A successor knows neither what its predecessor lent nor when it ended: all nodes may have
-// been without power for seconds, or for none. The part of the allowance that is safe to lend
-// once in a window goes to whoever gets the shard's ticket: a key of the store that is written
-// only where it is absent, and that the store removes when its lease is over. Where the store
-// can't be reached the successor lends without.
+// A successor knows neither what its predecessor lent nor when the predecessor ended: all nodes may
+// have been without power for seconds, or not at all. The part of the allowance that is safe to lend
+// once in a window goes to the node that gets the shard's ticket: a key in the store that is created
+// only if absent, and that the store removes when its lease expires. If the store is unreachable,
+// the successor lends without this credit.
 
-// wantTicket asks for the ticket of a shard that this node has begun to lend.
-func (s *shard) wantTicket() {
+// requestTicket requests the ticket of a shard that this node has started to lend for.
+func (s *shard) requestTicket() {
 	c := s.core
 	if len(s.buckets) == 0 {
 		return
 	}
-	c.numbers++
-	s.ticket = c.numbers
-	c.emit(TicketWanted{Shard: s.number, Number: s.ticket, Lasts: c.cfg.TicketTime()})
+	c.lastNumber++
+	s.ticketNumber = c.lastNumber
+	c.emit(TicketWanted{Shard: s.number, Number: s.ticketNumber, Lasts: c.cfg.TicketDuration()})
 }
 
-// ticketGranted adds what the ticket of a shard is worth, unless this node has ceased to lend
-// since it asked.
-func (c *Core) ticketGranted(e TicketGranted) {
+// applyTicket adds the ticket's credit to the shard's buckets, unless this node's lease has ended
+// since the request.
+func (c *Core) applyTicket(e TicketGranted) {
 	if e.Shard < 0 || e.Shard >= Shards {
 		return
 	}
 	s := c.shards[e.Shard]
-	if s.ticket == 0 || s.ticket != e.Number || !s.held {
+	if s.ticketNumber == 0 || s.ticketNumber != e.Number || !s.isLender {
 		return
 	}
-	s.ticket = 0
+	s.ticketNumber = 0
 	for tenant, b := range s.buckets {
-		b.raise(c.now, c.cfg.flow(c.limits[tenant]), c.cfg.credit(c.limits[tenant], ticketShare))
+		b.addCredit(c.now, c.cfg.bucketParams(c.limits[tenant]), c.cfg.successorCredit(c.limits[tenant], ticketCreditShare))
 	}
 }
--- a/fleet/lending/ticket_test.go
+++ b/fleet/lending/ticket_test.go
@@ -8,11 +8,11 @@
 // floodedStops plays a deployment's allowance (a tenth of a window, and 72,000 tokens) with all
 // tenants at eight times their limit, while lenders are stopped every second or so and each
 // successor wants its shard's ticket.
-func floodedStops(seed uint64, generous bool) *play {
+func floodedStops(seed uint64, generous bool) *simulation {
 	const overrun, slack = 0.1, 72_000
-	return newPlayBeyond(seed, 6+int(seed%4)*8, 6, overrun, slack).troubled(func(p *play) {
-		p.chased, p.stopped, p.generous = true, true, generous
-		p.lasts = 30 * time.Second
+	return newPlayBeyond(seed, 6+int(seed%4)*8, 6, overrun, slack).troubled(func(p *simulation) {
+		p.faultsHitLenders, p.stopped, p.generous = true, true, generous
+		p.duration = 30 * time.Second
 		for _, tenant := range p.tenants {
 			p.demand[tenant] = 8
 		}
--- a/fleet/lending/usage.go
+++ b/fleet/lending/usage.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// usageSlots divide a window: what was lent is forgotten at most a hundredth of it late, so
-// that a sum is never short.
+// usageSlots is the number of slots of the sliding window. Usage expires at most a hundredth
+// of the window late and never early, so a sum is never too small.
 const usageSlots = 100
 
-// usage sums what was lent of a tenant's limit over a window.
+// usage is the sliding-window sum of the amounts lent of a tenant's limit.
 type usage struct {
 	slots [usageSlots + 1]float64
 	sum   float64
-	// number of the slot that time is in.
+	// number of the current slot, counted from the Unix epoch.
 	number int64
 }
 
-// advance forgets what is older than the window.
+// advance moves the window to now and drops older usage.
 func (u *usage) advance(now time.Time, window time.Duration) {
 	number := now.UnixNano() / int64(max(window/usageSlots, 1))
 	if number-u.number > usageSlots {
@@ -28,17 +28,17 @@
 	}
 }
 
-// slot is where a numbered part of the window is kept.
+// slot returns the storage of a numbered slot.
 func (u *usage) slot(number int64) *float64 { return &u.slots[number%int64(len(u.slots))] }
 
-// add counts an amount as lent at the time of the last advance.
+// add adds an amount to the current slot.
 func (u *usage) add(amount float64) {
 	*u.slot(u.number) += amount
 	u.sum += amount
 }
 
-// giveBack takes an amount out that was lent some time ago.
-func (u *usage) giveBack(amount float64, ago, window time.Duration) {
+// refund subtracts an amount that was lent some time ago.
+func (u *usage) refund(amount float64, ago, window time.Duration) {
 	number := u.number - int64(ago/max(window/usageSlots, 1))
 	if u.number-number > usageSlots {
 		return
--- a/fleet/lending/voters.go
+++ b/fleet/lending/voters.go
@@ -14,66 +14,67 @@
 	"github.com/valveslip/valveslip/internal/topk"
 )
 
-// voterSet are the machines that promise a shard, in the order in which they claim it. An
-// earlier set counts until a time, the present one has none.
+// voterSet is a set of machines that vote on a shard's lender, in the order in which they claim it.
+// The current set has no validUntil.
 type voterSet struct {
 	machines []string
-	// digest of the machines.
-	digest int64
-	since  time.Time
-	until  time.Time
+	// digest is a hash of the machines.
+	digest     int64
+	knownSince time.Time
+	validUntil time.Time
 }
 
-// newVoterSet returns a set that is known since a time.
+// newVoterSet returns a voter set that is known since the given time.
 func newVoterSet(machines []string, since time.Time) voterSet {
-	return voterSet{machines: machines, digest: int64(xxhash.Sum64String(strings.Join(machines, "\n"))), since: since}
+	return voterSet{machines: machines, digest: int64(xxhash.Sum64String(strings.Join(machines, "\n"))), knownSince: since}
 }
 
-// shardOf is the shard of a tenant.
+// shardOf returns the shard of a tenant.
 func shardOf(tenant string) int { return int(xxhash.Sum64String(tenant) % Shards) }
 
-// candidate is a machine that may be among the voters of shards, with its weight for each.
+// candidate is a machine that may be selected as a voter, with its weight for each shard.
 type candidate struct {
 	Peer
 	weights [Shards]uint64
 }
 
-// newCandidate weighs a machine, once for as long as it lives.
+// newCandidate computes a machine's weights, once for its lifetime in the view.
 func newCandidate(p Peer) candidate {
 	c := candidate{Peer: p}
 	for shard := range c.weights {
-		c.weights[shard] = weightOf(shard, p.Machine)
+		c.weights[shard] = rendezvousWeight(shard, p.Machine)
 	}
 	return c
 }
 
-// weightOf is the place of a machine or zone among those of a shard: rendezvous hashing.
-func weightOf(shard int, name string) uint64 {
+// rendezvousWeight returns the rendezvous hash of a machine or zone for a shard; lower values come
+// first.
+func rendezvousWeight(shard int, name string) uint64 {
 	return xxhash.Sum64String(strconv.Itoa(shard) + "/" + name)
 }
 
-// votersOf ranks the machines of a shard: by their weights, of each zone in turn, so that a
-// lost zone leaves a majority. Machines of less than half of the greatest capacity are left
-// out as long as others are there. Each machine is looked at once.
-func votersOf(shard int, peers []candidate) []string {
+// selectVoters returns the voters of a shard: machines by weight, taken from the zones in turn, so
+// that the loss of a zone leaves a majority. Within its zone, a machine with less than half of the
+// greatest capacity comes last. Each machine is examined once.
+func selectVoters(shard int, peers []candidate) []string {
 	strongest := 0.0
 	for i := range peers {
 		strongest = max(strongest, peers[i].Capacity)
 	}
 	zones := map[cluster.ZoneID][]*candidate{}
 	for i := range peers {
-		first := zones[peers[i].Zone]
-		zones[peers[i].Zone] = topk.Insert(first, &peers[i], maxVoters, func(a, b *candidate) int {
-			return cmp.Or(cmp.Compare(weak(a.Peer, strongest), weak(b.Peer, strongest)),
+		ranked := zones[peers[i].Zone]
+		zones[peers[i].Zone] = topk.Insert(ranked, &peers[i], maxVoters, func(a, b *candidate) int {
+			return cmp.Or(cmp.Compare(weakRank(a.Peer, strongest), weakRank(b.Peer, strongest)),
 				cmp.Compare(a.weights[shard], b.weights[shard]), cmp.Compare(a.Machine, b.Machine))
 		})
 	}
-	names := slices.SortedFunc(maps.Keys(zones), func(a, b cluster.ZoneID) int {
-		return cmp.Or(cmp.Compare(weightOf(shard, string(a)), weightOf(shard, string(b))), cmp.Compare(a, b))
+	zoneOrder := slices.SortedFunc(maps.Keys(zones), func(a, b cluster.ZoneID) int {
+		return cmp.Or(cmp.Compare(rendezvousWeight(shard, string(a)), rendezvousWeight(shard, string(b))), cmp.Compare(a, b))
 	})
 	var voters []string
 	for round := 0; len(voters) < min(maxVoters, len(peers)); round++ {
-		for _, zone := range names {
+		for _, zone := range zoneOrder {
 			if round < len(zones[zone]) && len(voters) < maxVoters {
 				voters = append(voters, zones[zone][round].Machine)
 			}
@@ -82,15 +83,15 @@
 	return voters
 }
 
-// weak is 1 for a machine of less than half of the greatest capacity.
-func weak(p Peer, strongest float64) int {
+// weakRank returns 1 for a machine with less than half of the greatest capacity, otherwise 0.
+func weakRank(p Peer, strongest float64) int {
 	if p.Capacity < strongest/2 {
 		return 1
 	}
 	return 0
 }
 
-// isMajority reports whether more than half of the set is among the votes.
+// isMajority reports whether more than half of the voter set is among the votes.
 func (s *voterSet) isMajority(votes map[string]time.Duration) bool {
 	count := 0
 	for _, machine := range s.machines {
--- a/fleet/lending/voters_test.go
+++ b/fleet/lending/voters_test.go
@@ -35,12 +35,12 @@
 	for zone, members := range zones {
 		names = append(names, zone)
 		slices.SortFunc(members, func(a, b Peer) int {
-			return cmp.Or(cmp.Compare(weak(a, strongest), weak(b, strongest)),
-				cmp.Compare(weightOf(shard, a.Machine), weightOf(shard, b.Machine)), cmp.Compare(a.Machine, b.Machine))
+			return cmp.Or(cmp.Compare(weakRank(a, strongest), weakRank(b, strongest)),
+				cmp.Compare(rendezvousWeight(shard, a.Machine), rendezvousWeight(shard, b.Machine)), cmp.Compare(a.Machine, b.Machine))
 		})
 	}
 	slices.SortFunc(names, func(a, b cluster.ZoneID) int {
-		return cmp.Or(cmp.Compare(weightOf(shard, string(a)), weightOf(shard, string(b))), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(rendezvousWeight(shard, string(a)), rendezvousWeight(shard, string(b))), cmp.Compare(a, b))
 	})
 	var voters []string
 	for round := 0; len(voters) < min(maxVoters, len(peers)); round++ {
@@ -66,7 +66,7 @@
 			})
 		}
 		for shard := range Shards {
-			if got, want := votersOf(shard, candidates(peers)), sortedVoters(shard, peers); !slices.Equal(got, want) {
+			if got, want := selectVoters(shard, candidates(peers)), sortedVoters(shard, peers); !slices.Equal(got, want) {
 				t.Fatalf("shard %d: %q, want %q", shard, got, want)
 			}
 		}
--- a/fleet/lending/waiting_test.go
+++ b/fleet/lending/waiting_test.go
@@ -15,12 +15,12 @@
 func TestWaitingRequestsHoldNoMore(t *testing.T) {
 	limit := Limit{Rate: 5, Burst: 5}
 	cfg := Config{Window: 8 * time.Second, Overrun: 0.1, Slack: 6}.WithDefaults()
-	f := cfg.flow(limit)
+	f := cfg.bucketParams(limit)
 	now := time.Unix(1000, 0)
 	c := New(cfg)
 	c.limits = map[string]Limit{"t": limit}
 	s := c.shards[shardOf("t")]
-	s.held, s.until = true, now.Add(time.Hour)
+	s.isLender, s.leaseUntil = true, now.Add(time.Hour)
 	s.buckets = map[string]*bucket{"t": {filledAt: now, level: f.capacity}}
 	type waiting struct {
 		id    loanID
@@ -31,7 +31,7 @@
 	numbers := 0
 	lend := func(again bool) bool {
 		numbers++
-		lent, _ := s.lend(id(numbers), "t", want{amount: 1, again: again})
+		lent, _ := s.lend(id(numbers), "t", tokenRequest{amount: 1, regrant: again})
 		return lent.granted
 	}
 	for range 100 {
@@ -41,7 +41,7 @@
 			holds = append(holds, waiting{id(numbers), now})
 		}
 		for len(holds) > 0 && now.Sub(holds[0].since) >= 300*time.Millisecond {
-			s.takeBack(holds[0].id)
+			s.acceptReturn(holds[0].id)
 			holds = holds[1:]
 		}
 	}
--- a/fleet/lending/ways_test.go
+++ b/fleet/lending/ways_test.go
@@ -69,8 +69,8 @@
 // spread has each node count all that was used, others' by 400 ms late, as the feed passes
 // changes on.
 type spread struct {
-	flow flow
-	used []spent
+	flow bucketParams
+	used []tokenUse
 	// own lists what each node used and the others don't know yet.
 	nodes []int
 }
@@ -87,18 +87,18 @@
 	if min(waysTokens, s.flow.capacity) > b.level {
 		return false
 	}
-	s.used, s.nodes = append(s.used, spent{at: now, amount: waysTokens}), append(s.nodes, node)
+	s.used, s.nodes = append(s.used, tokenUse{at: now, amount: waysTokens}), append(s.nodes, node)
 	return true
 }
 
 // lent asks one bucket.
 type lent struct {
-	flow   flow
+	flow   bucketParams
 	bucket bucket
 }
 
 func (l *lent) ask(now time.Time, _ int) bool {
-	return l.bucket.take(now, l.flow, want{amount: waysTokens}).granted
+	return l.bucket.take(now, l.flow, tokenRequest{amount: waysTokens}).granted
 }
 
 // TestWaysToDivideALimit compares the ways: how many requests below the limit are refused,
@@ -112,9 +112,9 @@
 	for name, begin := range map[string]func(l Limit) way{
 		"even parts":       func(l Limit) way { return newParts(l.Rate, false) },
 		"shares by demand": func(l Limit) way { return newParts(l.Rate, true) },
-		"spent, spread":    func(l Limit) way { return &spread{flow: terms.flow(l)} },
+		"spent, spread":    func(l Limit) way { return &spread{flow: terms.bucketParams(l)} },
 		"lent": func(l Limit) way {
-			return &lent{flow: terms.flow(l), bucket: bucket{level: terms.flow(l).capacity, filledAt: time.Unix(1000, 0)}}
+			return &lent{flow: terms.bucketParams(l), bucket: bucket{level: terms.bucketParams(l).capacity, filledAt: time.Unix(1000, 0)}}
 		},
 	} {
 		var got result
@@ -123,8 +123,8 @@
 			refused, asked, _ := waysPlay(begin(l), l, 1/1.8)
 			got.refused = max(got.refused, float64(refused)/float64(asked))
 			_, _, fullest := waysPlay(begin(l), l, 8)
-			f := terms.flow(l)
-			got.fullest = max(got.fullest, fullest/terms.granted(l))
+			f := terms.bucketParams(l)
+			got.fullest = max(got.fullest, fullest/terms.windowGrant(l))
 			got.beyond = max(got.beyond, fullest/(f.capacity+f.rate*terms.Window.Seconds()))
 		}
 		results[name] = got
@@ -144,12 +144,12 @@
 	if demand > 1 {
 		end = now.Add(20 * time.Second)
 	}
-	var used []spent
+	var used []tokenUse
 	for now.Before(end) {
 		now = now.Add(time.Duration(waysTokens / (l.Rate * demand) * random.ExpFloat64() * float64(time.Second)))
 		asked++
 		if w.ask(now, random.IntN(waysNodes)) {
-			used = append(used, spent{at: now, amount: waysTokens})
+			used = append(used, tokenUse{at: now, amount: waysTokens})
 		} else {
 			refused++
 		}
