--- a/fleet/lending/bucket_test.go
+++ b/fleet/lending/bucket_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-var bucketTerms = Config{Window: 8 * time.Second, Overrun: 0.1, Slack: 11000}.WithDefaults()
+var bucketConfig = Config{Window: 8 * time.Second, Overrun: 0.1, Slack: 11000}.WithDefaults()
 
-// TestBucketsKeepTheirWindow: whatever is asked for and given back, and when, no window holds
-// more than what flows in and what the bucket holds, but for one request that is larger than a
-// bucket.
-func TestBucketsKeepTheirWindow(t *testing.T) {
+// TestBucketNeverExceedsRefillPlusCapacityInAWindow draws requests and refunds at random times: no
+// window may contain more than the refill of a window and the capacity, except for one request that
+// is larger than the capacity.
+func TestBucketNeverExceedsRefillPlusCapacityInAWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Rate: rapid.Float64Range(100, 200_000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 400_000).Draw(t, "burst")}
-		f := bucketTerms.bucketParams(l)
+		f := bucketConfig.bucketParams(l)
 		now := time.Unix(1000, 0)
 		b := &bucket{filledAt: now, level: f.capacity}
 		type use struct {
@@ -37,50 +37,51 @@
 				largest = max(largest, amount)
 			}
 		}
-		most := f.rate*bucketTerms.Window.Seconds() + f.capacity + max(largest-f.capacity, 0) + 1
+		maximum := f.rate*bucketConfig.Window.Seconds() + f.capacity + max(largest-f.capacity, 0) + 1
 		for first := range uses {
 			sum := 0.0
 			for _, u := range uses[first:] {
-				if u.at.Sub(uses[first].at) > bucketTerms.Window {
+				if u.at.Sub(uses[first].at) > bucketConfig.Window {
 					break
 				}
 				sum += u.amount
 			}
-			if sum > most {
-				t.Fatalf("%.0f in a window, at most %.0f", sum, most)
+			if sum > maximum {
+				t.Fatalf("a window holds %.0f, at most %.0f are allowed", sum, maximum)
 			}
 		}
 	})
 }
 
-// TestFlowsKeepTheRule: what a bucket holds, what flows in within a window and within the time
-// that tokens last, and the credits of as many successors as may get one within a window are
-// no more than the rule allows.
-func TestFlowsKeepTheRule(t *testing.T) {
+// TestBucketParamsAndSuccessorCreditsStayWithinAllowance draws limits and configurations:
+// capacity, the refill of a window and a token lifetime, and the credits of all successors that
+// may get one within a window must not exceed the grant and its allowance.
+func TestBucketParamsAndSuccessorCreditsStayWithinAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Rate: rapid.Float64Range(1, 1e6).Draw(t, "rate"), Burst: rapid.Float64Range(0, 4e6).Draw(t, "burst")}
-		terms := Config{
+		cfg := Config{
 			Window: time.Duration(rapid.IntRange(1, 60).Draw(t, "window")) * time.Second, Overrun: rapid.Float64Range(0, 0.3).Draw(t, "overrun"),
 			Slack: rapid.Float64Range(0, 1e5).Draw(t, "slack"),
 		}.WithDefaults()
-		f := terms.bucketParams(l)
-		// Successors at the beginning, in the middle and at the end of a window, and one ticket.
-		credits := 3*terms.successorCredit(l, initialCreditShare) + terms.successorCredit(l, ticketCreditShare)
-		most := f.capacity + f.rate*(terms.Window+terms.Lifetime).Seconds() + credits
-		if rule := (l.Rate*terms.Window.Seconds()+l.Burst)*(1+terms.Overrun) + terms.Slack; most > rule*(1+1e-9) {
-			t.Fatalf("%.0f in a window, the rule allows %.0f", most, rule)
+		f := cfg.bucketParams(l)
+		// Three successors, at the beginning, in the middle and at the end of a window, and one
+		// ticket.
+		credits := 3*cfg.successorCredit(l, initialCreditShare) + cfg.successorCredit(l, ticketCreditShare)
+		maximum := f.capacity + f.rate*(cfg.Window+cfg.Lifetime).Seconds() + credits
+		if bound := (l.Rate*cfg.Window.Seconds()+l.Burst)*(1+cfg.Overrun) + cfg.Slack; maximum > bound*(1+1e-9) {
+			t.Fatalf("a window may hold %.0f, the bound is %.0f", maximum, bound)
 		}
 		if f.rate <= 0 {
-			t.Fatalf("nothing flows in: %+v", f)
+			t.Fatalf("no refill: %+v", f)
 		}
 	})
 }
 
-// TestUrgentRanksComeFirst: a tenant that sends four times what it may, a tenth of it urgent,
-// has its urgent requests granted, and together it gets nine tenths of its window.
-func TestUrgentRanksComeFirst(t *testing.T) {
+// TestFloodedLimitGrantsAlmostAllUrgentRequests: a tenant that sends four times its limit, a tenth of
+// it urgent, must get its urgent requests granted and use nine tenths of its windows.
+func TestFloodedLimitGrantsAlmostAllUrgentRequests(t *testing.T) {
 	l := Limit{Rate: 25_000, Burst: 25_000}
-	f := bucketTerms.bucketParams(l)
+	f := bucketConfig.bucketParams(l)
 	start := time.Unix(1000, 0)
 	b := &bucket{filledAt: start, level: f.capacity}
 	var used, urgent, granted float64
@@ -99,45 +100,45 @@
 			}
 		}
 	}
-	windows := (4000 * pause).Seconds() / bucketTerms.Window.Seconds()
-	if granted < 0.99*urgent || used < 0.9*windows*bucketTerms.windowGrant(l) {
-		t.Errorf("%.0f of %.0f urgent ones are granted, and %.0f used of %.0f", granted, urgent, used, windows*bucketTerms.windowGrant(l))
+	windows := (4000 * pause).Seconds() / bucketConfig.Window.Seconds()
+	if granted < 0.99*urgent || used < 0.9*windows*bucketConfig.windowGrant(l) {
+		t.Errorf("%.0f of %.0f urgent requests were granted, and %.0f of %.0f units used", granted, urgent, used, windows*bucketConfig.windowGrant(l))
 	}
 }
 
-// TestRequestsThatWaitedLeaveNoRoom: a request whose tokens lapsed while it waited is lent what
-// there is, also where it is kept for others; one that comes for the first time is not.
-func TestRequestsThatWaitedLeaveNoRoom(t *testing.T) {
+// TestRegrantIgnoresReservationsOfOthers: a request whose granted tokens expired while it waited
+// gets available tokens even if they are reserved; a new request does not.
+func TestRegrantIgnoresReservationsOfOthers(t *testing.T) {
 	f := bucketParams{rate: 1000, capacity: 1000}
 	now := time.Unix(1000, 0)
 	b := &bucket{filledAt: now, level: 100}
 	if got := b.take(now, f, tokenRequest{amount: 300, fingerprint: 1, maxWait: time.Second}); !got.reserved {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("request got no reservation: %+v", got)
 	}
 	if got := b.take(now, f, tokenRequest{amount: 100, fingerprint: 2}); got.granted {
-		t.Errorf("what is kept for another is lent: %+v", got)
+		t.Errorf("reserved tokens were granted to another request: %+v", got)
 	}
 	if got := b.take(now, f, tokenRequest{amount: 100, fingerprint: 3, regrant: true}); !got.granted {
-		t.Errorf("a request that waited is sent back: %+v", got)
+		t.Errorf("a request whose tokens expired was refused: %+v", got)
 	}
 }
 
-// TestReturningCallersComeInTurn: those sent back at one moment are told different times, one
-// request apart.
-func TestReturningCallersComeInTurn(t *testing.T) {
+// TestRefusedCallersAreToldSpacedReturnTimes: callers that are refused at the same moment must
+// be told different times, one request apart, or they would all return at once.
+func TestRefusedCallersAreToldSpacedReturnTimes(t *testing.T) {
 	f := bucketParams{rate: 1000, capacity: 1000}
 	now := time.Unix(1000, 0)
 	b := &bucket{filledAt: now}
-	var before time.Duration
+	var previous time.Duration
 	for n := range 20 {
 		got := b.take(now, f, tokenRequest{amount: 100})
 		wait, granted := got.wait, got.granted
-		if granted || wait <= before {
-			t.Fatalf("caller %d is told %v after %v", n, wait, before)
+		if granted || wait <= previous {
+			t.Fatalf("caller %d was told to wait %v, the previous caller %v", n, wait, previous)
 		}
-		if n > 0 && wait-before != 100*time.Millisecond {
-			t.Errorf("caller %d is told to come %v after the one before", n, wait-before)
+		if n > 0 && wait-previous != 100*time.Millisecond {
+			t.Errorf("caller %d was told to return %v after the previous caller", n, wait-previous)
 		}
-		before = wait
+		previous = wait
 	}
 }
--- a/fleet/lending/config.go
+++ b/fleet/lending/config.go
@@ -32,8 +32,8 @@
 	// renewalsPerLease is how often a lender renews within a lease, so that three renewals may
 	// be late or lost.
 	renewalsPerLease = 3.5
-	// clockDriftMargin is subtracted from the lender's own lease, because the clocks of the lender and
-	// its voters may run at different speeds.
+	// clockDriftMargin is subtracted from the lender's own lease, because the clocks of the
+	// lender and its voters may run at different speeds.
 	clockDriftMargin = 50 * time.Millisecond
 	// claimRankDelay is the additional delay of each further voter before it claims a shard without
 	// a lender: two round trips within a region, so that usually one voter claims.
--- a/fleet/lending/core.go
+++ b/fleet/lending/core.go
@@ -140,11 +140,11 @@
 
 // setPeers replaces the live nodes; this node is always among them.
 func (c *Core) setPeers(e PeersChanged) {
-	before := c.peers
+	previous := c.peers
 	c.peers = make(map[string]candidate, len(e.Peers)+1)
 	c.machines = make(map[cluster.NodeID]string, len(e.Peers)+1)
 	for _, p := range append(slices.Clone(e.Peers), c.cfg.Self) {
-		peer, wasKnown := before[p.Machine]
+		peer, wasKnown := previous[p.Machine]
 		if !wasKnown {
 			peer = newCandidate(p)
 		}
--- a/fleet/lending/doc.go
+++ b/fleet/lending/doc.go
@@ -2,7 +2,7 @@
 //
 // # Problem
 //
-// A tenant may use Limit.Rate units a second and Limit.Burst units besides within a window,
+// A tenant may use Limit.Rate units a second, and Limit.Burst units in addition within a window,
 // whichever nodes its requests reach. Counters on each node would let the tenant use a multiple of
 // its limit, so one node at a time, the lender, decides for all nodes.
 //
--- a/fleet/lending/first_claims.go
+++ b/fleet/lending/first_claims.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// firstClaimResendDelay is the delay after which a first claim is sent again to nodes that have not
-	// answered: machines with an eighth of a core that lost power together start within 250 ms
-	// of each other.
+	// firstClaimResendDelay is the delay after which a first claim is sent again to nodes that
+	// have not answered: machines with an eighth of a core that lost power together start within
+	// 250 ms of each other.
 	firstClaimResendDelay = 40 * time.Millisecond
 	// firstClaimMaxJitter bounds the random delay of a node whose first claim collided with another
 	// node's. firstClaimRankDelay is the additional delay of each further voter, so that
--- a/fleet/lending/flood_result_test.go
+++ b/fleet/lending/flood_result_test.go
@@ -9,61 +9,63 @@
 	"time"
 )
 
-// floodResult is what became of a flood by one way.
+// floodResult is the outcome of one simulated flood under one policy.
 type floodResult struct {
 	asked, served, returned []float64
-	// came back as told, and were refused again; cameUntold without a reservation.
-	came, again, untold, untoldAgain int
-	// least and most of the windows within the flood, in parts of what a window grants, and
-	// fullest of all, in parts of the rule's bound.
-	least, fullest float64
-	worth          float64
-	uses           []tokenUse
+	// Callers that returned with and without a reservation, and those of them that were refused
+	// again.
+	reservedReturns, reservedRefused, unreservedReturns, unreservedRefused int
+	// emptiestWindow is the least use of a window within the flood, as a share of its grant;
+	// fullestWindow the greatest use of any window, as a share of its bound.
+	emptiestWindow, fullestWindow float64
+	value                         float64
+	uses                          []tokenUse
 }
 
-// flooded plays recorded arrivals by one way. Callers come back once, if they heed.
-func flooded(w lendingWay, seed uint64, times []float64) *floodResult {
+// simulateFlood runs the generated arrivals against one policy. A refused caller returns once, if
+// the delay that it was told is acceptable to it.
+func simulateFlood(w lendingPolicy, seed uint64, multipliers []float64) *floodResult {
 	r := &floodResult{
-		asked: make([]float64, len(floodKinds)), served: make([]float64, len(floodKinds)), returned: make([]float64, len(floodKinds)),
+		asked: make([]float64, len(floodClasses)), served: make([]float64, len(floodClasses)), returned: make([]float64, len(floodClasses)),
 	}
 	random := rand.New(rand.NewPCG(seed, 12))
-	agenda := recordedArrivals(seed, times)
+	agenda := generateArrivals(seed, multipliers)
 	start := time.Unix(1_000_000, 0)
 	heap.Init(&agenda)
 	for len(agenda) > 0 {
 		next := heap.Pop(&agenda).(arrival)
-		k := floodKinds[next.kind]
-		w.pass(next.at)
-		inFlood := !next.at.Before(start.Add(floodBegins)) && next.at.Before(start.Add(floodEnds))
-		if inFlood && !next.back {
-			r.asked[next.kind]++
+		k := floodClasses[next.class]
+		w.advance(next.at)
+		inFlood := !next.at.Before(start.Add(floodStart)) && next.at.Before(start.Add(floodEnd))
+		if inFlood && !next.returned {
+			r.asked[next.class]++
 		}
-		w.take(next.at, tokenRequest{amount: k.amount, rank: k.rank, fingerprint: next.mark, maxWait: k.heeds}, func(got decision) {
-			r.note(next, k, got, inFlood)
-			if !got.granted && !next.back && got.wait <= k.heeds {
-				late := time.Duration(random.Int64N(int64(comesBack)))
-				heap.Push(&agenda, arrival{at: next.at.Add(got.wait + late), kind: next.kind, mark: next.mark, back: true, told: got.reserved})
+		w.take(next.at, tokenRequest{amount: k.amount, rank: k.rank, fingerprint: next.fingerprint, maxWait: k.maxWait}, func(got decision) {
+			r.record(next, k, got, inFlood)
+			if !got.granted && !next.returned && got.wait <= k.maxWait {
+				late := time.Duration(random.Int64N(int64(maxReturnDelay)))
+				heap.Push(&agenda, arrival{at: next.at.Add(got.wait + late), class: next.class, fingerprint: next.fingerprint, returned: true, hasReservation: got.reserved})
 			}
 		})
 	}
-	r.windows(start)
+	r.measureWindows(start)
 	return r
 }
 
-// note counts one answer.
-func (r *floodResult) note(a arrival, k floodKind, got decision, inFlood bool) {
+// record counts one answer.
+func (r *floodResult) record(a arrival, k floodClass, got decision, inFlood bool) {
 	switch {
-	case a.told:
-		r.came++
-	case a.back:
-		r.untold++
+	case a.hasReservation:
+		r.reservedReturns++
+	case a.returned:
+		r.unreservedReturns++
 	}
 	if !got.granted {
 		switch {
-		case a.told:
-			r.again++
-		case a.back:
-			r.untoldAgain++
+		case a.hasReservation:
+			r.reservedRefused++
+		case a.returned:
+			r.unreservedRefused++
 		}
 		return
 	}
@@ -71,95 +73,96 @@
 	if !inFlood {
 		return
 	}
-	if a.back {
-		r.returned[a.kind]++
-		r.worth += k.worth / 2
+	if a.returned {
+		r.returned[a.class]++
+		r.value += k.value / 2
 		return
 	}
-	r.served[a.kind]++
-	r.worth += k.worth
+	r.served[a.class]++
+	r.value += k.value
 }
 
-// windows compares what was used with what a window grants, and with the rule's bound.
-func (r *floodResult) windows(start time.Time) {
+// measureWindows computes emptiestWindow and fullestWindow.
+func (r *floodResult) measureWindows(start time.Time) {
 	l := floodLimit()
-	granted, bound := floodTerms.windowGrant(l), floodTerms.windowGrant(l)+floodTerms.allowance(l)
-	r.least = math.Inf(1)
+	granted, bound := floodConfig.windowGrant(l), floodConfig.windowGrant(l)+floodConfig.allowance(l)
+	r.emptiestWindow = math.Inf(1)
 	const step = 50 * time.Millisecond
-	for end := start.Add(floodTerms.Window); end.Before(start.Add(floodLasts)); end = end.Add(step) {
-		sum, begin := 0.0, end.Add(-floodTerms.Window)
+	for end := start.Add(floodConfig.Window); end.Before(start.Add(floodDuration)); end = end.Add(step) {
+		sum, begin := 0.0, end.Add(-floodConfig.Window)
 		for _, u := range r.uses {
 			if !u.at.Before(begin) && !u.at.After(end) {
 				sum += u.amount
 			}
 		}
-		r.fullest = max(r.fullest, sum/bound)
-		if !begin.Before(start.Add(floodBegins)) && end.Before(start.Add(floodEnds)) {
-			r.least = min(r.least, sum/granted)
+		r.fullestWindow = max(r.fullestWindow, sum/bound)
+		if !begin.Before(start.Add(floodStart)) && end.Before(start.Add(floodEnd)) {
+			r.emptiestWindow = min(r.emptiestWindow, sum/granted)
 		}
 	}
 }
 
-// odds lists what share of each kind was served, those that came back included.
-func (r *floodResult) odds() []float64 {
-	odds := make([]float64, len(floodKinds))
-	for i := range odds {
-		odds[i] = (r.served[i] + r.returned[i]) / r.asked[i]
+// servedShares returns the served share of each class, including callers that returned.
+func (r *floodResult) servedShares() []float64 {
+	shares := make([]float64, len(floodClasses))
+	for i := range shares {
+		shares[i] = (r.served[i] + r.returned[i]) / r.asked[i]
 	}
-	return odds
+	return shares
 }
 
-// problems lists what a flooded tenant was promised and did not get: all of its window, never
-// more than the rule allows; room when it was told that there would be; and its share for each
-// kind. least are the least odds of the kinds.
-func (s *floodSum) problems(least []float64) []string {
+// problems lists the violations: a window in the flood below 0.98 of its grant, a window above
+// its bound, 3 in 100 or more returning callers refused again, or a class below its minimum
+// served share, given by least.
+func (s *floodSummary) problems(minShares []float64) []string {
 	var found []string
 	note := func(wrong bool, format string, arguments ...any) {
 		if wrong {
 			found = append(found, fmt.Sprintf(format, arguments...))
 		}
 	}
-	note(s.least < 0.98, "a window in the flood holds %.3f of its grant", s.least)
-	note(s.fullest > 1, "a window holds %.3f of the bound", s.fullest)
-	came, refused := s.came+s.untold, s.again+s.untoldAgain
-	note(refused*100 >= 3*came && came > 0, "%d of %d who came back as told are refused again", refused, came)
-	for i, k := range floodKinds {
-		note(s.odds[i] < least[i], "of %s %.2f are served, at least %.2f are due", k.name, s.odds[i], least[i])
+	note(s.emptiestWindow < 0.98, "a window in the flood holds %.3f of its grant", s.emptiestWindow)
+	note(s.fullestWindow > 1, "a window holds %.3f of the bound", s.fullestWindow)
+	returned, refused := s.reservedReturns+s.unreservedReturns, s.reservedRefused+s.unreservedRefused
+	note(refused*100 >= 3*returned && returned > 0, "%d of %d returning callers were refused again", refused, returned)
+	for i, k := range floodClasses {
+		note(s.servedShares[i] < minShares[i], "class %s: a share of %.2f was served, at least %.2f is required", k.name, s.servedShares[i], minShares[i])
 	}
 	return found
 }
 
-// floodSeeds are played of each flood.
+// floodSeeds is the number of seeds that are simulated for each flood.
 const floodSeeds = 8
 
-// floodSum is the mean of several plays.
-type floodSum struct {
-	odds                             []float64
-	worth                            float64
-	least, fullest                   float64
-	came, again, untold, untoldAgain int
+// floodSummary combines several simulations: means of the shares and the value, sums of the
+// counts, and extremes of the windows.
+type floodSummary struct {
+	servedShares                                                           []float64
+	value                                                                  float64
+	emptiestWindow, fullestWindow                                          float64
+	reservedReturns, reservedRefused, unreservedReturns, unreservedRefused int
 }
 
-func sumUp(begin func() lendingWay, times []float64) *floodSum {
-	s := &floodSum{odds: make([]float64, len(floodKinds)), least: math.Inf(1)}
+func summarizeFloods(newPolicy func() lendingPolicy, multipliers []float64) *floodSummary {
+	s := &floodSummary{servedShares: make([]float64, len(floodClasses)), emptiestWindow: math.Inf(1)}
 	for seed := range uint64(floodSeeds) {
-		r := flooded(begin(), seed, times)
-		for i, o := range r.odds() {
-			s.odds[i] += o / floodSeeds
+		r := simulateFlood(newPolicy(), seed, multipliers)
+		for i, o := range r.servedShares() {
+			s.servedShares[i] += o / floodSeeds
 		}
-		s.worth += r.worth / floodSeeds
-		s.came, s.again = s.came+r.came, s.again+r.again
-		s.untold, s.untoldAgain = s.untold+r.untold, s.untoldAgain+r.untoldAgain
-		s.least, s.fullest = min(s.least, r.least), max(s.fullest, r.fullest)
+		s.value += r.value / floodSeeds
+		s.reservedReturns, s.reservedRefused = s.reservedReturns+r.reservedReturns, s.reservedRefused+r.reservedRefused
+		s.unreservedReturns, s.unreservedRefused = s.unreservedReturns+r.unreservedReturns, s.unreservedRefused+r.unreservedRefused
+		s.emptiestWindow, s.fullestWindow = min(s.emptiestWindow, r.emptiestWindow), max(s.fullestWindow, r.fullestWindow)
 	}
 	return s
 }
 
-func (s *floodSum) String() string {
-	var kinds []string
-	for i, k := range floodKinds {
-		kinds = append(kinds, fmt.Sprintf("%s %.2f", k.name, s.odds[i]))
+func (s *floodSummary) String() string {
+	var classes []string
+	for i, k := range floodClasses {
+		classes = append(classes, fmt.Sprintf("%s %.2f", k.name, s.servedShares[i]))
 	}
-	return fmt.Sprintf("%s; worth %.0f; windows %.3f of their grant to %.3f of the bound; returned %d to reservations, %d of them refused; %d without, %d refused",
-		strings.Join(kinds, ", "), s.worth, s.least, s.fullest, s.came, s.again, s.untold, s.untoldAgain)
+	return fmt.Sprintf("%s; value %.0f; windows from %.3f of the grant to %.3f of the bound; %d returned to reservations, %d of them refused; %d without, %d refused",
+		strings.Join(classes, ", "), s.value, s.emptiestWindow, s.fullestWindow, s.reservedReturns, s.reservedRefused, s.unreservedReturns, s.unreservedRefused)
 }
--- a/fleet/lending/flood_test.go
+++ b/fleet/lending/flood_test.go
@@ -6,92 +6,95 @@
 	"time"
 )
 
-// TestWaysToLendUnderAFlood compares ways to lend a limit that does not suffice, on the same
-// arrivals: the share served of each kind, and of those who came back when they were told to,
-// the share refused again.
-func TestWaysToLendUnderAFlood(t *testing.T) {
+// TestCompareLendingPoliciesUnderFlood logs how several policies divide a limit that does not
+// suffice, on the same arrivals: the share served of each class, and how many returning callers
+// are refused again.
+func TestCompareLendingPoliciesUnderFlood(t *testing.T) {
 	t.Parallel()
-	f := floodTerms.bucketParams(floodLimit())
-	always := func(time.Time, tokenRequest) float64 { return 0 }
-	ways := []struct {
-		name  string
-		begin func() lendingWay
+	f := floodConfig.bucketParams(floodLimit())
+	noExtraRoom := func(time.Time, tokenRequest) float64 { return 0 }
+	policies := []struct {
+		name      string
+		newPolicy func() lendingPolicy
 	}{
-		{"whoever fits", func() lendingWay { return &plain{flow: f, level: f.capacity, room: always} }},
-		{"strict ranks", func() lendingWay { return strictRanks(f) }},
-		{"room for the largest", func() lendingWay { return sameRoom(f) }},
-		{"queue of 300 ms", func() lendingWay { return &queued{plain: plain{flow: f, level: f.capacity, room: always}} }},
-		{"shares by kind", byKinds},
+		{"no priorities", func() lendingPolicy { return &plainBucket{params: f, level: f.capacity, requiredRoom: noExtraRoom} }},
+		{"strict ranks", func() lendingPolicy { return strictRanks(f) }},
+		{"room for the largest", func() lendingPolicy { return roomForLargest(f) }},
+		{"queue of 300 ms", func() lendingPolicy {
+			return &queuedPolicy{plainBucket: plainBucket{params: f, level: f.capacity, requiredRoom: noExtraRoom}}
+		}},
+		{"shares by class", newClassPolicy},
 	}
 	for _, flood := range floods {
 		t.Log(flood.name)
-		for _, way := range ways {
-			t.Logf("%-20s %s", way.name, sumUp(way.begin, flood.times))
+		for _, policy := range policies {
+			t.Logf("%-20s %s", policy.name, summarizeFloods(policy.newPolicy, flood.multipliers))
 		}
 	}
 }
 
-// leastOdds are due to the kinds under each flood. Under the first, texts and bookings ask for
-// less than an even share, and large requests have what is left, each kind about as much; a
-// rank is served less often than a less urgent one by at most 5 in 100. Under the second, the
-// kinds that ask for no more than usual keep it but for what comes by chance all at once.
-var leastOdds = [][]float64{{0.95, 0.26, 0.26, 0.95}, {0.18, 0.75, 0.75, 0.95}}
+// minServedShares are the minimum served shares of the classes under each flood. Under the first,
+// texts and bookings request less than an equal share, and the two classes of large requests
+// divide the rest about equally; a rank may be served less often than a less urgent one by at
+// most 5 in 100. Under the second, classes that request no more than usual keep it, except for
+// random bursts.
+var minServedShares = [][]float64{{0.95, 0.26, 0.26, 0.95}, {0.18, 0.75, 0.75, 0.95}}
 
-// TestAFloodedTenantGetsWhatItIsPromised: by the bucket as it lends.
-func TestAFloodedTenantGetsWhatItIsPromised(t *testing.T) {
+// TestFloodedTenantGetsItsGrantAndFairShares checks the bucket as it is used in production.
+func TestFloodedTenantGetsItsGrantAndFairShares(t *testing.T) {
 	t.Parallel()
 	for i, flood := range floods {
-		s := sumUp(byKinds, flood.times)
-		for _, problem := range s.problems(leastOdds[i]) {
+		s := summarizeFloods(newClassPolicy, flood.multipliers)
+		for _, problem := range s.problems(minServedShares[i]) {
 			t.Errorf("%s: %s", flood.name, problem)
 		}
-		if i == 0 && s.odds[1] < s.odds[2]-0.05 {
-			t.Errorf("drafts are more urgent, and %.2f of them are served beside %.2f", s.odds[1], s.odds[2])
+		if i == 0 && s.servedShares[1] < s.servedShares[2]-0.05 {
+			t.Errorf("drafts are more urgent than premium requests, but shares of %.2f and %.2f were served", s.servedShares[1], s.servedShares[2])
 		}
 	}
 }
 
-// BenchmarkTakeUnderAFlood is what a lender spends on a request of a flooded tenant of whom 256
-// callers were told when to come back.
+// BenchmarkTakeUnderAFlood measures a request of a flooding tenant with the maximum of 256
+// reservations.
 func BenchmarkTakeUnderAFlood(b *testing.B) {
-	f := floodTerms.bucketParams(floodLimit())
+	f := floodConfig.bucketParams(floodLimit())
 	now := time.Unix(1_000_000, 0)
-	lender := &bucket{filledAt: now}
+	flooded := &bucket{filledAt: now}
 	for mark := range int64(maxReservations) {
-		lender.take(now, f, tokenRequest{amount: 9250, fingerprint: mark + 1, maxWait: time.Hour})
+		flooded.take(now, f, tokenRequest{amount: 9250, fingerprint: mark + 1, maxWait: time.Hour})
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		k := &floodKinds[i%len(floodKinds)]
-		lender.take(now, f, tokenRequest{amount: k.amount, rank: k.rank, fingerprint: -1})
+		k := &floodClasses[i%len(floodClasses)]
+		flooded.take(now, f, tokenRequest{amount: k.amount, rank: k.rank, fingerprint: -1})
 	}
 }
 
-// TestRoomOfCallersWhoDontComeIsUsed: a tenant whose callers all leave when they are sent back
-// gets its window all the same.
-func TestRoomOfCallersWhoDontComeIsUsed(t *testing.T) {
-	s := sumUp(func() lendingWay { return &leaving{byKinds()} }, floods[0].times)
+// TestReservationsOfAbsentCallersAreReused: a tenant whose callers never return after a refusal must
+// still get its window, since reservations expire.
+func TestReservationsOfAbsentCallersAreReused(t *testing.T) {
+	s := summarizeFloods(func() lendingPolicy { return &nonReturningCallers{newClassPolicy()} }, floods[0].multipliers)
 	for _, problem := range s.problems([]float64{0.9, 0.25, 0.25, 0.9}) {
 		t.Error(problem)
 	}
 }
 
-// TestDefectsUnderAFloodAreCaught: the checks above notice them.
-func TestDefectsUnderAFloodAreCaught(t *testing.T) {
+// TestFloodChecksDetectPlantedDefects: the checks above must report each planted defect.
+func TestFloodChecksDetectPlantedDefects(t *testing.T) {
 	t.Parallel()
-	kinds := func() byKind { return *byKinds().(*byKind) }
-	for name, planted := range map[string]func() lendingWay{
-		"forgets what it saved": func() lendingWay { return &forgetsSaved{kinds()} },
-		"queue without an end":  func() lendingWay { return &leaving{&endlessQueue{kinds()}} },
+	newPolicy := func() classPolicy { return *newClassPolicy().(*classPolicy) }
+	for name, planted := range map[string]func() lendingPolicy{
+		"forgets virtual times and reservations": func() lendingPolicy { return &forgettingPolicy{newPolicy()} },
+		"reservations never expire":              func() lendingPolicy { return &nonReturningCallers{&neverExpiringPolicy{newPolicy()}} },
 	} {
 		caught := 0
 		for i, flood := range floods {
-			problems := sumUp(planted, flood.times).problems(leastOdds[i])
+			problems := summarizeFloods(planted, flood.multipliers).problems(minServedShares[i])
 			t.Logf("%s: %s", name, strings.Join(problems, "; "))
 			caught += len(problems)
 		}
 		if caught == 0 {
-			t.Errorf("%s: not noticed", name)
+			t.Errorf("%s: no violation was detected", name)
 		}
 	}
 }
--- a/fleet/lending/lending_test.go
+++ b/fleet/lending/lending_test.go
@@ -7,45 +7,47 @@
 	"time"
 )
 
-// plays is how many seeds are played of each kind of trouble.
-var plays = flag.Int("plays", 16, "seeds to play of each kind of trouble")
+// seedCount is the number of seeds for each kind of simulation.
+var seedCount = flag.Int("plays", 16, "number of seeds for each kind of simulation")
 
-// troubled plays tenants that send up to eight times their limit among others, over kills,
-// freezes, cuts, lost, late and doubled messages, joiners and planned stops.
-func troubled(seed uint64, change func(*simulation)) *simulation {
-	return newPlay(seed, 6+int(seed%4)*8, 6).troubled(change)
+// runWithFaults simulates tenants, some of which send up to eight times their limits, with kills,
+// freezes, partitions, joining nodes, planned stops, and lost, delayed and duplicated messages.
+func runWithFaults(seed uint64, change func(*simulation)) *simulation {
+	return newSimulation(seed, 6+int(seed%4)*8, 6).runWithFaults(change)
 }
 
-func (p *simulation) troubled(change func(*simulation)) *simulation {
+func (p *simulation) runWithFaults(change func(*simulation)) *simulation {
 	p.lossRate = 0.02
 	if change != nil {
 		change(p)
 	}
-	p.strike()
+	p.floodAndInjectFaults()
 	return p
 }
 
-// strike floods the limits of two tenants, and lets trouble loose to the play's end.
-func (p *simulation) strike() {
+// floodAndInjectFaults floods the limits of two tenants and injects faults until the simulation's
+// end.
+func (p *simulation) floodAndInjectFaults() {
 	for i := range 2 {
 		tenant := p.tenants[i]
 		p.after(p.between(4*time.Second, 12*time.Second), func() { p.demand[tenant] = 4 + 4*p.rand.Float64() })
 	}
 	if p.faultsHitLenders {
-		p.after(4*time.Second, p.chase)
+		p.after(4*time.Second, p.disruptLenders)
 	} else {
-		p.after(4*time.Second, p.trouble)
+		p.after(4*time.Second, p.injectFaults)
 	}
 	p.runFor(p.duration)
-	p.check()
+	p.checkLimits()
 }
 
-// TestLimitsHoldUnderTrouble: in no window is more used than is allowed.
-func TestLimitsHoldUnderTrouble(t *testing.T) {
+// TestLimitsHoldUnderFaults: no window may exceed its bound and no shard may have two lenders,
+// whatever faults occur.
+func TestLimitsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	asked, refused, undecided := 0, 0, 0
-	for seed := range uint64(*plays) {
-		p := troubled(seed, func(p *simulation) { p.faultsHitLenders = seed%4 == 0 })
+	for seed := range uint64(*seedCount) {
+		p := runWithFaults(seed, func(p *simulation) { p.faultsHitLenders = seed%4 == 0 })
 		for _, problem := range p.problems {
 			t.Errorf("seed %d: %s", seed, problem)
 		}
@@ -53,24 +55,25 @@
 	}
 	t.Logf("below their limits: %d asked, %d refused, %d undecided", asked, refused, undecided)
 	if undecided*2 > asked {
-		t.Errorf("%d of %d undecided: nobody lends most of the time", undecided, asked)
+		t.Errorf("%d of %d requests undecided: there is no lender most of the time", undecided, asked)
 	}
 }
 
-// TestDefectsOfLendingAreCaught: the check above notices a successor that forgets what was
-// lent, clocks that stand, and tokens that are used late.
-func TestDefectsOfLendingAreCaught(t *testing.T) {
+// TestSimulationDetectsPlantedDefects: the checks above must notice successors that start with a
+// full bucket, clocks that stop while a node is frozen, and tokens that are used after their
+// lifetime.
+func TestSimulationDetectsPlantedDefects(t *testing.T) {
 	t.Parallel()
 	for name, plant := range map[string]func(*simulation){
-		"forgetful": func(p *simulation) { p.forgetful = true },
-		"stands":    func(p *simulation) { p.stands = true },
-		"hoards":    func(p *simulation) { p.hoards = true },
+		"starts full":             func(p *simulation) { p.startsFull = true },
+		"clock stops when frozen": func(p *simulation) { p.clockStopsWhenFrozen = true },
+		"uses expired tokens":     func(p *simulation) { p.usesExpiredTokens = true },
 	} {
 		caught := 0
 		for seed := range uint64(8) {
-			p := troubled(seed, func(p *simulation) {
+			p := runWithFaults(seed, func(p *simulation) {
 				plant(p)
-				p.faultsHitLenders = !p.hoards
+				p.faultsHitLenders = !p.usesExpiredTokens
 				p.duration = 30 * time.Second
 				p.demand[p.tenants[2]], p.demand[p.tenants[3]] = 8, 8
 			})
@@ -78,41 +81,41 @@
 				caught++
 			}
 		}
-		t.Logf("%s: %d of 8 plays are caught", name, caught)
+		t.Logf("%s: violations were detected in %d of 8 simulations", name, caught)
 		if caught == 0 {
-			t.Errorf("%s: no play is caught", name)
+			t.Errorf("%s: no violation was detected", name)
 		}
 	}
 }
 
-// TestNobodyBelowItsLimitIsRefused: on a calm day of 87 nodes and 16 tenants, 8 of which send
-// more than they may, at most 5 in 1,000 requests of the others are refused.
-func TestNobodyBelowItsLimitIsRefused(t *testing.T) {
-	p := newPlay(1, 87, 16)
+// TestTenantsBelowTheirLimitsAreRarelyRefused: without faults, with 87 nodes and 16 tenants of
+// which 8 send more than their limits, at most 5 in 1,000 requests of the others may be refused.
+func TestTenantsBelowTheirLimitsAreRarelyRefused(t *testing.T) {
+	p := newSimulation(1, 87, 16)
 	for i := range 8 {
 		p.demand[p.tenants[i]] = 8
 	}
 	p.runFor(6 * time.Second)
 	p.asked, p.refused, p.undecided, p.messages = 0, 0, 0, 0
 	p.runFor(30 * time.Second)
-	p.check()
+	p.checkLimits()
 	for _, problem := range p.problems {
 		t.Error(problem)
 	}
-	t.Logf("%d asked, %d refused, %d undecided, %d messages of all nodes in 30 s", p.asked, p.refused, p.undecided, p.messages)
+	t.Logf("%d asked, %d refused, %d undecided, %d messages between all nodes in 30 s", p.asked, p.refused, p.undecided, p.messages)
 	if (p.refused+p.undecided)*200 > p.asked {
-		t.Errorf("%d refused and %d undecided of %d", p.refused, p.undecided, p.asked)
+		t.Errorf("%d requests refused and %d undecided of %d", p.refused, p.undecided, p.asked)
 	}
 }
 
-// TestFewAreRefusedBesideACut: while a tenth of 87 nodes hears of no other, at most 2 in 100
-// requests below the limits that come to the others are refused. A cut node refuses at once,
-// but for the first ones.
-func TestFewAreRefusedBesideACut(t *testing.T) {
+// TestFewRequestsAreRefusedDuringPartition: while 9 of 87 nodes are isolated, at most 2 in 100
+// requests below the limits that reach the other nodes may be refused. At least 7 isolated nodes
+// must notice it, so that they refuse requests without a delay.
+func TestFewRequestsAreRefusedDuringPartition(t *testing.T) {
 	t.Parallel()
 	asked, refused := 0, 0
 	for seed := range uint64(20) {
-		p := newPlay(seed, 87, 16)
+		p := newSimulation(seed, 87, 16)
 		p.runFor(6 * time.Second)
 		for i := range 9 {
 			p.nodes[i*9].partition = 1 + i
@@ -121,25 +124,26 @@
 		p.countOnlyConnected = true
 		p.runFor(10 * time.Second)
 		asked, refused = asked+p.asked, refused+p.refused+p.undecided
-		deaf := 0
+		isolated := 0
 		for i := range 9 {
 			if p.nodes[i*9].core.Deaf() {
-				deaf++
+				isolated++
 			}
 		}
-		if deaf < 7 {
-			t.Errorf("seed %d: %d of 9 cut nodes know that they are", seed, deaf)
+		if isolated < 7 {
+			t.Errorf("seed %d: %d of 9 partitioned nodes noticed their isolation", seed, isolated)
 		}
 	}
 	t.Logf("%d asked, %d refused or undecided", asked, refused)
 	if refused*50 > asked {
-		t.Errorf("%d of %d are refused", refused, asked)
+		t.Errorf("%d of %d requests were refused or undecided", refused, asked)
 	}
 }
 
-// TestFloodGetsItsLimit: a tenant that sends eight times what it may gets what it may.
-func TestFloodGetsItsLimit(t *testing.T) {
-	p := newPlay(2, 87, 4)
+// TestFloodingTenantGetsItsLimit: a tenant that sends eight times its limit must get nine tenths of
+// the limit.
+func TestFloodingTenantGetsItsLimit(t *testing.T) {
+	p := newSimulation(2, 87, 4)
 	tenant := p.tenants[0]
 	p.demand[tenant] = 8
 	p.runFor(10 * time.Second)
@@ -147,17 +151,17 @@
 	p.runFor(20 * time.Second)
 	used := float64((len(p.uses[tenant]) - before) * simTokens)
 	if allowed := p.limits[tenant].Rate * 20; used < 0.9*allowed {
-		t.Errorf("it used %.0f of %.0f", used, allowed)
+		t.Errorf("the tenant used %.0f of %.0f", used, allowed)
 	}
 }
 
-// TestLenderIsReplaced: after the lender's end somebody lends again within two leases, and
-// after a planned stop within half of one.
-func TestLenderIsReplaced(t *testing.T) {
+// TestFailedOrStoppedLenderIsReplacedInTime: a failed lender must be replaced within two leases, and
+// one that stops as planned within half a lease.
+func TestFailedOrStoppedLenderIsReplacedInTime(t *testing.T) {
 	for name, within := range map[string]time.Duration{"killed": 2 * defaultLease, "stopped": defaultLease / 2} {
-		p := newPlay(3, 9, 2)
+		p := newSimulation(3, 9, 2)
 		p.runFor(3 * time.Second)
-		for _, n := range p.live() {
+		for _, n := range p.liveNodes() {
 			if !n.core.shards[0].lends() {
 				continue
 			}
@@ -168,24 +172,24 @@
 		}
 		p.runFor(within)
 		lenders := 0
-		for _, n := range p.live() {
+		for _, n := range p.liveNodes() {
 			n.core.Step(p.now.Add(n.skew), Tick{})
 			if n.core.shards[0].lends() {
 				lenders++
 			}
 		}
 		if lenders != 1 {
-			t.Errorf("%s: %d lend after %v", name, lenders, within)
+			t.Errorf("%s: %d lenders after %v", name, lenders, within)
 		}
 	}
 }
 
-// TestVotersSpreadOverZones: a lost zone leaves a majority, weak machines are left out, and
-// the order of the view does not matter.
-func TestVotersSpreadOverZones(t *testing.T) {
-	p := newPlay(4, 30, 1)
+// TestVotersAreSpreadOverZones: a lost zone must leave a majority, weak machines must not vote, and
+// the order of the view must not matter.
+func TestVotersAreSpreadOverZones(t *testing.T) {
+	p := newSimulation(4, 30, 1)
 	var peers []Peer
-	for i, n := range p.live() {
+	for i, n := range p.liveNodes() {
 		peer := n.peer
 		if i%5 == 0 {
 			peer.Capacity = 0.1
@@ -193,18 +197,18 @@
 		peers = append(peers, peer)
 	}
 	zone := map[string]string{}
-	weakOnes := map[string]bool{}
+	weakMachines := map[string]bool{}
 	for _, peer := range peers {
 		zone[peer.Machine] = string(peer.Zone)
-		weakOnes[peer.Machine] = peer.Capacity < 0.4
+		weakMachines[peer.Machine] = peer.Capacity < 0.4
 	}
 	for number := range Shards {
 		voters := selectVoters(number, candidates(peers))
 		counts := map[string]int{}
 		for _, machine := range voters {
 			counts[zone[machine]]++
-			if weakOnes[machine] {
-				t.Errorf("shard %d: %s is weak and votes", number, machine)
+			if weakMachines[machine] {
+				t.Errorf("shard %d: weak machine %s is a voter", number, machine)
 			}
 		}
 		if len(voters) != maxVoters || len(counts) != 3 {
@@ -216,45 +220,44 @@
 			}
 		}
 		if fmt.Sprint(selectVoters(number, candidates(append(peers[7:], peers[:7]...)))) != fmt.Sprint(voters) {
-			t.Errorf("shard %d: another order of the view gives other voters", number)
+			t.Errorf("shard %d: the voters depend on the order of the view", number)
 		}
 	}
 }
 
-// TestAllShardsAreLentAfterAllNodesRestart: when all nodes are killed at a moment and start
-// again, with records of the earlier processes in the store, somebody lends of each shard
-// within 3 s. Sets of voters that nodes learned from each other without an end kept shards
-// without a lender for 7 s.
-func TestAllShardsAreLentAfterAllNodesRestart(t *testing.T) {
+// TestAllShardsHaveLendersAfterAllNodesRestart: when all nodes are killed at once and restart while
+// the store holds the records of the earlier processes, every shard must have a lender within 3 s.
+// When nodes learned voter sets from each other without an expiry, shards had no lender for 7 s.
+func TestAllShardsHaveLendersAfterAllNodesRestart(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		p := newPlay(seed, 30, 4)
+		p := newSimulation(seed, 30, 4)
 		p.runFor(6 * time.Second)
 		for round := range 2 {
-			for _, n := range p.live() {
+			for _, n := range p.liveNodes() {
 				p.kill(n, n.peer.Machine, p.between(300*time.Millisecond, 900*time.Millisecond))
 			}
 			p.runFor(3 * time.Second)
 			for number := range Shards {
 				lent := false
-				for _, n := range p.live() {
+				for _, n := range p.liveNodes() {
 					lent = lent || n.core.shards[number].isLender
 				}
 				if !lent {
-					t.Errorf("seed %d, round %d: nobody lends of shard %d", seed, round, number)
+					t.Errorf("seed %d, round %d: shard %d has no lender", seed, round, number)
 				}
 			}
 		}
 	}
 }
 
-// TestDeafNodeHearsAgainWithoutCallers: a node that was cut off, and that gets no callers since
-// it is not ready, finds out by itself that it hears others again.
-func TestDeafNodeHearsAgainWithoutCallers(t *testing.T) {
-	p := newPlay(5, 12, 2)
+// TestIsolatedNodeRecoversWithoutCallers: an isolated node gets no callers because it is not ready,
+// so it must find out by its own probes that it is connected again.
+func TestIsolatedNodeRecoversWithoutCallers(t *testing.T) {
+	p := newSimulation(5, 12, 2)
 	p.runFor(4 * time.Second)
 	var n *simNode
-	for _, candidate := range p.live() {
+	for _, candidate := range p.liveNodes() {
 		if candidate.core.ShardsLent() == 0 && candidate.core.shards[0].voterRank() < 0 {
 			n = candidate
 		}
@@ -265,12 +268,12 @@
 		p.runFor(RequestTimeout)
 	}
 	if !n.core.Deaf() {
-		t.Fatal("a node that hears of nobody does not know it")
+		t.Fatal("an isolated node did not notice its isolation")
 	}
 	n.partition = 0
 	n.noRequests = true
 	p.runFor(3 * isolationProbeInterval)
 	if n.core.Deaf() {
-		t.Error("a node that hears others again does not know it")
+		t.Error("a reconnected node still reports isolation")
 	}
 }
--- a/fleet/lending/loans.go
+++ b/fleet/lending/loans.go
@@ -35,19 +35,19 @@
 }
 
 // add records a loan, and drops expired ones.
-func (l *loans) add(id loanID, lent loan) {
+func (l *loans) add(id loanID, added loan) {
 	if l.byID == nil {
 		l.byID = map[loanID]loan{}
 	}
 	for len(l.order) > 0 {
 		oldest, known := l.byID[l.order[0]]
-		if known && len(l.order) < maxLoans && lent.at.Sub(oldest.at) < loanRetention {
+		if known && len(l.order) < maxLoans && added.at.Sub(oldest.at) < loanRetention {
 			break
 		}
 		delete(l.byID, l.order[0])
 		l.order = l.order[1:]
 	}
-	l.byID[id] = lent
+	l.byID[id] = added
 	l.order = append(l.order, id)
 }
 
--- a/fleet/lending/shard.go
+++ b/fleet/lending/shard.go
@@ -85,7 +85,7 @@
 	s.scheduleClaim()
 }
 
-// addEarlierVoters makes a voter set count for a while besides the current one.
+// addEarlierVoters makes a voter set count for a while in addition to the current one.
 func (s *shard) addEarlierVoters(set voterSet, validFor time.Duration) {
 	set.validUntil = s.core.now.Add(validFor)
 	s.earlier = append(s.earlier, set)
--- a/fleet/lending/play_test.go
+++ b/fleet/lending/simulation_test.go
@@ -13,47 +13,47 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// The terms of the plays: those of a deployment of 87 nodes and 16 tenants whose smallest
-// uses 13 requests in a window.
+// Parameters of the simulations: those of a deployment with 87 nodes and 16 tenants, the smallest of
+// which uses 13 requests in a window.
 const (
 	simWindow = 8 * time.Second
 	simTokens = 1540
-	// simOverrun and playSlack are half of a deployment's, and one request in place of its
-	// 11,000 tokens, so that a play which goes beyond them is noticed.
+	// simOverrun and simSlack are half of a deployment's overrun, and one request instead of its
+	// slack of 11,000 tokens, so that a simulation notices violations.
 	simOverrun = 0.05
 	simSlack   = simTokens
-	// simProofWithin is for how long a node without news of the others goes on sending.
+	// simProofWithin is how long a node without news of the others goes on sending.
 	simProofWithin = 4500 * time.Millisecond
 	// simPatience is half of the time that most requests have.
 	simPatience = 2500 * time.Millisecond
-	// simStoreReadDelay is how long after its start a node has read the store, at least: what was there
-	// before its own record.
+	// simStoreReadDelay is the least time after its start at which a node has read the store as it
+	// was before the node's own record.
 	simStoreReadDelay = 60 * time.Millisecond
-	// simRecordLifetime is for how long the record of a node lasts that has died.
+	// simRecordLifetime is how long the record of a dead node stays in the store.
 	simRecordLifetime = 30 * time.Second
 )
 
-// simNode is a node and its faults.
+// simNode is a simulated node and its faults.
 type simNode struct {
 	peer Peer
 	core *Core
-	// skew is by how much its clock is ahead.
+	// skew is how far the node's clock is ahead.
 	skew   time.Duration
 	dead   bool
 	diedAt time.Time
-	// frozen nodes miss events until they thaw; island is the part of the network that the
-	// node is in.
+	// frozen nodes get their missed events when they resume; partition is the part of the
+	// network that the node is in.
 	frozen    bool
 	missed    []Event
 	partition int
-	// noRequests nodes get no requests.
+	// noRequests keeps requests away from the node.
 	noRequests bool
-	// blind nodes have no news of others since a time.
+	// noNewsSince is since when the node has no news of the others; zero if it has.
 	noNewsSince time.Time
 	tickAt      time.Time
 }
 
-// tokenUse is a use of tokens.
+// tokenUse is the use of granted tokens.
 type tokenUse struct {
 	at     time.Time
 	amount float64
@@ -71,55 +71,55 @@
 	demand map[string]float64
 	uses   map[string][]tokenUse
 	number int64
-	// pending are the questions under way: whose they are.
-	pending map[int64]playAsk
-	// asked, refused, undecided count the questions of tenants below their limits.
+	// pending are the pending requests by number.
+	pending map[int64]simRequest
+	// asked, refused and undecided count the requests of tenants below their limits.
 	asked, refused, undecided int
 	messages                  int
 	lossRate                  float64
 	problems                  []string
 	starts                    int
-	// duration is how long the play is.
+	// duration is the virtual time that the simulation runs for.
 	duration time.Duration
-	// faultsHitLenders plays strike lenders, in place of any nodes.
+	// faultsHitLenders injects faults only into lenders.
 	faultsHitLenders bool
-	// countOnlyConnected leaves nodes that are cut off out of these counts.
+	// countOnlyConnected excludes partitioned nodes from asked, refused and undecided.
 	countOnlyConnected bool
-	// forgetful plants a defect: a successor begins with a full bucket.
-	forgetful bool
-	// stands plants a defect: clocks stand while nodes are frozen.
-	stands bool
-	// hoards plants a defect: tokens are used whenever they come.
-	hoards bool
-	// mix are the kinds of requests, none for those of playTokens alone; counts are what became
-	// of the mixed ones, and returns of those that came back.
-	mix     []playKind
-	counts  map[string]*playCount
-	returns playReturns
-	// tickets are until when each shard's is taken; generous plants a defect: all that are
-	// wanted are granted.
-	tickets  [Shards]time.Time
-	generous bool
-	// overrun and slack are what may be used beyond a limit.
+	// startsFull plants a defect: a successor starts with a full bucket.
+	startsFull bool
+	// clockStopsWhenFrozen plants a defect: the clocks of frozen nodes stop.
+	clockStopsWhenFrozen bool
+	// usesExpiredTokens plants a defect: tokens are used after their lifetime.
+	usesExpiredTokens bool
+	// classes are the classes of requests, empty for requests of simTokens only; counts are the
+	// results of each class, and returns of the callers that returned.
+	classes []simClass
+	counts  map[string]*simCount
+	returns returnCounts
+	// tickets are the times until which each shard's ticket is taken; grantsAllTickets plants a
+	// defect: every requested ticket is granted.
+	tickets          [Shards]time.Time
+	grantsAllTickets bool
+	// overrun and slack are the allowance beyond a limit.
 	overrun, slack float64
-	// fullest is the fullest window of all, in parts of what one may hold.
-	fullest float64
-	// stopped plays have lenders stop by plan only.
-	stopped bool
-	// hasty plants a defect: a node that has just started wins by the votes of other such
-	// nodes, whoever else may lend.
-	hasty bool
+	// fullestWindow is the greatest use of any window, as a share of its bound.
+	fullestWindow float64
+	// plannedStopsOnly has lenders stop only as planned.
+	plannedStopsOnly bool
+	// prematureFirstClaims plants a defect: a node that has just started wins a first claim without
+	// the votes of all nodes.
+	prematureFirstClaims bool
 }
 
-func newPlay(seed uint64, nodes, tenants int) *simulation {
-	return newPlayBeyond(seed, nodes, tenants, simOverrun, simSlack)
+func newSimulation(seed uint64, nodes, tenants int) *simulation {
+	return newSimulationWithAllowance(seed, nodes, tenants, simOverrun, simSlack)
 }
 
-// newPlayBeyond is a play in which so much may be used beyond a limit.
-func newPlayBeyond(seed uint64, nodes, tenants int, overrun, slack float64) *simulation {
+// newSimulationWithAllowance returns a simulation with the given allowance beyond the limits.
+func newSimulationWithAllowance(seed uint64, nodes, tenants int, overrun, slack float64) *simulation {
 	p := &simulation{
 		rand: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_000_000, 0), limits: map[string]Limit{},
-		demand: map[string]float64{}, uses: map[string][]tokenUse{}, pending: map[int64]playAsk{}, duration: 45 * time.Second,
+		demand: map[string]float64{}, uses: map[string][]tokenUse{}, pending: map[int64]simRequest{}, duration: 45 * time.Second,
 		overrun: overrun, slack: slack,
 	}
 	for i := range tenants {
@@ -130,13 +130,13 @@
 		p.demand[name] = 1 / 1.8
 	}
 	for i := range nodes {
-		p.start(fmt.Sprintf("machine-%d", i))
+		p.startNode(fmt.Sprintf("machine-%d", i))
 	}
-	p.tellPeers()
+	p.announcePeers()
 	p.after(0, p.checkLenders)
 	p.after(3*time.Second, func() {
 		for _, tenant := range p.tenants {
-			p.request(tenant)
+			p.sendRequests(tenant)
 		}
 	})
 	return p
@@ -159,7 +159,7 @@
 	p.now = end
 }
 
-func (p *simulation) start(machine string) *simNode {
+func (p *simulation) startNode(machine string) *simNode {
 	p.starts++
 	var zone int
 	_, _ = fmt.Sscanf(machine, "machine-%d", &zone)
@@ -170,26 +170,27 @@
 	n.core = New(Config{Self: n.peer, Window: simWindow, Overrun: p.overrun, Slack: p.slack, ProofWithin: simProofWithin})
 	p.nodes = append(p.nodes, n)
 	p.step(n, LimitsChanged{Limits: p.limits})
-	p.prove(n)
+	p.renewProof(n)
 	return n
 }
 
-// prove has a node that has news of the others know what is in force.
-func (p *simulation) prove(n *simNode) {
+// renewProof proves every second that the node's settings are in force, while it has news of the
+// others.
+func (p *simulation) renewProof(n *simNode) {
 	if n.dead {
 		return
 	}
 	if n.noNewsSince.IsZero() {
 		p.step(n, Proven{At: p.now.Add(n.skew)})
 	}
-	p.after(time.Second, func() { p.prove(n) })
+	p.after(time.Second, func() { p.renewProof(n) })
 }
 
-func (p *simulation) live() []*simNode {
+func (p *simulation) liveNodes() []*simNode {
 	return slices.DeleteFunc(slices.Clone(p.nodes), func(n *simNode) bool { return n.dead })
 }
 
-// records are those of the live nodes, and of the dead ones for a while.
+// records returns the store's records: those of live nodes, and of dead nodes for simRecordLifetime.
 func (p *simulation) records() []Peer {
 	records := map[string]Peer{}
 	for _, n := range p.nodes {
@@ -200,23 +201,24 @@
 	return slices.SortedFunc(maps.Values(records), func(a, b Peer) int { return strings.Compare(a.Machine, b.Machine) })
 }
 
-// succeeds reports whether there is a record of an earlier process of a node's machine.
-func (p *simulation) succeeds(n *simNode) bool {
+// hasPredecessor reports whether the store holds a record of an earlier process of the node's
+// machine.
+func (p *simulation) hasPredecessor(n *simNode) bool {
 	return slices.ContainsFunc(p.nodes, func(earlier *simNode) bool {
 		return earlier.dead && earlier.peer.Machine == n.peer.Machine && p.now.Sub(earlier.diedAt) < simRecordLifetime
 	})
 }
 
-// tellPeers brings the live nodes to all that have news of others, each at its time.
-func (p *simulation) tellPeers() {
+// announcePeers tells the live nodes to all nodes that have news of others, after random delays.
+func (p *simulation) announcePeers() {
 	peers := p.records()
-	for _, n := range p.live() {
+	for _, n := range p.liveNodes() {
 		if !n.noNewsSince.IsZero() {
 			continue
 		}
 		p.after(p.between(0, time.Second), func() {
 			if n.noNewsSince.IsZero() {
-				p.step(n, PeersChanged{Peers: peers, Succeeds: p.succeeds(n)})
+				p.step(n, PeersChanged{Peers: peers, Succeeds: p.hasPredecessor(n)})
 			}
 		})
 	}
@@ -231,19 +233,19 @@
 		return
 	}
 	now := p.now.Add(n.skew)
-	if p.hasty {
-		p.makeHasty(n, e)
+	if p.prematureFirstClaims {
+		p.forceFirstClaim(n, e)
 	}
 	for _, effect := range slices.Clone(n.core.Step(now, e)) {
 		switch e := effect.(type) {
 		case Send:
 			p.deliver(n, e.Address, e.Message)
 		case TicketWanted:
-			p.ticket(n, e)
+			p.grantTicket(n, e)
 		case Answered:
-			p.answered(n, e)
+			p.handleAnswer(n, e)
 		case LeaseChanged:
-			if e.Held && p.forgetful {
+			if e.Held && p.startsFull {
 				for tenant, b := range n.core.shards[e.Shard].buckets {
 					b.level = n.core.cfg.bucketParams(p.limits[tenant]).capacity
 				}
@@ -263,14 +265,14 @@
 	})
 }
 
-// ticket is the store's part: one in its time for a shard, and now and then no answer.
-func (p *simulation) ticket(n *simNode, e TicketWanted) {
+// grantTicket simulates the store: one ticket of a shard at a time, and occasionally no answer.
+func (p *simulation) grantTicket(n *simNode, e TicketWanted) {
 	slowest := 20 * time.Millisecond
 	if p.rand.IntN(8) == 0 {
 		slowest = 450 * time.Millisecond
 	}
 	p.after(p.between(time.Millisecond, slowest), func() {
-		if p.now.Before(p.tickets[e.Shard]) && !p.generous || p.rand.IntN(10) == 0 {
+		if p.now.Before(p.tickets[e.Shard]) && !p.grantsAllTickets || p.rand.IntN(10) == 0 {
 			return
 		}
 		p.tickets[e.Shard] = p.now.Add(e.Lasts)
@@ -280,7 +282,7 @@
 	})
 }
 
-// deliver brings a message, late or twice now and then, or loses it.
+// deliver delivers a message, occasionally late or twice, or loses it.
 func (p *simulation) deliver(from *simNode, address string, m wire.Message) {
 	p.messages++
 	times := 1
@@ -303,27 +305,27 @@
 	}
 }
 
-// request sends a tenant's next request through some node.
-func (p *simulation) request(tenant string) {
-	live := p.live()
+// sendRequests sends a tenant's next request through a random node, and schedules the one after it.
+func (p *simulation) sendRequests(tenant string) {
+	live := p.liveNodes()
 	if len(live) > 0 {
 		n := live[p.rand.IntN(len(live))]
 		if !n.frozen && !n.noRequests && (n.noNewsSince.IsZero() || p.now.Sub(n.noNewsSince) < simProofWithin) {
 			p.number++
-			a := p.draw(tenant)
+			a := p.drawRequest(tenant)
 			p.pending[p.number] = a
-			p.step(n, Asked{Number: p.number, Tenant: tenant, Amount: a.kind.amount, Rank: a.kind.rank, Mark: a.mark, Heeds: a.kind.heeds, Patience: simPatience})
+			p.step(n, Asked{Number: p.number, Tenant: tenant, Amount: a.class.amount, Rank: a.class.rank, Mark: a.fingerprint, Heeds: a.class.maxWait, Patience: simPatience})
 		}
 	}
 	mean := simTokens / (p.limits[tenant].Rate * p.demand[tenant])
-	p.after(time.Duration(mean*p.rand.ExpFloat64()*float64(time.Second)), func() { p.request(tenant) })
+	p.after(time.Duration(mean*p.rand.ExpFloat64()*float64(time.Second)), func() { p.sendRequests(tenant) })
 }
 
-// answered uses the tokens at some moment before they lapse, or gives some back.
-func (p *simulation) answered(n *simNode, e Answered) {
+// handleAnswer uses granted tokens at a random time within their lifetime, or returns some.
+func (p *simulation) handleAnswer(n *simNode, e Answered) {
 	a := p.pending[e.Number]
 	delete(p.pending, e.Number)
-	p.note(a, e)
+	p.recordAnswer(a, e)
 	below := p.demand[e.Tenant] < 1 && !(p.countOnlyConnected && n.partition != 0)
 	if below {
 		p.asked++
@@ -342,15 +344,15 @@
 		return
 	}
 	wait := time.Duration(0)
-	if p.rand.IntN(3) == 0 || p.hoards {
+	if p.rand.IntN(3) == 0 || p.usesExpiredTokens {
 		wait = p.between(0, n.core.cfg.Lifetime)
-		if p.hoards {
+		if p.usesExpiredTokens {
 			wait = simWindow - time.Duration(p.now.UnixNano())%simWindow
 		}
 	}
 	p.after(wait, func() {
-		lapsed := p.now.Add(n.skew).Sub(e.AskedAt) > n.core.cfg.Lifetime
-		if n.dead || n.frozen || lapsed && !p.hoards {
+		expired := p.now.Add(n.skew).Sub(e.AskedAt) > n.core.cfg.Lifetime
+		if n.dead || n.frozen || expired && !p.usesExpiredTokens {
 			return
 		}
 		p.uses[e.Tenant] = append(p.uses[e.Tenant], tokenUse{at: p.now, amount: e.Amount})
--- a/fleet/lending/tally.go
+++ b/fleet/lending/tally.go
@@ -48,8 +48,8 @@
 }
 
 // countDecision counts the decision on a request.
-func (c *Core) countDecision(tenant string, asked tokenRequest, lent decision) {
-	id := tallyID{tenant: tenant, class: classOf(asked.rank, asked.amount)}
+func (c *Core) countDecision(tenant string, request tokenRequest, result decision) {
+	id := tallyID{tenant: tenant, class: classOf(request.rank, request.amount)}
 	if c.tallies[id] == nil {
 		if len(c.tallies) >= maxTallies {
 			id.class.size = maxSize
@@ -58,7 +58,7 @@
 			c.tallies[id] = new([outcomeCount]int64)
 		}
 	}
-	c.tallies[id][lent.outcome()]++
+	c.tallies[id][result.outcome()]++
 }
 
 // outcome returns the outcome of a decision.
--- a/fleet/lending/token_requests.go
+++ b/fleet/lending/token_requests.go
@@ -33,10 +33,10 @@
 func (c *Core) requestFromLender(a *pendingRequest) {
 	s := c.shards[shardOf(a.Tenant)]
 	if s.lends() {
-		lent, known := s.lend(loanID{node: c.cfg.Self.ID, number: a.Number}, a.Tenant, a.tokenRequest())
+		result, known := s.lend(loanID{node: c.cfg.Self.ID, number: a.Number}, a.Tenant, a.tokenRequest())
 		if known {
 			c.complete(a, Answered{
-				Decided: true, Granted: lent.granted, Wait: lent.wait, Reserved: lent.reserved,
+				Decided: true, Granted: result.granted, Wait: result.wait, Reserved: result.reserved,
 				Standing: s.standing(a.Tenant), AskedAt: c.now, Lender: c.cfg.Self.ID,
 			})
 			return
@@ -127,11 +127,11 @@
 
 // answerRequest fills the lender's answer to another node's request.
 func (s *shard) answerRequest(m *wire.TokensRequest, answer *wire.TokensAnswer) {
-	asked := tokenRequest{amount: m.Amount, rank: m.Rank, fingerprint: m.Mark, maxWait: m.Heeds, regrant: m.Again}
-	var lent decision
-	lent, answer.Lends = s.lend(loanID{node: m.From, number: m.Number}, m.Tenant, asked)
-	answer.Granted, answer.Wait, answer.Reserved = lent.granted, lent.wait, lent.reserved
-	if answer.Lends && !lent.granted {
+	request := tokenRequest{amount: m.Amount, rank: m.Rank, fingerprint: m.Mark, maxWait: m.Heeds, regrant: m.Again}
+	var result decision
+	result, answer.Lends = s.lend(loanID{node: m.From, number: m.Number}, m.Tenant, request)
+	answer.Granted, answer.Wait, answer.Reserved = result.granted, result.wait, result.reserved
+	if answer.Lends && !result.granted {
 		standing := s.standing(m.Tenant)
 		answer.Used, answer.FirstRank, answer.FirstAmount = standing.Used, standing.FirstRank, standing.FirstAmount
 	}
@@ -139,7 +139,7 @@
 
 // lend grants tokens, or says when they will be available. known is false if the tenant has no
 // limit.
-func (s *shard) lend(id loanID, tenant string, asked tokenRequest) (lent decision, known bool) {
+func (s *shard) lend(id loanID, tenant string, request tokenRequest) (result decision, known bool) {
 	b := s.buckets[tenant]
 	if b == nil {
 		return decision{}, false
@@ -148,12 +148,12 @@
 		// The earlier answer was late or lost, and the node repeats its request.
 		return decision{granted: true}, true
 	}
-	lent = b.take(s.core.now, s.core.cfg.bucketParams(s.core.limits[tenant]), asked)
-	s.core.countDecision(tenant, asked, lent)
-	if lent.granted {
-		s.loans.add(id, loan{tenant: tenant, amount: asked.amount, at: s.core.now})
+	result = b.take(s.core.now, s.core.cfg.bucketParams(s.core.limits[tenant]), request)
+	s.core.countDecision(tenant, request, result)
+	if result.granted {
+		s.loans.add(id, loan{tenant: tenant, amount: request.amount, at: s.core.now})
 	}
-	return lent, true
+	return result, true
 }
 
 // standing returns the state of a limit that this node lends; zero if it has no bucket for the
@@ -172,11 +172,11 @@
 
 // acceptReturn puts unused tokens of a loan back into the bucket, once for each loan.
 func (s *shard) acceptReturn(id loanID) {
-	lent, known := s.loans.remove(id)
-	b := s.buckets[lent.tenant]
+	returned, known := s.loans.remove(id)
+	b := s.buckets[returned.tenant]
 	if known && b != nil && s.lends() {
-		outstanding := s.loans.outstandingSince(lent.tenant, s.core.now.Add(-s.core.cfg.Lifetime))
-		b.refund(s.core.now, s.core.cfg.bucketParams(s.core.limits[lent.tenant]), lent.amount, s.core.now.Sub(lent.at), outstanding)
+		outstanding := s.loans.outstandingSince(returned.tenant, s.core.now.Add(-s.core.cfg.Lifetime))
+		b.refund(s.core.now, s.core.cfg.bucketParams(s.core.limits[returned.tenant]), returned.amount, s.core.now.Sub(returned.at), outstanding)
 	}
 }
 
--- a/fleet/lending/voters_test.go
+++ b/fleet/lending/voters_test.go
@@ -11,7 +11,7 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// candidates weighs machines.
+// candidates returns the candidates of peers.
 func candidates(peers []Peer) []candidate {
 	weighed := make([]candidate, len(peers))
 	for i := range peers {
@@ -20,9 +20,10 @@
 	return weighed
 }
 
-// sortedVoters ranks all machines of all zones, as builds did that are beside this one while
-// machines are replaced: two that ranked otherwise would let two nodes lend.
-func sortedVoters(shard int, peers []Peer) []string {
+// votersByFullSort selects voters by sorting all machines of all zones, as earlier builds do, which
+// run beside this one during a rolling replacement: builds that selected differently could elect two
+// lenders.
+func votersByFullSort(shard int, peers []Peer) []string {
 	strongest := 0.0
 	for i := range peers {
 		strongest = max(strongest, peers[i].Capacity)
@@ -53,9 +54,9 @@
 	return voters
 }
 
-// TestVotersAreTheFirstOfAllSorted: whatever machines there are, their voters are the same as
-// where all are sorted.
-func TestVotersAreTheFirstOfAllSorted(t *testing.T) {
+// TestSelectVotersMatchesFullSort: for any machines, selectVoters must return the voters that a full
+// sort gives.
+func TestSelectVotersMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var peers []Peer
 		for i := range rapid.IntRange(1, 60).Draw(t, "machines") {
@@ -66,7 +67,7 @@
 			})
 		}
 		for shard := range Shards {
-			if got, want := selectVoters(shard, candidates(peers)), sortedVoters(shard, peers); !slices.Equal(got, want) {
+			if got, want := selectVoters(shard, candidates(peers)), votersByFullSort(shard, peers); !slices.Equal(got, want) {
 				t.Fatalf("shard %d: %q, want %q", shard, got, want)
 			}
 		}
