--- a/fleet/feed/substitute_test.go
+++ b/fleet/feed/backup_relay_test.go
@@ -10,7 +10,7 @@
 func TestLeavesAskAnotherRelay(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newZones(seed, 24, 2)
-		s.config.MaxGroup, s.small = 4, true
+		s.config.MaxGroupNodes, s.small = 4, true
 		s.mustKnowWithin(longestBound)
 		s.runFor(5 * time.Second)
 		var dead *simulatedPeer
@@ -52,7 +52,7 @@
 	f := newStartingFleet(40)
 	f.runFor(3 * time.Second)
 	for _, n := range f.nodes {
-		if n.core.start.phase != startPage || n.core.Revision() == 0 {
+		if n.core.startup.phase != phaseReadFirstPage || n.core.Revision() == 0 {
 			t.Fatalf("%s has not started", n.ID)
 		}
 		if age := f.now.Sub(n.core.KnownAt()); age > 2*time.Second {
--- a/fleet/feed/calls.go
+++ b/fleet/feed/calls.go
@@ -7,181 +7,183 @@
 )
 
 const (
-	// retryWait is the first wait after a failed call; it doubles up to
-	// longestRetryWait. Nodes with the same source wait longer, so that together they
-	// make a call each retrySpacing at first and each longestSpacing in the end, but no
-	// longer than sharedRetryWait: the answer that one of them gets is passed on to all.
-	retryWait        = 100 * time.Millisecond
-	longestRetryWait = 800 * time.Millisecond
-	retrySpacing     = 30 * time.Millisecond
-	longestSpacing   = 100 * time.Millisecond
-	sharedRetryWait  = 2 * time.Second
-	// maxDoublings of retryWait lead past any of the bounds above.
-	maxDoublings = 8
-	// callPatience is after how long a call that nobody answers fails; chosen, not measured.
-	callPatience = 700 * time.Millisecond
+	// minRetryWait is the first mean wait after a failed call; it doubles up to maxRetryWait. Nodes
+	// with the same source wait longer, so that together they make a call every minRetrySpacing at
+	// first and every maxRetrySpacing in the end, but no longer than maxSharedRetryWait: the answer
+	// that one of them gets is forwarded to all.
+	minRetryWait       = 100 * time.Millisecond
+	maxRetryWait       = 800 * time.Millisecond
+	minRetrySpacing    = 30 * time.Millisecond
+	maxRetrySpacing    = 100 * time.Millisecond
+	maxSharedRetryWait = 2 * time.Second
+	// maxBackoffDoublings of minRetryWait exceed each of the bounds above: 2^8 times 100 ms are 25
+	// s.
+	maxBackoffDoublings = 8
+	// callTimeout is after how long a call without an answer counts as failed; a relay whose calls
+	// fail sends keep-alives no more than this time and its back-off apart.
+	callTimeout = 700 * time.Millisecond
 )
 
-// callDue is when the next call for changes may be due, zero while one is under way.
+// nextCallDue returns when the next call may be due, zero while one is under way.
 func (c *Core) callDue() time.Time {
-	if c.calling {
+	if c.callInFlight {
 		return time.Time{}
 	}
-	if c.upToDate() {
-		return later(c.callAt, c.heardAt.Add(c.silence()))
+	if c.isUpToDate() {
+		return later(c.nextCallAt, c.sourceReadAt.Add(c.sourceTimeout()))
 	}
-	return later(c.callAt, c.now)
+	return later(c.nextCallAt, c.now)
 }
 
-// call makes the call that is due, one at a time.
-func (c *Core) call() {
-	if c.calling || c.now.Before(c.callAt) || c.upToDate() || c.beginStart() || c.askSubstitute() {
+// startCall makes the call that is due. There is at most one under way.
+func (c *Core) startCall() {
+	if c.callInFlight || c.now.Before(c.nextCallAt) || c.isUpToDate() || c.continueStartup() || c.askBackupRelay() {
 		return
 	}
-	c.calling, c.reading = true, c.revision == 0 || (c.whole || c.anew) && !c.asksForChanges()
-	c.steppingIn = c.revision != 0 && c.tree.hasSource() && !c.heard()
+	c.callInFlight, c.readInFlight = true, c.revision == 0 || (c.gapTooLong || c.rereadNeeded) && !c.pollsInsteadOfRead()
+	c.sourceTimedOut = c.revision != 0 && c.tree.hasSource() && !c.sourceIsCurrent()
 	if c.failures > 0 {
-		c.askHelper()
+		c.askFallbackPeer()
 	}
-	if c.reading {
-		c.emit(Read{Known: c.revision, OnePage: c.revision == 0 && c.start.phase == startPage})
+	if c.readInFlight {
+		c.emit(Read{Known: c.revision, OnePage: c.revision == 0 && c.startup.phase == phaseReadFirstPage})
 		return
 	}
-	c.emit(Poll{After: c.revision, Most: c.contents.worthReading()})
+	c.emit(Poll{After: c.revision, Most: c.contents.maxHistoryBytes()})
 }
 
-// asksForChanges reports whether a node that is to read everything asks for changes instead:
-// after each second failure, so that it learns of them where only reads of everything fail.
-func (c *Core) asksForChanges() bool { return c.failures > 0 && c.failures%2 == 0 }
+// pollsInsteadOfRead reports whether a node that needs a full read polls for changes instead. It
+// does so after every second failure, so that it learns of changes where only full reads fail.
+func (c *Core) pollsInsteadOfRead() bool { return c.failures > 0 && c.failures%2 == 0 }
 
-// ended notes the end of a call and when the next may begin.
-func (c *Core) ended(err error) {
-	c.calling, c.reading = false, false
+// callEnded records the end of a call and when the next one may begin.
+func (c *Core) callEnded(err error) {
+	c.callInFlight, c.readInFlight = false, false
 	if err == nil {
 		c.failures = 0
-		c.callAt = c.now.Add(c.interval())
+		c.nextCallAt = c.now.Add(c.pollInterval())
 		return
 	}
-	wait := min(c.firstWait()<<min(c.failures, maxDoublings), longestWait(c.callersBeside()))
+	wait := min(c.firstRetryWait()<<min(c.failures, maxBackoffDoublings), maxMeanRetryWait(c.nodesSharingCalls()))
 	c.failures++
 	c.failedAt = c.now
-	c.callAt = c.now.Add(c.about(wait))
-	c.askHelper()
+	c.nextCallAt = c.now.Add(c.jittered(wait))
+	c.askFallbackPeer()
 }
 
-// firstWait is the mean wait after the first failed call.
-func (c *Core) firstWait() time.Duration {
-	return max(retryWait, time.Duration(c.callersBeside())*retrySpacing)
+// firstRetryWait returns the mean wait after the first failed call.
+func (c *Core) firstRetryWait() time.Duration {
+	return max(minRetryWait, time.Duration(c.nodesSharingCalls())*minRetrySpacing)
 }
 
-// about returns a wait of half to one and a half of the mean.
-func (c *Core) about(mean time.Duration) time.Duration {
+// jittered returns a random wait from half the mean to one and a half times the mean.
+func (c *Core) jittered(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(c.rand.Int64N(int64(mean)))
 }
 
-// answered notes that the store has answered another node, or another question of this one, that
-// was asked at a time. Where this one's last call failed before that, the next one is due after no
-// more than the first wait.
-func (c *Core) answered(asked time.Time) {
-	if c.calling || c.failures == 0 || !asked.After(c.failedAt) {
+// storeAnswered records that the store answered a call made at the given time by another node, or
+// another call of this one. If that is after this node's last failure, the next call is due after
+// at most the first retry wait.
+func (c *Core) storeAnswered(asked time.Time) {
+	if c.callInFlight || c.failures == 0 || !asked.After(c.failedAt) {
 		return
 	}
-	if soon := c.now.Add(c.about(c.firstWait())); soon.Before(c.callAt) {
-		c.callAt = soon
+	if soon := c.now.Add(c.jittered(c.firstRetryWait())); soon.Before(c.nextCallAt) {
+		c.nextCallAt = soon
 	}
 }
 
-// longestWait is the mean wait between failed calls of nodes that make the same ones; they
-// wait from half of it to one and a half.
-func longestWait(callers int) time.Duration {
-	return min(max(longestRetryWait, time.Duration(callers)*longestSpacing), sharedRetryWait)
+// maxMeanRetryWait returns the longest mean wait between failed calls of that many nodes with the
+// same source. Each wait is from half of it to one and a half times that.
+func maxMeanRetryWait(nodes int) time.Duration {
+	return min(max(maxRetryWait, time.Duration(nodes)*maxRetrySpacing), maxSharedRetryWait)
 }
 
-// callersBeside counts the nodes that make the same calls and would tell this one what they
-// learn, this one included. Relays that the store fails say so each time; a node that hears
-// of none for longer is cut off from them too, and waits for nobody.
-func (c *Core) callersBeside() int {
+// nodesSharingCalls counts the nodes that make the same calls and would forward the answer to this
+// one, itself included. Relays send a keep-alive whenever the store fails them; a node that has
+// heard none for longer than their back-off is cut off from them too, and retries as if alone.
+func (c *Core) nodesSharingCalls() int {
 	relays := len(c.tree.relays) + 1
-	if c.now.Sub(c.hearsAt) > longestWait(relays)*3/2+callPatience {
+	if c.now.Sub(c.lastMessageAt) > maxMeanRetryWait(relays)*3/2+callTimeout {
 		return 1
 	}
 	return c.tree.siblings
 }
 
-func (c *Core) interval() time.Duration {
-	if c.tree.passesOn() {
+func (c *Core) pollInterval() time.Duration {
+	if c.tree.forwards() {
 		return c.cfg.RelayInterval
 	}
 	return c.cfg.Interval
 }
 
 func (c *Core) readDone(e ReadDone) {
-	c.ended(e.Err)
-	if c.stale {
-		c.stale, c.callAt = false, c.now
+	c.callEnded(e.Err)
+	if c.discardRead {
+		c.discardRead, c.nextCallAt = false, c.now
 		return
 	}
 	if e.Err != nil {
-		c.tellAlive()
+		c.sendKeepAlive()
 		return
 	}
 	if e.Large {
-		c.pageWasNotAll()
+		c.firstPageIncomplete()
 		return
 	}
-	c.whole, c.anew = false, false
+	c.gapTooLong, c.rereadNeeded = false, false
 	if e.Revision < c.revision {
-		// Relays have told more meanwhile.
+		// Updates have brought the node further than the read.
 		return
 	}
-	c.readAt = e.Began
+	c.fullReadAt = e.Began
 	c.replace(e.Revision, e.Began, e.Pairs)
-	c.prove(e.Began, c.provenRevision())
+	c.recordProof(e.Began, c.knownKeyRevision())
 }
 
-// replace takes everything that was in the store at a revision, as it was read at a time.
+// replace takes the complete contents of the store at the revision, read at the given time.
 func (c *Core) replace(revision int64, read time.Time, pairs []wire.StoreChange) {
 	after := c.contents.revision
-	first := c.contents.empty()
-	news := c.news(c.contents.replace(pairs, revision))
-	c.revision, c.urgent = revision, false
-	c.heardAt, c.knownAt = later(c.heardAt, read), later(c.knownAt, read)
+	first := c.contents.isEmpty()
+	news := c.selectNews(c.contents.replace(pairs, revision))
+	c.revision, c.missesChanges = revision, false
+	c.sourceReadAt, c.knownAt = later(c.sourceReadAt, read), later(c.knownAt, read)
 	if first {
-		c.start = start{}
+		c.startup = startup{}
 		c.history.restart(revision)
-		// Those that this node relays to learn at once that they miss what was read.
-		c.passOn(revision, nil, c.steppingIn)
-		if !c.isNew() {
-			// Reading took long: what has changed since comes first.
-			c.callAt = c.now
+		// An empty update shows the nodes below at once that they miss what was read.
+		c.forward(revision, nil, c.sourceTimedOut)
+		if !c.stateIsFresh() {
+			// The read took long: poll for the changes since.
+			c.nextCallAt = c.now
 		}
 		return
 	}
 	c.history.add(news, &c.contents)
-	c.passOn(after, news, c.steppingIn)
+	c.forward(after, news, c.sourceTimedOut)
 }
 
 func (c *Core) pollDone(e PollDone) {
-	c.ended(e.Err)
+	c.callEnded(e.Err)
 	switch {
 	case e.Err != nil:
-		c.ask()
-		c.tellAlive()
+		c.requestMissing()
+		c.sendKeepAlive()
 	case e.Compacted:
-		// Calls for changes may hear nothing for a while around that, those of others too.
-		c.anew, c.callAt = true, c.now
+		// Watches of the store, also those of other nodes, may miss changes around a compaction.
+		c.rereadNeeded, c.nextCallAt = true, c.now
 	case e.TooLong:
-		// What is known stays: relays may close the gap before everything is read.
-		c.whole, c.callAt = true, c.now
-		if c.askRelay() {
-			c.callAt = c.now.Add(answerWait)
+		// What is known stays: an update may close the gap before the full read ends.
+		c.gapTooLong, c.nextCallAt = true, c.now
+		if c.askLastRelay() {
+			c.nextCallAt = c.now.Add(peerAnswerTimeout)
 		}
 	default:
-		c.urgent = false
+		c.missesChanges = false
 		c.knownAt = later(c.knownAt, e.Began)
 		after := c.revision
-		news := c.take(e.Changes, e.Revision)
+		news := c.advance(e.Changes, e.Revision)
 		c.apply(news, "")
-		c.passOn(after, news, c.steppingIn)
+		c.forward(after, news, c.sourceTimedOut)
 	}
 }
--- a/fleet/feed/calls_test.go
+++ b/fleet/feed/calls_test.go
@@ -129,7 +129,7 @@
 		t.Errorf("%d calls and %d confirmations of %d nodes", calls, verifies, nodes)
 	}
 	for _, p := range s.peers {
-		if p.core.proof.at.IsZero() {
+		if p.core.proof.provenAt.IsZero() {
 			t.Errorf("%s has no proof", p.ID)
 		}
 	}
--- a/fleet/feed/config.go
+++ b/fleet/feed/config.go
@@ -8,106 +8,106 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// rootedWithin is the least time in which changes must be known for relays to learn from
-// a root. Simulated with a root that dies, a store that hides changes for a second and
-// three of ten updates lost, a change is known after at most 3 s; after 2 s where relays
-// ask the store themselves.
-const rootedWithin = 3 * time.Second
+// minDelayWithRoot is the least Config.Within at which relays learn from a root. In simulations
+// with a root that dies, a store that hides changes for 1 s and three of ten updates lost, every
+// change is known after at most 3 s with a root, and after 2 s where relays poll the store
+// themselves.
+const minDelayWithRoot = 3 * time.Second
 
-// leafSilenceShare of the time in which changes must be known is what leaves of a fleet
-// with a root wait for their relay, and leafStepShare what each further leaf waits
-// longer: 1 s and 8 ms at 3 s, as simulated. The longer they wait, the fewer ask the
-// store when a call of the root hangs.
+// Timeouts of leaves of a fleet with a root, as fractions of Config.Within: leafTimeoutDivisor
+// gives the timeout of the first leaf and leafStepDivisor the step between leaves, 1 s and 8 ms for
+// 3 s. The longer leaves wait, the fewer of them poll the store when a call of the root hangs.
 const (
-	leafSilenceShare = 3
-	leafStepShare    = 375
+	leafTimeoutDivisor = 3
+	leafStepDivisor    = 375
 )
 
-// Defaults of Config. The silence lies above one reading and a half, and low enough for the bounds
-// above: a store that hides changes for a second, a reading after that whose update is lost, the
-// silence of the last of a group's leaves and its own call fit into 2 s.
+// Defaults of Config. The source timeout is longer than one and a half poll intervals of a relay,
+// and short enough for the 2 s in which changes must be known: a store that hides changes for 1 s,
+// a poll after that whose update is lost, the timeout of the last leaf of a group and its own call
+// fit into 2 s.
 const (
-	defaultInterval      = 400 * time.Millisecond
-	defaultRelayInterval = 300 * time.Millisecond
-	defaultSilence       = 540 * time.Millisecond
-	defaultRelayStep     = 20 * time.Millisecond
-	defaultLeafStep      = 8 * time.Millisecond
-	defaultMinGroup      = 4
-	defaultMaxGroup      = 32
-	defaultMinRelays     = 3
-	defaultMaxValue      = 1 << 20
+	defaultInterval         = 400 * time.Millisecond
+	defaultRelayInterval    = 300 * time.Millisecond
+	defaultSourceTimeout    = 540 * time.Millisecond
+	defaultRelayTimeoutStep = 20 * time.Millisecond
+	defaultLeafTimeoutStep  = 8 * time.Millisecond
+	defaultMinZoneNodes     = 4
+	defaultMaxGroupNodes    = 32
+	defaultMinRelaysForRoot = 3
+	defaultMaxValueBytes    = 1 << 20
 )
 
 // Config tunes a Core; a zero field takes its default.
 type Config struct {
 	Self Peer
-	// Machine that the node runs on, empty where it has no name.
+	// Machine is the name of the machine that the node runs on, empty where it has none.
 	Machine string
-	// Interval is the pause between two calls for changes of a node without a source,
-	// RelayInterval of one that relays. Defaults 400 and 300 ms.
+	// Interval is the pause between two polls of a node without a source, RelayInterval that of a
+	// relay. Defaults 400 and 300 ms.
 	Interval, RelayInterval time.Duration
-	// Silence of its source after which a node asks the store itself. Default 540 ms.
+	// Silence is the time without an update from its source after which a node polls the store
+	// itself. Default 540 ms.
 	Silence time.Duration
-	// LeafSilence is the same for a leaf where relays have a root: a relay that steps in
-	// for the root is heard before. Default a third of Within.
-	LeafSilence time.Duration
-	// RelayStep and LeafStep are by how much each further node that learns from the same
-	// source waits longer, so that one steps in for all. Defaults 20 and 8 ms, or
-	// a share of Within where relays have a root.
-	RelayStep, LeafStep time.Duration
-	// MinGroup is the least number of nodes in a zone of which some relay, and
-	// MaxGroup how many one relay serves, itself included. Defaults 4 and 32.
-	MinGroup, MaxGroup int
-	// MinRelays is the least number of relays of which one asks the store for all.
+	// LeafSourceTimeout replaces Silence for a leaf whose relay has a root, so that a relay that
+	// takes over from the root is heard first. Default a third of Within.
+	LeafSourceTimeout time.Duration
+	// RelayTimeoutStep and LeafTimeoutStep are added to the timeout for each node that comes before
+	// this one among those with the same source, so that one node polls the store and the others
+	// hear of it. Defaults 20 and 8 ms; a share of Within for leaves where relays may have a root.
+	RelayTimeoutStep, LeafTimeoutStep time.Duration
+	// MinZoneNodes is the least number of nodes at which a zone has relays. MaxGroupNodes is how
+	// many nodes one relay serves, itself included. Defaults 4 and 32.
+	MinZoneNodes, MaxGroupNodes int
+	// MinRelaysForRoot is the least number of relays at which one of them polls the store for all.
 	// Default 3.
-	MinRelays int
-	// Within is the time in which a change of the store must be known. Zero stands for
-	// one that is too short for a root.
+	MinRelaysForRoot int
+	// Within is the time in which a change of the store must be known. Zero means too short a time
+	// for a root.
 	Within time.Duration
-	// MaxValue is the size in bytes from which values are not passed on but read at
-	// the store by each node. Default 1 MiB, which holds the configuration of some
-	// thousand models.
-	MaxValue int
+	// MaxValueBytes is the size above which values are not forwarded but read from the store by
+	// each node. Default 1 MiB, enough for the configuration of some thousand models.
+	MaxValueBytes int
 }
 
-// withDefaults fills zero fields.
+// withDefaults returns c with its zero fields filled.
 func (c Config) withDefaults() Config {
 	c.Interval = cmp.Or(c.Interval, defaultInterval)
 	c.RelayInterval = cmp.Or(c.RelayInterval, defaultRelayInterval)
-	c.Silence = cmp.Or(c.Silence, defaultSilence)
-	if c.Within >= rootedWithin {
-		c.LeafSilence = cmp.Or(c.LeafSilence, c.Within/leafSilenceShare)
-		c.LeafStep = cmp.Or(c.LeafStep, c.Within/leafStepShare)
+	c.Silence = cmp.Or(c.Silence, defaultSourceTimeout)
+	if c.Within >= minDelayWithRoot {
+		c.LeafSourceTimeout = cmp.Or(c.LeafSourceTimeout, c.Within/leafTimeoutDivisor)
+		c.LeafTimeoutStep = cmp.Or(c.LeafTimeoutStep, c.Within/leafStepDivisor)
 	}
-	c.RelayStep = cmp.Or(c.RelayStep, defaultRelayStep)
-	c.LeafStep = cmp.Or(c.LeafStep, defaultLeafStep)
-	c.MinGroup = cmp.Or(c.MinGroup, defaultMinGroup)
-	c.MaxGroup = cmp.Or(c.MaxGroup, defaultMaxGroup)
-	c.MinRelays = cmp.Or(c.MinRelays, defaultMinRelays)
-	c.MaxValue = cmp.Or(c.MaxValue, defaultMaxValue)
+	c.RelayTimeoutStep = cmp.Or(c.RelayTimeoutStep, defaultRelayTimeoutStep)
+	c.LeafTimeoutStep = cmp.Or(c.LeafTimeoutStep, defaultLeafTimeoutStep)
+	c.MinZoneNodes = cmp.Or(c.MinZoneNodes, defaultMinZoneNodes)
+	c.MaxGroupNodes = cmp.Or(c.MaxGroupNodes, defaultMaxGroupNodes)
+	c.MinRelaysForRoot = cmp.Or(c.MinRelaysForRoot, defaultMinRelaysForRoot)
+	c.MaxValueBytes = cmp.Or(c.MaxValueBytes, defaultMaxValueBytes)
 	return c
 }
 
-// relaysIn counts the relays of a zone of n nodes.
-func (c *Config) relaysIn(n int) int {
-	if n < c.MinGroup {
+// relayCount returns the number of relays in a zone of that many nodes.
+func (c *Config) relayCount(nodes int) int {
+	if nodes < c.MinZoneNodes {
 		return 0
 	}
-	return (n + c.MaxGroup - 1) / c.MaxGroup
+	return (nodes + c.MaxGroupNodes - 1) / c.MaxGroupNodes
 }
 
 // Peer is a live node.
 type Peer struct {
 	ID cluster.NodeID
-	// Address, host:port, takes messages of other nodes.
+	// Address is where the node receives messages of other nodes, as host:port.
 	Address string
 	Zone    cluster.ZoneID
-	// Capacity in processor cores; nodes with more relay first.
+	// Capacity is in processor cores. Nodes with more capacity become relays first.
 	Capacity float64
 }
 
-// Filter tells changes that say something new from those that only repeat a
-// heartbeat. It is told of every change once, in order.
+// Filter tells changes that carry news from those that only repeat a heartbeat. Core calls it once
+// for every change, in order.
 type Filter interface {
 	News(c *wire.StoreChange) bool
 }
--- a/fleet/feed/contents.go
+++ b/fleet/feed/contents.go
@@ -7,83 +7,84 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// contents are the pairs in the store, as far as is known. With them a read of everything
-// tells what changed since, and a node that starts learns everything from this one.
+// contents holds the keys and values of the store as far as the node knows them. They show what
+// changed between two full reads, and make up the snapshot for a node that starts.
 type contents struct {
 	revision int64
-	keys     map[string]stored
-	// bytes of all keys and values.
+	keys     map[string]storedValue
+	// bytes is the size of all keys and values.
 	bytes int64
 }
 
-// stored is what is known of one key.
-type stored struct {
+// storedValue is the newest known value of a key.
+type storedValue struct {
 	revision int64
 	value    []byte
 }
 
-// bytes that a key and its value take.
-func (s stored) bytes(key string) int64 { return int64(len(key) + len(s.value)) }
+// size returns the bytes that the key and its value take.
+func (s storedValue) size(key string) int64 { return int64(len(key) + len(s.value)) }
 
-// Bounds of the history that is read rather than everything anew.
+// Limits on the changes that a poll may return. A longer answer is replaced by a full read.
 const (
-	// historyShare is how many times the bytes of all values an answer with changes may
-	// have. A node that was cut off while one large value changed often would otherwise
-	// read each of its versions; with it, it is up to date after three times the time in
-	// which its link carries everything.
-	historyShare = 2
-	// leastHistory is read in any case.
-	leastHistory = 256 << 10
+	// historyBytesFactor limits the answer to a poll to twice the bytes of all values. Without the
+	// limit, a node that was cut off while one large value changed often would read each of its
+	// versions. With it, the node is up to date after at most three times the time in which its
+	// link carries a full read.
+	historyBytesFactor = 2
+	// minHistoryBytes is the least limit, so that a small store does not cause full reads.
+	minHistoryBytes = 256 << 10
 )
 
-// worthReading is how many bytes of changes are worth reading.
-func (c *contents) worthReading() int64 { return max(historyShare*c.bytes, leastHistory) }
+// maxHistoryBytes returns how many bytes of changes a poll may return.
+func (c *contents) maxHistoryBytes() int64 { return max(historyBytesFactor*c.bytes, minHistoryBytes) }
 
-// set notes the value of a key.
-func (c *contents) set(s *wire.StoreChange) {
-	c.drop(s.Key)
-	entry := stored{revision: s.Revision, value: s.Value}
-	c.keys[s.Key] = entry
-	c.bytes += entry.bytes(s.Key)
+// put stores the value of a key.
+func (c *contents) put(change *wire.StoreChange) {
+	c.remove(change.Key)
+	entry := storedValue{revision: change.Revision, value: change.Value}
+	c.keys[change.Key] = entry
+	c.bytes += entry.size(change.Key)
 }
 
-// drop forgets a key.
-func (c *contents) drop(key string) {
+// remove deletes a key.
+func (c *contents) remove(key string) {
 	if entry, known := c.keys[key]; known {
-		c.bytes -= entry.bytes(key)
+		c.bytes -= entry.size(key)
 		delete(c.keys, key)
 	}
 }
 
-func (c *contents) empty() bool { return c.revision == 0 }
+func (c *contents) isEmpty() bool { return c.revision == 0 }
 
-// note takes changes that bring the contents up to a revision.
-func (c *contents) note(changes []wire.StoreChange, revision int64) {
+// applyChanges applies changes that bring the contents up to the revision.
+func (c *contents) applyChanges(changes []wire.StoreChange, revision int64) {
 	c.revision = revision
 	for i := range changes {
 		if changes[i].Deleted {
-			c.drop(changes[i].Key)
+			c.remove(changes[i].Key)
 		} else {
-			c.set(&changes[i])
+			c.put(&changes[i])
 		}
 	}
 }
 
-// replace takes everything that is in the store at a revision and returns what changed
-// since the contents were known, in order of revisions. What was known ahead is among it: the
-// nodes that it is passed on to may not have heard of it.
+// replace takes a full read of the store at the revision and returns what changed since the
+// previous contents, ordered by revision. It also returns values with a revision above the previous
+// one, which were applied ahead of the other changes: the receivers of the next update may not have
+// them.
 func (c *contents) replace(pairs []wire.StoreChange, revision int64) []wire.StoreChange {
-	before, after := c.keys, c.revision
-	c.keys, c.bytes = make(map[string]stored, len(pairs)), 0
+	previous, previousRevision := c.keys, c.revision
+	c.keys, c.bytes = make(map[string]storedValue, len(pairs)), 0
 	c.revision = revision
 	var changes []wire.StoreChange
 	for i := range pairs {
-		c.set(&pairs[i])
-		if pairs[i].Revision != before[pairs[i].Key].revision || pairs[i].Revision > after {
+		c.put(&pairs[i])
+		if pairs[i].Revision != previous[pairs[i].Key].revision || pairs[i].Revision > previousRevision {
 			changes = append(changes, pairs[i])
 		}
 	}
-	for key := range before {
+	for key := range previous {
 		if _, kept := c.keys[key]; !kept {
 			changes = append(changes, wire.StoreChange{Key: key, Revision: revision, Deleted: true})
 		}
--- a/fleet/feed/contents_test.go
+++ b/fleet/feed/contents_test.go
@@ -19,12 +19,12 @@
 	large := wire.StoreChange{Key: "k", Revision: 10, Value: make([]byte, 1<<20)}
 	c.Step(at(0), ReadDone{Began: at(0), Revision: 10, Pairs: []wire.StoreChange{large}})
 	poll := onlyEffect[Poll](t, c.Step(at(time.Second), Tick{}))
-	if want := int64(historyShare * (1<<20 + 1)); poll.After != 10 || poll.Most != want {
+	if want := int64(historyBytesFactor * (1<<20 + 1)); poll.After != 10 || poll.Most != want {
 		t.Fatalf("asked for %+v, want at most %d bytes after 10", poll, want)
 	}
 	onlyEffect[Read](t, c.Step(at(time.Second), PollDone{Began: at(time.Second), TooLong: true}))
 	c.Step(at(2*time.Second), ReadDone{Began: at(time.Second), Revision: 20})
-	if poll = onlyEffect[Poll](t, c.Step(at(3*time.Second), Tick{})); poll.After != 20 || poll.Most != leastHistory {
+	if poll = onlyEffect[Poll](t, c.Step(at(3*time.Second), Tick{})); poll.After != 20 || poll.Most != minHistoryBytes {
 		t.Fatalf("asked for %+v, want the least after 20", poll)
 	}
 }
@@ -93,7 +93,7 @@
 				Key: rapid.SampledFrom([]string{"a", "bb", "ccc"}).Draw(t, "key"), Revision: revision,
 				Value: make([]byte, rapid.IntRange(0, 9).Draw(t, "size")), Deleted: rapid.Bool().Draw(t, "deleted"),
 			}
-			c.note([]wire.StoreChange{change}, revision)
+			c.applyChanges([]wire.StoreChange{change}, revision)
 			if rapid.IntRange(0, 5).Draw(t, "read") == 0 {
 				c.replace([]wire.StoreChange{change}, revision)
 			}
--- a/fleet/feed/core.go
+++ b/fleet/feed/core.go
@@ -9,73 +9,75 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Core follows the store for one node; it is not safe for concurrent use.
+// Core follows the store for one node. It is not safe for concurrent use.
 type Core struct {
 	cfg    Config
 	filter Filter
 	rand   *rand.Rand
 	now    time.Time
 	tree   tree
-	// revision up to which everything is known; zero before the first read.
+	// revision is the one up to which all changes are known; zero before the first read.
 	revision int64
-	// heardAt is the time of the newest reading that the node's source passed on,
-	// knownAt of the newest one of all.
-	heardAt, knownAt time.Time
-	// hearsAt is when any node was heard of last, whatever it knew.
-	hearsAt time.Time
-	// calling is set while a call is under way, stale once its outcome must not count: a read
-	// of everything that began before it was asked for again.
-	calling, stale bool
-	// reading is set while that call reads everything.
-	reading bool
-	// whole is set while everything is to be read since more changed than is worth reading, until
-	// an update closes the gap; anew when the history is gone and after a standstill, until it
-	// was read. What is known stays, and updates and calls for changes count
-	// meanwhile: reading everything may take long, fail, or be asked for again before it ends.
-	whole, anew bool
-	// steppingIn is set when the last call was made because the source was silent.
-	steppingIn bool
-	// urgent is set when a relay named changes that it did not pass on, the newest of revision
-	// named.
-	urgent   bool
-	named    int64
-	failures int
+	// sourceReadAt is when the newest data that came from the node's source was read from the
+	// store, knownAt when the newest data from anywhere was.
+	sourceReadAt, knownAt time.Time
+	// lastMessageAt is when the last update or snapshot part arrived, whatever its content.
+	lastMessageAt time.Time
+	// callInFlight is set while a call is under way. discardRead is set if the result of the full
+	// read under way must be discarded, as it began before the node was invalidated.
+	callInFlight, discardRead bool
+	// readInFlight is set while the call under way is a full read.
+	readInFlight bool
+	// gapTooLong is set while a full read is due because the missing changes exceed the limit of a
+	// poll; an update that closes the gap clears it. rereadNeeded is set while a full read is due
+	// because the history was compacted or the process stood still. The node keeps what it knows
+	// and goes on taking updates and polls meanwhile, as a full read may take long, fail, or be
+	// asked for again before it ends.
+	gapTooLong, rereadNeeded bool
+	// sourceTimedOut is set when the last call was made because the source was silent.
+	sourceTimedOut bool
+	// missesChanges is set when a relay announced changes that it did not send; announcedRevision
+	// is the newest of them.
+	missesChanges     bool
+	announcedRevision int64
+	failures          int
 	// failedAt is when the last call failed.
-	failedAt time.Time
-	callAt   time.Time
-	source   Source
-	// relayID names the relay that was heard of last.
-	relayID cluster.NodeID
-	// helper answers for the store where nobody else does.
-	helper helper
-	// start is how a node that knows nothing learns everything, and snapshots what it sends
-	// to others that ask.
-	start     start
-	snapshots snapshots
-	// adoptedUntil is until when the node that everything was learned of passes changes on to
-	// this one: the tree of the fleet is known by then.
-	adoptedUntil time.Time
-	// substitute is the relay that was asked last in place of the silent one.
-	substitute substitute
-	// greeter asked this node last; it is asked in turn while no other node is known.
-	greeter Peer
-	// readAt is when the last reading of everything that counted began.
-	readAt time.Time
-	// passedOn is the time of the newest reading that was passed on.
-	passedOn time.Time
-	contents contents
-	history  history
-	proof    proof
-	effects  []Effect
+	failedAt   time.Time
+	nextCallAt time.Time
+	source     Source
+	// lastRelayID is the node whose update or first snapshot was last taken or announced changes.
+	lastRelayID cluster.NodeID
+	// fallbackPeer answers for the store where the node has no source.
+	fallbackPeer fallbackPeer
+	// startup is how the node learns the contents of the store at first, snapshots what it sends to
+	// other nodes that start.
+	startup   startup
+	snapshots snapshotServer
+	// forwardedUntil is until when the node that sent the snapshot forwards changes to this one. By
+	// then both know the tree of the fleet.
+	forwardedUntil time.Time
+	// backupRelay is the relay that was last asked in place of a silent one.
+	backupRelay backupRelay
+	// lastRequester is the node that last requested changes. It becomes the fallback peer while no
+	// other node is known.
+	lastRequester Peer
+	// fullReadAt is when the last full read that was taken began; zero after an invalidation.
+	fullReadAt time.Time
+	// lastRelayedReadAt is the time of the newest read that was forwarded.
+	lastRelayedReadAt time.Time
+	contents          contents
+	history           history
+	proof             keyProof
+	effects           []Effect
 }
 
-// New returns a core that knows nothing yet.
+// New returns a Core that has read nothing yet.
 func New(cfg Config, f Filter, seed uint64) *Core {
 	cfg = cfg.withDefaults()
 	return &Core{cfg: cfg, filter: f, rand: rand.New(rand.NewPCG(seed, 1)), tree: newTree(&cfg, nil)}
 }
 
-// Step takes one event and returns the effects, valid until the next Step.
+// Step handles one event and returns the effects, valid until the next Step.
 func (c *Core) Step(now time.Time, e Event) []Effect {
 	c.now = now
 	c.effects = c.effects[:0]
@@ -83,7 +85,7 @@
 	case PeersChanged:
 		before := c.tree
 		c.tree = newTree(&c.cfg, e.Peers)
-		c.greet(before)
+		c.introduce(before)
 	case ReadDone:
 		c.readDone(e)
 	case PollDone:
@@ -107,17 +109,17 @@
 	case VerifyDone:
 		c.verifyDone(e)
 	case ClockHeard:
-		c.clockHeard(e.Told)
+		c.clockReceived(e.Told)
 	}
 	c.serveWaiting()
-	c.noteSource()
-	c.call()
+	c.updateSource()
+	c.startCall()
 	c.verify()
 	return c.effects
 }
 
-// NextDue returns when the next Tick has something to do; zero while that is up to calls
-// under way.
+// NextDue returns when the next Tick has something to do; zero while that depends on calls under
+// way.
 func (c *Core) NextDue() time.Time {
 	due, verify := c.callDue(), c.verifyDue()
 	if due.IsZero() || !verify.IsZero() && verify.Before(due) {
@@ -126,11 +128,11 @@
 	return due
 }
 
-// Revision returns up to where everything is known.
+// Revision returns the revision up to which all changes are known.
 func (c *Core) Revision() int64 { return c.revision }
 
-// KnownAt is when the store was read last by whoever told of it: what is known was everything
-// then. Zero before the first reading.
+// KnownAt returns the time at which what the node knows was read from the store, by itself or by a
+// peer: all of the store's changes up to then are known. Zero before the first read.
 func (c *Core) KnownAt() time.Time { return c.knownAt }
 
 func later(a, b time.Time) time.Time {
@@ -142,46 +144,45 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// silence is for how long this node waits for its source. Nodes with the same source
-// have different patience, so that one of them steps in and the others hear of it.
-func (c *Core) silence() time.Duration {
+// sourceTimeout returns how long the node waits for its source. The timeouts of nodes with the same
+// source differ, so that one of them polls the store and the others hear of it.
+func (c *Core) sourceTimeout() time.Duration {
 	position := time.Duration(c.tree.position)
 	switch {
-	case c.adopted() && !c.tree.hasSource():
-		return max(c.cfg.LeafSilence, c.cfg.Silence)
-	case c.tree.role == leaf && c.tree.rooted:
-		return c.cfg.LeafSilence + position*c.cfg.LeafStep
+	case c.hasSnapshotSource() && !c.tree.hasSource():
+		return max(c.cfg.LeafSourceTimeout, c.cfg.Silence)
+	case c.tree.role == leaf && c.tree.hasRoot:
+		return c.cfg.LeafSourceTimeout + position*c.cfg.LeafTimeoutStep
 	case c.tree.role == leaf:
-		return c.cfg.Silence + position*c.cfg.LeafStep
+		return c.cfg.Silence + position*c.cfg.LeafTimeoutStep
 	}
-	return c.cfg.Silence + position*c.cfg.RelayStep
+	return c.cfg.Silence + position*c.cfg.RelayTimeoutStep
 }
 
-// heard reports whether what is known was read recently enough.
-func (c *Core) heard() bool { return c.now.Sub(c.heardAt) < c.silence() }
+// sourceIsCurrent reports whether the source's newest read is younger than the source timeout.
+func (c *Core) sourceIsCurrent() bool { return c.now.Sub(c.sourceReadAt) < c.sourceTimeout() }
 
-// fed reports whether another node keeps this one up to date.
-func (c *Core) fed() bool {
-	return c.revision != 0 && !c.urgent && (c.tree.hasSource() || c.adopted()) && c.heard()
+// isFedByPeer reports whether another node keeps this one up to date.
+func (c *Core) isFedByPeer() bool {
+	return c.revision != 0 && !c.missesChanges && (c.tree.hasSource() || c.hasSnapshotSource()) && c.sourceIsCurrent()
 }
 
-// adopted reports whether the node that everything was learned of still passes changes on.
-func (c *Core) adopted() bool { return c.now.Before(c.adoptedUntil) }
+// hasSnapshotSource reports whether the node that sent the snapshot still forwards changes.
+func (c *Core) hasSnapshotSource() bool { return c.now.Before(c.forwardedUntil) }
 
-// upToDate reports whether nothing needs to be asked of the store.
-func (c *Core) upToDate() bool { return c.fed() && !c.whole && !c.anew }
+// isUpToDate reports whether no call to the store is needed.
+func (c *Core) isUpToDate() bool { return c.isFedByPeer() && !c.gapTooLong && !c.rereadNeeded }
 
-// take notes changes that bring what is known up to a revision, and returns those that
-// were not known and say something new.
-func (c *Core) take(changes []wire.StoreChange, revision int64) []wire.StoreChange {
+// advance applies changes up to the revision and returns those that were unknown and carry news.
+func (c *Core) advance(changes []wire.StoreChange, revision int64) []wire.StoreChange {
 	unknown := slices.DeleteFunc(slices.Clone(changes), func(s wire.StoreChange) bool { return s.Revision <= c.revision })
 	c.revision = max(c.revision, revision)
-	c.contents.note(unknown, c.revision)
-	return c.news(unknown)
+	c.contents.applyChanges(unknown, c.revision)
+	return c.selectNews(unknown)
 }
 
-// news returns the changes that say something new.
-func (c *Core) news(changes []wire.StoreChange) []wire.StoreChange {
+// selectNews returns the changes that carry news.
+func (c *Core) selectNews(changes []wire.StoreChange) []wire.StoreChange {
 	var news []wire.StoreChange
 	for i := range changes {
 		if c.filter.News(&changes[i]) {
@@ -198,30 +199,30 @@
 	}
 }
 
-// invalidate has everything read again; such a read under way doesn't count. Until then the
-// node goes on from what it knows. It used to forget up to where it knows, and took nothing of
-// what its relay told until the read had ended: one that stood still for a moment each time
-// before that served by what it had known at first, for as long as it was busy.
+// invalidate requires a full read and discards the one under way. Until it ends the node goes on
+// from what it knows. Earlier versions forgot the known revision and took no updates until the read
+// had ended: a node that kept standing still for a moment before that served from its first read
+// for as long as it was busy.
 func (c *Core) invalidate() {
-	c.stale, c.readAt = c.reading, time.Time{}
-	c.anew = c.revision != 0
-	c.callAt = c.now
+	c.discardRead, c.fullReadAt = c.readInFlight, time.Time{}
+	c.rereadNeeded = c.revision != 0
+	c.nextCallAt = c.now
 }
 
-// noteSource tells when the source of changes is another one.
-func (c *Core) noteSource() {
+// updateSource emits SourceChanged when the source of changes is another one.
+func (c *Core) updateSource() {
 	source := SourceStore
-	fed := c.fed() || c.urgent
+	viaPeer := c.isFedByPeer() || c.missesChanges
 	switch {
-	case fed && c.tree.passesOn():
+	case viaPeer && c.tree.forwards():
 		source = SourcePeerRelay
-	case fed:
+	case viaPeer:
 		source = SourcePeer
-	case c.tree.passesOn():
+	case c.tree.forwards():
 		source = SourceRelay
 	}
 	if source != c.source {
 		c.source = source
-		c.emit(SourceChanged{Source: source, Silent: c.now.Sub(c.heardAt)})
+		c.emit(SourceChanged{Source: source, Silent: c.now.Sub(c.sourceReadAt)})
 	}
 }
--- a/fleet/feed/cutoff_test.go
+++ b/fleet/feed/cutoff_test.go
@@ -71,7 +71,7 @@
 // TestFewGreetNewNodes: a node that comes to a large fleet of small zones is greeted by few,
 // and one whose zone has relays by none.
 func TestFewGreetNewNodes(t *testing.T) {
-	for _, fleet := range []struct{ zones, greeted int }{{fleetSize / 2, greeters}, {5, 0}} {
+	for _, fleet := range []struct{ zones, greeted int }{{fleetSize / 2, introducersPerNode}, {5, 0}} {
 		var peers []Peer
 		for i := range fleetSize {
 			peers = append(peers, Peer{
@@ -126,7 +126,7 @@
 			now = due
 		}
 		c.Step(now, Tick{})
-		now = now.Add(callPatience)
+		now = now.Add(callTimeout)
 		c.Step(now, failed(now, errors.New("no answer")))
 	}
 	return now.Add(10 * time.Millisecond)
@@ -143,8 +143,8 @@
 	gap(40)
 	now = failing(leaf, now, func(began time.Time, err error) Event { return PollDone{Began: began, Err: err} })
 	gap(41)
-	if due := leaf.NextDue(); due.Sub(now) > answerWait {
-		t.Errorf("the store is asked %s later, want %s at most", due.Sub(now), answerWait)
+	if due := leaf.NextDue(); due.Sub(now) > peerAnswerTimeout {
+		t.Errorf("the store is asked %s later, want %s at most", due.Sub(now), peerAnswerTimeout)
 	}
 }
 
@@ -158,8 +158,8 @@
 	waits := starting.NextDue().Sub(now)
 	told := UpdateReceived{Update: wire.StoreChanges{From: "relay", After: 40, Revision: 41}}
 	starting.Step(now, told)
-	if due := starting.NextDue().Sub(now); due > 2*retryWait {
-		t.Errorf("the store is asked %s later, want %s at most, before %s", due, 2*retryWait, waits)
+	if due := starting.NextDue().Sub(now); due > 2*minRetryWait {
+		t.Errorf("the store is asked %s later, want %s at most, before %s", due, 2*minRetryWait, waits)
 	}
 	old := told
 	old.Update.Age = time.Second
@@ -179,7 +179,7 @@
 	core.Step(now, KeyProven{Key: "key-00003"})
 	now = failing(core, now, func(began time.Time, err error) Event { return PollDone{Began: began, Err: err} })
 	core.Step(now, VerifyDone{Began: now, Revision: 4})
-	if due := core.callDue().Sub(now); due > 2*retryWait {
-		t.Errorf("the store is asked for changes %s later, want %s at most", due, 2*retryWait)
+	if due := core.callDue().Sub(now); due > 2*minRetryWait {
+		t.Errorf("the store is asked for changes %s later, want %s at most", due, 2*minRetryWait)
 	}
 }
--- a/fleet/feed/events.go
+++ b/fleet/feed/events.go
@@ -10,34 +10,34 @@
 // Event is an input of a Core.
 type Event interface{ feedEvent() }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// PeersChanged brings the live nodes of all zones.
+// PeersChanged lists the live nodes of all zones.
 type PeersChanged struct{ Peers []Peer }
 
-// ReadDone brings the outcome of a Read: what was in the store at Revision or later.
+// ReadDone is the outcome of a Read: the contents of the store at Revision.
 type ReadDone struct {
 	Began    time.Time
 	Revision int64
 	Pairs    []wire.StoreChange
-	// Large is set where the first page did not hold everything, and no more was asked for.
-	// Pairs are left out then.
+	// Large is set if the first page did not hold everything and OnePage was set. Pairs are left
+	// out then.
 	Large bool
 	Err   error
 }
 
-// StarterRead brings the record of the node in this one's zone that was last to read
-// everything for others.
+// StarterRead is the outcome of a ReadStarter: the record of the node that last became the starter
+// of this node's zone.
 type StarterRead struct {
-	// Starter is empty where there is no record; Revision is then zero.
+	// Starter is empty and Revision zero if there is no record.
 	Starter  Starter
 	Revision int64
 	Err      error
 }
 
-// StarterClaimed brings the outcome of a ClaimStart: whether the record is this node's, or
-// whose it is.
+// StarterClaimed is the outcome of a ClaimStart. Won reports whether this node wrote the record;
+// Starter and Revision are what the record holds.
 type StarterClaimed struct {
 	Won      bool
 	Starter  Starter
@@ -45,30 +45,30 @@
 	Err      error
 }
 
-// PollDone brings the outcome of a Poll.
+// PollDone is the outcome of a Poll.
 type PollDone struct {
 	Began    time.Time
 	Revision int64
 	Changes  []wire.StoreChange
-	// Compacted is true when the history that was asked for is gone, TooLong when it
-	// holds more bytes than were asked for.
+	// Compacted is set if the store has dropped the history that was asked for, TooLong if the
+	// changes have more bytes than the poll allows.
 	Compacted, TooLong bool
 	Err                error
 }
 
-// UpdateReceived brings what a relay passed on.
+// UpdateReceived is an update from a relay.
 type UpdateReceived struct{ Update wire.StoreChanges }
 
-// ChangesRequested brings a peer's request for what it misses.
+// ChangesRequested is a peer's request for changes that it misses.
 type ChangesRequested struct{ Request wire.StoreChangesRequest }
 
-// SnapshotRequested brings a node's request for everything.
+// SnapshotRequested is a starting node's request for a snapshot.
 type SnapshotRequested struct{ Request wire.StoreSnapshotRequest }
 
-// SnapshotReceived brings a part of everything that another node knows.
+// SnapshotReceived is a part of another node's snapshot.
 type SnapshotReceived struct{ Part wire.StoreSnapshot }
 
-// Invalidated says that what is known may be old in a way that changes don't show.
+// Invalidated reports that what is known may be out of date in a way that later changes don't show.
 type Invalidated struct{}
 
 func (Tick) feedEvent()              {}
@@ -86,68 +86,69 @@
 // Effect is an output of a Core.
 type Effect interface{ feedEffect() }
 
-// Read asks for the whole content of the store. Everything up to the revision Known is
-// known, if it isn't zero. With OnePage nothing more is asked for if that is not all.
+// Read asks for the contents of the store. Known is the revision up to which changes are known,
+// zero for none. With OnePage no further page is asked for if the first does not hold everything.
 type Read struct {
 	Known   int64
 	OnePage bool
 }
 
-// ReadStarter asks for the record of this node's zone that StarterRead brings.
+// ReadStarter asks for the record of the starter of this node's zone.
 type ReadStarter struct{}
 
-// ClaimStart writes this node into that record if the record has the revision, zero for none.
+// ClaimStart writes this node into the starter's record if the record still has Revision, zero for
+// no record.
 type ClaimStart struct{ Revision int64 }
 
-// Replace hands on everything that was in the store at a revision, as another node knew it.
+// Replace delivers the contents of the store at Revision, as another node's snapshot held them.
 type Replace struct {
 	Revision int64
 	Pairs    []wire.StoreChange
-	// From is that node, Took how long ago it was asked.
+	// From is the node that sent the snapshot. Took is the time since this node began to start up;
+	// zero for a snapshot that closes a gap.
 	From cluster.NodeID
 	Took time.Duration
 }
 
-// AskSnapshot asks a node for everything; it may be lost.
+// AskSnapshot sends a request for a snapshot to a node; the message may be lost.
 type AskSnapshot struct {
 	Address string
 	Request wire.StoreSnapshotRequest
 }
 
-// SendSnapshot sends a part of everything; it may be lost.
+// SendSnapshot sends a part of a snapshot to a node; the message may be lost.
 type SendSnapshot struct {
 	Address string
 	Part    wire.StoreSnapshot
 }
 
-// Poll asks the store for the changes after a revision, unless they have more than Most
-// bytes.
+// Poll asks the store for the changes after a revision, unless they have more than Most bytes.
 type Poll struct{ After, Most int64 }
 
-// Apply hands on changes, in order, that brought what is known up to Revision.
+// Apply delivers changes, in order, that bring what is known up to Revision.
 type Apply struct {
 	Revision int64
 	Changes  []wire.StoreChange
-	// Relay is the node that passed them on, empty for the store itself.
+	// Relay is the node that forwarded them, empty for the store itself.
 	Relay string
 }
 
-// Send sends an update to a peer; it may be lost.
+// Send sends an update to a peer; the message may be lost.
 type Send struct {
 	Address string
 	Update  wire.StoreChanges
 }
 
-// Ask asks a node for changes that the store did not tell; it may be lost.
+// Ask sends a request for missing changes to a node; the message may be lost.
 type Ask struct {
 	Address string
 	Request wire.StoreChangesRequest
 }
 
-// SourceChanged says from where changes are learned now.
+// SourceChanged reports that the node learns of changes from another source.
 type SourceChanged struct {
 	Source Source
-	// Silent is how long the relays were not heard of.
+	// Silent is the age of the newest read that came from the node's source.
 	Silent time.Duration
 }
 
@@ -163,18 +164,18 @@
 func (Ask) feedEffect()           {}
 func (SourceChanged) feedEffect() {}
 
-// Source is from where a node learns of changes.
+// Source is where a node learns of changes.
 type Source uint8
 
-// The sources.
+// The sources of changes.
 const (
-	// SourceStore is the store, for this node alone.
+	// SourceStore means that the node polls the store for itself alone.
 	SourceStore Source = iota
-	// SourceRelay is the store, for this node and those it relays to.
+	// SourceRelay means that the node polls the store and forwards changes to others.
 	SourceRelay
-	// SourcePeer is a relay.
+	// SourcePeer means that the node learns from a relay.
 	SourcePeer
-	// SourcePeerRelay is a relay, for this node and those it relays to.
+	// SourcePeerRelay means that the node learns from a relay and forwards changes to others.
 	SourcePeerRelay
 )
 
--- a/fleet/feed/history.go
+++ b/fleet/feed/history.go
@@ -6,51 +6,51 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Least bounds of what a node keeps to close its peers' gaps with. It keeps as many changes as it
-// knows keys, and as many bytes, where those are more: the workers of a fleet enter within a few
-// updates of a relay when all machines get power.
+// Least limits of the changes that a node keeps for peers with a gap. It keeps as many changes as
+// it knows keys, and as many bytes as these have, if those are more: when all machines are powered
+// on, the workers of a whole fleet register within a few updates.
 const (
-	// leastHistoryChanges is about a page of the store's, 500 items.
-	leastHistoryChanges = 512
-	// leastHistoryBytes of values: 35 versions of a configuration of 59 KB, the size with
-	// 481 models.
-	leastHistoryBytes = 2 << 20
+	// minKeptChanges is about a page of the store, 500 items.
+	minKeptChanges = 512
+	// minKeptBytes limits the bytes of the values: 2 MiB hold 35 versions of a configuration of 59
+	// KB, the size with 481 models.
+	minKeptBytes = 2 << 20
 )
 
-// history holds the newest changes that said something new.
+// history holds the newest changes that carry news.
 type history struct {
-	// after is the revision from which on it is whole.
-	after   int64
-	changes []wire.StoreChange
-	bytes   int64
+	// completeAfter is the revision after which no change is missing.
+	completeAfter int64
+	changes       []wire.StoreChange
+	bytes         int64
 }
 
-// restart forgets all changes.
-func (h *history) restart(after int64) { *h = history{after: after} }
+// restart drops all changes; the history is complete after the revision.
+func (h *history) restart(completeAfter int64) { *h = history{completeAfter: completeAfter} }
 
-// add appends changes and drops the oldest ones beyond the bounds.
+// add appends changes and drops the oldest ones beyond the limits.
 func (h *history) add(changes []wire.StoreChange, known *contents) {
 	h.changes = append(h.changes, changes...)
 	for i := range changes {
 		h.bytes += int64(len(changes[i].Value))
 	}
-	mostChanges := max(leastHistoryChanges, len(known.keys))
-	mostBytes := max(leastHistoryBytes, known.bytes)
+	maxChanges := max(minKeptChanges, len(known.keys))
+	maxBytes := max(minKeptBytes, known.bytes)
 	drop := 0
-	for drop < len(h.changes) && (len(h.changes)-drop > mostChanges || h.bytes > mostBytes) {
-		h.after = h.changes[drop].Revision
+	for drop < len(h.changes) && (len(h.changes)-drop > maxChanges || h.bytes > maxBytes) {
+		h.completeAfter = h.changes[drop].Revision
 		h.bytes -= int64(len(h.changes[drop].Value))
 		drop++
 	}
 	h.changes = slices.Delete(h.changes, 0, drop)
 }
 
-// reaches reports whether all changes after a revision are known.
-func (h *history) reaches(after int64) bool { return after >= h.after }
+// covers reports whether the history holds all changes after the revision.
+func (h *history) covers(after int64) bool { return after >= h.completeAfter }
 
-// since returns the changes after a revision, false if some of them are gone.
+// since returns the changes after a revision, and false if some of them were dropped.
 func (h *history) since(after int64) ([]wire.StoreChange, bool) {
-	if !h.reaches(after) {
+	if !h.covers(after) {
 		return nil, false
 	}
 	for i := range h.changes {
--- a/fleet/feed/history_test.go
+++ b/fleet/feed/history_test.go
@@ -75,7 +75,7 @@
 		for j := range update.Changes {
 			bytes += len(update.Changes[j].Value)
 		}
-		if bytes > 2*updateBytes+500*1000 {
+		if bytes > 2*targetUpdateBytes+500*1000 {
 			t.Errorf("%d bytes in one update", bytes)
 		}
 		leaf.Step(now, UpdateReceived{Update: update})
@@ -109,11 +109,11 @@
 func relaying(t *testing.T, now time.Time) *Core {
 	t.Helper()
 	relay := beside(now, Peer{ID: "relay", Capacity: 2})
-	if !relay.tree.passesOn() {
+	if !relay.tree.forwards() {
 		t.Fatal("the node does not relay")
 	}
 	relay.Step(now, UpdateReceived{Update: wire.StoreChanges{
-		From: "relay-0", After: 30, Revision: 30, Changes: []wire.StoreChange{{Key: "key-00003", Value: make([]byte, updateBytes), Revision: ahead}},
+		From: "relay-0", After: 30, Revision: 30, Changes: []wire.StoreChange{{Key: "key-00003", Value: make([]byte, targetUpdateBytes), Revision: ahead}},
 	}})
 	return relay
 }
@@ -141,7 +141,7 @@
 	now := time.Unix(1000, 0)
 	relay := relaying(t, now)
 	leaf, _ := knowing(now, 30, 100, Config{Self: Peer{ID: "leaf", Address: "leaf"}})
-	changes := entering(30, updateBytes/8, 30)
+	changes := entering(30, targetUpdateBytes/8, 30)
 	for i := range changes {
 		if changes[i].Revision == ahead {
 			changes[i] = wire.StoreChange{Key: "key-00003", Revision: ahead}
@@ -171,7 +171,7 @@
 			if answers {
 				leaf.Step(now, UpdateReceived{Update: wire.StoreChanges{From: "relay-0", After: 30, Revision: 40}})
 			}
-			if read := reads(leaf.Step(now.Add(answerWait), Tick{})); read == answers {
+			if read := reads(leaf.Step(now.Add(peerAnswerTimeout), Tick{})); read == answers {
 				t.Errorf("everything is read: %t", read)
 			}
 		})
@@ -194,7 +194,7 @@
 // TestForgottenChangesComeWithEverything guards against nodes that read everything at the store
 // since they miss more than their relay keeps, though the relay has it.
 func TestForgottenChangesComeWithEverything(t *testing.T) {
-	const revision = 30 + 4*leastHistoryChanges
+	const revision = 30 + 4*minKeptChanges
 	asked := ChangesRequested{Request: wire.StoreChangesRequest{From: "leaf", FromAddress: "leaf", After: 30}}
 	for name, misses := range map[string]func(now time.Time, leaf *Core) time.Time{
 		"changes were named": func(now time.Time, leaf *Core) time.Time {
@@ -206,18 +206,18 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			relay, leaf := beside(now, Peer{ID: "relay", Capacity: 2}), beside(now, Peer{ID: "leaf"})
-			for after := int64(30); after < revision; after += leastHistoryChanges {
-				relay.Step(now, PollDone{Began: now, Revision: after + leastHistoryChanges, Changes: entering(leastHistoryChanges, 1, after)})
+			for after := int64(30); after < revision; after += minKeptChanges {
+				relay.Step(now, PollDone{Began: now, Revision: after + minKeptChanges, Changes: entering(minKeptChanges, 1, after)})
 			}
 			if resynced(now, leaf, relay.Step(now, asked)); leaf.Revision() != 30 {
 				t.Error("a node that misses nothing takes everything")
 			}
 			now = misses(now, leaf)
 			relay.Step(now, PollDone{Began: now, Revision: revision})
-			if !resynced(now, leaf, relay.Step(now, asked)) || leaf.Revision() != revision || polls(leaf.Step(now.Add(answerWait), Tick{})) {
+			if !resynced(now, leaf, relay.Step(now, asked)) || leaf.Revision() != revision || polls(leaf.Step(now.Add(peerAnswerTimeout), Tick{})) {
 				t.Errorf("the leaf stands at revision %d of %d", leaf.Revision(), revision)
 			}
-			for range 2 * leastServed * servedPerCore {
+			for range 2 * minSnapshotsPerSecond * snapshotsPerSecondPerCore {
 				relay.Step(now, asked)
 			}
 			if sent := received(relay.Step(now, asked), "leaf"); len(sent) > 0 {
--- a/fleet/feed/isolation_test.go
+++ b/fleet/feed/isolation_test.go
@@ -55,7 +55,7 @@
 			spoken := failingRelay(zones, 5*time.Minute)
 			last := spoken[0]
 			for _, at := range spoken[1:] {
-				if gap, most := at.Sub(last), longestWait(zones)*3/2+callPatience; gap > most {
+				if gap, most := at.Sub(last), maxMeanRetryWait(zones)*3/2+callTimeout; gap > most {
 					t.Fatalf("nothing for %v, the nodes below wait %v", gap, most)
 				}
 				last = at
@@ -75,18 +75,18 @@
 			peers = append(peers, Peer{ID: id, Address: string(id), Zone: cluster.ZoneID(fmt.Sprint(z)), Capacity: float64(group - i)})
 		}
 	}
-	c := New(Config{Self: peers[0], Within: rootedWithin}, allNews{}, 1)
+	c := New(Config{Self: peers[0], Within: minDelayWithRoot}, allNews{}, 1)
 	c.Step(began, PeersChanged{Peers: peers})
 	c.Step(began, ReadDone{Began: began, Revision: 10})
 	var spoken []time.Time
 	for now := began; now.Before(began.Add(lasts)); now = now.Add(5 * time.Millisecond) {
-		c.hearsAt = now
+		c.lastMessageAt = now
 		for _, effect := range c.Step(now, Tick{}) {
 			if _, polls := effect.(Poll); !polls {
 				continue
 			}
 			now = now.Add(callLimit)
-			c.hearsAt = now
+			c.lastMessageAt = now
 			for _, answer := range c.Step(now, PollDone{Began: now, Err: errors.New("no answer")}) {
 				if _, sends := answer.(Send); sends && (len(spoken) == 0 || spoken[len(spoken)-1] != now) {
 					spoken = append(spoken, now)
--- a/fleet/feed/known_test.go
+++ b/fleet/feed/known_test.go
@@ -48,7 +48,7 @@
 	s := newSimulation(3, 5)
 	s.runFor(5 * time.Second)
 	node := s.peers[0]
-	if node.core.tree.passesOn() {
+	if node.core.tree.forwards() {
 		t.Fatal("the node relays")
 	}
 	node.troubles++
--- a/fleet/feed/proof.go
+++ b/fleet/feed/proof.go
@@ -8,88 +8,94 @@
 )
 
 const (
-	// verifyEvery is how often a node that asks the store for itself, or for others, has it
-	// confirm the proven key. What others know is then at most this and two pauses of relays
-	// older than the store, 1.3 s.
-	verifyEvery = 700 * time.Millisecond
-	// verifyAfter is the age of the proof from which on any node asks the store itself: above
-	// what relays pass on, and so far below the bound on keys of 4.5 s that three calls fit.
-	verifyAfter = 2 * time.Second
-	// verifyRetry is the first mean wait after a failed call; it doubles up to
-	// longestVerifyRetry.
-	verifyRetry        = 300 * time.Millisecond
-	longestVerifyRetry = 1200 * time.Millisecond
-	// tellClockAgain spaces clocks told to a node that has echoed none yet, and renewEcho
-	// those told to one that has: two clocks differ by less than 1 ms after it.
-	tellClockAgain = 300 * time.Millisecond
-	renewEcho      = 10 * time.Second
-	// maxEchoes bounds the clocks kept of other nodes; a full table starts anew.
-	maxEchoes = 1024
+	// verifyInterval is how often a node that polls the store has it confirm the proven key. What
+	// other nodes know is then at most this time and two pauses of relays older than the store, 1.3
+	// s.
+	verifyInterval = 700 * time.Millisecond
+	// maxFedProofAge is the age of its proof at which a node that a peer keeps up to date asks the
+	// store itself. It is above the age of proofs that relays forward, and so far below the bound
+	// on keys of 4.5 s that three calls fit in between.
+	maxFedProofAge = 2 * time.Second
+	// minVerifyRetryWait is the first mean wait after a failed call; it doubles up to
+	// maxVerifyRetryWait.
+	minVerifyRetryWait = 300 * time.Millisecond
+	maxVerifyRetryWait = 1200 * time.Millisecond
+	// clockRetryInterval is the pause before a node's clock is sent again to a peer that has not
+	// echoed it, clockRenewInterval that for a peer that has: two clocks drift apart by less than 1
+	// ms in 10 s.
+	clockRetryInterval = 300 * time.Millisecond
+	clockRenewInterval = 10 * time.Second
+	// maxPeerClocks limits the clocks kept of other nodes, and the times at which this node sent
+	// its own. A full table is emptied; nodes send their clocks again.
+	maxPeerClocks = 1024
 )
 
-// proof is until when the value of one key is known to have been the newest. A watch that
-// brings nothing proves nothing, since it may hear nothing while changes are made: only an
-// answer of the store on the key itself does. Other nodes learn of it with their changes. A
-// message may be on its way for any time, so its age can't be stated by its sender: the
-// receiver tells its own clock first, and the sender says by how much the proof lies before
-// or after the reception of that.
-type proof struct {
+// keyProof is a proof that the known value of one key was the newest in the store at some time.
+// Only an answer of the store about the key itself proves that: a watch that reports nothing proves
+// nothing, since it may miss changes. Updates carry the proof to other nodes. The sender of an
+// update can't state the age of the proof, as a message may be in transit for any time. Therefore
+// the receiver sends its own clock first, and the sender echoes that clock and states by how much
+// the proof lies before or after the reception of it.
+type keyProof struct {
 	// key is empty while nothing is to be proven.
 	key string
-	// at is by this node's clock; revision is that of the value that was the newest then.
-	at       time.Time
+	// provenAt is the time of the proof by this node's clock, revision that of the value that was
+	// the newest then.
+	provenAt time.Time
 	revision int64
-	// found is the newest revision of the value that was applied ahead of the changes.
-	found int64
+	// foundRevision is the newest revision of the value that was applied ahead of the other
+	// changes.
+	foundRevision int64
 
 	verifying bool
 	verifyAt  time.Time
 	failures  int
-	// echoes are the clocks that other nodes told.
-	echoes map[cluster.NodeID]echo
-	// told is when this node told its clock to another one last.
-	told map[cluster.NodeID]time.Time
+	// peerClocks are the clocks that other nodes sent.
+	peerClocks map[cluster.NodeID]peerClock
+	// clockSentAt is when this node last sent its clock to each node.
+	clockSentAt map[cluster.NodeID]time.Time
 }
 
-// echo is another node's clock, and when it came by this node's.
-type echo struct {
+// peerClock is another node's clock and the time of its arrival by this node's clock.
+type peerClock struct {
 	sent       int64
 	receivedAt time.Time
 }
 
-// KeyProven names the key whose value must be proven to be the newest; empty ends that.
+// KeyProven names the key whose value must be proven to be the newest. An empty key ends that.
 type KeyProven struct{ Key string }
 
-// VerifyDone brings the outcome of a Verify.
+// VerifyDone is the outcome of a Verify.
 type VerifyDone struct {
 	Began    time.Time
 	Revision int64
-	// Found is the value in the store where it is another one.
+	// Found is the newest value in the store if its revision differs from the one that was asked
+	// about.
 	Found *wire.StoreChange
 	Err   error
 }
 
-// ClockHeard brings the clock of a node that this one passes changes on to.
+// ClockHeard is the clock of a node that this one forwards changes to.
 type ClockHeard struct{ Told wire.ClockTold }
 
 func (KeyProven) feedEvent()  {}
 func (VerifyDone) feedEvent() {}
 func (ClockHeard) feedEvent() {}
 
-// Verify asks the store whether the value of a key is still that of a revision.
+// Verify asks the store whether the newest value of a key still has the given revision.
 type Verify struct {
 	Key      string
 	Revision int64
 }
 
-// Proven says that the value of Revision of the proven key was the newest at At. What was
-// applied before holds it, or a newer one.
+// Proven reports that the value of Revision was the newest of the proven key at At. The values
+// applied so far include it or a newer one.
 type Proven struct {
 	At       time.Time
 	Revision int64
 }
 
-// TellClock tells a node this one's clock.
+// TellClock sends this node's clock to another node.
 type TellClock struct {
 	Address string
 	Told    wire.ClockTold
@@ -99,143 +105,145 @@
 func (Proven) feedEffect()    {}
 func (TellClock) feedEffect() {}
 
-// keyProven begins or ends to prove a key. The reading that brought its first value proves it:
-// whoever learns from that what is to be proven need not ask the store once more.
+// keyProven starts or ends the proof of a key. The full read that brought the first value of the
+// key proves it, so that a node that learns from that read which key to prove needs no further
+// call.
 func (c *Core) keyProven(key string) {
 	if key == c.proof.key {
 		return
 	}
-	c.proof = proof{key: key, echoes: map[cluster.NodeID]echo{}, told: map[cluster.NodeID]time.Time{}, verifying: c.proof.verifying}
+	c.proof = keyProof{key: key, peerClocks: map[cluster.NodeID]peerClock{}, clockSentAt: map[cluster.NodeID]time.Time{}, verifying: c.proof.verifying}
 	c.proof.verifyAt = c.now
-	if !c.readAt.IsZero() {
-		c.prove(c.readAt, c.provenRevision())
+	if !c.fullReadAt.IsZero() {
+		c.recordProof(c.fullReadAt, c.knownKeyRevision())
 	}
 }
 
-// provenRevision is the revision of the proven key as far as is known.
-func (c *Core) provenRevision() int64 {
-	return max(c.contents.keys[c.proof.key].revision, c.proof.found)
+// knownKeyRevision returns the newest known revision of the proven key.
+func (c *Core) knownKeyRevision() int64 {
+	return max(c.contents.keys[c.proof.key].revision, c.proof.foundRevision)
 }
 
-// verifyDue is when the store is to be asked, zero for not.
+// verifyDue returns when the store is to be asked about the key, zero for not at all.
 func (c *Core) verifyDue() time.Time {
 	p := &c.proof
-	if p.key == "" || p.verifying || c.provenRevision() == 0 {
+	if p.key == "" || p.verifying || c.knownKeyRevision() == 0 {
 		return time.Time{}
 	}
-	due := p.at.Add(verifyEvery)
-	if c.fed() {
-		due = p.at.Add(verifyAfter + time.Duration(c.tree.position)*c.cfg.LeafStep)
+	due := p.provenAt.Add(verifyInterval)
+	if c.isFedByPeer() {
+		due = p.provenAt.Add(maxFedProofAge + time.Duration(c.tree.position)*c.cfg.LeafTimeoutStep)
 	}
 	return later(due, p.verifyAt)
 }
 
-// verify asks the store when that is due.
+// verify asks the store about the key when that is due.
 func (c *Core) verify() {
 	due := c.verifyDue()
 	if due.IsZero() || c.now.Before(due) {
 		return
 	}
 	c.proof.verifying = true
-	c.emit(Verify{Key: c.proof.key, Revision: c.provenRevision()})
+	c.emit(Verify{Key: c.proof.key, Revision: c.knownKeyRevision()})
 }
 
-// verifyDone takes the store's answer. A value that a watch has not told is applied and
-// passed on at once.
+// verifyDone takes the store's answer about the key. A value that is newer than the known one is
+// applied and forwarded at once.
 func (c *Core) verifyDone(e VerifyDone) {
 	p := &c.proof
 	p.verifying = false
 	if e.Err != nil {
-		wait := min(verifyRetry<<min(p.failures, maxDoublings), longestVerifyRetry)
+		wait := min(minVerifyRetryWait<<min(p.failures, maxBackoffDoublings), maxVerifyRetryWait)
 		p.failures++
 		p.verifyAt = c.now.Add(wait/2 + time.Duration(c.rand.Int64N(int64(wait))))
 		return
 	}
 	p.failures = 0
-	c.answered(e.Began)
-	if p.key == "" || c.stale {
+	c.storeAnswered(e.Began)
+	if p.key == "" || c.discardRead {
 		return
 	}
 	if e.Found == nil {
-		c.prove(e.Began, e.Revision)
+		c.recordProof(e.Began, e.Revision)
 		return
 	}
 	if e.Found.Key != p.key || c.revision == 0 {
 		return
 	}
-	if e.Found.Revision > c.provenRevision() {
-		// It comes again with the changes, which others may have missed.
-		p.found = e.Found.Revision
+	if e.Found.Revision > c.knownKeyRevision() {
+		// The value comes again with the changes up to it, which other nodes may lack.
+		p.foundRevision = e.Found.Revision
 		changes := []wire.StoreChange{*e.Found}
 		c.emit(Apply{Revision: c.revision, Changes: changes})
-		c.prove(e.Began, e.Found.Revision)
-		c.passOn(c.revision, changes, true)
+		c.recordProof(e.Began, e.Found.Revision)
+		c.forward(c.revision, changes, true)
 		return
 	}
-	c.prove(e.Began, e.Found.Revision)
+	c.recordProof(e.Began, e.Found.Revision)
 }
 
-// prove notes that a revision was the newest at a time, if what is known holds it.
-func (c *Core) prove(at time.Time, revision int64) {
-	if c.proof.key == "" || revision == 0 || c.provenRevision() < revision || !at.After(c.proof.at) {
+// recordProof records that a revision of the key was the newest at the given time, if the node
+// knows that revision and the proof is newer than the present one.
+func (c *Core) recordProof(at time.Time, revision int64) {
+	if c.proof.key == "" || revision == 0 || c.knownKeyRevision() < revision || !at.After(c.proof.provenAt) {
 		return
 	}
-	c.proof.at, c.proof.revision = at, revision
+	c.proof.provenAt, c.proof.revision = at, revision
 	c.emit(Proven{At: at, Revision: revision})
 }
 
-// proofOf fills in what an update tells a node of the proof.
-func (c *Core) proofOf(id cluster.NodeID, u wire.StoreChanges) wire.StoreChanges {
-	if c.proof.key == "" || c.proof.at.IsZero() {
+// attachProof adds the proof to an update for a node.
+func (c *Core) attachProof(id cluster.NodeID, u wire.StoreChanges) wire.StoreChanges {
+	if c.proof.key == "" || c.proof.provenAt.IsZero() {
 		return u
 	}
 	u.Proven = c.proof.revision
-	if told, known := c.proof.echoes[id]; known {
-		u.Echo, u.Lead = told.sent, told.receivedAt.Sub(c.proof.at)
+	if told, known := c.proof.peerClocks[id]; known {
+		u.Echo, u.Lead = told.sent, told.receivedAt.Sub(c.proof.provenAt)
 	}
 	return u
 }
 
-// proofReceived takes the proof that came with an update. The clock that it echoes was
-// received after it was told, so that the proof is no older than it seems.
+// proofReceived takes the proof of an update. The sender received the echoed clock after this node
+// sent it, so that the proof is no older than the computed age.
 func (c *Core) proofReceived(u *wire.StoreChanges) {
-	if c.proof.key == "" || u.Proven == 0 || c.stale {
+	if c.proof.key == "" || u.Proven == 0 || c.discardRead {
 		return
 	}
 	if u.Echo != 0 {
 		at := time.Unix(0, u.Echo).Add(-u.Lead)
 		if !at.After(c.now) {
-			c.prove(at, u.Proven)
+			c.recordProof(at, u.Proven)
 		}
 	}
-	c.tellClock(u)
+	c.sendClock(u)
 }
 
-// tellClock tells a node that passes changes on this node's clock where it has none, or an
-// old one.
-func (c *Core) tellClock(u *wire.StoreChanges) {
+// sendClock sends this node's clock to the sender of an update that echoed none, or if the last one
+// sent is old.
+func (c *Core) sendClock(u *wire.StoreChanges) {
 	peer, known := c.tree.peers[u.From]
-	again := renewEcho
+	interval := clockRenewInterval
 	if u.Echo == 0 {
-		again = tellClockAgain
+		interval = clockRetryInterval
 	}
-	if !known || c.now.Sub(c.proof.told[u.From]) < again {
+	if !known || c.now.Sub(c.proof.clockSentAt[u.From]) < interval {
 		return
 	}
-	if len(c.proof.told) >= maxEchoes {
-		clear(c.proof.told)
+	if len(c.proof.clockSentAt) >= maxPeerClocks {
+		clear(c.proof.clockSentAt)
 	}
-	c.proof.told[u.From] = c.now
+	c.proof.clockSentAt[u.From] = c.now
 	c.emit(TellClock{Address: peer.Address, Told: wire.ClockTold{From: c.cfg.Self.ID, Sent: c.now.UnixNano()}})
 }
 
-// clockHeard notes another node's clock.
-func (c *Core) clockHeard(told wire.ClockTold) {
+// clockReceived records another node's clock.
+func (c *Core) clockReceived(told wire.ClockTold) {
 	if c.proof.key == "" {
 		return
 	}
-	if len(c.proof.echoes) >= maxEchoes {
-		clear(c.proof.echoes)
+	if len(c.proof.peerClocks) >= maxPeerClocks {
+		clear(c.proof.peerClocks)
 	}
-	c.proof.echoes[told.From] = echo{sent: told.Sent, receivedAt: c.now}
+	c.proof.peerClocks[told.From] = peerClock{sent: told.Sent, receivedAt: c.now}
 }
--- a/fleet/feed/proof_test.go
+++ b/fleet/feed/proof_test.go
@@ -66,7 +66,7 @@
 // time at which it holds to have known the newest are known to it.
 func (s *simulation) checkProofs() {
 	for _, p := range s.peers {
-		at := p.core.proof.at
+		at := p.core.proof.provenAt
 		if p.dead || at.IsZero() {
 			continue
 		}
@@ -89,7 +89,7 @@
 		if p.dead || p.troubles > 0 || s.now.Sub(p.calmSince) < undisturbed {
 			continue
 		}
-		oldest = max(oldest, s.clock(p).Sub(p.core.proof.at))
+		oldest = max(oldest, s.clock(p).Sub(p.core.proof.provenAt))
 	}
 	return oldest
 }
@@ -160,10 +160,10 @@
 	}
 	calls := s.verifies() - before
 	t.Logf("87 nodes in 30 s: %d calls, the oldest proof %v", calls, oldest)
-	if oldest >= verifyAfter {
+	if oldest >= maxFedProofAge {
 		t.Errorf("a proof is %v old", oldest)
 	}
-	if most := int(30*time.Second/verifyEvery) + 5; calls > most {
+	if most := int(30*time.Second/verifyInterval) + 5; calls > most {
 		t.Errorf("%d calls, those of one node are at most %d", calls, most)
 	}
 }
--- a/fleet/feed/relaying.go
+++ b/fleet/feed/relaying.go
@@ -8,27 +8,29 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// answerWait is how long a peer that was asked for missing changes may take before
-// the store is asked: two messages within a region and a queue at either end.
-const answerWait = 100 * time.Millisecond
+// peerAnswerTimeout is how long a peer may take to answer a request for missing changes before the
+// store is polled: two messages within a region and a queue at either end.
+const peerAnswerTimeout = 100 * time.Millisecond
 
 const (
-	// updateBytes of keys and values make an update, and one revision more: some 40 KB on the
-	// way, 16 ms of a link of 20 Mbit/s. What is longer comes in several.
-	updateBytes = 256 << 10
-	// followedAge is the age of an update that others follow: when the store held just that is
-	// not known, and what its receiver knows is not new before the last one has come.
-	followedAge = time.Hour
+	// targetUpdateBytes ends an update at the next revision once its keys and values reach that
+	// size: 256 KiB are some 40 KB on the wire, 16 ms of a link of 20 Mbit/s. Longer answers are
+	// split into several updates.
+	targetUpdateBytes = 256 << 10
+	// incompleteUpdateAge is the stated age of an update that others follow. When the store held
+	// just that part is unknown, so that the receiver must not count as up to date before the last
+	// update arrives.
+	incompleteUpdateAge = time.Hour
 )
 
-// ask asks the relay that was heard of last for changes that are missing, and reports
-// whether it could.
-func (c *Core) ask() bool { return c.urgent && c.askRelay() }
+// requestMissing requests missing changes from the last relay, and reports whether it sent a
+// request.
+func (c *Core) requestMissing() bool { return c.missesChanges && c.askLastRelay() }
 
-// askRelay asks the relay that was heard of last for what changed since, and reports whether one
-// is known.
-func (c *Core) askRelay() bool {
-	peer, known := c.tree.peers[c.relayID]
+// askLastRelay requests the changes since the known revision from the last relay, and reports
+// whether that node is known.
+func (c *Core) askLastRelay() bool {
+	peer, known := c.tree.peers[c.lastRelayID]
 	if !known {
 		return false
 	}
@@ -38,39 +40,40 @@
 	return true
 }
 
-// tellAlive tells the nodes below, when the store fails, that somebody asks it for them.
-func (c *Core) tellAlive() {
-	if c.tree.passesOn() {
-		c.passOn(c.revision, nil, false)
+// sendKeepAlive tells the nodes below, while the store fails, that this node polls it for them.
+func (c *Core) sendKeepAlive() {
+	if c.tree.forwards() {
+		c.forward(c.revision, nil, false)
 	}
 }
 
-// changesRequested sends a peer what it misses, if that is known: everything if that is more than
-// this node keeps.
+// changesRequested sends a peer the changes that it misses, or a snapshot if the history no longer
+// covers them.
 func (c *Core) changesRequested(r *wire.StoreChangesRequest) {
-	c.greeter = Peer{ID: r.From, Address: r.FromAddress}
+	c.lastRequester = Peer{ID: r.From, Address: r.FromAddress}
 	if r.After > c.revision || r.After == c.revision && !r.Always {
 		return
 	}
 	changes, whole := c.history.since(r.After)
 	if !whole {
-		c.resync(r.FromAddress)
+		c.sendSnapshotForGap(r.FromAddress)
 		return
 	}
-	for _, update := range c.updates(r.After, changes) {
-		c.emit(Send{Address: r.FromAddress, Update: c.proofOf(r.From, update)})
+	for _, update := range c.buildUpdates(r.After, changes) {
+		c.emit(Send{Address: r.FromAddress, Update: c.attachProof(r.From, update)})
 	}
 }
 
-// updates are what tells a peer of changes after a revision, all that is known.
-func (c *Core) updates(after int64, changes []wire.StoreChange) []wire.StoreChanges {
-	// One that was known ahead stands before those of lesser revisions.
+// buildUpdates returns the updates that bring a peer from a revision to all that is known.
+func (c *Core) buildUpdates(after int64, changes []wire.StoreChange) []wire.StoreChanges {
+	// Sort by revision, as a change that was applied ahead of others precedes those of lower
+	// revisions.
 	changes = slices.SortedStableFunc(slices.Values(changes), func(a, b wire.StoreChange) int { return cmp.Compare(a.Revision, b.Revision) })
 	var updates []wire.StoreChanges
-	for end := updateEnd(changes); end < len(changes); end = updateEnd(changes) {
+	for end := nextUpdateLength(changes); end < len(changes); end = nextUpdateLength(changes) {
 		next := changes[end-1].Revision
 		updates = append(updates, wire.StoreChanges{
-			From: c.cfg.Self.ID, After: after, Revision: next, Age: followedAge, Changes: changes[:end:end],
+			From: c.cfg.Self.ID, After: after, Revision: next, Age: incompleteUpdateAge, Changes: changes[:end:end],
 		})
 		after, changes = next, changes[end:]
 	}
@@ -79,11 +82,12 @@
 	})
 }
 
-// updateEnd is how many of the changes make the next update. Those of one revision stay together.
-func updateEnd(changes []wire.StoreChange) int {
+// nextUpdateLength returns how many of the changes make up the next update. Changes of one revision
+// stay together.
+func nextUpdateLength(changes []wire.StoreChange) int {
 	bytes := 0
 	for i := range changes {
-		if bytes >= updateBytes && changes[i].Revision != changes[i-1].Revision {
+		if bytes >= targetUpdateBytes && changes[i].Revision != changes[i-1].Revision {
 			return i
 		}
 		bytes += len(changes[i].Key) + len(changes[i].Value)
@@ -91,91 +95,90 @@
 	return len(changes)
 }
 
-// passOn tells the nodes below of a reading, also of one that brought nothing.
-func (c *Core) passOn(after int64, news []wire.StoreChange, steppedIn bool) {
-	peers := c.withAdopted(c.tree.below(steppedIn))
+// forward sends the outcome of a read or poll to the nodes below, also if it brought nothing new.
+func (c *Core) forward(after int64, news []wire.StoreChange, sourceTimedOut bool) {
+	peers := c.addSnapshotReceivers(c.tree.receivers(sourceTimedOut))
 	if len(peers) == 0 {
 		return
 	}
-	c.passedOn = c.knownAt
-	updates := c.updates(after, news)
-	if slices.ContainsFunc(news, func(s wire.StoreChange) bool { return len(s.Value) > c.cfg.MaxValue }) {
-		updates = c.updates(after, nil)
+	c.lastRelayedReadAt = c.knownAt
+	updates := c.buildUpdates(after, news)
+	if slices.ContainsFunc(news, func(s wire.StoreChange) bool { return len(s.Value) > c.cfg.MaxValueBytes }) {
+		updates = c.buildUpdates(after, nil)
 		updates[0].Partial = true
 	}
 	for _, p := range peers {
 		for _, update := range updates {
-			c.emit(Send{Address: p.Address, Update: c.proofOf(p.ID, update)})
+			c.emit(Send{Address: p.Address, Update: c.attachProof(p.ID, update)})
 		}
 	}
 }
 
-// withAdopted adds the nodes that this one has served with everything lately.
-func (c *Core) withAdopted(peers []Peer) []Peer {
+// addSnapshotReceivers adds the nodes that recently got a snapshot from this one.
+func (c *Core) addSnapshotReceivers(peers []Peer) []Peer {
 	all := peers
 	for i := range c.snapshots.served {
 		n := &c.snapshots.served[i]
 		listed := func(p Peer) bool { return p.ID == n.id }
-		if c.now.Sub(n.at) < adoptedFor && !slices.ContainsFunc(peers, listed) {
+		if c.now.Sub(n.servedAt) < forwardAfterSnapshot && !slices.ContainsFunc(peers, listed) {
 			all = append(all[:len(all):len(all)], Peer{ID: n.id, Address: n.address})
 		}
 	}
 	return all
 }
 
-// updateReceived takes what a relay passed on, if nothing is missing before it, and
-// passes it on in turn.
+// updateReceived applies a relay's update if no change before it is missing, and forwards it.
 func (c *Core) updateReceived(u *wire.StoreChanges) {
-	c.hearsAt = c.now
+	c.lastMessageAt = c.now
 	defer c.proofReceived(u)
 	read := c.now.Add(-u.Age)
 	if c.revision == 0 {
-		c.answered(read)
+		c.storeAnswered(read)
 		return
 	}
 	if u.Revision < c.revision {
 		return
 	}
-	c.relayID = u.From
+	c.lastRelayID = u.From
 	if c.tree.isSource(u.From) {
-		c.heardAt = later(c.heardAt, read)
+		c.sourceReadAt = later(c.sourceReadAt, read)
 	}
 	if u.After > c.revision || u.Partial && u.Revision > c.revision {
-		c.named = max(c.named, u.Revision)
-		c.missing(u.Partial, read)
+		c.announcedRevision = max(c.announcedRevision, u.Revision)
+		c.changesMissing(u.Partial, read)
 		return
 	}
-	c.helper.answered = c.helper.answered || u.From == c.helper.id
-	c.substitute.answered = c.substitute.answered || u.From == c.substitute.id
+	c.fallbackPeer.answered = c.fallbackPeer.answered || u.From == c.fallbackPeer.id
+	c.backupRelay.answered = c.backupRelay.answered || u.From == c.backupRelay.id
 	after := c.revision
 	c.knownAt = later(c.knownAt, read)
-	news := c.take(u.Changes, u.Revision)
-	if c.urgent = c.urgent && c.revision < c.named; c.urgent && c.revision > after {
-		// The rest of what was asked for follows.
-		c.callAt = c.now.Add(answerWait)
+	news := c.advance(u.Changes, u.Revision)
+	if c.missesChanges = c.missesChanges && c.revision < c.announcedRevision; c.missesChanges && c.revision > after {
+		// Leave time for the remaining updates of the answer.
+		c.nextCallAt = c.now.Add(peerAnswerTimeout)
 	}
-	c.whole = c.whole && c.revision == after
-	if c.upToDate() {
-		c.start.coming = nil
+	c.gapTooLong = c.gapTooLong && c.revision == after
+	if c.isUpToDate() {
+		c.startup.partialSnapshots = nil
 	}
 	c.apply(news, string(u.From))
-	if len(news) > 0 || c.knownAt.Sub(c.passedOn) >= c.cfg.RelayInterval/2 {
-		c.passOn(after, news, false)
+	if len(news) > 0 || c.knownAt.Sub(c.lastRelayedReadAt) >= c.cfg.RelayInterval/2 {
+		c.forward(after, news, false)
 	}
 }
 
-// missing has changes fetched that an update named and did not hold: by the relay,
-// unless it has passed on all that it can, and then by the store. Where the store has answered
-// others since this node's last call failed, the pause after that ends.
-func (c *Core) missing(partial bool, read time.Time) {
-	if c.urgent && (c.calling || c.failures == 0 || !read.After(c.failedAt)) {
+// changesMissing fetches changes that an update announced without holding them: from the relay, or,
+// if the update was partial or the relay does not answer, from the store. It also ends the back-off
+// after a failed call if the store has answered others since that failure.
+func (c *Core) changesMissing(partial bool, read time.Time) {
+	if c.missesChanges && (c.callInFlight || c.failures == 0 || !read.After(c.failedAt)) {
 		return
 	}
-	c.urgent = true
-	asked := !partial && c.ask()
-	// Also after failed calls: whoever tells of news has been answered by the store.
-	c.callAt = c.now
-	if asked {
-		c.callAt = c.now.Add(answerWait)
+	c.missesChanges = true
+	requested := !partial && c.requestMissing()
+	// Poll also after failures: the store has answered whoever announced the changes.
+	c.nextCallAt = c.now
+	if requested {
+		c.nextCallAt = c.now.Add(peerAnswerTimeout)
 	}
 }
--- a/fleet/feed/snapshots.go
+++ b/fleet/feed/snapshots.go
@@ -11,93 +11,98 @@
 )
 
 const (
-	// partBytes of keys and values make a part, and one pair more: some 150 KB on the way,
-	// 60 ms of a link of 20 Mbit/s, so that other messages are not held up for long. What
-	// 2,000 nodes and 20,000 workers keep in the store comes in ten parts, a third of the
-	// messages that may wait at a node.
-	partBytes = 1 << 20
-	// packedFor is for how long a packed snapshot serves further nodes, with the changes
-	// since: packing takes ten times the processor time of a send.
-	packedFor = time.Second
-	// mostWaiting bounds the nodes that are remembered until this one knows something.
-	mostWaiting = 1024
-	// leastServed is how many nodes one serves in a second at the least, servedPerCore how
-	// many for each core that it has: links grow with processors. Further ones are told to ask
-	// those that were served.
-	leastServed   = 2
-	servedPerCore = 10
-	// adoptedFor is for how long a node passes changes on to one that it served. Until the
-	// fleet's tree is known on both sides nobody else would, and the newcomer would ask the
-	// store, whose answers hold the heartbeats of all workers: with 10,000 of them more than
+	// targetPartBytes ends a part of a snapshot with the pair that brings its keys and values to
+	// that size: some 150 KB on the wire, 60 ms of a link of 20 Mbit/s, so that other messages are
+	// not delayed for long. The entries of 2,000 nodes and 20,000 workers make ten parts, a third
+	// of the messages that a node's queue holds.
+	targetPartBytes = 1 << 20
+	// packedLifetime is for how long a packed snapshot is sent to further nodes, together with the
+	// changes since, because packing takes ten times the processor time of sending.
+	packedLifetime = time.Second
+	// maxWaitingNodes limits the requests kept until this node can serve a snapshot, so that a
+	// larger fleet can't exhaust its memory; others ask again.
+	maxWaitingNodes = 1024
+	// minSnapshotsPerSecond is the least number of snapshots that a node sends per second,
+	// snapshotsPerSecondPerCore the number per core: faster machines have faster links. Further
+	// nodes are referred to those that have a snapshot already.
+	minSnapshotsPerSecond     = 2
+	snapshotsPerSecondPerCore = 10
+	// forwardAfterSnapshot is for how long a node forwards changes to one that it sent a snapshot.
+	// Until both know the tree of the fleet nobody else would, and the new node would poll the
+	// store. The store's answers hold the heartbeats of all workers: with 10,000 workers more than
 	// a link of 20 Mbit/s carries.
-	adoptedFor = 5 * time.Second
-	// helpsFor is for how long a node that was served counts as one that can serve: the
-	// fleet's tree tells of others by then.
-	helpsFor = 20 * time.Second
+	forwardAfterSnapshot = 5 * time.Second
+	// referralLifetime is for how long requests are referred to a node that got a snapshot. After
+	// 20 s the tree of the fleet offers other nodes.
+	referralLifetime = 20 * time.Second
 )
 
-// snapshots is what a node sends to others that know nothing yet.
-type snapshots struct {
-	// waiting are those that asked before this node knew anything.
+// snapshotServer sends snapshots to nodes that start.
+type snapshotServer struct {
+	// waiting holds the requests that arrived before this node could serve them.
 	waiting map[cluster.NodeID]wire.StoreSnapshotRequest
-	// packed are the parts of what was known at a revision and read at knownAt, packed at
+	// packed are the parts of the snapshot of a revision that was read at knownAt and packed at
 	// packedAt.
 	packed            [][]byte
 	revision          int64
 	knownAt, packedAt time.Time
-	// sentAt are the times of the sends within the last second, oldest first.
+	// sentAt are the times of the snapshots sent within the last second, oldest first.
 	sentAt []time.Time
-	// served are the nodes that were served lately, strongest first.
+	// served are the nodes that recently got a snapshot; of those that waited for it, the strongest
+	// are first.
 	served []servedNode
 }
 
-// servedNode is a node that was sent everything.
+// servedNode is a node that got a snapshot.
 type servedNode struct {
 	id       cluster.NodeID
 	address  string
 	capacity float64
-	at       time.Time
-	// referred counts the nodes that were told to ask it.
-	referred int
+	servedAt time.Time
+	// referrals counts the requests that were referred to it.
+	referrals int
 }
 
-// mayServe is how many nodes one of a capacity serves in a second.
-func mayServe(capacity float64) int { return max(leastServed, int(capacity*servedPerCore)) }
+// maxSnapshotsPerSecond returns how many snapshots a node of the given capacity sends per second.
+func maxSnapshotsPerSecond(capacity float64) int {
+	return max(minSnapshotsPerSecond, int(capacity*snapshotsPerSecondPerCore))
+}
 
-// oldKnowledge is the age from which on what a node knows is not handed to others: relays may
-// be silent for as long, and whoever starts by older knowledge could serve by a configuration
-// that is out of force.
-func (c *Config) oldKnowledge() time.Duration { return max(c.LeafSilence, 2*c.Silence) }
+// maxSnapshotAge returns the age above which what a node knows is not sent as a snapshot. Relays
+// may be silent for that long. A node that starts from older data could serve by a configuration
+// that is no longer in force.
+func (c *Config) maxSnapshotAge() time.Duration { return max(c.LeafSourceTimeout, 2*c.Silence) }
 
-// isNew reports whether what this node knows may be handed to others.
-func (c *Core) isNew() bool {
-	return c.revision != 0 && c.now.Sub(c.knownAt) <= c.cfg.oldKnowledge()
+// stateIsFresh reports whether what this node knows may be sent as a snapshot.
+func (c *Core) stateIsFresh() bool {
+	return c.revision != 0 && c.now.Sub(c.knownAt) <= c.cfg.maxSnapshotAge()
 }
 
-// snapshotRequested sends a node everything, tells it whom to ask, or remembers that it asked
-// until this one knows everything, and newly.
+// snapshotRequested sends a snapshot, refers the requester to another node, or keeps the request
+// until what this node knows is fresh.
 func (c *Core) snapshotRequested(r *wire.StoreSnapshotRequest) {
-	if c.isNew() {
-		c.serve(r)
+	if c.stateIsFresh() {
+		c.serveSnapshot(r)
 		return
 	}
 	if r.From == c.cfg.Self.ID {
-		// The starter's address leads here, though the record does not say so.
-		c.start.phase, c.callAt = startRead, c.now
+		// The request is this node's own: the address in the starter's record leads here although
+		// the record names another node.
+		c.startup.phase, c.nextCallAt = phaseReadStore, c.now
 		return
 	}
 	if c.snapshots.waiting == nil {
 		c.snapshots.waiting = map[cluster.NodeID]wire.StoreSnapshotRequest{}
 	}
-	if len(c.snapshots.waiting) < mostWaiting {
+	if len(c.snapshots.waiting) < maxWaitingNodes {
 		c.snapshots.waiting[r.From] = *r
 	}
 	c.emit(SendSnapshot{Address: r.FromAddress, Part: wire.StoreSnapshot{From: c.cfg.Self.ID}})
 }
 
-// serveWaiting serves those that asked before everything was known, the strongest first.
+// serveWaiting serves the waiting requests, those of the strongest nodes first.
 func (c *Core) serveWaiting() {
-	if len(c.snapshots.waiting) == 0 || !c.isNew() {
+	if len(c.snapshots.waiting) == 0 || !c.stateIsFresh() {
 		return
 	}
 	waiting := slices.Collect(maps.Values(c.snapshots.waiting))
@@ -106,57 +111,58 @@
 		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.From, b.From))
 	})
 	for i := range waiting {
-		c.serve(&waiting[i])
+		c.serveSnapshot(&waiting[i])
 	}
 }
 
-// serve sends a node everything, or tells it whom to ask if this one has sent enough.
-func (c *Core) serve(r *wire.StoreSnapshotRequest) {
+// serveSnapshot sends a snapshot, or refers the requester to another node if the limit is reached.
+func (c *Core) serveSnapshot(r *wire.StoreSnapshotRequest) {
 	s := &c.snapshots
-	s.served = slices.DeleteFunc(s.served, func(n servedNode) bool { return c.now.Sub(n.at) >= helpsFor || n.id == r.From })
-	if c.servedEnough() {
-		if helper := c.helperFor(r); helper != "" {
-			c.emit(SendSnapshot{Address: r.FromAddress, Part: wire.StoreSnapshot{From: c.cfg.Self.ID, Refer: helper}})
+	s.served = slices.DeleteFunc(s.served, func(n servedNode) bool { return c.now.Sub(n.servedAt) >= referralLifetime || n.id == r.From })
+	if c.snapshotLimitReached() {
+		if referral := c.referralFor(r); referral != "" {
+			c.emit(SendSnapshot{Address: r.FromAddress, Part: wire.StoreSnapshot{From: c.cfg.Self.ID, Refer: referral}})
 			return
 		}
 	}
 	s.sentAt = append(s.sentAt, c.now)
 	c.sendSnapshot(r.FromAddress)
-	s.served = append(s.served, servedNode{id: r.From, address: r.FromAddress, capacity: r.Capacity, at: c.now})
+	s.served = append(s.served, servedNode{id: r.From, address: r.FromAddress, capacity: r.Capacity, servedAt: c.now})
 }
 
-// servedEnough reports whether this node has sent everything as often within the last second as it
-// is to.
-func (c *Core) servedEnough() bool {
+// snapshotLimitReached reports whether this node has sent as many snapshots within the last second
+// as its capacity allows.
+func (c *Core) snapshotLimitReached() bool {
 	s := &c.snapshots
 	s.sentAt = slices.DeleteFunc(s.sentAt, func(at time.Time) bool { return c.now.Sub(at) >= time.Second })
-	return len(s.sentAt) >= mayServe(c.cfg.Self.Capacity)
+	return len(s.sentAt) >= maxSnapshotsPerSecond(c.cfg.Self.Capacity)
 }
 
-// resync sends everything to a node that asked for changes which this one no longer has.
-func (c *Core) resync(address string) {
-	if !c.isNew() || c.servedEnough() {
+// sendSnapshotForGap sends a snapshot to a node that requested changes which the history no longer
+// holds.
+func (c *Core) sendSnapshotForGap(address string) {
+	if !c.stateIsFresh() || c.snapshotLimitReached() {
 		return
 	}
 	c.snapshots.sentAt = append(c.snapshots.sentAt, c.now)
 	c.sendSnapshot(address)
 }
 
-// helperFor returns the address of a node to ask in this one's place: the one with the fewest
-// others for what it can serve, of those that this one has served and, unless the asker was
-// sent here by another node, of the relays of the zone. Those that were served come behind
-// this one, so that no asker is sent in a circle.
-func (c *Core) helperFor(r *wire.StoreSnapshotRequest) string {
-	best, least := "", 0.0
+// referralFor returns the address of a node to ask instead of this one, or "". It chooses, of the
+// nodes that this one has served, the one with the fewest referrals relative to its capacity; if
+// there are none and the request was not referred here, a relay of the zone. Served nodes got their
+// data from this node, so that referrals form no circle.
+func (c *Core) referralFor(r *wire.StoreSnapshotRequest) string {
+	best, leastLoad := "", 0.0
 	consider := func(address string, capacity float64, referred int) {
-		load := float64(referred+1) / float64(mayServe(capacity))
-		if best == "" || load < least {
-			best, least = address, load
+		load := float64(referred+1) / float64(maxSnapshotsPerSecond(capacity))
+		if best == "" || load < leastLoad {
+			best, leastLoad = address, load
 		}
 	}
 	s := &c.snapshots
 	for i := range s.served {
-		consider(s.served[i].address, s.served[i].capacity, s.served[i].referred)
+		consider(s.served[i].address, s.served[i].capacity, s.served[i].referrals)
 	}
 	if best == "" && !r.Referred {
 		relays := c.tree.zoneRelays(&c.cfg, r.From)
@@ -166,22 +172,22 @@
 	}
 	for i := range s.served {
 		if s.served[i].address == best {
-			s.served[i].referred++
+			s.served[i].referrals++
 		}
 	}
 	return best
 }
 
-// zoneRelays lists the relays of this node's zone but itself and the one that asks.
+// zoneRelays lists the other relays of this node's zone without the one that asks.
 func (t *tree) zoneRelays(cfg *Config, asker cluster.NodeID) []Peer {
 	others := slices.Clone(t.relays)
 	return slices.DeleteFunc(others, func(p Peer) bool { return p.Zone != cfg.Self.Zone || p.ID == asker })
 }
 
-// sendSnapshot sends everything in parts, and what has changed since it was packed.
+// sendSnapshot sends all parts of a snapshot and the changes since it was packed.
 func (c *Core) sendSnapshot(address string) {
 	if !c.pack() {
-		// The asker reads the store, where large values come over a wider link.
+		// The requester reads the store, whose link is faster, for large values.
 		return
 	}
 	s := &c.snapshots
@@ -191,26 +197,26 @@
 		}})
 	}
 	if changes, whole := c.history.since(s.revision); whole && c.revision > s.revision {
-		for _, update := range c.updates(s.revision, changes) {
+		for _, update := range c.buildUpdates(s.revision, changes) {
 			c.emit(Send{Address: address, Update: update})
 		}
 	}
 }
 
-// pack packs everything, unless that was done lately and the changes since are known. It
-// reports whether everything can be sent.
+// pack packs a snapshot, unless the last one is recent and the history covers the changes since. It
+// reports whether there is a snapshot to send.
 func (c *Core) pack() bool {
 	s := &c.snapshots
-	if c.history.reaches(s.revision) && s.packed != nil && c.now.Sub(s.packedAt) < packedFor {
+	if c.history.covers(s.revision) && s.packed != nil && c.now.Sub(s.packedAt) < packedLifetime {
 		return true
 	}
 	pairs := c.contents.pairs()
-	if slices.ContainsFunc(pairs, func(p wire.StoreChange) bool { return len(p.Value) > c.cfg.MaxValue }) {
+	if slices.ContainsFunc(pairs, func(p wire.StoreChange) bool { return len(p.Value) > c.cfg.MaxValueBytes }) {
 		return false
 	}
 	var packed [][]byte
 	for len(pairs) > 0 {
-		end := partEnd(pairs)
+		end := nextPartLength(pairs)
 		content, err := wire.PackChanges(pairs[:end])
 		if err != nil {
 			return false
@@ -221,18 +227,18 @@
 	return len(packed) > 0
 }
 
-// partEnd is how many of the pairs make the next part.
-func partEnd(pairs []wire.StoreChange) int {
+// nextPartLength returns how many of the pairs make up the next part.
+func nextPartLength(pairs []wire.StoreChange) int {
 	bytes := 0
 	for i := range pairs {
-		if bytes += len(pairs[i].Key) + len(pairs[i].Value); bytes >= partBytes {
+		if bytes += len(pairs[i].Key) + len(pairs[i].Value); bytes >= targetPartBytes {
 			return i + 1
 		}
 	}
 	return len(pairs)
 }
 
-// pairs lists everything that is known, by keys.
+// pairs returns all known keys and values, sorted by key.
 func (c *contents) pairs() []wire.StoreChange {
 	pairs := make([]wire.StoreChange, 0, len(c.keys))
 	for key, entry := range c.keys {
--- a/fleet/feed/snapshots_test.go
+++ b/fleet/feed/snapshots_test.go
@@ -78,11 +78,11 @@
 	}
 	for name, part := range map[string]wire.StoreSnapshot{
 		"no parts": {Part: 0, Parts: 0, Content: good}, "beyond": {Part: 2, Parts: 2, Content: good}, "negative": {Part: -1, Parts: 1, Content: good},
-		"too many": {Part: 0, Parts: mostParts + 1, Content: good}, "no content": {Part: 0, Parts: 1}, "other content": {Part: 0, Parts: 1, Content: []byte("x")},
+		"too many": {Part: 0, Parts: maxSnapshotParts + 1, Content: good}, "no content": {Part: 0, Parts: 1}, "other content": {Part: 0, Parts: 1, Content: []byte("x")},
 	} {
-		var s start
+		var s startup
 		part.From, part.Revision = "n", 7
-		if _, whole := s.collect(&part); whole {
+		if _, whole := s.addPart(&part); whole {
 			t.Errorf("%s: taken for everything", name)
 		}
 	}
@@ -142,7 +142,7 @@
 			}
 		}
 	}
-	if served != leastServed || referred["asker-0"] <= referred["asker-1"] || referred["asker-0"]+referred["asker-1"] != 10 {
+	if served != minSnapshotsPerSecond || referred["asker-0"] <= referred["asker-1"] || referred["asker-0"]+referred["asker-1"] != 10 {
 		t.Errorf("%d served, others sent to %v", served, referred)
 	}
 	if parts := received(core.Step(now.Add(1100*time.Millisecond), asking(20, weakShare)), "asker-20"); len(parts) != 1 || parts[0].Refer != "" {
@@ -162,7 +162,7 @@
 		return core
 	}
 	core := begin()
-	now = now.Add(snapshotPatience)
+	now = now.Add(snapshotTimeout)
 	effects := core.Step(now, Tick{})
 	if !slices.Contains(effects, Effect(ClaimStart{Revision: 5})) {
 		t.Fatalf("effects %+v, want a claim of the record of revision 5", effects)
@@ -172,7 +172,7 @@
 		t.Errorf("effects %+v, want everything to be read", effects)
 	}
 	other := begin()
-	now = now.Add(snapshotPatience)
+	now = now.Add(snapshotTimeout)
 	other.Step(now, Tick{})
 	effects = other.Step(now, StarterClaimed{Starter: Starter{ID: "quick", Address: "q:1"}, Revision: 9})
 	asked := false
--- a/fleet/feed/start.go
+++ b/fleet/feed/start.go
@@ -7,105 +7,108 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// How long a node that starts waits for others.
+// Timeouts and limits of a node that starts up.
 const (
-	// snapshotPatience is for word of a node that was asked, or the next part from it: two
-	// messages, and what a part takes on a link of 20 Mbit/s that serves a few others.
-	snapshotPatience = 1200 * time.Millisecond
-	// queuePatience is for a node that has said that it will answer: it reads the store, or
-	// waits for what another one has read.
-	queuePatience = 4 * time.Second
-	// startPatience is for all of that: half of the 18 s within which a fleet is to serve again.
-	// A node that learned nothing by then reads everything, which takes a few seconds.
-	startPatience = 9 * time.Second
-	// mostParts bounds what a snapshot may claim to have: a million pairs.
-	mostParts = 1000
+	// snapshotTimeout is for the first answer of a node that was asked, and for each further part:
+	// two messages, and the time of a part on a link of 20 Mbit/s that serves a few other nodes.
+	snapshotTimeout = 1200 * time.Millisecond
+	// queuedSnapshotTimeout is for a node that answered that it will send the snapshot later: it is
+	// still reading the store or waiting for another node's snapshot.
+	queuedSnapshotTimeout = 4 * time.Second
+	// startupTimeout is for all of these together: half of the 18 s within which a fleet must serve
+	// again. A node without a snapshot by then reads the store, which takes a few seconds.
+	startupTimeout = 9 * time.Second
+	// maxSnapshotParts limits the number of parts that a snapshot may state: 1,000 parts hold a
+	// million pairs.
+	maxSnapshotParts = 1000
 )
 
-// startPhase is what a node that knows nothing does next.
-type startPhase uint8
+// startupPhase is the next step of a node that starts up.
+type startupPhase uint8
 
 const (
-	// startPage: read the first page, which may be all.
-	startPage startPhase = iota
-	// startLookup: it is not all; see whether somebody in the zone has read everything.
-	startLookup
-	// startClaim: nobody has; be the one that reads everything, unless another one is.
-	startClaim
-	// startAsk: ask the one that is.
-	startAsk
-	// startRead: read everything.
-	startRead
+	// phaseReadFirstPage reads the first page of the store, which may hold everything.
+	phaseReadFirstPage startupPhase = iota
+	// phaseReadStarter reads the starter's record, as the first page did not hold everything.
+	phaseReadStarter
+	// phaseClaimStarter claims the starter's record, as there is none or the starter does not
+	// answer.
+	phaseClaimStarter
+	// phaseAskStarter asks the starter, or the node that it referred to, for a snapshot.
+	phaseAskStarter
+	// phaseReadStore reads the whole store.
+	phaseReadStore
 )
 
-// Starter is a node that has read, or is to read, everything for those that start after it.
+// Starter is the node of a zone that reads the whole store for the nodes that start after it.
 type Starter struct {
 	ID cluster.NodeID `json:"id"`
-	// Machine that it runs on, the same for all processes of it.
+	// Machine is the name of the machine it runs on, the same for all processes on it.
 	Machine string `json:"machine,omitempty"`
 	Address string `json:"address"`
 }
 
-// start is how a node that knows nothing yet learns everything that is in the store.
+// startup is how a node learns the contents of the store at first.
 //
-// Where one page holds all, it reads that. Else what each node read would grow with the fleet
-// while the nodes that read it do too: when all start at once, the store's link and each
-// node's processor would be busy with that for longer than callers wait. So one node in each
-// zone, the starter, reads the store, and the others ask it. Who that is stands in a record
-// that is written under the condition that nobody else wrote it: also when all start at the
-// same moment and none knows of another, one reads and the rest learn whom to ask. A starter
-// that does not answer is replaced by the first who notices, so each second adds one reader
-// at most.
-type start struct {
-	phase startPhase
-	// starter and its record's revision, as last seen.
+// If one page holds everything, the node reads that. Otherwise the bytes read by each node would
+// grow with the fleet, as does the number of nodes: when all start at once, the store's link and
+// each node's processor would be busy for longer than callers wait. Therefore one node of each
+// zone, the starter, reads the store, and the others request a snapshot from it. The starter's
+// record in the store names it, and is written only if it still has the expected revision. Even if
+// all nodes start at the same moment and know of no other, one of them writes the record and the
+// rest learn whom to ask. The first node that finds the starter silent replaces it, so that at most
+// one more node reads the store for each snapshot timeout.
+type startup struct {
+	phase startupPhase
+	// starter and revision are the record as last read.
 	starter  Starter
 	revision int64
-	// asked is the address that was asked last, referred whether another node named it.
-	asked    string
-	referred bool
-	// waits is set while an answer may still come.
-	waits bool
-	began time.Time
-	// coming are the parts that have come, by sender.
-	coming map[cluster.NodeID]*incoming
+	// askedAddress is the node that was last asked for a snapshot; referred is set if another node
+	// named it.
+	askedAddress string
+	referred     bool
+	// awaitsAnswer is set while an answer may still arrive.
+	awaitsAnswer bool
+	began        time.Time
+	// partialSnapshots holds the parts received so far, by sender.
+	partialSnapshots map[cluster.NodeID]*partialSnapshot
 }
 
-// incoming is a snapshot of which some parts have come.
-type incoming struct {
+// partialSnapshot is a snapshot of which some parts have arrived.
+type partialSnapshot struct {
 	revision int64
 	parts    map[int][]wire.StoreChange
 }
 
-// beginStart does what a node that knows nothing does next, but for reading the store, and
-// reports whether that was something.
-func (c *Core) beginStart() bool {
-	s := &c.start
+// continueStartup takes the next step of the startup unless that is to read the store, and reports
+// whether there was such a step.
+func (c *Core) continueStartup() bool {
+	s := &c.startup
 	if c.revision != 0 {
 		return false
 	}
 	if s.began.IsZero() {
 		s.began = c.now
 	}
-	if s.phase != startPage && c.now.Sub(s.began) >= startPatience {
-		s.phase = startRead
+	if s.phase != phaseReadFirstPage && c.now.Sub(s.began) >= startupTimeout {
+		s.phase = phaseReadStore
 	}
-	if s.phase == startAsk && s.waits {
-		// Nobody answered in time.
-		s.waits, s.phase = false, startClaim
+	if s.phase == phaseAskStarter && s.awaitsAnswer {
+		// The request timed out.
+		s.awaitsAnswer, s.phase = false, phaseClaimStarter
 		if s.referred {
-			s.phase = startAsk
-			s.asked, s.referred = s.starter.Address, false
+			s.phase = phaseAskStarter
+			s.askedAddress, s.referred = s.starter.Address, false
 		}
 	}
 	switch s.phase {
-	case startLookup:
-		c.calling = true
+	case phaseReadStarter:
+		c.callInFlight = true
 		c.emit(ReadStarter{})
-	case startClaim:
-		c.calling = true
+	case phaseClaimStarter:
+		c.callInFlight = true
 		c.emit(ClaimStart{Revision: s.revision})
-	case startAsk:
+	case phaseAskStarter:
 		c.askSnapshot()
 	default:
 		return false
@@ -113,150 +116,152 @@
 	return true
 }
 
-// starterRead takes who reads everything for others, if anybody does.
+// starterRead handles the starter's record.
 func (c *Core) starterRead(e StarterRead) {
-	c.ended(e.Err)
+	c.callEnded(e.Err)
 	if e.Err != nil || c.revision != 0 {
 		return
 	}
-	c.callAt = c.now
-	c.start.revision = e.Revision
+	c.nextCallAt = c.now
+	c.startup.revision = e.Revision
 	switch {
 	case e.Starter.Address == "":
-		c.start.phase = startClaim
-	case c.isOwn(&e.Starter):
-		// An earlier process of this machine was the starter, and those that start ask here.
-		c.start.phase = startRead
+		c.startup.phase = phaseClaimStarter
+	case c.isThisMachine(&e.Starter):
+		// An earlier process of this machine was the starter, and starting nodes ask at its
+		// address.
+		c.startup.phase = phaseReadStore
 	default:
 		c.askStarter(e.Starter)
 	}
 }
 
-// isOwn reports whether a starter is a process of this machine. Its address may be another one
-// in the record than the one that this node knows itself by.
-func (c *Core) isOwn(s *Starter) bool {
+// isThisMachine reports whether the starter is a process of this machine. The address in the record
+// may differ from the one that this node knows itself by.
+func (c *Core) isThisMachine(s *Starter) bool {
 	return s.ID == c.cfg.Self.ID || s.Machine != "" && s.Machine == c.cfg.Machine || s.Address == c.cfg.Self.Address
 }
 
-// pageWasNotAll takes that the store holds more than a page.
-func (c *Core) pageWasNotAll() {
-	c.start.phase, c.callAt = startLookup, c.now
+// firstPageIncomplete goes on to the starter's record, as the store holds more than a page.
+func (c *Core) firstPageIncomplete() {
+	c.startup.phase, c.nextCallAt = phaseReadStarter, c.now
 }
 
-// starterClaimed takes whether this node is the starter.
+// starterClaimed handles the outcome of the claim on the starter's record.
 func (c *Core) starterClaimed(e StarterClaimed) {
-	c.ended(e.Err)
+	c.callEnded(e.Err)
 	if e.Err != nil {
-		// The record may be this node's: its answer was lost.
-		c.start.phase = startLookup
+		// The claim may have succeeded and its answer been lost.
+		c.startup.phase = phaseReadStarter
 		return
 	}
-	c.callAt = c.now
-	c.start.revision = e.Revision
-	if e.Won || c.isOwn(&e.Starter) {
-		c.start.phase = startRead
+	c.nextCallAt = c.now
+	c.startup.revision = e.Revision
+	if e.Won || c.isThisMachine(&e.Starter) {
+		c.startup.phase = phaseReadStore
 		return
 	}
 	c.askStarter(e.Starter)
 }
 
-// askStarter has the starter asked next.
+// askStarter prepares the request for a snapshot from the starter.
 func (c *Core) askStarter(starter Starter) {
-	s := &c.start
-	s.phase, s.starter = startAsk, starter
-	s.asked, s.referred, s.waits = starter.Address, false, false
+	s := &c.startup
+	s.phase, s.starter = phaseAskStarter, starter
+	s.askedAddress, s.referred, s.awaitsAnswer = starter.Address, false, false
 }
 
-// askSnapshot asks for everything.
+// askSnapshot requests a snapshot.
 func (c *Core) askSnapshot() {
-	s := &c.start
-	s.waits = true
-	c.callAt = c.now.Add(snapshotPatience)
-	c.emit(AskSnapshot{Address: s.asked, Request: wire.StoreSnapshotRequest{
+	s := &c.startup
+	s.awaitsAnswer = true
+	c.nextCallAt = c.now.Add(snapshotTimeout)
+	c.emit(AskSnapshot{Address: s.askedAddress, Request: wire.StoreSnapshotRequest{
 		From: c.cfg.Self.ID, FromAddress: c.cfg.Self.Address, Capacity: c.cfg.Self.Capacity, Referred: s.referred,
 	}})
 }
 
-// snapshotReceived takes a part of everything, who is to be asked for it, or that its sender
-// answers later.
+// snapshotReceived handles a part of a snapshot, a referral to another node, or the notice that the
+// sender answers later.
 func (c *Core) snapshotReceived(part *wire.StoreSnapshot) {
-	c.hearsAt = c.now
-	s := &c.start
+	c.lastMessageAt = c.now
+	s := &c.startup
 	if c.revision != 0 {
-		c.resynced(part)
+		c.gapSnapshotPartReceived(part)
 		return
 	}
-	if s.phase != startAsk && s.phase != startRead {
+	if s.phase != phaseAskStarter && s.phase != phaseReadStore {
 		return
 	}
 	switch {
-	case part.Revision == 0 && s.phase == startRead:
+	case part.Revision == 0 && s.phase == phaseReadStore:
 	case part.Refer != "" && part.Refer != c.cfg.Self.Address:
-		s.asked, s.referred, s.waits, c.callAt = part.Refer, true, false, c.now
+		s.askedAddress, s.referred, s.awaitsAnswer, c.nextCallAt = part.Refer, true, false, c.now
 	case part.Revision == 0:
-		c.callAt = later(c.callAt, c.now.Add(queuePatience))
+		c.nextCallAt = later(c.nextCallAt, c.now.Add(queuedSnapshotTimeout))
 	default:
-		c.collect(part)
+		c.snapshotPartReceived(part)
 	}
 }
 
-// collect takes a part of everything.
-func (c *Core) collect(part *wire.StoreSnapshot) {
-	if part.Age > c.cfg.oldKnowledge()+packedFor {
-		c.start.phase, c.start.waits, c.callAt = startClaim, false, c.now
+// snapshotPartReceived adds a part, and takes the snapshot once it is complete.
+func (c *Core) snapshotPartReceived(part *wire.StoreSnapshot) {
+	if part.Age > c.cfg.maxSnapshotAge()+packedLifetime {
+		c.startup.phase, c.startup.awaitsAnswer, c.nextCallAt = phaseClaimStarter, false, c.now
 		return
 	}
-	pairs, whole := c.start.collect(part)
+	pairs, whole := c.startup.addPart(part)
 	if !whole {
-		c.callAt = later(c.callAt, c.now.Add(snapshotPatience))
+		c.nextCallAt = later(c.nextCallAt, c.now.Add(snapshotTimeout))
 		return
 	}
-	took := c.now.Sub(c.start.began)
-	c.start = start{}
+	took := c.now.Sub(c.startup.began)
+	c.startup = startup{}
 	c.failures = 0
-	c.relayID = part.From
-	c.adoptedUntil = c.now.Add(adoptedFor)
-	if !c.calling {
-		c.callAt = c.now.Add(c.interval())
+	c.lastRelayID = part.From
+	c.forwardedUntil = c.now.Add(forwardAfterSnapshot)
+	if !c.callInFlight {
+		c.nextCallAt = c.now.Add(c.pollInterval())
 	}
 	c.replace(part.Revision, c.now.Add(-part.Age), pairs)
 	c.emit(Replace{Revision: part.Revision, Pairs: pairs, From: part.From, Took: took})
 }
 
-// resynced takes a part of everything in place of the changes that this node misses.
-func (c *Core) resynced(part *wire.StoreSnapshot) {
-	if c.upToDate() || part.Revision <= c.revision || part.Age > c.cfg.oldKnowledge()+packedFor {
+// gapSnapshotPartReceived adds a part of a snapshot that replaces the changes that this node
+// misses.
+func (c *Core) gapSnapshotPartReceived(part *wire.StoreSnapshot) {
+	if c.isUpToDate() || part.Revision <= c.revision || part.Age > c.cfg.maxSnapshotAge()+packedLifetime {
 		return
 	}
-	pairs, whole := c.start.collect(part)
+	pairs, whole := c.startup.addPart(part)
 	if !whole {
-		c.callAt = later(c.callAt, c.now.Add(snapshotPatience))
+		c.nextCallAt = later(c.nextCallAt, c.now.Add(snapshotTimeout))
 		return
 	}
-	c.start = start{}
-	c.whole = false
+	c.startup = startup{}
+	c.gapTooLong = false
 	c.replace(part.Revision, c.now.Add(-part.Age), pairs)
-	c.urgent = c.revision < c.named
+	c.missesChanges = c.revision < c.announcedRevision
 	c.emit(Replace{Revision: part.Revision, Pairs: pairs, From: part.From})
 }
 
-// collect adds a part, and returns everything once all parts of one sender and revision are
-// there. A part that can't be read counts as lost.
-func (s *start) collect(part *wire.StoreSnapshot) ([]wire.StoreChange, bool) {
-	if part.Parts <= 0 || part.Parts > mostParts || part.Part < 0 || part.Part >= part.Parts {
+// addPart stores a part, and returns all pairs once every part of one sender and revision has
+// arrived. A part that can't be decoded counts as lost.
+func (s *startup) addPart(part *wire.StoreSnapshot) ([]wire.StoreChange, bool) {
+	if part.Parts <= 0 || part.Parts > maxSnapshotParts || part.Part < 0 || part.Part >= part.Parts {
 		return nil, false
 	}
 	changes, err := wire.UnpackChanges(part.Content)
 	if err != nil {
 		return nil, false
 	}
-	known := s.coming[part.From]
+	known := s.partialSnapshots[part.From]
 	if known == nil || known.revision != part.Revision {
-		known = &incoming{revision: part.Revision, parts: map[int][]wire.StoreChange{}}
-		if s.coming == nil {
-			s.coming = map[cluster.NodeID]*incoming{}
+		known = &partialSnapshot{revision: part.Revision, parts: map[int][]wire.StoreChange{}}
+		if s.partialSnapshots == nil {
+			s.partialSnapshots = map[cluster.NodeID]*partialSnapshot{}
 		}
-		s.coming[part.From] = known
+		s.partialSnapshots[part.From] = known
 	}
 	known.parts[part.Part] = changes
 	if len(known.parts) < part.Parts {
--- a/fleet/feed/transit_test.go
+++ b/fleet/feed/transit_test.go
@@ -62,7 +62,7 @@
 			s.small = true
 			s.runFor(6 * time.Second)
 			for _, p := range s.peers {
-				if p.core.tree.passesOn() {
+				if p.core.tree.forwards() {
 					p.slow = &slowSender{takes: takes, busy: map[string]bool{}, waiting: map[string][]waitingUpdate{}}
 				}
 			}
--- a/fleet/feed/tree.go
+++ b/fleet/feed/tree.go
@@ -7,59 +7,59 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// role is a node's place between the store and the nodes that learn through it.
+// role is a node's place in the tree between the store and the nodes that learn through others.
 type role uint8
 
 const (
-	// alone: no relay serves the node, it asks the store for itself.
-	alone role = iota
-	// leaf: a relay of the node's zone passes changes on to it.
+	// standalone: no relay serves the node, and it polls the store for itself.
+	standalone role = iota
+	// leaf: a relay of the node's zone forwards changes to it.
 	leaf
-	// relay: the node passes changes on to leaves of its zone. The root, if there is
-	// one, passes them on to it; otherwise it asks the store.
+	// relay: the node forwards changes to leaves of its zone. It learns from the root if there is
+	// one, and polls the store otherwise.
 	relay
-	// root: the relay that asks the store for all relays.
+	// root: the relay that polls the store for all relays.
 	root
 )
 
-// tree is what a node makes of the live nodes: its role, whom it passes changes on to,
-// and when its turn comes to step in for a silent node above it. All nodes that know
-// the same nodes come to the same tree; those that don't still learn of every change,
-// since a silent source is replaced by whoever notices.
+// tree is a node's view of the fleet: its role, the nodes that it forwards changes to, and its
+// position in the order in which nodes replace a silent source. Nodes with the same list of live
+// nodes compute the same tree. Nodes with different lists still learn of every change, as each node
+// replaces a source that it finds silent.
 type tree struct {
 	role role
-	// rooted is set when one relay asks the store for all others.
-	rooted bool
-	// position among the nodes that learn from the same one, from zero.
+	// hasRoot is set if one relay polls the store for all others.
+	hasRoot bool
+	// position is the node's rank, from zero, among the nodes with the same source.
 	position int
-	// siblings counts those nodes, this one included.
+	// siblings counts the nodes with the same source, this one included.
 	siblings int
-	// relays are those of all zones but this node, the root first.
+	// relays are the relays of all zones except this node, the root first.
 	relays []Peer
-	// group holds the leaves of a relay, or a leaf's relay and the relay's other leaves.
+	// group holds the leaves of a relay, or a leaf's relay followed by the relay's other leaves.
 	group []Peer
-	// peers holds all nodes by their identifiers.
+	// peers holds all nodes by identifier.
 	peers map[cluster.NodeID]Peer
 }
 
-// newTree ranks the live nodes; self counts among them.
+// newTree computes the tree of the live nodes and cfg.Self.
 func newTree(cfg *Config, peers []Peer) tree {
-	t := tree{role: alone, siblings: 1, peers: make(map[cluster.NodeID]Peer, len(peers)+1)}
+	t := tree{role: standalone, siblings: 1, peers: make(map[cluster.NodeID]Peer, len(peers)+1)}
 	for _, p := range peers {
 		t.peers[p.ID] = p
 	}
 	t.peers[cfg.Self.ID] = cfg.Self
-	zones := byZone(t.peers)
+	zones := rankByZone(t.peers)
 	t.relays = relaysOf(cfg, zones)
-	t.rooted = len(t.relays) >= cfg.MinRelays && cfg.Within >= rootedWithin
-	t.place(cfg, zones[cfg.Self.Zone])
+	t.hasRoot = len(t.relays) >= cfg.MinRelaysForRoot && cfg.Within >= minDelayWithRoot
+	t.assignRole(cfg, zones[cfg.Self.Zone])
 	t.relays = slices.DeleteFunc(t.relays, func(p Peer) bool { return p.ID == cfg.Self.ID })
 	return t
 }
 
-// place finds the role of a node and its group in its zone.
-func (t *tree) place(cfg *Config, zone []Peer) {
-	relays := cfg.relaysIn(len(zone))
+// assignRole sets the node's role and its group in the zone.
+func (t *tree) assignRole(cfg *Config, zone []Peer) {
+	relays := cfg.relayCount(len(zone))
 	rank := slices.IndexFunc(zone, func(p Peer) bool { return p.ID == cfg.Self.ID })
 	if relays == 0 {
 		return
@@ -69,7 +69,7 @@
 		t.group = leavesOf(zone, relays, rank)
 		t.position = slices.IndexFunc(t.relays, func(p Peer) bool { return p.ID == cfg.Self.ID })
 		t.siblings = len(t.relays)
-		if t.rooted && t.position == 0 {
+		if t.hasRoot && t.position == 0 {
 			t.role = root
 		}
 		return
@@ -82,27 +82,27 @@
 	t.group = append([]Peer{zone[own]}, slices.Delete(leaves, t.position, t.position+1)...)
 }
 
-// below lists the nodes that an update goes to. A node that asked the store itself,
-// because its source was silent, serves those that had the same source as well.
-func (t *tree) below(steppedIn bool) []Peer {
+// receivers lists the nodes that an update goes to. A node that polled the store because its source
+// was silent also serves the other nodes of that source.
+func (t *tree) receivers(sourceTimedOut bool) []Peer {
 	switch {
-	case t.role == root, t.role == relay && t.rooted && steppedIn:
+	case t.role == root, t.role == relay && t.hasRoot && sourceTimedOut:
 		return slices.Concat(t.relays, t.group)
-	case t.role == relay, t.role == leaf && steppedIn:
+	case t.role == relay, t.role == leaf && sourceTimedOut:
 		return t.group
 	}
 	return nil
 }
 
-// passesOn reports whether the node passes changes on as a matter of course.
-func (t *tree) passesOn() bool { return t.role == relay || t.role == root }
+// forwards reports whether the node forwards every update.
+func (t *tree) forwards() bool { return t.role == relay || t.role == root }
 
 // hasSource reports whether another node is to keep this one up to date.
-func (t *tree) hasSource() bool { return t.role == leaf || t.role == relay && t.rooted }
+func (t *tree) hasSource() bool { return t.role == leaf || t.role == relay && t.hasRoot }
 
-// isSource reports whether a node that passes changes on is one that this node waits
-// for: not when it would step in later than this one, or both would wait for each other.
-// One that is not known yet counts.
+// isSource reports whether this node waits for the updates of the given node. It does not wait for
+// a node with the same source and a later position, as both would wait for each other. A node that
+// is not in the tree yet counts as a source.
 func (t *tree) isSource(id cluster.NodeID) bool {
 	same := func(p Peer) bool { return p.ID == id }
 	if t.role == leaf {
@@ -111,10 +111,10 @@
 	return slices.IndexFunc(t.relays, same) < t.position
 }
 
-// byZone sorts nodes into zones, those that relay first: of greatest capacity, then by
-// the last identifier. The holder of the lease is the first by identifier: plans and
-// relaying need not meet on one machine.
-func byZone(peers map[cluster.NodeID]Peer) map[cluster.ZoneID][]Peer {
+// rankByZone groups the nodes by zone, the first candidates for relay first: by greatest capacity,
+// then by last identifier. The lease holder is the first by identifier, so that one
+// machine need not do both jobs.
+func rankByZone(peers map[cluster.NodeID]Peer) map[cluster.ZoneID][]Peer {
 	zones := map[cluster.ZoneID][]Peer{}
 	for _, p := range peers {
 		zones[p.Zone] = append(zones[p.Zone], p)
@@ -133,13 +133,13 @@
 func relaysOf(cfg *Config, zones map[cluster.ZoneID][]Peer) []Peer {
 	var relays []Peer
 	for _, zone := range zones {
-		relays = append(relays, zone[:cfg.relaysIn(len(zone))]...)
+		relays = append(relays, zone[:cfg.relayCount(len(zone))]...)
 	}
 	slices.SortFunc(relays, compareRelays)
 	return relays
 }
 
-// leavesOf lists the nodes of a zone that learn from the relay of a rank.
+// leavesOf lists the nodes of a zone that learn from the relay of the given rank.
 func leavesOf(zone []Peer, relays, rank int) []Peer {
 	var leaves []Peer
 	for i := relays; i < len(zone); i++ {
--- a/fleet/feed/tree_test.go
+++ b/fleet/feed/tree_test.go
@@ -27,13 +27,13 @@
 		peers := zonesOf(sizes...)
 		roots, sources := 0, map[cluster.NodeID]int{}
 		for _, self := range peers {
-			cfg := Config{Self: self, Within: rootedWithin}.withDefaults()
+			cfg := Config{Self: self, Within: minDelayWithRoot}.withDefaults()
 			node := newTree(&cfg, peers)
 			if node.role == root {
 				roots++
 			}
-			if node.passesOn() {
-				for _, p := range node.below(false) {
+			if node.forwards() {
+				for _, p := range node.receivers(false) {
 					sources[p.ID]++
 				}
 			}
@@ -42,7 +42,7 @@
 			t.Errorf("%v: %d roots", sizes, roots)
 		}
 		for _, p := range peers {
-			cfg := Config{Self: p, Within: rootedWithin}.withDefaults()
+			cfg := Config{Self: p, Within: minDelayWithRoot}.withDefaults()
 			if node := newTree(&cfg, peers); node.hasSource() && sources[p.ID] != 1 {
 				t.Errorf("%v: %s has %d sources", sizes, p.ID, sources[p.ID])
 			}
@@ -55,12 +55,12 @@
 func TestNoRootUnderAShortBound(t *testing.T) {
 	peers := zonesOf(8, 8, 8, 3)
 	for _, self := range peers {
-		cfg := Config{Self: self, Within: rootedWithin - 1}.withDefaults()
+		cfg := Config{Self: self, Within: minDelayWithRoot - 1}.withDefaults()
 		node := newTree(&cfg, peers)
-		if node.rooted || node.role == root || node.role == relay && node.hasSource() {
+		if node.hasRoot || node.role == root || node.role == relay && node.hasSource() {
 			t.Errorf("%s learns from a root", self.ID)
 		}
-		if self.Zone == "3" && node.role != alone {
+		if self.Zone == "3" && node.role != standalone {
 			t.Errorf("%s of a zone of three has the role %d", self.ID, node.role)
 		}
 	}
