--- a/fleet/feed/backup_relay_test.go
+++ b/fleet/feed/backup_relay_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// TestLeavesAskAnotherRelay: when a relay dies, its leaves stay up to date by another relay of
-// their zone; the store's answers would hold the heartbeats of all workers since.
-func TestLeavesAskAnotherRelay(t *testing.T) {
+// TestLeavesOfDeadRelayAskAnotherRelay guards against leaves that all poll the store when their
+// relay dies: the store's answers hold the heartbeats of all workers since. Another relay of their
+// zone keeps them up to date.
+func TestLeavesOfDeadRelayAskAnotherRelay(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newZones(seed, 24, 2)
-		s.config.MaxGroupNodes, s.small = 4, true
-		s.mustKnowWithin(longestBound)
+		s := newSimulationInZones(seed, 24, 2)
+		s.config.MaxGroupNodes, s.smallValuesOnly = 4, true
+		s.setChangeBound(longestChangeBound)
 		s.runFor(5 * time.Second)
 		var dead *simulatedPeer
 		for _, p := range s.peers {
@@ -20,7 +21,7 @@
 			}
 		}
 		if dead == nil {
-			t.Fatalf("seed %d: nobody relays", seed)
+			t.Fatalf("seed %d: no node is a relay", seed)
 		}
 		var leaves []*simulatedPeer
 		before := 0
@@ -37,29 +38,30 @@
 			after += p.calls
 		}
 		if len(leaves) == 0 || after > before {
-			t.Errorf("seed %d: %d leaves asked the store %d times", seed, len(leaves), after-before)
+			t.Errorf("seed %d: %d leaves made %d calls to the store", seed, len(leaves), after-before)
 		}
-		for _, problem := range s.problems {
-			t.Errorf("seed %d: %s", seed, problem)
+		for _, violation := range s.violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// TestNewcomersAreKeptUpToDate: a node that learned everything of another one asks the store
-// for nothing while the tree of the fleet is not known, and what it knows stays new.
-func TestNewcomersAreKeptUpToDate(t *testing.T) {
+// TestNewNodesAreKeptUpToDateBySnapshotSender guards against a fleet that polls the store right
+// after its start: a node that got a snapshot is kept up to date by its sender until the tree of
+// the fleet is known.
+func TestNewNodesAreKeptUpToDateBySnapshotSender(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	f := newStartingFleet(40)
 	f.runFor(3 * time.Second)
 	for _, n := range f.nodes {
 		if n.core.startup.phase != phaseReadFirstPage || n.core.Revision() == 0 {
-			t.Fatalf("%s has not started", n.ID)
+			t.Fatalf("%s has not completed its startup", n.ID)
 		}
 		if age := f.now.Sub(n.core.KnownAt()); age > 2*time.Second {
-			t.Errorf("%s: what it knows is %s old", n.ID, age)
+			t.Errorf("%s: its data is %s old", n.ID, age)
 		}
 	}
-	if reads := f.wholes * int(f.weight*startPairs/pagePairs); f.calls-reads > 40*4+startZones*30 {
-		t.Errorf("%d calls beside %d of those that read everything, in %s", f.calls-reads, reads, f.now.Sub(now))
+	if reads := f.fullReads * int(f.pairWeight*simulatedPairs/storePagePairs); f.calls-reads > 40*4+startingZones*30 {
+		t.Errorf("%d calls besides %d calls of full reads, in %s", f.calls-reads, reads, f.now.Sub(now))
 	}
 }
--- a/fleet/feed/calls_test.go
+++ b/fleet/feed/calls_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// totalCalls counts the calls of all nodes so far.
+// totalCalls counts the reads and polls of all nodes so far.
 func (s *simulation) totalCalls() int {
 	calls := 0
 	for _, p := range s.peers {
@@ -14,28 +14,28 @@
 	return calls
 }
 
-// fleetSize is the number of nodes of the largest deployment known.
-const fleetSize = 295
+// largestFleet is the number of nodes of the largest known deployment.
+const largestFleet = 295
 
-// TestOneRootAsksForAllZones: the nodes of a large fleet make as many calls on a calm
-// day as one relay.
-func TestOneRootAsksForAllZones(t *testing.T) {
-	s := newZones(1, fleetSize, 5)
-	s.small = true
+// TestOnlyRootPollsInQuietFleet guards against calls that grow with the number of nodes: in a large
+// fleet without faults, all nodes together poll as often as one relay.
+func TestOnlyRootPollsInQuietFleet(t *testing.T) {
+	s := newSimulationInZones(1, largestFleet, 5)
+	s.smallValuesOnly = true
 	s.runFor(5 * time.Second)
 	before := s.totalCalls()
 	s.runFor(30 * time.Second)
 	calls := s.totalCalls() - before
-	if most := int(30*time.Second/defaultRelayInterval) + 5; calls > most {
-		t.Errorf("%d calls in 30 s, at most %d are those of a root", calls, most)
+	if limit := int(30*time.Second/defaultRelayInterval) + 5; calls > limit {
+		t.Errorf("%d calls in 30 s, want at most the %d of a root", calls, limit)
 	}
 }
 
-// TestRootIsReplacedByOne: when the root dies, the calls until its record is gone are
-// those of one or two nodes that step in, not of all.
-func TestRootIsReplacedByOne(t *testing.T) {
-	s := newZones(2, fleetSize, 5)
-	s.small = true
+// TestDeadRootIsReplacedByFewNodes guards against a burst of calls when the root dies: until its
+// record is gone, one or two nodes poll in its place, not all.
+func TestDeadRootIsReplacedByFewNodes(t *testing.T) {
+	s := newSimulationInZones(2, largestFleet, 5)
+	s.smallValuesOnly = true
 	s.runFor(5 * time.Second)
 	for _, p := range s.peers {
 		p.dead = p.dead || p.core.tree.role == root
@@ -45,25 +45,25 @@
 	if calls := s.totalCalls() - before; calls > 60 {
 		t.Errorf("%d calls in 6 s without the root", calls)
 	}
-	for _, problem := range s.problems {
-		t.Error(problem)
+	for _, violation := range s.violations {
+		t.Error(violation)
 	}
 }
 
-// TestOutageOfTheStoreIsCheap: while the store is away the calls of a large fleet stay
-// below a bound, and all nodes are up to date soon after its return.
-func TestOutageOfTheStoreIsCheap(t *testing.T) {
-	s := newZones(3, fleetSize, 5)
-	s.small = true
+// TestStoreOutageCausesFewCalls guards against a large fleet that overloads a store which fails or
+// returns: calls during an outage stay below a bound, and all nodes are up to date soon after it.
+func TestStoreOutageCausesFewCalls(t *testing.T) {
+	s := newSimulationInZones(3, largestFleet, 5)
+	s.smallValuesOnly = true
 	s.runFor(5 * time.Second)
 	before := s.totalCalls()
 	s.outages++
 	s.runFor(4 * time.Second)
 	s.outages--
-	s.store.backAt = s.now
+	s.store.outageEndedAt = s.now
 	s.runFor(3 * time.Second)
-	if calls := s.totalCalls() - before; calls > 3*fleetSize {
-		t.Errorf("%d calls around an outage of 4 s", calls)
+	if calls := s.totalCalls() - before; calls > 3*largestFleet {
+		t.Errorf("%d calls during an outage of 4 s and the 3 s after it", calls)
 	}
 	for _, p := range s.peers {
 		if behind := int64(len(s.store.changes)) - p.core.Revision(); behind > 100 {
@@ -72,25 +72,25 @@
 	}
 }
 
-// TestForgottenHistoryCostsOneRead: a root that finds the history gone reads everything
-// and passes on what changed, so that no other node reads.
-func TestForgottenHistoryCostsOneRead(t *testing.T) {
-	s := newZones(4, fleetSize, 5)
-	s.small = true
+// TestCompactedHistoryCausesOneFullRead guards against a fleet that reads the whole store after a
+// compaction: the root reads it and forwards what changed, so that no other node does.
+func TestCompactedHistoryCausesOneFullRead(t *testing.T) {
+	s := newSimulationInZones(4, largestFleet, 5)
+	s.smallValuesOnly = true
 	s.runFor(5 * time.Second)
 	before := s.totalCalls()
-	s.store.forgotten = int64(len(s.store.changes)) + 5
+	s.store.compactedRevision = int64(len(s.store.changes)) + 5
 	s.runFor(3 * time.Second)
 	if calls := s.totalCalls() - before; calls > 40 {
-		t.Errorf("%d calls after the history was forgotten", calls)
+		t.Errorf("%d calls after the compaction", calls)
 	}
-	for _, problem := range s.problems {
-		t.Error(problem)
+	for _, violation := range s.violations {
+		t.Error(violation)
 	}
 }
 
-// TestCallsDoNotGrowWithNodes: on a calm day two zones of 4 and of 30 nodes make
-// about as many calls for changes.
+// TestCallsDoNotGrowWithNodes guards against calls that grow with the size of a zone: without
+// faults, a zone of 4 nodes and one of 30 make about as many calls.
 func TestCallsDoNotGrowWithNodes(t *testing.T) {
 	calls := func(peers int) int {
 		s := newSimulation(1, peers)
@@ -105,28 +105,28 @@
 		}
 		return before
 	}
-	few, many := calls(4), calls(30)
-	if many > 3*few {
-		t.Errorf("30 nodes made %d calls, 4 nodes %d", many, few)
+	ofSmallZone, ofLargeZone := calls(4), calls(30)
+	if ofLargeZone > 3*ofSmallZone {
+		t.Errorf("30 nodes made %d calls, 4 nodes %d", ofLargeZone, ofSmallZone)
 	}
 }
 
-// TestStartOfAllNodesIsOneReadingEach: when 300 nodes start together, with records of their
-// earlier processes in the store, each reads everything once, a few go on to ask for all, and
-// none has the store confirm the key whose value it has just read. While each did, the start
-// cost 600 calls.
-func TestStartOfAllNodesIsOneReadingEach(t *testing.T) {
+// TestSimultaneousStartCausesOneReadPerNode guards against calls for a proof that the first read
+// already gave. When 300 nodes start together, with records of their earlier processes in the
+// store, each reads the store once, few go on polling, and none verifies the key whose value it has
+// just read. With a verification by each node, the start cost 600 calls.
+func TestSimultaneousStartCausesOneReadPerNode(t *testing.T) {
 	const nodes = 300
-	s := proving(6, nodes, 4)
+	s := newProvingSimulation(6, nodes, 4)
 	for _, p := range s.peers {
-		p.learnsProven = true
+		p.learnsKeyFromRead = true
 		p.core.Step(s.clock(p), KeyProven{})
 	}
 	s.runFor(2 * time.Second)
-	calls, verifies := s.totalCalls(), s.verifies()
-	t.Logf("%d calls and %d confirmations within 2 s", calls, verifies)
+	calls, verifies := s.totalCalls(), s.totalVerifies()
+	t.Logf("%d calls and %d verifications within 2 s", calls, verifies)
 	if calls > nodes+20 || verifies > 20 {
-		t.Errorf("%d calls and %d confirmations of %d nodes", calls, verifies, nodes)
+		t.Errorf("%d calls and %d verifications of %d nodes", calls, verifies, nodes)
 	}
 	for _, p := range s.peers {
 		if p.core.proof.provenAt.IsZero() {
--- a/fleet/feed/contents_test.go
+++ b/fleet/feed/contents_test.go
@@ -10,9 +10,9 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestLongHistoryIsNotRead: a node that missed more changes than are worth reading reads
-// what is there, and asks for changes again from then on.
-func TestLongHistoryIsNotRead(t *testing.T) {
+// TestTooLongHistoryIsReplacedByFullRead guards against a node that reads more bytes of changes
+// than of values: it reads the whole store instead, and polls again after that.
+func TestTooLongHistoryIsReplacedByFullRead(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 	c := New(Config{Self: Peer{ID: "a", Address: "a"}}, allNews{}, 1)
 	c.Step(at(0), Tick{})
@@ -20,18 +20,19 @@
 	c.Step(at(0), ReadDone{Began: at(0), Revision: 10, Pairs: []wire.StoreChange{large}})
 	poll := onlyEffect[Poll](t, c.Step(at(time.Second), Tick{}))
 	if want := int64(historyBytesFactor * (1<<20 + 1)); poll.After != 10 || poll.Most != want {
-		t.Fatalf("asked for %+v, want at most %d bytes after 10", poll, want)
+		t.Fatalf("polled with %+v, want at most %d bytes after revision 10", poll, want)
 	}
 	onlyEffect[Read](t, c.Step(at(time.Second), PollDone{Began: at(time.Second), TooLong: true}))
 	c.Step(at(2*time.Second), ReadDone{Began: at(time.Second), Revision: 20})
 	if poll = onlyEffect[Poll](t, c.Step(at(3*time.Second), Tick{})); poll.After != 20 || poll.Most != minHistoryBytes {
-		t.Fatalf("asked for %+v, want the least after 20", poll)
+		t.Fatalf("polled with %+v, want the least limit after revision 20", poll)
 	}
 }
 
-// TestRelaysAreHeardWhileEverythingIsRead: a node that is to read everything still takes
-// what a relay passes on, and asks for changes again once that closed the gap.
-func TestRelaysAreHeardWhileEverythingIsRead(t *testing.T) {
+// TestUpdatesAreAppliedDuringFullRead guards against a node that ignores updates while a full read
+// is due or under way: an update that closes the gap is applied, ends the need for the read, and is
+// not undone by its older result.
+func TestUpdatesAreAppliedDuringFullRead(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 	c := New(Config{Self: Peer{ID: "a", Address: "a"}}, allNews{}, 1)
 	c.Step(at(0), Tick{})
@@ -42,32 +43,33 @@
 		From: "b", After: 10, Revision: 30, Changes: []wire.StoreChange{{Key: "k", Revision: 30}},
 	}}
 	if applied := onlyEffect[Apply](t, c.Step(at(2*time.Second), update)); applied.Revision != 30 {
-		t.Fatalf("applied up to %d, want 30", applied.Revision)
+		t.Fatalf("applied up to revision %d, want 30", applied.Revision)
 	}
 	c.Step(at(3*time.Second), ReadDone{Began: at(time.Second), Revision: 20})
 	if c.Revision() != 30 {
-		t.Fatalf("an older read took the node back to %d", c.Revision())
+		t.Fatalf("an older read reset the node to revision %d", c.Revision())
 	}
 	if poll := onlyEffect[Poll](t, c.Step(at(4*time.Second), Tick{})); poll.After != 30 {
-		t.Fatalf("asked for changes after %d, want 30", poll.After)
+		t.Fatalf("polled after revision %d, want 30", poll.After)
 	}
 }
 
-// TestFailedReadIsMadeAgain: while reads fail, what is known stays.
-func TestFailedReadIsMadeAgain(t *testing.T) {
+// TestFailedFullReadKeepsKnownRevision guards against a node that forgets what it knows when a full
+// read fails.
+func TestFailedFullReadKeepsKnownRevision(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 	c := New(Config{Self: Peer{ID: "a", Address: "a"}}, allNews{}, 1)
 	c.Step(at(0), Tick{})
 	c.Step(at(0), ReadDone{Began: at(0), Revision: 10})
 	c.Step(at(time.Second), Tick{})
 	c.Step(at(time.Second), PollDone{Began: at(time.Second), TooLong: true})
-	c.Step(at(2*time.Second), ReadDone{Began: at(time.Second), Err: errors.New("cut")})
+	c.Step(at(2*time.Second), ReadDone{Began: at(time.Second), Err: errors.New("connection lost")})
 	if read := onlyEffect[Read](t, c.Step(at(4*time.Second), Tick{})); read.Known != 10 || c.Revision() != 10 {
-		t.Fatalf("read %+v at %d, want what is known to stay at 10", read, c.Revision())
+		t.Fatalf("read %+v at revision %d, want the node to stay at revision 10", read, c.Revision())
 	}
 }
 
-// onlyEffect returns the only effect of a kind.
+// onlyEffect returns the effect of type E, and fails the test unless there is exactly one.
 func onlyEffect[E Effect](t *testing.T, effects []Effect) E {
 	t.Helper()
 	var found []E
@@ -82,9 +84,9 @@
 	return found[0]
 }
 
-// TestContentsCountBytes: the bytes of the contents are those of the newest values, by
-// whatever changes and reads they were learned.
-func TestContentsCountBytes(t *testing.T) {
+// TestContentsBytesMatchStoredValues guards against a byte count that drifts from the stored keys
+// and values over changes, deletions and full reads.
+func TestContentsBytesMatchStoredValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := contents{}
 		c.replace(nil, 1)
@@ -102,7 +104,7 @@
 				want += int64(len(key) + len(entry.value))
 			}
 			if c.bytes != want {
-				t.Fatalf("%d bytes counted, %d held", c.bytes, want)
+				t.Fatalf("counted %d bytes, want %d", c.bytes, want)
 			}
 		}
 	})
--- a/fleet/feed/cutoff_test.go
+++ b/fleet/feed/cutoff_test.go
@@ -10,41 +10,39 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// What was seen: a node that was cut off from the store alone saw no new replica for as
-// long as the cut lasted, though its peers went on hearing of each.
-//
-// How it came about: zones of less than four nodes have no relay, so that nobody passes
-// changes on to their nodes, and a node whose calls fail asked nobody but the store.
-//
-// What proved it: a fleet of three zones of two nodes, one of them cut off for 8 s.
+// These tests guard against a node that, cut off from the store alone, sees no new replica for as
+// long as the cut lasts, though its peers hear of each. Zones of fewer than four nodes have no
+// relay, so that nobody forwards changes to their nodes, and a node whose calls failed asked only
+// the store. A fleet of three zones of two nodes, one of them cut off for 8 s, reproduces it.
 
-// TestCutOffNodesLearnThroughPeers: nodes that are cut off from the store, but hear others
-// that aren't, know each change in time, however small their zones are.
-func TestCutOffNodesLearnThroughPeers(t *testing.T) {
+// TestNodesCutOffFromStoreLearnThroughPeers: nodes that reach other nodes but not the store know
+// each change in time, whatever the size of their zones.
+func TestNodesCutOffFromStoreLearnThroughPeers(t *testing.T) {
 	for _, fleet := range []struct{ peers, zones, cut int }{
 		{2, 1, 1}, {3, 1, 1}, {3, 3, 1}, {6, 3, 1}, {6, 3, 2}, {7, 2, 1}, {8, 1, 1}, {12, 3, 1}, {16, 3, 1},
 	} {
 		for first := range fleet.peers {
 			t.Run(fmt.Sprintf("peers=%d/zones=%d/cut=%d/first=%d", fleet.peers, fleet.zones, fleet.cut, first), func(t *testing.T) {
-				s := newZones(uint64(first), fleet.peers, fleet.zones)
-				s.small = true
+				s := newSimulationInZones(uint64(first), fleet.peers, fleet.zones)
+				s.smallValuesOnly = true
 				s.runFor(5 * time.Second)
 				for i := range fleet.cut {
-					// The nodes of one zone are so many apart.
-					s.peers[(first+i*fleet.zones)%fleet.peers].cuts++
+					// Nodes of the same zone follow each other at this distance.
+					s.peers[(first+i*fleet.zones)%fleet.peers].storeCuts++
 				}
 				s.runFor(8 * time.Second)
-				for _, problem := range s.problems {
-					t.Error(problem)
+				for _, violation := range s.violations {
+					t.Error(violation)
 				}
 			})
 		}
 	}
 }
 
-// TestGreetedNodeAsks: a node whose only reading of the store came before the entries of the
-// others, and which the store turns away since, asks the one that greets it.
-func TestGreetedNodeAsks(t *testing.T) {
+// TestNewNodeAsksItsIntroducer guards against a new node that knows no peer: it read the store
+// before the entries of the others were there, and the store refuses it since. It must ask the node
+// that introduced itself.
+func TestNewNodeAsksItsIntroducer(t *testing.T) {
 	older := Peer{ID: "older", Address: "older:1", Zone: "z"}
 	newer := Peer{ID: "newer", Address: "newer:1", Zone: "z"}
 	now := time.Unix(1000, 0)
@@ -55,46 +53,47 @@
 		c.Step(now, ReadDone{Began: now, Revision: 7})
 	}
 
-	greeting := asked(a.Step(now, PeersChanged{Peers: []Peer{older, newer}}))
-	if greeting == nil || greeting.Address != newer.Address {
-		t.Fatalf("the newer node is greeted by %+v", greeting)
+	introduction := firstAsk(a.Step(now, PeersChanged{Peers: []Peer{older, newer}}))
+	if introduction == nil || introduction.Address != newer.Address {
+		t.Fatalf("introduction %+v, want one sent to the newer node", introduction)
 	}
-	b.Step(now, ChangesRequested{Request: greeting.Request})
+	b.Step(now, ChangesRequested{Request: introduction.Request})
 	now = now.Add(time.Second)
 	b.Step(now, Tick{})
-	request := asked(b.Step(now, PollDone{Began: now, Err: errors.New("turned away")}))
+	request := firstAsk(b.Step(now, PollDone{Began: now, Err: errors.New("refused")}))
 	if request == nil || request.Address != older.Address || request.Request.After != 7 {
-		t.Fatalf("the node that is turned away asks %+v", request)
+		t.Fatalf("the refused node sends %+v, want a request to the older node", request)
 	}
 }
 
-// TestFewGreetNewNodes: a node that comes to a large fleet of small zones is greeted by few,
-// and one whose zone has relays by none.
-func TestFewGreetNewNodes(t *testing.T) {
-	for _, fleet := range []struct{ zones, greeted int }{{fleetSize / 2, introducersPerNode}, {5, 0}} {
+// TestFewNodesIntroduceThemselves guards against a burst of messages to each new node: only a few
+// nodes introduce themselves in a large fleet of small zones, and none if the zone of the new node
+// has relays.
+func TestFewNodesIntroduceThemselves(t *testing.T) {
+	for _, fleet := range []struct{ zones, introducers int }{{largestFleet / 2, introducersPerNode}, {5, 0}} {
 		var peers []Peer
-		for i := range fleetSize {
+		for i := range largestFleet {
 			peers = append(peers, Peer{
 				ID: cluster.NodeID(fmt.Sprintf("n%03d", i)), Address: fmt.Sprintf("n%03d:1", i), Zone: cluster.ZoneID(fmt.Sprint(i % fleet.zones)),
 			})
 		}
-		now, greeted := time.Unix(1000, 0), 0
-		for _, self := range peers[:fleetSize-1] {
+		now, introducers := time.Unix(1000, 0), 0
+		for _, self := range peers[:largestFleet-1] {
 			c := New(Config{Self: self}, allNews{}, 1)
-			c.Step(now, PeersChanged{Peers: peers[:fleetSize-1]})
+			c.Step(now, PeersChanged{Peers: peers[:largestFleet-1]})
 			c.Step(now, ReadDone{Began: now, Revision: 7})
-			if asked(c.Step(now, PeersChanged{Peers: peers})) != nil {
-				greeted++
+			if firstAsk(c.Step(now, PeersChanged{Peers: peers})) != nil {
+				introducers++
 			}
 		}
-		if greeted != fleet.greeted {
-			t.Errorf("%d nodes of %d zones greet a new one, want %d", greeted, fleet.zones, fleet.greeted)
+		if introducers != fleet.introducers {
+			t.Errorf("%d nodes of %d zones introduce themselves, want %d", introducers, fleet.zones, fleet.introducers)
 		}
 	}
 }
 
-// asked returns the first request to another node among effects.
-func asked(effects []Effect) *Ask {
+// firstAsk returns the first request for changes among the effects, or nil.
+func firstAsk(effects []Effect) *Ask {
 	for _, e := range effects {
 		if ask, ok := e.(Ask); ok {
 			return &ask
@@ -103,83 +102,84 @@
 	return nil
 }
 
-// TestAskingPeersIsCheap: while the store is away for all, nodes of zones without relays
-// ask others twice for each call at most.
-func TestAskingPeersIsCheap(t *testing.T) {
-	s := newZones(1, 6, 3)
-	s.small = true
+// TestPeerRequestsAreBoundedDuringOutage guards against a flood of messages while the store fails
+// for all: nodes of zones without relays send at most two requests to peers per call.
+func TestPeerRequestsAreBoundedDuringOutage(t *testing.T) {
+	s := newSimulationInZones(1, 6, 3)
+	s.smallValuesOnly = true
 	s.runFor(5 * time.Second)
 	calls, messages := s.totalCalls(), s.messages
 	s.outages++
 	s.runFor(10 * time.Second)
 	calls, messages = s.totalCalls()-calls, s.messages-messages
-	t.Logf("%d messages beside %d calls", messages, calls)
+	t.Logf("%d messages and %d calls", messages, calls)
 	if messages > 2*calls {
-		t.Errorf("%d messages beside %d calls", messages, calls)
+		t.Errorf("%d messages and %d calls, want at most two messages per call", messages, calls)
 	}
 }
 
-// failing has so many calls of a node fail that its pauses are long, and returns the time just after.
-func failing(c *Core, now time.Time, failed func(began time.Time, err error) Event) time.Time {
+// failCalls makes six calls of a node fail in succession, so that its back-off is long, and returns
+// the time just after.
+func failCalls(c *Core, now time.Time, failedEvent func(began time.Time, err error) Event) time.Time {
 	for range 6 {
 		if due := c.NextDue(); due.After(now) {
 			now = due
 		}
 		c.Step(now, Tick{})
 		now = now.Add(callTimeout)
-		c.Step(now, failed(now, errors.New("no answer")))
+		c.Step(now, failedEvent(now, errors.New("no answer")))
 	}
 	return now.Add(10 * time.Millisecond)
 }
 
-// TestStoreThatAnswersOthersIsAskedSoon guards against a node that misses changes and waits out
-// the pause after its failed calls, though its relay tells what the store has answered since.
-func TestStoreThatAnswersOthersIsAskedSoon(t *testing.T) {
+// TestBackoffEndsWhenStoreAnswersRelay guards against a node that misses changes and waits out its
+// back-off, though its relay announces changes that the store has answered with since.
+func TestBackoffEndsWhenStoreAnswersRelay(t *testing.T) {
 	now := time.Unix(1000, 0)
-	leaf := beside(now, Peer{ID: "leaf"})
-	gap := func(revision int64) []Effect {
+	leaf := newCoreInZone(now, Peer{ID: "leaf"})
+	receiveGap := func(revision int64) []Effect {
 		return leaf.Step(now, UpdateReceived{Update: wire.StoreChanges{From: "relay-0", After: revision - 1, Revision: revision}})
 	}
-	gap(40)
-	now = failing(leaf, now, func(began time.Time, err error) Event { return PollDone{Began: began, Err: err} })
-	gap(41)
+	receiveGap(40)
+	now = failCalls(leaf, now, func(began time.Time, err error) Event { return PollDone{Began: began, Err: err} })
+	receiveGap(41)
 	if due := leaf.NextDue(); due.Sub(now) > peerAnswerTimeout {
-		t.Errorf("the store is asked %s later, want %s at most", due.Sub(now), peerAnswerTimeout)
+		t.Errorf("the next call is due in %s, want at most %s", due.Sub(now), peerAnswerTimeout)
 	}
 }
 
-// TestStartingNodeAsksOnceOthersAreAnswered guards against a node that knows nothing yet and waits
-// out the pause after its failed calls, though others tell what the store has answered since.
-func TestStartingNodeAsksOnceOthersAreAnswered(t *testing.T) {
+// TestStartupBackoffEndsWhenStoreAnswersOthers guards against a starting node that waits out its
+// back-off, though an update shows that the store has answered others since.
+func TestStartupBackoffEndsWhenStoreAnswersOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	starting := New(Config{Self: Peer{ID: "starting", Address: "starting", Zone: "z"}}, passAll{}, 1)
-	read := func(began time.Time, err error) Event { return ReadDone{Began: began, Err: err} }
-	now = failing(starting, now, read)
-	waits := starting.NextDue().Sub(now)
-	told := UpdateReceived{Update: wire.StoreChanges{From: "relay", After: 40, Revision: 41}}
-	starting.Step(now, told)
+	starting := New(Config{Self: Peer{ID: "starting", Address: "starting", Zone: "z"}}, acceptAll{}, 1)
+	failedRead := func(began time.Time, err error) Event { return ReadDone{Began: began, Err: err} }
+	now = failCalls(starting, now, failedRead)
+	backoff := starting.NextDue().Sub(now)
+	update := UpdateReceived{Update: wire.StoreChanges{From: "relay", After: 40, Revision: 41}}
+	starting.Step(now, update)
 	if due := starting.NextDue().Sub(now); due > 2*minRetryWait {
-		t.Errorf("the store is asked %s later, want %s at most, before %s", due, 2*minRetryWait, waits)
+		t.Errorf("the next call is due in %s, want at most %s; the back-off was %s", due, 2*minRetryWait, backoff)
 	}
-	old := told
-	old.Update.Age = time.Second
-	now = failing(starting, now, read)
+	oldUpdate := update
+	oldUpdate.Update.Age = time.Second
+	now = failCalls(starting, now, failedRead)
 	due := starting.NextDue()
-	starting.Step(now, old)
+	starting.Step(now, oldUpdate)
 	if !starting.NextDue().Equal(due) {
-		t.Error("the pause ends though what others tell is older than the failure")
+		t.Error("the back-off ended though the update is older than the failure")
 	}
 }
 
-// TestAnsweredQuestionEndsThePause guards against a node that waits out the pause after failed calls
-// for changes though the store has answered its question on the proven key since.
-func TestAnsweredQuestionEndsThePause(t *testing.T) {
+// TestVerifyAnswerEndsPollBackoff guards against a node that waits out the back-off of its polls,
+// though the store has since answered its verification of the proven key.
+func TestVerifyAnswerEndsPollBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
-	core, _ := knowing(now, 30, 100, Config{Self: Peer{ID: "n", Address: "n", Zone: "z"}})
+	core, _ := newLoadedCore(now, 30, 100, Config{Self: Peer{ID: "n", Address: "n", Zone: "z"}})
 	core.Step(now, KeyProven{Key: "key-00003"})
-	now = failing(core, now, func(began time.Time, err error) Event { return PollDone{Began: began, Err: err} })
+	now = failCalls(core, now, func(began time.Time, err error) Event { return PollDone{Began: began, Err: err} })
 	core.Step(now, VerifyDone{Began: now, Revision: 4})
 	if due := core.callDue().Sub(now); due > 2*minRetryWait {
-		t.Errorf("the store is asked for changes %s later, want %s at most", due, 2*minRetryWait)
+		t.Errorf("the next poll is due in %s, want at most %s", due, 2*minRetryWait)
 	}
 }
--- a/fleet/feed/isolation_test.go
+++ b/fleet/feed/isolation_test.go
@@ -9,54 +9,51 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// What was seen: nodes that had been cut off came back to the store, and stayed behind for
-// longer than changes may take.
-//
-// How it came about: nodes with the same source space their calls to a store that fails,
-// by up to 3 s, since the answer that one of them gets reaches all. A node that hears no
-// other waited as long for nothing.
-//
-// What proved it: a third of the nodes cut off, and their connections to other nodes dead
-// for 5 s after their way to the store is back.
+// These tests guard against nodes that, after they were cut off, reach the store again and yet stay
+// behind for longer than changes may take. Nodes with the same source space their calls to a
+// failing store by up to 3 s, since the answer to one of them is forwarded to all. A node that
+// reaches no peer waited as long without a use. A third of the nodes cut off, with their
+// connections to other nodes dead for 5 s after they reach the store again, reproduces it.
 
-// TestIsolatedNodesReturnInTime: nodes that reach the store again, but no other node, know
-// what changed in time.
-func TestIsolatedNodesReturnInTime(t *testing.T) {
+// TestIsolatedNodesCatchUpInTime: nodes that reach the store again, but no other node, know all
+// changes in time.
+func TestIsolatedNodesCatchUpInTime(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
-			s := newZones(seed, 69, 3)
-			s.small = true
+			s := newSimulationInZones(seed, 69, 3)
+			s.smallValuesOnly = true
 			s.runFor(5 * time.Second)
 			var isolated []*simulatedPeer
 			for i := int(seed) % 3; i < len(s.peers); i += 3 {
 				isolated = append(isolated, s.peers[i])
 			}
-			lasts := s.between(2*time.Second, 9*time.Second)
-			s.disturb(lasts, isolated...)
+			duration := s.randomDuration(2*time.Second, 9*time.Second)
+			s.markFault(duration, isolated...)
 			for _, p := range isolated {
-				p.cuts++
-				p.mute = true
-				s.after(lasts, func() { p.cuts-- })
-				s.after(lasts+5*time.Second, func() { p.mute = false })
+				p.storeCuts++
+				p.isolated = true
+				s.after(duration, func() { p.storeCuts-- })
+				s.after(duration+5*time.Second, func() { p.isolated = false })
 			}
-			s.runFor(lasts + 8*time.Second)
-			for _, problem := range s.problems {
-				t.Error(problem)
+			s.runFor(duration + 8*time.Second)
+			for _, violation := range s.violations {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
-// TestFailingRelaysAreHeardInTime: in an outage a relay speaks often enough, in trees of
-// any size, for the nodes below not to take themselves for cut off.
-func TestFailingRelaysAreHeardInTime(t *testing.T) {
+// TestRelaysSendKeepAlivesDuringOutage guards against nodes that take themselves for cut off during
+// an outage: in a tree of any size, a relay sends keep-alives more often than the nodes below it
+// wait.
+func TestRelaysSendKeepAlivesDuringOutage(t *testing.T) {
 	for _, zones := range []int{3, 9, 20, 30} {
 		t.Run(fmt.Sprintf("relays=%d", zones), func(t *testing.T) {
-			spoken := failingRelay(zones, 5*time.Minute)
-			last := spoken[0]
-			for _, at := range spoken[1:] {
-				if gap, most := at.Sub(last), maxMeanRetryWait(zones)*3/2+callTimeout; gap > most {
-					t.Fatalf("nothing for %v, the nodes below wait %v", gap, most)
+			sentAt := keepAliveTimes(zones, 5*time.Minute)
+			last := sentAt[0]
+			for _, at := range sentAt[1:] {
+				if gap, limit := at.Sub(last), maxMeanRetryWait(zones)*3/2+callTimeout; gap > limit {
+					t.Fatalf("no keep-alive for %v, the nodes below wait %v", gap, limit)
 				}
 				last = at
 			}
@@ -64,8 +61,8 @@
 	}
 }
 
-// failingRelay returns when a relay of a tree speaks while its calls fail.
-func failingRelay(zones int, lasts time.Duration) []time.Time {
+// keepAliveTimes returns when a relay sends updates while all its polls fail.
+func keepAliveTimes(zones int, duration time.Duration) []time.Time {
 	const group = 6
 	began := time.Unix(1_000_000, 0)
 	var peers []Peer
@@ -78,21 +75,21 @@
 	c := New(Config{Self: peers[0], Within: minDelayWithRoot}, allNews{}, 1)
 	c.Step(began, PeersChanged{Peers: peers})
 	c.Step(began, ReadDone{Began: began, Revision: 10})
-	var spoken []time.Time
-	for now := began; now.Before(began.Add(lasts)); now = now.Add(5 * time.Millisecond) {
+	var sentAt []time.Time
+	for now := began; now.Before(began.Add(duration)); now = now.Add(5 * time.Millisecond) {
 		c.lastMessageAt = now
 		for _, effect := range c.Step(now, Tick{}) {
 			if _, polls := effect.(Poll); !polls {
 				continue
 			}
-			now = now.Add(callLimit)
+			now = now.Add(failedCallDuration)
 			c.lastMessageAt = now
 			for _, answer := range c.Step(now, PollDone{Began: now, Err: errors.New("no answer")}) {
-				if _, sends := answer.(Send); sends && (len(spoken) == 0 || spoken[len(spoken)-1] != now) {
-					spoken = append(spoken, now)
+				if _, sends := answer.(Send); sends && (len(sentAt) == 0 || sentAt[len(sentAt)-1] != now) {
+					sentAt = append(sentAt, now)
 				}
 			}
 		}
 	}
-	return spoken
+	return sentAt
 }
--- a/fleet/feed/proof_test.go
+++ b/fleet/feed/proof_test.go
@@ -9,17 +9,17 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// plays is how many seeds are played of the troubles of proofs.
-var plays = flag.Int("plays", 60, "seeds to play of the troubles of proofs")
+// proofSeeds is the number of seeds with which the proof simulation runs.
+var proofSeeds = flag.Int("plays", 60, "number of seeds of the proof simulation")
 
 const (
 	provenKey = "news-0"
-	// usedWithin is how old a proof may be that is used: nine tenths of the least bound on
-	// keys that were taken away.
-	usedWithin = 4500 * time.Millisecond
+	// maxUsableProofAge is the age up to which a proof may be used: nine tenths of the least bound
+	// on revoked keys.
+	maxUsableProofAge = 4500 * time.Millisecond
 )
 
-// verify answers whether a key's value is still that of a revision.
+// verify returns the store's answer to a Verify.
 func (s *simulation) verify(e Verify, began time.Time) Event {
 	newest := wire.StoreChange{}
 	for _, c := range s.store.changes {
@@ -34,10 +34,10 @@
 	return done
 }
 
-// planted changes a message by the defect that is planted, if any.
-func (s *simulation) planted(to *simulatedPeer, event Event) Event {
+// applyDefect changes a message by the defect that the simulation is to contain, if any.
+func (s *simulation) applyDefect(to *simulatedPeer, event Event) Event {
 	received, isUpdate := event.(UpdateReceived)
-	if !s.statedAges || !isUpdate || received.Update.Proven == 0 {
+	if !s.trustStatedAges || !isUpdate || received.Update.Proven == 0 {
 		return event
 	}
 	for _, from := range s.peers {
@@ -49,44 +49,44 @@
 	return received
 }
 
-// proving returns nodes whose clocks differ by hours and that prove a key.
-func proving(seed uint64, peers, zones int) *simulation {
-	s := newZones(seed, 0, zones)
-	s.proves = provenKey
+// newProvingSimulation returns nodes that prove a key and whose clocks differ by hours.
+func newProvingSimulation(seed uint64, peers, zones int) *simulation {
+	s := newSimulationInZones(seed, 0, zones)
+	s.keyToProve = provenKey
 	s.write(provenKey)
 	for i := range peers {
-		s.start(i)
+		s.startNode(i)
 	}
-	s.membership()
+	s.announcePeers()
 	s.after(0, s.checkProofs)
 	return s
 }
 
-// checkProofs checks for each node that all changes of the key which were made before the
-// time at which it holds to have known the newest are known to it.
+// checkProofs checks that each node knows all changes of the key that were written before the time
+// of its proof.
 func (s *simulation) checkProofs() {
 	for _, p := range s.peers {
 		at := p.core.proof.provenAt
 		if p.dead || at.IsZero() {
 			continue
 		}
-		asOf := at.Add(-p.skew)
+		provenAt := at.Add(-p.clockSkew)
 		for i := range s.store.changes {
 			c := &s.store.changes[i]
-			if c.Key == provenKey && !s.store.madeAt[i].After(asOf) && p.known[provenKey] < c.Revision {
-				s.problems = append(s.problems, fmt.Sprintf("%s holds to have known the newest %v ago, and does not know of a change %v old",
-					p.ID, s.now.Sub(asOf), s.now.Sub(s.store.madeAt[i])))
+			if c.Key == provenKey && !s.store.writtenAt[i].After(provenAt) && p.knownRevisions[provenKey] < c.Revision {
+				s.violations = append(s.violations, fmt.Sprintf("%s claims to have known the newest value %v ago, but lacks a change written %v ago",
+					p.ID, s.now.Sub(provenAt), s.now.Sub(s.store.writtenAt[i])))
 			}
 		}
 	}
 	s.after(checkInterval, s.checkProofs)
 }
 
-// oldest is the age of the oldest proof of those nodes that nothing troubles.
-func (s *simulation) oldest() time.Duration {
+// oldestProofAge returns the age of the oldest proof among the nodes without a fault.
+func (s *simulation) oldestProofAge() time.Duration {
 	var oldest time.Duration
 	for _, p := range s.peers {
-		if p.dead || p.troubles > 0 || s.now.Sub(p.calmSince) < undisturbed {
+		if p.dead || p.storeFaults > 0 || s.now.Sub(p.faultsEndedAt) < settleTime {
 			continue
 		}
 		oldest = max(oldest, s.clock(p).Sub(p.core.proof.provenAt))
@@ -94,115 +94,117 @@
 	return oldest
 }
 
-// TestProofsAreNeverTooYoung: over cuts, outages, deaf watches, lost and late messages, nodes
-// that die and start, and clocks that differ, no node holds to have known the newest value
-// at a time at which it did not.
-func TestProofsAreNeverTooYoung(t *testing.T) {
-	for seed := range uint64(*plays) {
-		s := proving(seed, 4+int(seed%3)*10, 1+int(seed%4))
-		s.loss = 0.05
-		s.after(time.Second, s.trouble)
+// TestProofsAreNeverTooRecent guards against keys that are accepted after they were revoked: under
+// cuts, outages, stuck watches, lost and late messages, nodes that die and start, and clocks that
+// differ, no node claims to have known the newest value at a time when it did not.
+func TestProofsAreNeverTooRecent(t *testing.T) {
+	for seed := range uint64(*proofSeeds) {
+		s := newProvingSimulation(seed, 4+int(seed%3)*10, 1+int(seed%4))
+		s.lossRate = 0.05
+		s.after(time.Second, s.injectFaults)
 		s.runFor(60 * time.Second)
-		for _, problem := range s.problems {
-			t.Errorf("seed %d: %s", seed, problem)
+		for _, violation := range s.violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// TestStatedAgesAreCaught: an age that its sender states leaves out how long the message was
-// on its way, and the check above notices.
-func TestStatedAgesAreCaught(t *testing.T) {
-	caught := 0
+// TestCheckDetectsAgesStatedBySenders checks the simulation itself: an age that the sender states
+// leaves out the time in transit, and the check must detect that.
+func TestCheckDetectsAgesStatedBySenders(t *testing.T) {
+	detected := 0
 	for seed := range uint64(20) {
-		s := proving(seed, 24, 3)
-		s.loss, s.statedAges = 0.05, true
-		s.after(time.Second, s.trouble)
+		s := newProvingSimulation(seed, 24, 3)
+		s.lossRate, s.trustStatedAges = 0.05, true
+		s.after(time.Second, s.injectFaults)
 		s.runFor(60 * time.Second)
-		if len(s.problems) > 0 {
-			caught++
+		if len(s.violations) > 0 {
+			detected++
 		}
 	}
-	if caught < 15 {
-		t.Errorf("%d of 20 plays are caught", caught)
+	if detected < 15 {
+		t.Errorf("the defect was detected with %d of 20 seeds, want at least 15", detected)
 	}
 }
 
-// TestSuspendedClocksAreCaught: a node that goes by a clock which stands while its machine is
-// suspended holds its proof for younger than it is.
-func TestSuspendedClocksAreCaught(t *testing.T) {
-	s := proving(1, 12, 3)
+// TestCheckDetectsSuspendedClocks checks the simulation itself: a node whose clock stands still
+// while its machine is suspended takes its proof for younger than it is, and the check must detect
+// that.
+func TestCheckDetectsSuspendedClocks(t *testing.T) {
+	s := newProvingSimulation(1, 12, 3)
 	s.runFor(5 * time.Second)
 	p := s.peers[3]
-	p.cuts, p.mute, p.troubles = 1, true, 1
+	p.storeCuts, p.isolated, p.storeFaults = 1, true, 1
 	s.write(provenKey)
 	s.runFor(3 * time.Second)
-	if len(s.problems) > 0 {
-		t.Fatal(s.problems)
+	if len(s.violations) > 0 {
+		t.Fatal(s.violations)
 	}
-	p.skew -= 4 * time.Second
+	p.clockSkew -= 4 * time.Second
 	s.runFor(100 * time.Millisecond)
-	if len(s.problems) == 0 {
-		t.Error("a clock that stood for 4 s goes unnoticed")
+	if len(s.violations) == 0 {
+		t.Error("a clock that stood still for 4 s was not detected")
 	}
 }
 
-// TestProofsReachAll: on a calm day each node of a fleet has a proof that is young enough,
-// and the nodes together ask the store about as often as one does.
-func TestProofsReachAll(t *testing.T) {
-	s := proving(1, 87, 3)
-	s.small = true
+// TestProofsReachAllNodesWithFewCalls guards against verifications by every node: without faults,
+// each node of a fleet has a recent proof, and all nodes together ask the store about as often as
+// one would.
+func TestProofsReachAllNodesWithFewCalls(t *testing.T) {
+	s := newProvingSimulation(1, 87, 3)
+	s.smallValuesOnly = true
 	s.runFor(6 * time.Second)
-	before := s.verifies()
+	before := s.totalVerifies()
 	var oldest time.Duration
 	for range 30 {
 		s.runFor(time.Second)
-		oldest = max(oldest, s.oldest())
+		oldest = max(oldest, s.oldestProofAge())
 	}
-	calls := s.verifies() - before
+	calls := s.totalVerifies() - before
 	t.Logf("87 nodes in 30 s: %d calls, the oldest proof %v", calls, oldest)
 	if oldest >= maxFedProofAge {
 		t.Errorf("a proof is %v old", oldest)
 	}
-	if most := int(30*time.Second/verifyInterval) + 5; calls > most {
-		t.Errorf("%d calls, those of one node are at most %d", calls, most)
+	if limit := int(30*time.Second/verifyInterval) + 5; calls > limit {
+		t.Errorf("%d calls, want at most the %d of one node", calls, limit)
 	}
 }
 
-// TestDeafRelayLeavesProofs: where a root lives and passes nothing on any more, and where the
-// store turns two thirds of the nodes away, those that nothing keeps from the store or a
-// node that reaches it go on having proofs that may be used.
-func TestDeafRelayLeavesProofs(t *testing.T) {
-	s := proving(2, 87, 3)
-	s.small = true
+// TestProofsStayUsableWithSilentRootOrRefusingStore guards against proofs that expire at nodes that
+// could renew them: when the root lives but forwards nothing, and when the store refuses two thirds
+// of the nodes, each node that reaches the store or a node that does keeps a usable proof.
+func TestProofsStayUsableWithSilentRootOrRefusingStore(t *testing.T) {
+	s := newProvingSimulation(2, 87, 3)
+	s.smallValuesOnly = true
 	s.runFor(6 * time.Second)
 	for _, p := range s.peers {
 		if p.core.tree.role == root {
-			p.mute = true
+			p.isolated = true
 		}
 	}
 	for range 20 {
 		s.runFor(500 * time.Millisecond)
-		if age := s.oldest(); age >= usedWithin {
-			t.Fatalf("the root is deaf, and a proof is %v old", age)
+		if age := s.oldestProofAge(); age >= maxUsableProofAge {
+			t.Fatalf("silent root: a proof is %v old", age)
 		}
 	}
-	s = proving(3, 87, 3)
-	s.small = true
+	s = newProvingSimulation(3, 87, 3)
+	s.smallValuesOnly = true
 	s.runFor(6 * time.Second)
 	for i, p := range s.peers {
 		if i%3 > 0 {
-			p.cuts++
+			p.storeCuts++
 		}
 	}
 	for range 20 {
 		s.runFor(500 * time.Millisecond)
-		if age := s.oldest(); age >= usedWithin {
-			t.Fatalf("the store turns two thirds away, and a proof is %v old", age)
+		if age := s.oldestProofAge(); age >= maxUsableProofAge {
+			t.Fatalf("store that refuses two thirds of the nodes: a proof is %v old", age)
 		}
 	}
 }
 
-func (s *simulation) verifies() int {
+func (s *simulation) totalVerifies() int {
 	calls := 0
 	for _, p := range s.peers {
 		calls += p.verifies
--- a/fleet/feed/snapshots_test.go
+++ b/fleet/feed/snapshots_test.go
@@ -11,44 +11,45 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// knowing returns a node that read a store with pairs of a size.
-func knowing(now time.Time, pairs, size int, cfg Config) (*Core, []wire.StoreChange) {
+// newLoadedCore returns a node that has read a store with that many pairs of the given size, and
+// the pairs.
+func newLoadedCore(now time.Time, pairs, size int, cfg Config) (*Core, []wire.StoreChange) {
 	var content []wire.StoreChange
 	for i := range pairs {
 		content = append(content, wire.StoreChange{Key: fmt.Sprintf("key-%05d", i), Value: make([]byte, size), Revision: int64(i + 1)})
 	}
-	core := New(cfg, passAll{}, 1)
+	core := New(cfg, acceptAll{}, 1)
 	core.Step(now, ReadDone{Began: now, Revision: int64(pairs), Pairs: content})
 	return core, content
 }
 
-// asking is what a node that starts sends.
-func asking(number int, capacity float64) SnapshotRequested {
+// snapshotRequest is the request of a starting node.
+func snapshotRequest(number int, capacity float64) SnapshotRequested {
 	id := fmt.Sprintf("asker-%d", number)
 	return SnapshotRequested{Request: wire.StoreSnapshotRequest{From: cluster.NodeID(id), FromAddress: id, Capacity: capacity}}
 }
 
-// received collects the parts that effects send to an address.
-func received(effects []Effect, address string) []wire.StoreSnapshot {
+// partsSentTo returns the snapshot parts that the effects send to the address.
+func partsSentTo(effects []Effect, address string) []wire.StoreSnapshot {
 	var parts []wire.StoreSnapshot
 	for _, effect := range effects {
-		if sent, is := effect.(SendSnapshot); is && sent.Address == address {
+		if sent, ok := effect.(SendSnapshot); ok && sent.Address == address {
 			parts = append(parts, sent.Part)
 		}
 	}
 	return parts
 }
 
-// TestSnapshotComesInParts: everything arrives, in whatever order its parts come and also twice,
-// and no part is much larger than a message should be.
-func TestSnapshotComesInParts(t *testing.T) {
+// TestSnapshotArrivesFromUnorderedParts guards against snapshots that are lost or wrong when parts
+// arrive out of order or twice, and against parts that are much larger than a message should be.
+func TestSnapshotArrivesFromUnorderedParts(t *testing.T) {
 	now := time.Unix(1000, 0)
-	core, content := knowing(now, 900, 5000, Config{Self: Peer{ID: "knowing", Capacity: 1}})
-	parts := received(core.Step(now.Add(time.Second), asking(1, 0.2)), "asker-1")
+	core, content := newLoadedCore(now, 900, 5000, Config{Self: Peer{ID: "knowing", Capacity: 1}})
+	parts := partsSentTo(core.Step(now.Add(time.Second), snapshotRequest(1, 0.2)), "asker-1")
 	if len(parts) < 4 {
-		t.Fatalf("%d parts for 4.5 MB", len(parts))
+		t.Fatalf("%d parts for 4.5 MB, want at least 4", len(parts))
 	}
-	starting := New(Config{Self: Peer{ID: "starting", Address: "asker-1"}}, passAll{}, 1)
+	starting := New(Config{Self: Peer{ID: "starting", Address: "asker-1"}}, acceptAll{}, 1)
 	starting.Step(now, Tick{})
 	starting.Step(now, ReadDone{Began: now, Large: true})
 	starting.Step(now, StarterRead{Starter: Starter{ID: "knowing", Address: "k"}, Revision: 5})
@@ -56,22 +57,22 @@
 	var replaced *Replace
 	for _, part := range append(parts[:1:1], parts...) {
 		for _, effect := range starting.Step(now.Add(2*time.Second), SnapshotReceived{Part: part}) {
-			if e, is := effect.(Replace); is {
+			if e, ok := effect.(Replace); ok {
 				replaced = &e
 			}
 		}
 	}
 	if replaced == nil || !reflect.DeepEqual(replaced.Pairs, content) || starting.Revision() != 900 {
-		t.Fatalf("not everything was taken over, up to revision %d", starting.Revision())
+		t.Fatalf("the snapshot was not taken whole, the node is at revision %d", starting.Revision())
 	}
 	if age := now.Add(2 * time.Second).Sub(starting.KnownAt()); age < time.Second {
-		t.Errorf("what came is said to be %s old", age)
+		t.Errorf("the stated age is %s, want at least 1s", age)
 	}
 }
 
-// TestPartsThatCannotBeReadAreLost: a part with numbers that can't be, or with other content,
-// is passed over.
-func TestPartsThatCannotBeReadAreLost(t *testing.T) {
+// TestInvalidSnapshotPartsAreIgnored guards against a startup from a damaged snapshot: a part with
+// impossible numbers or undecodable content is ignored.
+func TestInvalidSnapshotPartsAreIgnored(t *testing.T) {
 	good, err := wire.PackChanges([]wire.StoreChange{{Key: "k", Revision: 1}})
 	if err != nil {
 		t.Fatal(err)
@@ -83,29 +84,30 @@
 		var s startup
 		part.From, part.Revision = "n", 7
 		if _, whole := s.addPart(&part); whole {
-			t.Errorf("%s: taken for everything", name)
+			t.Errorf("%s: taken for a complete snapshot", name)
 		}
 	}
 }
 
-// TestOldKnowledgeIsNotHandedOn: a node that is cut off from the store and from its relays has
-// those that ask wait until it knows what is new; and what comes too old from elsewhere is not taken. Whoever starts reads the store
-// then, and does not serve by what may be out of force.
-func TestOldKnowledgeIsNotHandedOn(t *testing.T) {
+// TestStaleStateIsNotSentAsSnapshot guards against nodes that start from a configuration that is no
+// longer in force. A node that is cut off from the store and from its relays makes requesters wait
+// until its state is fresh, and a snapshot that arrives too old is not taken. The starting node
+// reads the store then.
+func TestStaleStateIsNotSentAsSnapshot(t *testing.T) {
 	now := time.Unix(1000, 0)
-	core, _ := knowing(now, 10, 10, Config{Self: Peer{ID: "knowing", Capacity: 1}})
-	parts := received(core.Step(now.Add(time.Second), asking(1, 0.2)), "asker-1")
+	core, _ := newLoadedCore(now, 10, 10, Config{Self: Peer{ID: "knowing", Capacity: 1}})
+	parts := partsSentTo(core.Step(now.Add(time.Second), snapshotRequest(1, 0.2)), "asker-1")
 	if len(parts) == 0 {
-		t.Fatal("new knowledge was not sent")
+		t.Fatal("a fresh snapshot was not sent")
 	}
 	later := now.Add(20 * time.Second)
-	if old := received(core.Step(later, asking(2, 0.2)), "asker-2"); len(old) != 1 || old[0].Revision != 0 {
-		t.Errorf("old knowledge was sent: %d parts", len(old))
+	if old := partsSentTo(core.Step(later, snapshotRequest(2, 0.2)), "asker-2"); len(old) != 1 || old[0].Revision != 0 {
+		t.Errorf("a stale snapshot was sent: %d parts", len(old))
 	}
-	if parts := received(core.Step(later, PollDone{Began: later, Revision: 10}), "asker-2"); len(parts) == 0 {
-		t.Error("the asker was forgotten once the store had been read")
+	if parts := partsSentTo(core.Step(later, PollDone{Began: later, Revision: 10}), "asker-2"); len(parts) == 0 {
+		t.Error("the waiting node got no snapshot after the poll")
 	}
-	starting := New(Config{Self: Peer{ID: "starting", Address: "asker-1"}}, passAll{}, 1)
+	starting := New(Config{Self: Peer{ID: "starting", Address: "asker-1"}}, acceptAll{}, 1)
 	starting.Step(now, Tick{})
 	starting.Step(now, ReadDone{Began: now, Large: true})
 	starting.Step(now, StarterRead{Starter: Starter{ID: "knowing", Address: "k"}, Revision: 5})
@@ -115,25 +117,26 @@
 		effects = append(effects, starting.Step(now, SnapshotReceived{Part: part})...)
 	}
 	if starting.Revision() != 0 || !slices.Contains(effects, Effect(ClaimStart{Revision: 5})) {
-		t.Errorf("at revision %d with %+v, want a claim", starting.Revision(), effects)
+		t.Errorf("at revision %d with effects %+v, want a claim of the starter's record", starting.Revision(), effects)
 	}
 }
 
-// TestNodeServesWhatItCan: a node serves as many a second as its processor allows; further ones
-// are told to ask those that were served, the stronger the more, and none is sent to itself.
-func TestNodeServesWhatItCan(t *testing.T) {
+// TestSnapshotsAreLimitedByCapacity guards against a node that is overloaded by starting nodes: it
+// sends as many snapshots per second as its capacity allows and refers further requests to the
+// nodes that it served, more of them to stronger nodes, and none to the requester itself.
+func TestSnapshotsAreLimitedByCapacity(t *testing.T) {
 	now := time.Unix(1000, 0)
-	core, _ := knowing(now, 10, 10, Config{Self: Peer{ID: "knowing", Capacity: weakShare}})
+	core, _ := newLoadedCore(now, 10, 10, Config{Self: Peer{ID: "knowing", Capacity: weakNodeCores}})
 	served, referred := 0, map[string]int{}
 	for i := range 12 {
-		capacity := weakShare
+		capacity := weakNodeCores
 		if i == 0 {
-			capacity = strongShare
+			capacity = strongNodeCores
 		}
 		address := fmt.Sprintf("asker-%d", i)
-		for _, part := range received(core.Step(now, asking(i, capacity)), address) {
+		for _, part := range partsSentTo(core.Step(now, snapshotRequest(i, capacity)), address) {
 			if part.Refer == address {
-				t.Errorf("%s is told to ask itself", address)
+				t.Errorf("%s is referred to itself", address)
 			}
 			if part.Refer == "" {
 				served++
@@ -143,69 +146,70 @@
 		}
 	}
 	if served != minSnapshotsPerSecond || referred["asker-0"] <= referred["asker-1"] || referred["asker-0"]+referred["asker-1"] != 10 {
-		t.Errorf("%d served, others sent to %v", served, referred)
+		t.Errorf("%d served, others referred to %v", served, referred)
 	}
-	if parts := received(core.Step(now.Add(1100*time.Millisecond), asking(20, weakShare)), "asker-20"); len(parts) != 1 || parts[0].Refer != "" {
-		t.Errorf("a second later: %+v", parts)
+	if parts := partsSentTo(core.Step(now.Add(1100*time.Millisecond), snapshotRequest(20, weakNodeCores)), "asker-20"); len(parts) != 1 || parts[0].Refer != "" {
+		t.Errorf("1.1 s later: %+v, want a snapshot", parts)
 	}
 }
 
-// TestStarterThatDiedIsReplaced: who reads everything does not answer, so the node that asked
-// claims its place; if another one has, that one is asked.
-func TestStarterThatDiedIsReplaced(t *testing.T) {
+// TestSilentStarterIsReplaced guards against nodes that wait for a dead starter: the node that gets
+// no answer claims the starter's record, or, if another node has claimed it, asks that one.
+func TestSilentStarterIsReplaced(t *testing.T) {
 	now := time.Unix(1000, 0)
-	begin := func() *Core {
-		core := New(Config{Self: Peer{ID: "n", Address: "n:1"}}, passAll{}, 1)
+	newAskingCore := func() *Core {
+		core := New(Config{Self: Peer{ID: "n", Address: "n:1"}}, acceptAll{}, 1)
 		core.Step(now, Tick{})
 		core.Step(now, ReadDone{Began: now, Large: true})
 		core.Step(now, StarterRead{Starter: Starter{ID: "dead", Address: "d:1"}, Revision: 5})
 		return core
 	}
-	core := begin()
+	core := newAskingCore()
 	now = now.Add(snapshotTimeout)
 	effects := core.Step(now, Tick{})
 	if !slices.Contains(effects, Effect(ClaimStart{Revision: 5})) {
-		t.Fatalf("effects %+v, want a claim of the record of revision 5", effects)
+		t.Fatalf("effects %+v, want a claim of the starter's record at revision 5", effects)
 	}
 	effects = core.Step(now, StarterClaimed{Won: true, Starter: Starter{ID: "n", Address: "n:1"}, Revision: 9})
 	if !slices.Contains(effects, Effect(Read{})) {
-		t.Errorf("effects %+v, want everything to be read", effects)
+		t.Errorf("effects %+v, want a full read", effects)
 	}
-	other := begin()
+	other := newAskingCore()
 	now = now.Add(snapshotTimeout)
 	other.Step(now, Tick{})
 	effects = other.Step(now, StarterClaimed{Starter: Starter{ID: "quick", Address: "q:1"}, Revision: 9})
 	asked := false
 	for _, effect := range effects {
-		ask, is := effect.(AskSnapshot)
-		asked = asked || is && ask.Address == "q:1"
+		ask, ok := effect.(AskSnapshot)
+		asked = asked || ok && ask.Address == "q:1"
 	}
 	if !asked {
-		t.Errorf("effects %+v, want the new starter to be asked", effects)
+		t.Errorf("effects %+v, want a request to the new starter", effects)
 	}
 }
 
-// TestOwnRecordIsTakenUp: a machine that was the starter before its process ended reads
-// everything: all that start ask there. Seen in a run of the soak whose records show other
-// addresses than nodes know themselves by: it asked itself, and all of the zone waited 4 s.
-func TestOwnRecordIsTakenUp(t *testing.T) {
+// TestStarterRecordOfOwnMachineLeadsToFullRead guards against a node that requests a snapshot from
+// itself. If an earlier process of its machine was the starter, all starting nodes ask there, so
+// that the node must read the store. Where records show other addresses than nodes know themselves
+// by, a node asked itself, and its whole zone waited 4 s.
+func TestStarterRecordOfOwnMachineLeadsToFullRead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, starter := range map[string]Starter{
 		"by its address": {ID: "n-1", Address: "n:1"}, "by its machine": {ID: "n-1", Machine: "m", Address: "shown:1"},
 	} {
-		core := New(Config{Self: Peer{ID: "n-2", Address: "n:1"}, Machine: "m"}, passAll{}, 1)
+		core := New(Config{Self: Peer{ID: "n-2", Address: "n:1"}, Machine: "m"}, acceptAll{}, 1)
 		core.Step(now, Tick{})
 		core.Step(now, ReadDone{Began: now, Large: true})
 		if effects := core.Step(now, StarterRead{Starter: starter, Revision: 5}); !slices.Contains(effects, Effect(Read{})) {
-			t.Errorf("%s: effects %+v, want everything to be read", name, effects)
+			t.Errorf("%s: effects %+v, want a full read", name, effects)
 		}
 	}
-	core := New(Config{Self: Peer{ID: "n-2", Address: "n:1"}}, passAll{}, 1)
+	core := New(Config{Self: Peer{ID: "n-2", Address: "n:1"}}, acceptAll{}, 1)
 	core.Step(now, Tick{})
 	core.Step(now, ReadDone{Began: now, Large: true})
 	core.Step(now, StarterRead{Starter: Starter{ID: "n-1", Address: "shown:1"}, Revision: 5})
 	own := SnapshotRequested{Request: wire.StoreSnapshotRequest{From: "n-2", FromAddress: "n:1"}}
 	if effects := core.Step(now, own); !slices.Contains(effects, Effect(Read{})) {
-		t.Errorf("its own question: effects %+v, want everything to be read", effects)
+		t.Errorf("own request: effects %+v, want a full read", effects)
 	}
 }
--- a/fleet/feed/start_test.go
+++ b/fleet/feed/start_test.go
@@ -11,106 +11,104 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// What was seen: when all of 985 nodes started, or got power back, together, each read the
-// entries of all 10,000 workers at the store: some 5 MB a node, 40 s of the store's link.
-//
-// What caused it: bytes that grow with nodes times workers.
-//
-// What proves that here: links with rates, a store with a page size, and processors of a share
-// of a core, on virtual time.
+// These tests guard against a start of all nodes that overloads the store. When all of 985 nodes
+// started together, for example after a power failure, each read the entries of all 10,000 workers
+// from the store: some 5 MB per node, which took the store's link 40 s, since the bytes grow with
+// nodes times workers. The simulation has links with rates, a store with a page size, and
+// processors of a share of a core, on virtual time.
 
-// The sizes of the fleets that start. A pair stands for several, so that a fleet's start plays
-// in a second: its bytes count as many times.
+// Sizes and rates of the fleets that start. Each simulated pair stands for several real ones and
+// its bytes count as many times, so that the simulation of a large fleet takes a second.
 const (
-	startPairs     = 600
-	pagePairs      = 500
-	workersANode   = 10
-	pairBytes      = 420
-	recordBytes    = 350
-	storeRate      = 125e6
-	strongRate     = 25e6
-	weakRate       = 2.5e6
-	strongShare    = 0.8
-	weakShare      = 0.192
-	beginWork      = 30 * time.Millisecond
-	workABytes     = 25 * time.Nanosecond
-	strongOneOf    = 20
-	startZones     = 5
-	startRoundTrip = 10 * time.Millisecond
+	simulatedPairs           = 600
+	storePagePairs           = 500
+	workersPerNode           = 10
+	pairBytes                = 420
+	messageBytes             = 350
+	storeBytesPerSecond      = 125e6
+	strongNodeBytesPerSecond = 25e6
+	weakNodeBytesPerSecond   = 2.5e6
+	strongNodeCores          = 0.8
+	weakNodeCores            = 0.192
+	processStartWork         = 30 * time.Millisecond
+	workPerByte              = 25 * time.Nanosecond
+	nodesPerStrongNode       = 20
+	startingZones            = 5
+	storeRoundTrip           = 10 * time.Millisecond
 )
 
 // link carries bytes one after the other.
 type link struct {
-	rate float64
-	free time.Time
+	bytesPerSecond float64
+	freeAt         time.Time
 }
 
-// carry returns when bytes that are sent at a time have passed.
+// carry returns when bytes that are sent at the given time have passed the link.
 func (l *link) carry(at time.Time, bytes float64) time.Time {
-	if l.free.Before(at) {
-		l.free = at
+	if l.freeAt.Before(at) {
+		l.freeAt = at
 	}
-	l.free = l.free.Add(time.Duration(bytes / l.rate * float64(time.Second)))
-	return l.free
+	l.freeAt = l.freeAt.Add(time.Duration(bytes / l.bytesPerSecond * float64(time.Second)))
+	return l.freeAt
 }
 
 // startingNode is one node of a fleet that starts.
 type startingNode struct {
 	Peer
-	core  *Core
-	link  link
-	dead  bool
-	alive time.Time
-	// recorded is when its record stands in the store.
-	recorded time.Time
-	knowsAt  time.Time
-	tickAt   time.Time
+	core      *Core
+	link      link
+	dead      bool
+	startedAt time.Time
+	// recordedAt is when the node's record is in the store.
+	recordedAt time.Time
+	loadedAt   time.Time
+	tickAt     time.Time
 }
 
-// startingFleet plays the start of all nodes.
+// startingFleet simulates the start of all nodes.
 type startingFleet struct {
 	now    time.Time
 	agenda agenda.Agenda
-	// revision of the last record that was written.
-	revision int64
-	nodes    []*startingNode
-	byAddr   map[string]*startingNode
-	store    link
-	pairs    []wire.StoreChange
-	// weight is how many pairs each of pairs stands for.
-	weight float64
-	// calls at the store, wholes of them read everything.
-	calls, wholes int
-	// starters are the records of the zones with their revisions.
+	// revision is that of the last record written.
+	revision  int64
+	nodes     []*startingNode
+	byAddress map[string]*startingNode
+	store     link
+	pairs     []wire.StoreChange
+	// pairWeight is how many real pairs each simulated one stands for.
+	pairWeight float64
+	// calls counts all calls to the store, fullReads the full reads among them.
+	calls, fullReads int
+	// starters holds the starter's record of each zone.
 	starters map[cluster.ZoneID]StarterRead
 }
 
 func newStartingFleet(nodes int) *startingFleet {
 	f := &startingFleet{
-		now: time.Unix(1_000_000, 0), byAddr: map[string]*startingNode{}, store: link{rate: storeRate},
-		weight: float64(nodes*(workersANode+1)) / startPairs, starters: map[cluster.ZoneID]StarterRead{},
+		now: time.Unix(1_000_000, 0), byAddress: map[string]*startingNode{}, store: link{bytesPerSecond: storeBytesPerSecond},
+		pairWeight: float64(nodes*(workersPerNode+1)) / simulatedPairs, starters: map[cluster.ZoneID]StarterRead{},
 	}
-	for i := range startPairs {
+	for i := range simulatedPairs {
 		f.pairs = append(f.pairs, wire.StoreChange{
 			Key: fmt.Sprintf("servers/i-%08x", uint32(i)*2654435761), Revision: int64(i + 1),
 			Value: fmt.Appendf(nil, `{"service":"s","address":"10.%d.%d.%d:8%03d","zone":"z%d","version":"v%x","slots":12,"state":"ready","models":[{"name":"m%x","version":1,"adapters":[]}],"sequence":%d}`,
-				i%7, i%131, i%251, i%997, i%startZones, uint32(i)*40503, uint32(i)*2246822519, uint32(i)*3266489917),
+				i%7, i%131, i%251, i%997, i%startingZones, uint32(i)*40503, uint32(i)*2246822519, uint32(i)*3266489917),
 		})
 	}
 	for i := range nodes {
 		id := cluster.NodeID(fmt.Sprintf("node-%05d", i))
-		n := &startingNode{Peer: Peer{ID: id, Address: string(id), Zone: cluster.ZoneID(fmt.Sprint(i % startZones)), Capacity: weakShare}, link: link{rate: weakRate}}
-		if i/startZones%strongOneOf == 0 {
-			n.Capacity, n.link.rate = strongShare, strongRate
+		n := &startingNode{Peer: Peer{ID: id, Address: string(id), Zone: cluster.ZoneID(fmt.Sprint(i % startingZones)), Capacity: weakNodeCores}, link: link{bytesPerSecond: weakNodeBytesPerSecond}}
+		if i/startingZones%nodesPerStrongNode == 0 {
+			n.Capacity, n.link.bytesPerSecond = strongNodeCores, strongNodeBytesPerSecond
 		}
 		f.nodes = append(f.nodes, n)
-		f.byAddr[n.Address] = n
-		f.after(n.work(beginWork)+time.Duration(i%97)*time.Millisecond, func() { f.begin(n) })
+		f.byAddress[n.Address] = n
+		f.after(n.work(processStartWork)+time.Duration(i%97)*time.Millisecond, func() { f.startNode(n) })
 	}
 	return f
 }
 
-// work is how long a node takes for what takes a whole core a time.
+// work returns how long the node takes for work that takes one core the given time.
 func (n *startingNode) work(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / n.Capacity)
 }
@@ -128,26 +126,26 @@
 	f.now = end
 }
 
-// begin has a node write its record and ask for everything.
-func (f *startingFleet) begin(n *startingNode) {
-	n.alive, n.recorded = f.now, f.now.Add(2*startRoundTrip)
-	n.core = New(Config{Self: n.Peer, Within: 5 * time.Second}, passAll{}, uint64(f.agenda.Len()))
+// startNode makes a node write its record and begin its startup.
+func (f *startingFleet) startNode(n *startingNode) {
+	n.startedAt, n.recordedAt = f.now, f.now.Add(2*storeRoundTrip)
+	n.core = New(Config{Self: n.Peer, Within: 5 * time.Second}, acceptAll{}, uint64(f.agenda.Len()))
 	f.step(n, Tick{})
 }
 
-type passAll struct{}
+type acceptAll struct{}
 
 // News implements Filter.
-func (passAll) News(*wire.StoreChange) bool { return true }
+func (acceptAll) News(*wire.StoreChange) bool { return true }
 
 // kill ends a node for good; its record stays for a while.
 func (f *startingFleet) kill(n *startingNode) { n.dead = true }
 
-// live lists the nodes whose records stand in the store.
+// live lists the nodes whose records are in the store.
 func (f *startingFleet) live() []Peer {
 	var live []Peer
 	for _, n := range f.nodes {
-		if !n.recorded.IsZero() && !f.now.Before(n.recorded) {
+		if !n.recordedAt.IsZero() && !f.now.Before(n.recordedAt) {
 			live = append(live, n.Peer)
 		}
 	}
@@ -161,8 +159,8 @@
 	for _, effect := range slices.Clone(n.core.Step(f.now, e)) {
 		f.carryOut(n, effect)
 	}
-	if n.knowsAt.IsZero() && n.core.Revision() != 0 {
-		n.knowsAt = f.now
+	if n.loadedAt.IsZero() && n.core.Revision() != 0 {
+		n.loadedAt = f.now
 		f.after(0, func() { f.step(n, PeersChanged{Peers: f.live()}) })
 	}
 	due := n.core.NextDue()
@@ -184,42 +182,43 @@
 		f.read(n, e)
 	case ReadStarter:
 		f.calls++
-		f.after(startRoundTrip, func() { f.step(n, f.starters[n.Zone]) })
+		f.after(storeRoundTrip, func() { f.step(n, f.starters[n.Zone]) })
 	case ClaimStart:
 		f.calls++
-		f.after(startRoundTrip/2, func() { f.claim(n, e) })
+		f.after(storeRoundTrip/2, func() { f.claim(n, e) })
 	case Poll:
 		f.calls++
 		began := f.now
-		f.after(startRoundTrip, func() { f.step(n, PollDone{Began: began, Revision: e.After}) })
+		f.after(storeRoundTrip, func() { f.step(n, PollDone{Began: began, Revision: e.After}) })
 	case AskSnapshot:
-		f.deliver(n, e.Address, recordBytes, SnapshotRequested{Request: e.Request})
+		f.deliver(n, e.Address, messageBytes, SnapshotRequested{Request: e.Request})
 	case SendSnapshot:
-		f.deliver(n, e.Address, float64(len(e.Part.Content))*f.weight, SnapshotReceived{Part: e.Part})
+		f.deliver(n, e.Address, float64(len(e.Part.Content))*f.pairWeight, SnapshotReceived{Part: e.Part})
 	case Send:
-		f.deliver(n, e.Address, recordBytes, UpdateReceived{Update: e.Update})
+		f.deliver(n, e.Address, messageBytes, UpdateReceived{Update: e.Update})
 	case Ask:
-		f.deliver(n, e.Address, recordBytes, ChangesRequested{Request: e.Request})
+		f.deliver(n, e.Address, messageBytes, ChangesRequested{Request: e.Request})
 	}
 }
 
-// read answers a read of everything, or a survey.
+// read answers a full read or a read of the first page.
 func (f *startingFleet) read(n *startingNode, e Read) {
 	f.calls++
-	done := ReadDone{Began: f.now, Revision: startPairs, Pairs: f.pairs}
-	bytes := f.weight * startPairs * pairBytes
+	done := ReadDone{Began: f.now, Revision: simulatedPairs, Pairs: f.pairs}
+	bytes := f.pairWeight * simulatedPairs * pairBytes
 	if e.OnePage {
 		done = ReadDone{Began: f.now, Large: true}
-		bytes = pagePairs * pairBytes
+		bytes = storePagePairs * pairBytes
 	} else {
-		f.calls += int(f.weight * startPairs / pagePairs)
-		f.wholes++
+		f.calls += int(f.pairWeight * simulatedPairs / storePagePairs)
+		f.fullReads++
 	}
-	there := f.store.carry(f.now.Add(startRoundTrip), bytes)
-	f.at(n.link.carry(there, bytes).Add(n.work(time.Duration(bytes*float64(workABytes)))), func() { f.step(n, done) })
+	arrives := f.store.carry(f.now.Add(storeRoundTrip), bytes)
+	f.at(n.link.carry(arrives, bytes).Add(n.work(time.Duration(bytes*float64(workPerByte)))), func() { f.step(n, done) })
 }
 
-// claim writes a node into the record of its zone if it is as expected.
+// claim writes a node into the starter's record of its zone if the record has the expected
+// revision.
 func (f *startingFleet) claim(n *startingNode, e ClaimStart) {
 	record := f.starters[n.Zone]
 	claimed := StarterClaimed{Won: record.Revision == e.Revision}
@@ -229,70 +228,71 @@
 		f.starters[n.Zone] = record
 	}
 	claimed.Starter, claimed.Revision = record.Starter, record.Revision
-	f.after(startRoundTrip/2, func() { f.step(n, claimed) })
+	f.after(storeRoundTrip/2, func() { f.step(n, claimed) })
 }
 
-// deliver brings a message over the links of both nodes.
+// deliver sends a message over the links of both nodes.
 func (f *startingFleet) deliver(from *startingNode, address string, bytes float64, event Event) {
-	to := f.byAddr[address]
+	to := f.byAddress[address]
 	sent := from.link.carry(f.now, bytes)
-	f.at(to.link.carry(sent.Add(2*time.Millisecond), bytes).Add(to.work(time.Duration(bytes*float64(workABytes)))), func() { f.step(to, event) })
+	f.at(to.link.carry(sent.Add(2*time.Millisecond), bytes).Add(to.work(time.Duration(bytes*float64(workPerByte)))), func() { f.step(to, event) })
 }
 
-// known returns when the share of the living nodes knew everything, since the start.
-func (f *startingFleet) known(t *testing.T, share float64) time.Duration {
+// loadTime returns how long after the start the given share of the living nodes had loaded the
+// store's contents.
+func (f *startingFleet) loadTime(t *testing.T, share float64) time.Duration {
 	t.Helper()
 	var times []time.Duration
 	for _, n := range f.nodes {
 		if n.dead {
 			continue
 		}
-		if n.knowsAt.IsZero() {
-			t.Fatalf("%s knows nothing, begun %t, at %s", n.ID, n.core != nil, f.now)
+		if n.loadedAt.IsZero() {
+			t.Fatalf("%s has not loaded the contents; started %t, now %s", n.ID, n.core != nil, f.now)
 		}
-		times = append(times, n.knowsAt.Sub(time.Unix(1_000_000, 0)))
+		times = append(times, n.loadedAt.Sub(time.Unix(1_000_000, 0)))
 	}
 	slices.Sort(times)
 	return times[int(share*float64(len(times)-1))]
 }
 
-// TestAllNodesStart: when all nodes start at once and none knows anything, few read everything
-// and all know it soon, also in a fleet of twice the size. The users' bound on recovery is 18 s.
-func TestAllNodesStart(t *testing.T) {
+// TestSimultaneousStartCompletesInTime: when all nodes start at once, few read the whole store, and
+// all have its contents in time, also in a fleet of twice the size. The bound on recovery is 18 s.
+func TestSimultaneousStartCompletesInTime(t *testing.T) {
 	for _, test := range []struct {
 		nodes int
-		most  time.Duration
+		limit time.Duration
 	}{{300, 18 * time.Second}, {985, 18 * time.Second}, {1970, 18 * time.Second}} {
 		f := newStartingFleet(test.nodes)
 		f.runFor(60 * time.Second)
-		half, last := f.known(t, 0.5), f.known(t, 1)
-		t.Logf("%d nodes: half know everything after %s, all after %s; %d calls, %d read everything", test.nodes, half, last, f.calls, f.wholes)
-		if last > test.most {
-			t.Errorf("%d nodes: the last knows everything after %s, want %s", test.nodes, last, test.most)
+		half, last := f.loadTime(t, 0.5), f.loadTime(t, 1)
+		t.Logf("%d nodes: half have the contents after %s, all after %s; %d calls, %d full reads", test.nodes, half, last, f.calls, f.fullReads)
+		if last > test.limit {
+			t.Errorf("%d nodes: the last has the contents after %s, want %s", test.nodes, last, test.limit)
 		}
-		if f.wholes > test.nodes/10 {
-			t.Errorf("%d of %d nodes read everything at the store", f.wholes, test.nodes)
+		if f.fullReads > test.nodes/10 {
+			t.Errorf("%d full reads by %d nodes", f.fullReads, test.nodes)
 		}
 	}
 }
 
-// TestAskedNodesEnd: when those that others ask for everything end in the middle of it, the
-// others learn it elsewhere.
-func TestAskedNodesEnd(t *testing.T) {
+// TestStartSurvivesDeathOfSnapshotSenders guards against starting nodes that wait for dead ones:
+// when the nodes that send snapshots die during the start, the others get the contents elsewhere.
+func TestStartSurvivesDeathOfSnapshotSenders(t *testing.T) {
 	for _, at := range []time.Duration{70 * time.Millisecond, 150 * time.Millisecond, 400 * time.Millisecond, time.Second} {
 		f := newStartingFleet(300)
 		f.after(at, func() {
 			for _, n := range f.nodes {
-				if n.Capacity == strongShare {
+				if n.Capacity == strongNodeCores {
 					f.kill(n)
 				}
 			}
 		})
 		f.runFor(60 * time.Second)
-		last := f.known(t, 1)
-		t.Logf("ended at %s: all know everything after %s, %d read everything", at, last, f.wholes)
+		last := f.loadTime(t, 1)
+		t.Logf("senders died at %s: all have the contents after %s, %d full reads", at, last, f.fullReads)
 		if last > 18*time.Second {
-			t.Errorf("ended at %s: the last knows everything after %s", at, last)
+			t.Errorf("senders died at %s: the last has the contents after %s", at, last)
 		}
 	}
 }
--- a/fleet/feed/tree_test.go
+++ b/fleet/feed/tree_test.go
@@ -7,9 +7,9 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// zonesOf makes nodes of zones of the given sizes; the first of each has the greatest
-// capacity.
-func zonesOf(sizes ...int) []Peer {
+// peersInZones returns nodes in zones of the given sizes; the first node of each zone has the
+// greatest capacity.
+func peersInZones(sizes ...int) []Peer {
 	var peers []Peer
 	for zone, size := range sizes {
 		for i := range size {
@@ -20,11 +20,11 @@
 	return peers
 }
 
-// TestEveryNodeHasOneSource: of any fleet one node is the root, every other relay has it
-// above, and every leaf is in the group of exactly one relay.
+// TestEveryNodeHasOneSource guards against nodes that get no updates or get them twice: a fleet has
+// one root, every other relay learns from it, and every leaf learns from exactly one relay.
 func TestEveryNodeHasOneSource(t *testing.T) {
 	for _, sizes := range [][]int{{40, 5, 70}, {62, 61, 47, 49, 61}, {4, 4, 4}} {
-		peers := zonesOf(sizes...)
+		peers := peersInZones(sizes...)
 		roots, sources := 0, map[cluster.NodeID]int{}
 		for _, self := range peers {
 			cfg := Config{Self: self, Within: minDelayWithRoot}.withDefaults()
@@ -50,10 +50,11 @@
 	}
 }
 
-// TestNoRootUnderAShortBound: where changes must be known sooner than through a root,
-// every relay asks the store itself, and nodes of a small zone do.
-func TestNoRootUnderAShortBound(t *testing.T) {
-	peers := zonesOf(8, 8, 8, 3)
+// TestShortBoundPreventsRoot guards against changes that arrive too late: where they must be known
+// sooner than a root can forward them, every relay polls the store itself, as do nodes of a small
+// zone.
+func TestShortBoundPreventsRoot(t *testing.T) {
+	peers := peersInZones(8, 8, 8, 3)
 	for _, self := range peers {
 		cfg := Config{Self: self, Within: minDelayWithRoot - 1}.withDefaults()
 		node := newTree(&cfg, peers)
--- a/fleet/feed/age_test.go
+++ b/fleet/feed/update_age_test.go
@@ -7,15 +7,16 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// allNews says that every change is new.
+// allNews counts every change as news.
 type allNews struct{}
 
 // News implements Filter.
 func (allNews) News(*wire.StoreChange) bool { return true }
 
-// TestGapIsNotTakenForKnowledge: an update that a node could not take, since changes
-// before it are missing, makes nothing that the node passes on younger.
-func TestGapIsNotTakenForKnowledge(t *testing.T) {
+// TestUpdateWithGapDoesNotRefreshAge guards against data that is stated to be younger than it is:
+// an update that could not be applied, since changes before it are missing, must not change the age
+// of what the node forwards.
+func TestUpdateWithGapDoesNotRefreshAge(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 	c := New(Config{Self: Peer{ID: "a", Address: "a"}}, allNews{}, 1)
 	c.Step(at(0), Tick{})
@@ -28,10 +29,10 @@
 	for _, effect := range c.Step(at(500*time.Millisecond), ChangesRequested{Request: wire.StoreChangesRequest{FromAddress: "c", After: 10}}) {
 		if sent, ok := effect.(Send); ok {
 			if sent.Update.Age != 400*time.Millisecond {
-				t.Errorf("what was known up to 0.1 s is said to be %v old at 0.5 s", sent.Update.Age)
+				t.Errorf("data of 0.1 s is stated to be %v old at 0.5 s, want 400ms", sent.Update.Age)
 			}
 			return
 		}
 	}
-	t.Error("the request was not answered")
+	t.Error("the request got no answer")
 }
