--- a/fleet/feed/calls.go
+++ b/fleet/feed/calls.go
@@ -101,7 +101,8 @@
 
 // nodesSharingCalls counts the nodes that make the same calls and would forward the answer to this
 // one, itself included. Relays send a keep-alive whenever the store fails them; a node that has
-// heard none for longer than their back-off is cut off from them too, and retries as if alone.
+// received none for longer than their back-off is cut off from them too, and retries without regard
+// to others.
 func (c *Core) nodesSharingCalls() int {
 	relays := len(c.tree.relays) + 1
 	if c.now.Sub(c.lastMessageAt) > maxMeanRetryWait(relays)*3/2+callTimeout {
--- a/fleet/feed/config.go
+++ b/fleet/feed/config.go
@@ -49,12 +49,13 @@
 	// Silence is the time without an update from its source after which a node polls the store
 	// itself. Default 540 ms.
 	Silence time.Duration
-	// LeafSourceTimeout replaces Silence for a leaf whose relay has a root, so that a relay that
-	// takes over from the root is heard first. Default a third of Within.
+	// LeafSourceTimeout replaces Silence for a leaf whose relay has a root, so that updates of a
+	// relay that takes over from the root arrive first. Default a third of Within.
 	LeafSourceTimeout time.Duration
 	// RelayTimeoutStep and LeafTimeoutStep are added to the timeout for each node that comes before
-	// this one among those with the same source, so that one node polls the store and the others
-	// hear of it. Defaults 20 and 8 ms; a share of Within for leaves where relays may have a root.
+	// this one among those with the same source, so that one node polls the store and forwards the
+	// answer to the others. Defaults 20 and 8 ms; a share of Within for leaves where relays may
+	// have a root.
 	RelayTimeoutStep, LeafTimeoutStep time.Duration
 	// MinZoneNodes is the least number of nodes at which a zone has relays. MaxGroupNodes is how
 	// many nodes one relay serves, itself included. Defaults 4 and 32.
--- a/fleet/feed/core.go
+++ b/fleet/feed/core.go
@@ -30,9 +30,9 @@
 	readInFlight bool
 	// gapTooLong is set while a full read is due because the missing changes exceed the limit of a
 	// poll; an update that closes the gap clears it. rereadNeeded is set while a full read is due
-	// because the history was compacted or the process stood still. The node keeps what it knows
-	// and goes on taking updates and polls meanwhile, as a full read may take long, fail, or be
-	// asked for again before it ends.
+	// because the history was compacted or the process paused. The node keeps what it knows and
+	// goes on taking updates and polls meanwhile, as a full read may take long, fail, or be asked
+	// for again before it ends.
 	gapTooLong, rereadNeeded bool
 	// sourceTimedOut is set when the last call was made because the source was silent.
 	sourceTimedOut bool
@@ -145,7 +145,7 @@
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 // sourceTimeout returns how long the node waits for its source. The timeouts of nodes with the same
-// source differ, so that one of them polls the store and the others hear of it.
+// source differ, so that one of them polls the store and forwards the answer to the others.
 func (c *Core) sourceTimeout() time.Duration {
 	position := time.Duration(c.tree.position)
 	switch {
@@ -201,8 +201,8 @@
 
 // invalidate requires a full read and discards the one under way. Until it ends the node goes on
 // from what it knows. Earlier versions forgot the known revision and took no updates until the read
-// had ended: a node that kept standing still for a moment before that served from its first read
-// for as long as it was busy.
+// had ended: an overloaded node that paused again before each read had ended served from its first
+// read for as long as it was overloaded.
 func (c *Core) invalidate() {
 	c.discardRead, c.fullReadAt = c.readInFlight, time.Time{}
 	c.rereadNeeded = c.revision != 0
--- a/fleet/feed/cutoff_test.go
+++ b/fleet/feed/cutoff_test.go
@@ -11,7 +11,7 @@
 )
 
 // These tests guard against a node that, cut off from the store alone, sees no new replica for as
-// long as the cut lasts, though its peers hear of each. Zones of fewer than four nodes have no
+// long as the cut lasts, though its peers learn of each. Zones of fewer than four nodes have no
 // relay, so that nobody forwards changes to their nodes, and a node whose calls failed asked only
 // the store. A fleet of three zones of two nodes, one of them cut off for 8 s, reproduces it.
 
--- a/fleet/feed/doc.go
+++ b/fleet/feed/doc.go
@@ -7,9 +7,9 @@
 //
 // The nodes of a fleet form a tree, so that the load on the store does not grow with the number of
 // nodes. In each zone that is large enough a few nodes are relays, and every other node of the zone
-// is a leaf of one of them. Where changes need not be known too soon and there are enough relays,
-// one relay is the root: it polls the store, and the other relays learn from it. Otherwise each
-// relay polls the store itself. Nodes of small zones are standalone and poll the store for
+// is a leaf of one of them. Where the bound on the delay of changes allows it and there are enough
+// relays, one relay is the root: it polls the store, and the other relays learn from it. Otherwise
+// each relay polls the store itself. Nodes of small zones are standalone and poll the store for
 // themselves. Each node computes the tree from the list of live nodes, without an agreement: a node
 // whose source is silent for longer than its timeout polls the store or asks another peer, so that
 // trees that differ for a while delay changes but lose none.
--- a/fleet/feed/fallback_peer.go
+++ b/fleet/feed/fallback_peer.go
@@ -23,7 +23,7 @@
 
 // askFallbackPeer requests the changes since the known revision from another node, unless an
 // earlier request may still be answered. It is for standalone nodes only, as nobody forwards
-// changes to them; a node with a source hears of changes through that.
+// changes to them; a node with a source receives changes from it.
 func (c *Core) askFallbackPeer() {
 	if c.tree.role != standalone || c.revision == 0 || c.now.Sub(c.fallbackPeer.askedAt) < peerAnswerTimeout {
 		return
--- a/fleet/feed/isolation_test.go
+++ b/fleet/feed/isolation_test.go
@@ -12,8 +12,9 @@
 // These tests guard against nodes that, after they were cut off, reach the store again and yet stay
 // behind for longer than changes may take. Nodes with the same source space their calls to a
 // failing store by up to 3 s, since the answer to one of them is forwarded to all. A node that
-// reaches no peer waited as long without a use. A third of the nodes cut off, with their
-// connections to other nodes dead for 5 s after they reach the store again, reproduces it.
+// reached no peer waited just as long, although no peer could forward an answer to it. A third of
+// the nodes cut off, with their connections to other nodes dead for 5 s after they reach the store
+// again, reproduces it.
 
 // TestIsolatedNodesCatchUpInTime: nodes that reach the store again, but no other node, know all
 // changes in time.
@@ -43,9 +44,9 @@
 	}
 }
 
-// TestRelaysSendKeepAlivesDuringOutage guards against nodes that take themselves for cut off during
-// an outage: in a tree of any size, a relay sends keep-alives more often than the nodes below it
-// wait.
+// TestRelaysSendKeepAlivesDuringOutage guards against nodes that wrongly treat themselves as cut
+// off during an outage: in a tree of any size, a relay sends keep-alives more often than the nodes
+// below it wait.
 func TestRelaysSendKeepAlivesDuringOutage(t *testing.T) {
 	for _, zones := range []int{3, 9, 20, 30} {
 		t.Run(fmt.Sprintf("relays=%d", zones), func(t *testing.T) {
--- a/fleet/feed/proof.go
+++ b/fleet/feed/proof.go
@@ -13,8 +13,8 @@
 	// s.
 	verifyInterval = 700 * time.Millisecond
 	// maxFedProofAge is the age of its proof at which a node that a peer keeps up to date asks the
-	// store itself. It is above the age of proofs that relays forward, and so far below the bound
-	// on keys of 4.5 s that three calls fit in between.
+	// store itself. It is above the age of proofs that relays forward, and so far below the bound on
+	// the use of revoked API keys, 4.5 s, that three calls fit in between.
 	maxFedProofAge = 2 * time.Second
 	// minVerifyRetryWait is the first mean wait after a failed call; it doubles up to
 	// maxVerifyRetryWait.
--- a/fleet/feed/proof_test.go
+++ b/fleet/feed/proof_test.go
@@ -15,7 +15,7 @@
 const (
 	provenKey = "news-0"
 	// maxUsableProofAge is the age up to which a proof may be used: nine tenths of the least bound
-	// on revoked keys.
+	// on the use of revoked API keys.
 	maxUsableProofAge = 4500 * time.Millisecond
 )
 
@@ -94,7 +94,7 @@
 	return oldest
 }
 
-// TestProofsAreNeverTooRecent guards against keys that are accepted after they were revoked: under
+// TestProofsAreNeverTooRecent guards against API keys that are accepted after they were revoked: under
 // cuts, outages, stuck watches, lost and late messages, nodes that die and start, and clocks that
 // differ, no node claims to have known the newest value at a time when it did not.
 func TestProofsAreNeverTooRecent(t *testing.T) {
@@ -128,7 +128,7 @@
 }
 
 // TestCheckDetectsSuspendedClocks checks the simulation itself: a node whose clock stands still
-// while its machine is suspended takes its proof for younger than it is, and the check must detect
+// while its machine is suspended underestimates the age of its proof, and the check must detect
 // that.
 func TestCheckDetectsSuspendedClocks(t *testing.T) {
 	s := newProvingSimulation(1, 12, 3)
--- a/fleet/feed/slow_link_test.go
+++ b/fleet/feed/slow_link_test.go
@@ -9,7 +9,7 @@
 
 // slowLink sends like a transport over a slow link: it has one request per peer under way at a
 // time. The stated age of an update grows while the update is queued, but not while it is in
-// transit, as nobody states that time.
+// transit, as the sender cannot measure that time.
 type slowLink struct {
 	transitTime time.Duration
 	busy        map[string]bool
