--- a/fleet/dispatch/cache.go
+++ b/fleet/dispatch/cache.go
@@ -7,51 +7,53 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// keptShare is the part of an engine's memory for prompts that is believed to keep those that
-// were read last: running requests take some of it, and hold what they read until they end.
-const keptShare = 0.7
+// cacheShare is the part of the prompt memory of an engine that is assumed to hold the most
+// recently used prefixes: running requests take the rest for their own tokens until they end.
+const cacheShare = 0.7
 
-// defaultCacheTokens is assumed for engines that state no memory: a few long prompts.
+// defaultCacheTokens is the capacity assumed for engines that state none: enough for a few long
+// prompts.
 const defaultCacheTokens = 50_000
 
-// maxParts bounds the memory of an estimate: 300 KB for an engine of short prompts.
-const maxParts = 2048
+// maxCacheBlocks bounds the memory of one estimate to 300 KB, which matters for an engine with
+// many short prompts.
+const maxCacheBlocks = 2048
 
-// keptPart is a part of prompts that an engine keeps: the tokens between two beginnings, or
-// with a serial number what belongs to one request alone.
-type keptPart struct {
-	model        cluster.ModelID
-	hash, serial uint64
+// cacheBlock identifies a block of cached tokens: those between two prefix boundaries of a prompt,
+// identified by hash, or those that only one request has, identified by requestSerial.
+type cacheBlock struct {
+	model               cluster.ModelID
+	hash, requestSerial uint64
 }
 
-// promptCache estimates which prompts an engine keeps: those that were sent there last, as far
-// as its memory goes.
-type promptCache struct {
+// prefixCache estimates which prompt prefixes an engine holds in its cache: the most recently sent
+// ones, up to the capacity (LRU).
+type prefixCache struct {
 	capacity, used int
-	parts          map[keptPart]*list.Element
-	// order lists the parts, those used last first.
-	order list.List
-	// serial numbers what belongs to single requests.
-	serial uint64
+	blocks         map[cacheBlock]*list.Element
+	// recency lists the blocks, most recently used first.
+	recency list.List
+	// lastSerial is the serial number of the latest block that belongs to a single request.
+	lastSerial uint64
 }
 
 type cacheEntry struct {
-	part   keptPart
+	block  cacheBlock
 	tokens int
 }
 
-func newPromptCache(tokens int) *promptCache {
+func newPrefixCache(tokens int) *prefixCache {
 	if tokens <= 0 {
 		tokens = defaultCacheTokens
 	}
-	return &promptCache{capacity: int(keptShare * float64(tokens)), parts: map[keptPart]*list.Element{}}
+	return &prefixCache{capacity: int(cacheShare * float64(tokens)), blocks: map[cacheBlock]*list.Element{}}
 }
 
-// kept is how many tokens of a prompt's beginning the engine should keep.
-func (c *promptCache) kept(w *wire.EngineWork) int {
+// cachedTokens returns the estimated number of tokens at the start of a prompt that are cached.
+func (c *prefixCache) cachedTokens(w *wire.EngineWork) int {
 	tokens := 0
 	for _, p := range w.Prefixes {
-		if c.parts[keptPart{model: w.Model, hash: p.Hash}] == nil {
+		if c.blocks[cacheBlock{model: w.Model, hash: p.Hash}] == nil {
 			break
 		}
 		tokens = p.Tokens
@@ -59,46 +61,47 @@
 	return min(tokens, w.PromptTokens)
 }
 
-// add notes a prompt that is read. What belongs to the request alone takes room too.
-func (c *promptCache) add(w *wire.EngineWork) {
+// add records a prompt that the engine prefills. Tokens that only this request has, its output
+// included, take up capacity too.
+func (c *prefixCache) add(w *wire.EngineWork) {
 	before := 0
 	for _, p := range w.Prefixes {
-		c.use(keptPart{model: w.Model, hash: p.Hash}, p.Tokens-before)
+		c.touch(cacheBlock{model: w.Model, hash: p.Hash}, p.Tokens-before)
 		before = p.Tokens
 	}
-	c.serial++
-	c.use(keptPart{model: w.Model, serial: c.serial}, max(w.PromptTokens-before, 0)+w.OutputTokens)
-	c.shrink()
+	c.lastSerial++
+	c.touch(cacheBlock{model: w.Model, requestSerial: c.lastSerial}, max(w.PromptTokens-before, 0)+w.OutputTokens)
+	c.evict()
 }
 
-// use enters a part, or makes it the one used last.
-func (c *promptCache) use(part keptPart, tokens int) {
-	if known := c.parts[part]; known != nil {
-		c.order.MoveToFront(known)
+// touch adds a block or marks it as the most recently used one.
+func (c *prefixCache) touch(block cacheBlock, tokens int) {
+	if known := c.blocks[block]; known != nil {
+		c.recency.MoveToFront(known)
 		return
 	}
-	c.parts[part] = c.order.PushFront(&cacheEntry{part: part, tokens: tokens})
+	c.blocks[block] = c.recency.PushFront(&cacheEntry{block: block, tokens: tokens})
 	c.used += tokens
 }
 
-// shrink drops what was used longest ago until the rest fits.
-func (c *promptCache) shrink() {
-	for c.used > c.capacity && c.order.Len() > 1 || c.order.Len() > maxParts {
-		oldest := c.order.Back()
+// evict drops the least recently used blocks until the rest fits the capacity.
+func (c *prefixCache) evict() {
+	for c.used > c.capacity && c.recency.Len() > 1 || c.recency.Len() > maxCacheBlocks {
+		oldest := c.recency.Back()
 		entry := oldest.Value.(*cacheEntry)
 		c.used -= entry.tokens
-		delete(c.parts, entry.part)
-		c.order.Remove(oldest)
+		delete(c.blocks, entry.block)
+		c.recency.Remove(oldest)
 	}
 }
 
-// drop forgets a model's prompts.
-func (c *promptCache) drop(model cluster.ModelID) {
-	for part, element := range c.parts {
-		if part.model == model {
+// dropModel removes all blocks of a model.
+func (c *prefixCache) dropModel(model cluster.ModelID) {
+	for block, element := range c.blocks {
+		if block.model == model {
 			c.used -= element.Value.(*cacheEntry).tokens
-			delete(c.parts, part)
-			c.order.Remove(element)
+			delete(c.blocks, block)
+			c.recency.Remove(element)
 		}
 	}
 }
--- a/fleet/dispatch/config.go
+++ b/fleet/dispatch/config.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	// askPatience is how long a node waits for an answer: some ten times what one takes
-	// between two zones, and less than a tenth of callers' shortest objective, 500 ms.
-	askPatience = 40 * time.Millisecond
-	// silentTime is for how long a node that did not answer isn't asked: requests that come
-	// meanwhile don't wait for it, and one that was only slow is soon asked again.
-	silentTime = time.Second
-	// newsDelay gathers what a node tells: shorter than the shortest prompt is read.
-	newsDelay = 15 * time.Millisecond
-	// fullEvery is how often a node tells all that it has under way, so that what was lost on
-	// the way is put right within the time of a long answer.
-	fullEvery = 5 * time.Second
-	// maxAttempts bounds those that a dispatcher keeps: what 2,100 requests a second have under
-	// way when each lasts 3.9 s. Further ones count for nothing.
-	maxAttempts = 8192
-	// maxDispatchers bounds the nodes that are asked one after the other: with half of all nodes
-	// dead all six are in 1 of 64 cases, by calculation, and nodes choose by themselves then.
+	// answerTimeout is how long a node waits for the dispatcher: about ten times a round trip
+	// between two zones, and less than a tenth of the shortest objective of callers, 500 ms.
+	answerTimeout = 40 * time.Millisecond
+	// unresponsiveBackoff is how long a node is not asked after it missed answerTimeout, so that
+	// requests don't wait for it in the meantime and a node that was only slow is soon asked
+	// again.
+	unresponsiveBackoff = time.Second
+	// progressDelay is how long progress is batched: less than the prefill of the shortest prompt
+	// takes.
+	progressDelay = 15 * time.Millisecond
+	// fullReportInterval is the time between full reports, so that a lost message is corrected
+	// within the duration of a long answer.
+	fullReportInterval = 5 * time.Second
+	// maxTrackedAttempts bounds the attempts that a dispatcher tracks: 2,100 requests a second
+	// that last 3.9 s each. Attempts above the bound are ignored in the estimates.
+	maxTrackedAttempts = 8192
+	// maxDispatchers bounds the nodes that are tried as dispatcher one after the other. With half
+	// of all nodes dead, all six are dead in 1 of 64 cases by calculation; nodes then place by
+	// themselves.
 	maxDispatchers = 6
 )
 
-// Peer is a live node.
 type Peer struct {
 	ID      cluster.NodeID
 	Address string
-	// Machine that the node runs on.
+	// Machine is the name of the machine that the node runs on.
 	Machine string
-	// Capacity of the machine in cores.
+	// Capacity is the number of cores of the machine.
 	Capacity float64
 }
 
-// Config tunes a Core.
+// Config configures a Core.
 type Config struct {
 	Self Peer
-	// CacheTokens returns how many tokens of prompts the engines of a model keep.
+	// CacheTokens returns the prompt cache capacity, in tokens, of the engines that serve a model.
 	CacheTokens func(model cluster.ModelID) int
-	// Fetches is set where engines take what others keep of prompts.
+	// Fetches is true if engines can fetch cached prefixes from each other.
 	Fetches bool
-	// Work tunes what is learned of engines.
+	// Work configures the estimators of engine speed.
 	Work work.Config
 }
--- a/fleet/dispatch/core.go
+++ b/fleet/dispatch/core.go
@@ -11,100 +11,102 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Core asks, tells and dispatches for one node; it is not safe for concurrent use.
+// Core is the dispatch state of one node: it requests placements, reports its attempts, and places
+// attempts of other nodes when they ask. It is not safe for concurrent use.
 type Core struct {
 	cfg Config
 	now time.Time
-	// ranked are the first maxDispatchers live nodes in the order in which they are asked; this
-	// one may not be among them.
-	ranked []Peer
-	// silentUntil are the nodes that did not answer lately.
-	silentUntil map[cluster.NodeID]time.Time
-	// dispatcher was asked last, and knows of this node's attempts.
-	dispatcher cluster.NodeID
-	asks       map[int64]*ask
-	attempts   map[int64]*attempt
-	progress   []wire.EngineProgress
-	// newsAt is when progress is told, zero while there is none; fullAt when all attempts are.
-	newsAt, fullAt time.Time
-	book           *book
-	effects        []Effect
+	// ranking lists the first maxDispatchers live nodes in the order in which they are asked. This
+	// node may be absent from it.
+	ranking []Peer
+	// unresponsiveUntil holds the end of the back-off of each node that did not answer.
+	unresponsiveUntil map[cluster.NodeID]time.Time
+	// dispatcher is the node that was asked last. It has received this node's attempts.
+	dispatcher      cluster.NodeID
+	pendingRequests map[int64]*placementRequest
+	ownAttempts     map[int64]*ownAttempt
+	progress        []wire.EngineProgress
+	// progressDue is when the batched progress is sent, zero if there is none. fullReportDue is
+	// when the next full report is sent, zero without attempts.
+	progressDue, fullReportDue time.Time
+	tracker                    *attemptTracker
+	effects                    []Effect
 }
 
-// ask is a question without an answer.
-type ask struct {
-	until time.Time
-	to    cluster.NodeID
+// placementRequest is a question to the dispatcher that has no answer yet.
+type placementRequest struct {
+	deadline   time.Time
+	dispatcher cluster.NodeID
 }
 
-// attempt is one of this node's that is under way.
-type attempt struct {
-	machine cluster.MachineID
-	sentAt  time.Time
-	began   bool
-	work    wire.EngineWork
+// ownAttempt is an attempt of this node that has not ended.
+type ownAttempt struct {
+	machine        cluster.MachineID
+	sentAt         time.Time
+	firstEventSeen bool
+	work           wire.EngineWork
 }
 
-// New returns a core that knows no other node.
+// New returns a Core that knows no other node.
 func New(cfg Config) *Core {
 	c := &Core{
-		cfg: cfg, ranked: []Peer{cfg.Self}, silentUntil: map[cluster.NodeID]time.Time{},
-		asks: map[int64]*ask{}, attempts: map[int64]*attempt{},
+		cfg: cfg, ranking: []Peer{cfg.Self}, unresponsiveUntil: map[cluster.NodeID]time.Time{},
+		pendingRequests: map[int64]*placementRequest{}, ownAttempts: map[int64]*ownAttempt{},
 	}
-	c.book = newBook(&c.cfg)
+	c.tracker = newAttemptTracker(&c.cfg)
 	return c
 }
 
-// Step takes one event and returns the effects, valid until the next Step.
+// Step applies one event and returns its effects, which are valid until the next Step.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	c.now = now
 	c.effects = c.effects[:0]
 	switch e := event.(type) {
 	case PeersChanged:
-		c.peersChanged(e.Peers)
+		c.updatePeers(e.Peers)
 	case Asked:
-		c.asked(&e)
+		c.requestPlacement(&e)
 	case Sent:
-		c.sent(&e)
+		c.recordSend(&e)
 	case Began:
-		c.began(e.Number)
+		c.recordFirstEvent(e.Number)
 	case Ended:
-		c.ended(&e)
+		c.recordEnd(&e)
 	case EngineGone:
-		c.book.engineGone(e.Machine)
+		c.tracker.removeEngine(e.Machine)
 	case Unloaded:
-		c.book.unloaded(e.Machine, e.Model)
+		c.tracker.dropModel(e.Machine, e.Model)
 	case Received:
-		c.received(e.Message)
+		c.handleMessage(e.Message)
 	}
-	c.tickAsks()
-	c.tickNews()
-	c.book.sweep(c.now.UnixNano())
+	c.expireRequests()
+	c.sendDueReports()
+	c.tracker.sweep(c.now.UnixNano())
 	return c.effects
 }
 
-// NextDue returns when the next Tick has something to do, zero for never.
+// NextDue returns the time by which the next Tick is needed, zero if none is.
 func (c *Core) NextDue() time.Time {
-	next := c.newsAt
-	note := func(at time.Time) {
+	next := c.progressDue
+	consider := func(at time.Time) {
 		if !at.IsZero() && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
-	for _, a := range c.asks {
-		note(a.until)
+	for _, a := range c.pendingRequests {
+		consider(a.deadline)
 	}
-	if len(c.attempts) > 0 {
-		note(c.fullAt)
+	if len(c.ownAttempts) > 0 {
+		consider(c.fullReportDue)
 	}
 	return next
 }
 
-// Known counts the attempts of all nodes that this one knows as the dispatcher.
-func (c *Core) Known() int { return len(c.book.booked) }
+// Known returns the number of attempts, of all nodes, that this node tracks as the dispatcher.
+func (c *Core) Known() int { return len(c.tracker.attempts) }
 
-// UnderWay counts this node's own attempts that have not ended.
-func (c *Core) UnderWay() int { return len(c.attempts) }
+// UnderWay returns the number of attempts of this node that have not ended.
+func (c *Core) UnderWay() int { return len(c.ownAttempts) }
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
@@ -114,88 +116,88 @@
 	}
 }
 
-// peersChanged finds the first of the live nodes. What nodes that are gone had under way is
-// forgotten.
-func (c *Core) peersChanged(peers []Peer) {
-	first := []ranked{rank(c.cfg.Self)}
+// updatePeers recomputes the ranking from the live nodes, and drops the tracked attempts and the
+// back-off of nodes that are gone.
+func (c *Core) updatePeers(peers []Peer) {
+	best := []rankedPeer{rankPeer(c.cfg.Self)}
 	for i := range peers {
 		if p := peers[i]; p.ID != c.cfg.Self.ID && p.Machine != c.cfg.Self.Machine {
-			first = topk.Insert(first, rank(p), maxDispatchers, ranked.compare)
+			best = topk.Insert(best, rankPeer(p), maxDispatchers, rankedPeer.compare)
 		}
 	}
-	c.ranked = make([]Peer, len(first))
-	for i := range first {
-		c.ranked[i] = first[i].Peer
+	c.ranking = make([]Peer, len(best))
+	for i := range best {
+		c.ranking[i] = best[i].Peer
 	}
-	if len(c.book.booked)+len(c.silentUntil) == 0 {
+	if len(c.tracker.attempts)+len(c.unresponsiveUntil) == 0 {
 		return
 	}
-	known := map[cluster.NodeID]bool{c.cfg.Self.ID: true}
+	live := map[cluster.NodeID]bool{c.cfg.Self.ID: true}
 	for i := range peers {
 		if peers[i].Machine != c.cfg.Self.Machine {
-			known[peers[i].ID] = true
+			live[peers[i].ID] = true
 		}
 	}
-	c.book.keepNodes(known)
-	for id := range c.silentUntil {
-		if !known[id] {
-			delete(c.silentUntil, id)
+	c.tracker.retainNodes(live)
+	for id := range c.unresponsiveUntil {
+		if !live[id] {
+			delete(c.unresponsiveUntil, id)
 		}
 	}
 }
 
-// ranked is a node with what decides, among those of one capacity, which is asked first.
-type ranked struct {
+// rankedPeer is a node with the hash that orders nodes of equal capacity.
+type rankedPeer struct {
 	Peer
-	weight uint64
+	tieBreak uint64
 }
 
-func rank(p Peer) ranked { return ranked{Peer: p, weight: xxhash.Sum64String(p.Machine)} }
+func rankPeer(p Peer) rankedPeer { return rankedPeer{Peer: p, tieBreak: xxhash.Sum64String(p.Machine)} }
 
-func (r ranked) compare(other ranked) int {
-	return cmp.Or(cmp.Compare(other.Capacity, r.Capacity), cmp.Compare(r.weight, other.weight), cmp.Compare(r.ID, other.ID))
+func (r rankedPeer) compare(other rankedPeer) int {
+	return cmp.Or(cmp.Compare(other.Capacity, r.Capacity), cmp.Compare(r.tieBreak, other.tieBreak), cmp.Compare(r.ID, other.ID))
 }
 
-// pick returns the node to ask now, and makes it know what is under way here if it is another
-// one than before. False while all are silent.
-func (c *Core) pick() (Peer, bool) {
-	for i := range c.ranked {
-		p := c.ranked[i]
-		if until, silent := c.silentUntil[p.ID]; silent && c.now.Before(until) {
+// pickDispatcher returns the first node of the ranking that is not in back-off, and false if all
+// are. When the dispatcher changes, the new one gets a full report.
+func (c *Core) pickDispatcher() (Peer, bool) {
+	for i := range c.ranking {
+		p := c.ranking[i]
+		if until, silent := c.unresponsiveUntil[p.ID]; silent && c.now.Before(until) {
 			continue
 		}
 		if p.ID != c.dispatcher {
-			before := c.dispatcher
+			previous := c.dispatcher
 			c.dispatcher = p.ID
-			until, silent := c.silentUntil[before]
+			until, silent := c.unresponsiveUntil[previous]
 			c.emit(DispatcherChanged{Dispatcher: p.ID, Silent: silent && c.now.Before(until)})
-			c.tellAll(p)
+			c.sendFullReport(p)
 		}
 		return p, true
 	}
 	return Peer{}, false
 }
 
-// peer returns a node of the ranked ones.
-func (c *Core) peer(id cluster.NodeID) (Peer, bool) {
-	for i := range c.ranked {
-		if c.ranked[i].ID == id {
-			return c.ranked[i], true
+// rankedPeer returns a node of the ranking by its ID.
+func (c *Core) rankedPeer(id cluster.NodeID) (Peer, bool) {
+	for i := range c.ranking {
+		if c.ranking[i].ID == id {
+			return c.ranking[i], true
 		}
 	}
 	return Peer{}, false
 }
 
-// received takes a message of another node.
-func (c *Core) received(message wire.Message) {
+// handleMessage applies a message of another node.
+func (c *Core) handleMessage(message wire.Message) {
 	switch m := message.(type) {
 	case wire.EngineRequest:
-		answer := c.book.place(c.now, attemptKey{m.From, m.Number}, &m.Work, m.Candidates)
+		answer := c.tracker.place(c.now, attemptKey{m.From, m.Number}, &m.Work, m.Candidates)
 		answer.From = c.cfg.Self.ID
 		c.send(Peer{Address: m.FromAddress}, answer)
 	case wire.EngineAnswer:
-		c.answered(&m)
+		c.handleAnswer(&m)
 	case wire.EngineNews:
-		c.book.news(c.now, &m)
+		c.tracker.applyReport(c.now, &m)
 	}
 }
--- a/fleet/dispatch/dispatch_test.go
+++ b/fleet/dispatch/dispatch_test.go
@@ -9,24 +9,26 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// fixture is one node that dispatches for itself, and engines that it can tell of.
-type fixture struct {
-	t    *testing.T
-	core *Core
-	now  time.Time
-	next int64
+// localDispatcher is one node that is its own dispatcher. Its engines exist only as the events
+// that the test sends.
+type localDispatcher struct {
+	t          *testing.T
+	core       *Core
+	now        time.Time
+	lastNumber int64
 }
 
 var testNode = Peer{ID: "node-a", Address: "10.0.0.1:7000", Machine: "machine-a", Capacity: 1}
 
-func newFixture(t *testing.T) *fixture {
-	f := &fixture{t: t, now: time.Unix(1_000_000, 0)}
+func newLocalDispatcher(t *testing.T) *localDispatcher {
+	f := &localDispatcher{t: t, now: time.Unix(1_000_000, 0)}
 	f.core = New(Config{Self: testNode, CacheTokens: func(cluster.ModelID) int { return 200_000 }})
 	return f
 }
 
-// longPrompt and chat are the loads of a deployment: plans of 9,200 tokens that are to begin
-// within 800 ms, and chats of 600 whose events come within 500 ms of each other.
+// longPrompt and chat return the two loads of the tests: plans of 9,200 prompt tokens whose answer
+// must begin within 800 ms, and chats of 600 prompt tokens whose events must come within 500 ms of
+// each other.
 func longPrompt() wire.EngineWork {
 	return wire.EngineWork{
 		Model: "pool/plan", PromptTokens: 9200, OutputTokens: 50, Rank: 1,
@@ -49,13 +51,13 @@
 	return list
 }
 
-// ask places a request and sends it where and when it is told to.
-func (f *fixture) ask(w wire.EngineWork, ids ...cluster.MachineID) Answered {
+// placeAndSend requests a placement and sends the attempt where and when the answer says.
+func (f *localDispatcher) placeAndSend(w wire.EngineWork, ids ...cluster.MachineID) Answered {
 	f.t.Helper()
-	f.next++
-	for _, effect := range f.core.Step(f.now, Asked{Number: f.next, Work: w, Candidates: candidates(ids...)}) {
+	f.lastNumber++
+	for _, effect := range f.core.Step(f.now, Asked{Number: f.lastNumber, Work: w, Candidates: candidates(ids...)}) {
 		if answered, ok := effect.(Answered); ok {
-			f.core.Step(f.now.Add(answered.Delay), Sent{Number: f.next, Machine: answered.Machine, Answered: answered.Machine, Work: w})
+			f.core.Step(f.now.Add(answered.Delay), Sent{Number: f.lastNumber, Machine: answered.Machine, Answered: answered.Machine, Work: w})
 			return answered
 		}
 	}
@@ -63,241 +65,247 @@
 	return Answered{}
 }
 
-// streams has a number of chats run at an engine.
-func (f *fixture) streams(engine cluster.MachineID, count int) {
+// startChats starts the given number of chats at an engine and their streams.
+func (f *localDispatcher) startChats(engine cluster.MachineID, count int) {
 	for range count {
-		f.ask(chat(), engine)
-		f.pass(30 * time.Millisecond)
-		f.core.Step(f.now, Began{Number: f.next})
+		f.placeAndSend(chat(), engine)
+		f.advance(30 * time.Millisecond)
+		f.core.Step(f.now, Began{Number: f.lastNumber})
 	}
 }
 
-func (f *fixture) pass(d time.Duration) { f.now = f.now.Add(d) }
+func (f *localDispatcher) advance(d time.Duration) { f.now = f.now.Add(d) }
 
-// TestPromptsGoApart: two plans that come within a moment are one pause of over half a second
-// for the streams of the engine that reads both, while the other replica reads nothing.
-func TestPromptsGoApart(t *testing.T) {
-	f := newFixture(t)
-	first := f.ask(longPrompt(), "a", "b")
-	f.pass(20 * time.Millisecond)
-	second := f.ask(longPrompt(), "a", "b")
+// TestConcurrentPromptsGoToDifferentEngines guards against two plans that arrive within 20 ms and
+// are prefilled by one engine while its replica is idle: the streams of that engine would pause
+// for more than half a second.
+func TestConcurrentPromptsGoToDifferentEngines(t *testing.T) {
+	f := newLocalDispatcher(t)
+	first := f.placeAndSend(longPrompt(), "a", "b")
+	f.advance(20 * time.Millisecond)
+	second := f.placeAndSend(longPrompt(), "a", "b")
 	if first.Machine == second.Machine {
-		t.Errorf("both prompts go to %s", first.Machine)
+		t.Errorf("both prompts were placed at %s", first.Machine)
 	}
 	if first.Delay+second.Delay > 0 {
-		t.Errorf("delays %s and %s with idle engines", first.Delay, second.Delay)
+		t.Errorf("idle engines: delays %s and %s, want none", first.Delay, second.Delay)
 	}
 }
 
-// TestPromptWaitsForStreams: with one replica, on which six chats run, a second plan waits
-// until the streams have gone on for a while. Its answer begins in time all the same.
-func TestPromptWaitsForStreams(t *testing.T) {
-	f := newFixture(t)
-	f.streams("a", 6)
-	f.ask(longPrompt(), "a")
-	f.pass(20 * time.Millisecond)
-	second := f.ask(longPrompt(), "a")
+// TestPromptIsDelayedWhileStreamsWouldStall places a second plan on the only replica, which runs
+// six chats. The plan must wait until the streams have made progress, and its answer must still
+// begin in time.
+func TestPromptIsDelayedWhileStreamsWouldStall(t *testing.T) {
+	f := newLocalDispatcher(t)
+	f.startChats("a", 6)
+	f.placeAndSend(longPrompt(), "a")
+	f.advance(20 * time.Millisecond)
+	second := f.placeAndSend(longPrompt(), "a")
 	if second.Delay < 200*time.Millisecond {
-		t.Errorf("sent after %s, into the reading of the first prompt", second.Delay)
+		t.Errorf("second prompt delayed by %s, during the prefill of the first one", second.Delay)
 	}
 	if begins := second.Delay + second.Forecast.Expected; begins > 800*time.Millisecond {
-		t.Errorf("begins after %s, objective 800 ms", begins)
+		t.Errorf("second answer begins after %s, objective 800 ms", begins)
 	}
 }
 
-// TestPromptDoesNotWaitForNobody: without streams there is nothing to keep a prompt for.
-func TestPromptDoesNotWaitForNobody(t *testing.T) {
-	f := newFixture(t)
+// TestPromptIsNotDelayedWithoutStreams guards against a delay that protects no stream.
+func TestPromptIsNotDelayedWithoutStreams(t *testing.T) {
+	f := newLocalDispatcher(t)
 	alone := longPrompt()
 	alone.LongestPause = 0
-	f.ask(alone, "a")
-	f.pass(20 * time.Millisecond)
-	if second := f.ask(alone, "a"); second.Delay > 0 {
-		t.Errorf("sent after %s though nobody pauses", second.Delay)
+	f.placeAndSend(alone, "a")
+	f.advance(20 * time.Millisecond)
+	if second := f.placeAndSend(alone, "a"); second.Delay > 0 {
+		t.Errorf("delayed by %s without streams", second.Delay)
 	}
 }
 
-// TestUrgentRequestPassesPrompts: engines read chats before plans, so plans that wait there are
-// no reason to expect a chat's answer late.
-func TestUrgentRequestPassesPrompts(t *testing.T) {
-	f := newFixture(t)
+// TestUrgentRequestIgnoresLowerRankBacklog: engines prefill chats before plans, so queued plans
+// must not count in the backlog of a chat.
+func TestUrgentRequestIgnoresLowerRankBacklog(t *testing.T) {
+	f := newLocalDispatcher(t)
 	for range 4 {
-		f.ask(longPrompt(), "a")
+		f.placeAndSend(longPrompt(), "a")
 	}
-	if urgent := f.ask(chat(), "a"); urgent.Forecast.Backlog > 2*chunkTime {
-		t.Errorf("a chat is expected to wait for %s of reading", urgent.Forecast.Backlog)
+	if urgent := f.placeAndSend(chat(), "a"); urgent.Forecast.Backlog > 2*prefillChunkTime {
+		t.Errorf("chat has a backlog of %s, want no queued plans in it", urgent.Forecast.Backlog)
 	}
 }
 
-// TestChatsAvoidPrompts: a chat goes to the replica whose engine reads no plan.
-func TestChatsAvoidPrompts(t *testing.T) {
-	f := newFixture(t)
-	busy := f.ask(longPrompt(), "a", "b")
+// TestChatsAvoidEngineWithLongPrefill: a chat must go to the replica that is not prefilling a
+// plan.
+func TestChatsAvoidEngineWithLongPrefill(t *testing.T) {
+	f := newLocalDispatcher(t)
+	busy := f.placeAndSend(longPrompt(), "a", "b")
 	for range 5 {
-		if placed := f.ask(chat(), "a", "b"); placed.Machine == busy.Machine {
-			t.Errorf("a chat goes to %s, which reads a plan", placed.Machine)
+		if placed := f.placeAndSend(chat(), "a", "b"); placed.Machine == busy.Machine {
+			t.Errorf("chat placed at %s, which prefills a plan", placed.Machine)
 		}
 	}
 }
 
-// TestHopelessRequestGivesWay: where an engine has more to read than it can in time, a plan
-// that would be late gives way there, so that the next one is in time. First come first
-// served, each would be late.
-func TestHopelessRequestGivesWay(t *testing.T) {
-	f := newFixture(t)
+// TestLateRequestMovesToBackground overloads one engine. A plan that would be late must get the
+// lowest urgency so that the next plan is in time. In order of arrival all plans would be late.
+func TestLateRequestMovesToBackground(t *testing.T) {
+	f := newLocalDispatcher(t)
 	plan := longPrompt()
 	plan.LongestPause = 0
 	var placed Answered
 	for range 5 {
-		placed = f.ask(plan, "a")
+		placed = f.placeAndSend(plan, "a")
 	}
 	if !placed.Forecast.Background {
-		t.Errorf("the fifth plan, expected after %s, does not give way", placed.Forecast.Expected)
+		t.Errorf("fifth plan, expected after %s, is not in the background", placed.Forecast.Expected)
 	}
-	f.pass(800 * time.Millisecond)
+	f.advance(800 * time.Millisecond)
 	for number := int64(1); number <= 2; number++ {
 		f.core.Step(f.now, Began{Number: number})
 	}
-	if next := f.ask(plan, "a"); next.Forecast.Background || next.Forecast.Expected > 800*time.Millisecond {
-		t.Errorf("the next plan is expected after %s, behind those that are late anyway", next.Forecast.Expected)
+	if next := f.placeAndSend(plan, "a"); next.Forecast.Background || next.Forecast.Expected > 800*time.Millisecond {
+		t.Errorf("next plan is expected after %s, behind plans that are late anyway", next.Forecast.Expected)
 	}
 }
 
-// TestKeptPromptDrawsRequests: an engine that keeps two thirds of a plan's prompt reads it in
-// a third of the time, so it gets the next one once it has read the first.
-func TestKeptPromptDrawsRequests(t *testing.T) {
-	f := newFixture(t)
+// TestCachedPrefixAttractsRequests: an engine that caches two thirds of the prompt of a plan
+// prefills it in a third of the time, so it must get the next plan once its prefill has ended.
+func TestCachedPrefixAttractsRequests(t *testing.T) {
+	f := newLocalDispatcher(t)
 	shared := longPrompt()
 	shared.Prefixes = []wire.PromptPrefix{{Hash: 1, Tokens: 2500}, {Hash: 2, Tokens: 6300}}
-	first := f.ask(shared, "a", "b", "c", "d")
-	f.pass(400 * time.Millisecond)
-	f.core.Step(f.now, Began{Number: f.next})
-	f.pass(time.Second)
-	second := f.ask(shared, "a", "b", "c", "d")
+	first := f.placeAndSend(shared, "a", "b", "c", "d")
+	f.advance(400 * time.Millisecond)
+	f.core.Step(f.now, Began{Number: f.lastNumber})
+	f.advance(time.Second)
+	second := f.placeAndSend(shared, "a", "b", "c", "d")
 	if second.Machine != first.Machine || second.Forecast.Kept != 6300 {
-		t.Errorf("%s with %d tokens kept, want %s with 6300", second.Machine, second.Forecast.Kept, first.Machine)
+		t.Errorf("placed at %s with %d cached tokens, want %s with 6300", second.Machine, second.Forecast.Kept, first.Machine)
 	}
 	f.core.Step(f.now, Unloaded{Machine: first.Machine, Model: shared.Model})
-	if third := f.ask(shared, first.Machine); third.Forecast.Kept != 0 {
-		t.Errorf("%d tokens kept of a model that was unloaded", third.Forecast.Kept)
+	if third := f.placeAndSend(shared, first.Machine); third.Forecast.Kept != 0 {
+		t.Errorf("%d cached tokens of an unloaded model", third.Forecast.Kept)
 	}
 }
 
-// TestKeptPromptIsFetched: where the engine that keeps a plan's prompt is busy with chats and
-// another plan, another engine takes the prompt from it and reads a third, in place of all.
-func TestKeptPromptIsFetched(t *testing.T) {
+// TestCachedPrefixIsFetchedFromBusyEngine: if the engine that caches the prefix of a plan is busy
+// with chats and another plan, another engine must fetch the prefix and prefill only the remaining
+// third.
+func TestCachedPrefixIsFetchedFromBusyEngine(t *testing.T) {
 	for _, fetches := range []bool{true, false} {
-		f := newFixture(t)
+		f := newLocalDispatcher(t)
 		f.core.cfg.Fetches = fetches
 		shared := longPrompt()
 		shared.Prefixes = []wire.PromptPrefix{{Hash: 1, Tokens: 2500}, {Hash: 2, Tokens: 6300}}
-		f.ask(shared, "a")
-		f.pass(400 * time.Millisecond)
-		f.core.Step(f.now, Began{Number: f.next})
-		f.streams("a", 6)
-		f.ask(longPrompt(), "a")
-		placed := f.ask(shared, "a", "b")
+		f.placeAndSend(shared, "a")
+		f.advance(400 * time.Millisecond)
+		f.core.Step(f.now, Began{Number: f.lastNumber})
+		f.startChats("a", 6)
+		f.placeAndSend(longPrompt(), "a")
+		placed := f.placeAndSend(shared, "a", "b")
 		if !fetches {
 			if placed.Forecast.Fetch != "" {
-				t.Errorf("taken from %s, where engines don't", placed.Forecast.Fetch)
+				t.Errorf("prefix fetched from %s although fetches are disabled", placed.Forecast.Fetch)
 			}
 			continue
 		}
 		if placed.Machine != "b" || placed.Forecast.Fetch != "a" || placed.Forecast.Kept != 6300 {
-			t.Errorf("sent to %s with %d tokens taken from %q", placed.Machine, placed.Forecast.Kept, placed.Forecast.Fetch)
+			t.Errorf("placed at %s with %d tokens fetched from %q, want b with 6300 from a", placed.Machine, placed.Forecast.Kept, placed.Forecast.Fetch)
 		}
 	}
 }
 
-// TestSilentEngineIsLeftAlone: an engine that has not begun what it was sent is expected to be
-// as late again, so callers go elsewhere before their time is over.
-func TestSilentEngineIsLeftAlone(t *testing.T) {
-	f := newFixture(t)
-	f.ask(chat(), "a")
-	f.pass(600 * time.Millisecond)
+// TestUnresponsiveEngineIsAvoided: an engine whose prefill is overdue is expected to be late by as
+// much again, so chats must go elsewhere before their objective has passed.
+func TestUnresponsiveEngineIsAvoided(t *testing.T) {
+	f := newLocalDispatcher(t)
+	f.placeAndSend(chat(), "a")
+	f.advance(600 * time.Millisecond)
 	for range 4 {
-		if placed := f.ask(chat(), "a", "b"); placed.Machine != "b" {
-			t.Errorf("a chat goes to an engine that has said nothing for 600 ms")
+		if placed := f.placeAndSend(chat(), "a", "b"); placed.Machine != "b" {
+			t.Errorf("chat placed at an engine that did not respond for 600 ms")
 		}
-		f.pass(10 * time.Millisecond)
-		f.core.Step(f.now, Began{Number: f.next})
+		f.advance(10 * time.Millisecond)
+		f.core.Step(f.now, Began{Number: f.lastNumber})
 	}
 }
 
-// TestSlowEngineIsLearned: an engine at half of the others' speed gets fewer of the plans: by
-// its answers alone, since nothing states how fast engines are.
-func TestSlowEngineIsLearned(t *testing.T) {
-	f := newFixture(t)
+// TestSlowEngineGetsFewerPrompts: an engine at half the speed of the others must get fewer plans.
+// Only its answers show the speed, because no setting states it.
+func TestSlowEngineGetsFewerPrompts(t *testing.T) {
+	f := newLocalDispatcher(t)
 	counts := map[cluster.MachineID]int{}
 	for i := range 200 {
-		placed := f.ask(longPrompt(), "slow", "fast-1", "fast-2")
-		number, took := f.next, 300*time.Millisecond
+		placed := f.placeAndSend(longPrompt(), "slow", "fast-1", "fast-2")
+		number, took := f.lastNumber, 300*time.Millisecond
 		if placed.Machine == "slow" {
 			took *= 2
 		}
 		if i >= 100 {
 			counts[placed.Machine]++
 		}
-		f.pass(placed.Delay + took)
+		f.advance(placed.Delay + took)
 		f.core.Step(f.now, Began{Number: number})
 		f.core.Step(f.now, Ended{Number: number, Read: true})
 	}
 	if counts["slow"] > 10 {
-		t.Errorf("sends %v: a third or more of the time on the slow engine", counts)
+		t.Errorf("sends %v, want at most 10 to the slow engine", counts)
 	}
 }
 
-// TestFailingEngineIsPenalized: what the asking node holds against an engine counts.
-func TestFailingEngineIsPenalized(t *testing.T) {
-	f := newFixture(t)
+// TestPenalizedEngineIsAvoided: the penalty that the asking node states for a failing engine must
+// count in the placement.
+func TestPenalizedEngineIsAvoided(t *testing.T) {
+	f := newLocalDispatcher(t)
 	w := chat()
-	answer := f.core.book.place(f.now, attemptKey{"node-a", 1}, &w, []wire.EngineCandidate{{Machine: "a", Penalty: 600 * time.Millisecond}, {Machine: "b"}})
+	answer := f.core.tracker.place(f.now, attemptKey{"node-a", 1}, &w, []wire.EngineCandidate{{Machine: "a", Penalty: 600 * time.Millisecond}, {Machine: "b"}})
 	if answer.Machine != "b" {
-		t.Errorf("chosen %s, which fails", answer.Machine)
+		t.Errorf("placed at %s, want b, the engine without a penalty", answer.Machine)
 	}
 }
 
-// TestEngineThatIsGoneIsForgotten: what was under way there weighs on nobody.
-func TestEngineThatIsGoneIsForgotten(t *testing.T) {
-	f := newFixture(t)
+// TestRemovedEngineDropsItsAttempts: attempts at an engine that was removed must not count as
+// backlog when it returns.
+func TestRemovedEngineDropsItsAttempts(t *testing.T) {
+	f := newLocalDispatcher(t)
 	for range 5 {
-		f.ask(longPrompt(), "a")
+		f.placeAndSend(longPrompt(), "a")
 	}
 	f.core.Step(f.now, EngineGone{Machine: "a"})
 	if known := f.core.Known(); known != 0 {
-		t.Errorf("%d attempts at an engine that is gone", known)
+		t.Errorf("%d attempts tracked at a removed engine", known)
 	}
-	if placed := f.ask(chat(), "a"); placed.Forecast.Backlog != 0 {
-		t.Errorf("backlog of %s at a new engine", placed.Forecast.Backlog)
+	if placed := f.placeAndSend(chat(), "a"); placed.Forecast.Backlog != 0 {
+		t.Errorf("new engine has a backlog of %s", placed.Forecast.Backlog)
 	}
 }
 
-// TestAttemptsEndWithTheirTime: an end that nobody told counts once the request must have
-// ended.
-func TestAttemptsEndWithTheirTime(t *testing.T) {
-	f := newFixture(t)
-	f.ask(longPrompt(), "a")
-	f.pass(5*time.Second + sweepEvery)
-	f.ask(chat(), "b")
+// TestAttemptExpiresAtItsDeadline: an attempt whose end was never reported must be dropped after
+// its deadline.
+func TestAttemptExpiresAtItsDeadline(t *testing.T) {
+	f := newLocalDispatcher(t)
+	f.placeAndSend(longPrompt(), "a")
+	f.advance(5*time.Second + sweepInterval)
+	f.placeAndSend(chat(), "b")
 	if known := f.core.Known(); known != 1 {
-		t.Errorf("%d attempts known, want the last one", known)
+		t.Errorf("%d attempts tracked, want only the last one", known)
 	}
 }
 
-// TestBoundedBook: a flood of requests doesn't take more memory than the bound.
-func TestBoundedBook(t *testing.T) {
-	f := newFixture(t)
-	for i := range maxAttempts + 100 {
+// TestTrackerAndCachesStayBounded: a flood of requests must not exceed the bounds on tracked
+// attempts and cache blocks.
+func TestTrackerAndCachesStayBounded(t *testing.T) {
+	f := newLocalDispatcher(t)
+	for i := range maxTrackedAttempts + 100 {
 		w := chat()
 		w.Prefixes = []wire.PromptPrefix{{Hash: uint64(i), Tokens: 1}}
-		f.ask(w, cluster.MachineID(fmt.Sprint("engine-", i%100)))
+		f.placeAndSend(w, cluster.MachineID(fmt.Sprint("engine-", i%100)))
 	}
-	if known := f.core.Known(); known > maxAttempts {
-		t.Errorf("%d attempts are kept, bound %d", known, maxAttempts)
+	if known := f.core.Known(); known > maxTrackedAttempts {
+		t.Errorf("%d attempts tracked, bound %d", known, maxTrackedAttempts)
 	}
-	for _, e := range f.core.book.engines {
-		if len(e.cache.parts) > maxParts {
-			t.Errorf("%d parts of prompts are kept for an engine, bound %d", len(e.cache.parts), maxParts)
+	for _, e := range f.core.tracker.engines {
+		if len(e.cache.blocks) > maxCacheBlocks {
+			t.Errorf("%d cache blocks for one engine, bound %d", len(e.cache.blocks), maxCacheBlocks)
 		}
 	}
 }
--- a/fleet/dispatch/dispatchers_test.go
+++ b/fleet/dispatch/dispatchers_test.go
@@ -8,20 +8,20 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// group is a few nodes whose messages arrive at once.
-type group struct {
+// testCluster is a few nodes that deliver their messages to each other at once.
+type testCluster struct {
 	t     *testing.T
 	now   time.Time
 	cores map[cluster.NodeID]*Core
 	peers []Peer
-	// dead nodes neither send nor receive.
+	// dead nodes neither send nor receive messages.
 	dead    map[cluster.NodeID]bool
 	answers map[cluster.NodeID][]Answered
 	changes map[cluster.NodeID][]DispatcherChanged
 }
 
-func newGroup(t *testing.T, ids ...cluster.NodeID) *group {
-	g := &group{
+func newTestCluster(t *testing.T, ids ...cluster.NodeID) *testCluster {
+	g := &testCluster{
 		t: t, now: time.Unix(1_000_000, 0), cores: map[cluster.NodeID]*Core{}, dead: map[cluster.NodeID]bool{},
 		answers: map[cluster.NodeID][]Answered{}, changes: map[cluster.NodeID][]DispatcherChanged{},
 	}
@@ -36,8 +36,8 @@
 	return g
 }
 
-// step feeds a node and carries its messages.
-func (g *group) step(id cluster.NodeID, event Event) {
+// step applies an event to a node and delivers the messages that follow.
+func (g *testCluster) step(id cluster.NodeID, event Event) {
 	if g.dead[id] {
 		return
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// pass lets time pass for all nodes.
-func (g *group) pass(d time.Duration) {
+// advance moves the clock of all nodes.
+func (g *testCluster) advance(d time.Duration) {
 	for end := g.now.Add(d); g.now.Before(end); {
 		g.now = g.now.Add(5 * time.Millisecond)
 		for _, p := range g.peers {
@@ -64,134 +64,141 @@
 	}
 }
 
-// send asks for a request and sends it as answered, or to the machine that the node chose.
-func (g *group) send(id cluster.NodeID, number int64, w wire.EngineWork, own cluster.MachineID, machines ...cluster.MachineID) Answered {
+// placeAndSend requests a placement and sends the attempt to the machine in the answer, or to
+// fallback if the answer names none.
+func (g *testCluster) placeAndSend(id cluster.NodeID, number int64, w wire.EngineWork, fallback cluster.MachineID, machines ...cluster.MachineID) Answered {
 	g.t.Helper()
 	before := len(g.answers[id])
 	g.step(id, Asked{Number: number, Work: w, Candidates: candidates(machines...)})
 	if len(g.answers[id]) == before {
-		g.pass(askPatience)
+		g.advance(answerTimeout)
 	}
 	if len(g.answers[id]) != before+1 {
-		g.t.Fatalf("%d answers", len(g.answers[id])-before)
+		g.t.Fatalf("%d answers to one placement request, want 1", len(g.answers[id])-before)
 	}
 	answered := g.answers[id][before]
 	machine := answered.Machine
 	if machine == "" {
-		machine = own
+		machine = fallback
 	}
 	g.step(id, Sent{Number: number, Machine: machine, Answered: answered.Machine, Work: w})
 	return answered
 }
 
-// TestOneDispatcher: all nodes ask the one with the most capacity, which so knows the requests
-// of all.
-func TestOneDispatcher(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	first := g.send("b", 1, longPrompt(), "", "x", "y")
-	second := g.send("c", 1, longPrompt(), "", "x", "y")
+// TestAllNodesAskTheSameDispatcher: all nodes must ask the node with the largest capacity, which
+// therefore knows the requests of all.
+func TestAllNodesAskTheSameDispatcher(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
+	first := g.placeAndSend("b", 1, longPrompt(), "", "x", "y")
+	second := g.placeAndSend("c", 1, longPrompt(), "", "x", "y")
 	if first.Dispatcher != "a" || second.Dispatcher != "a" {
 		t.Errorf("dispatchers %s and %s, want a", first.Dispatcher, second.Dispatcher)
 	}
 	if first.Machine == second.Machine {
-		t.Errorf("two nodes' prompts meet at %s", first.Machine)
+		t.Errorf("prompts of two nodes were both placed at %s", first.Machine)
 	}
 }
 
-// TestDispatcherThatDied: a request waits 40 ms for it and is sent as its node chose; the next
-// ones are placed by the next node, which is told what is under way.
-func TestDispatcherThatDied(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	g.send("c", 1, longPrompt(), "", "x")
+// TestNextNodeTakesOverFromDeadDispatcher: after 40 ms without an answer a node sends the request
+// by its own choice. The next node in the ranking must place the following requests, and know the
+// attempts in flight.
+func TestNextNodeTakesOverFromDeadDispatcher(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
+	g.placeAndSend("c", 1, longPrompt(), "", "x")
 	g.dead["a"] = true
-	if lost := g.send("c", 2, longPrompt(), "y", "x", "y"); lost.Machine != "" {
-		t.Errorf("an answer from a dead node: %+v", lost)
+	if lost := g.placeAndSend("c", 2, longPrompt(), "y", "x", "y"); lost.Machine != "" {
+		t.Errorf("answer from a dead node: %+v", lost)
 	}
-	next := g.send("c", 3, chat(), "", "x", "y", "z")
+	next := g.placeAndSend("c", 3, chat(), "", "x", "y", "z")
 	if next.Dispatcher != "b" || next.Machine != "z" {
 		t.Errorf("%s chose %s, want b to choose z, the only engine without a prompt", next.Dispatcher, next.Machine)
 	}
 	if known := g.cores["b"].Known(); known != 3 {
-		t.Errorf("the next dispatcher knows %d attempts of 3", known)
+		t.Errorf("next dispatcher tracks %d attempts, want 3", known)
 	}
 }
 
-// TestDispatcherThatFroze: it is asked again after a while, and told anew what is under way.
-func TestDispatcherThatFroze(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	g.send("c", 1, longPrompt(), "", "x")
+// TestRecoveredDispatcherIsAskedAgain: a dispatcher that froze must be asked again after the
+// back-off, and must then learn which attempts are still in flight.
+func TestRecoveredDispatcherIsAskedAgain(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
+	g.placeAndSend("c", 1, longPrompt(), "", "x")
 	g.dead["a"] = true
-	g.send("c", 2, chat(), "x", "x")
+	g.placeAndSend("c", 2, chat(), "x", "x")
 	g.step("c", Ended{Number: 1, Read: true})
 	g.dead["a"] = false
-	g.pass(silentTime)
-	if back := g.send("c", 3, chat(), "", "x"); back.Dispatcher != "a" {
+	g.advance(unresponsiveBackoff)
+	if back := g.placeAndSend("c", 3, chat(), "", "x"); back.Dispatcher != "a" {
 		t.Errorf("dispatcher %s, want a again", back.Dispatcher)
 	}
-	g.pass(unsentTime + fullEvery)
+	g.advance(unreportedGrace + fullReportInterval)
 	if known := g.cores["a"].Known(); known != 2 {
-		t.Errorf("the dispatcher knows %d attempts, want the 2 that have not ended", known)
+		t.Errorf("dispatcher tracks %d attempts, want the 2 that have not ended", known)
 	}
 }
 
-// TestAllDispatchersSilent: a node that hears of nobody places by itself, and waits for none.
-func TestAllDispatchersSilent(t *testing.T) {
-	g := newGroup(t, "a", "b")
+// TestNodePlacesLocallyWhenNoDispatcherAnswers: a node that reaches no dispatcher must place
+// requests itself without another timeout.
+func TestNodePlacesLocallyWhenNoDispatcherAnswers(t *testing.T) {
+	g := newTestCluster(t, "a", "b")
 	g.dead["a"] = true
-	g.send("b", 1, chat(), "x", "x", "y")
-	answered := g.send("b", 2, chat(), "x", "x", "y")
+	g.placeAndSend("b", 1, chat(), "x", "x", "y")
+	answered := g.placeAndSend("b", 2, chat(), "x", "x", "y")
 	if answered.Dispatcher != "b" || answered.Machine != "y" {
 		t.Errorf("%s chose %s, want b itself to choose y", answered.Dispatcher, answered.Machine)
 	}
 }
 
-// TestNewsThatIsLost: what a dispatcher was not told is put right by the next full account.
-func TestNewsThatIsLost(t *testing.T) {
-	g := newGroup(t, "a", "b")
+// TestFullReportRepairsLostProgress: a lost progress message must be corrected by the next full
+// report.
+func TestFullReportRepairsLostProgress(t *testing.T) {
+	g := newTestCluster(t, "a", "b")
 	w := longPrompt()
-	// Both would be under way for longer than accounts are apart.
-	w.Left = 3 * fullEvery
-	g.send("b", 1, w, "", "x")
-	g.send("b", 2, w, "", "x")
-	// The word of the end is lost.
+	// Both attempts must last longer than the interval between full reports.
+	w.Left = 3 * fullReportInterval
+	g.placeAndSend("b", 1, w, "", "x")
+	g.placeAndSend("b", 2, w, "", "x")
+	// The message about the end is lost.
 	g.cores["b"].Step(g.now, Ended{Number: 1, Read: true})
 	g.cores["b"].progress = nil
-	g.pass(fullEvery + newsDelay)
+	g.advance(fullReportInterval + progressDelay)
 	if known := g.cores["a"].Known(); known != 1 {
-		t.Errorf("%d attempts known, want 1", known)
+		t.Errorf("%d attempts tracked, want 1", known)
 	}
 }
 
-// TestNodeThatIsGone: what it had under way is forgotten when its record is gone.
-func TestNodeThatIsGone(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
-	g.send("b", 1, longPrompt(), "", "x")
-	g.send("c", 1, longPrompt(), "", "x")
+// TestAttemptsOfRemovedNodeAreDropped: the attempts of a node must be dropped when the node leaves
+// the membership.
+func TestAttemptsOfRemovedNodeAreDropped(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
+	g.placeAndSend("b", 1, longPrompt(), "", "x")
+	g.placeAndSend("c", 1, longPrompt(), "", "x")
 	g.dead["b"] = true
 	g.step("a", PeersChanged{Peers: []Peer{g.peers[0], g.peers[2]}})
 	if known := g.cores["a"].Known(); known != 1 {
-		t.Errorf("%d attempts known, want those of the node that lives", known)
+		t.Errorf("%d attempts tracked, want only the one of the live node", known)
 	}
 }
 
-// TestAttemptThatGoesElsewhere: the dispatcher learns of an attempt that its node could not
-// send where it was told to.
-func TestAttemptThatGoesElsewhere(t *testing.T) {
-	g := newGroup(t, "a", "b")
+// TestDispatcherLearnsOfDifferentMachine: the dispatcher must learn that an attempt went to
+// another machine than it answered.
+func TestDispatcherLearnsOfDifferentMachine(t *testing.T) {
+	g := newTestCluster(t, "a", "b")
 	g.step("b", Asked{Number: 1, Work: longPrompt(), Candidates: candidates("x")})
 	g.step("b", Sent{Number: 1, Machine: "y", Answered: "x", Work: longPrompt()})
-	if placed := g.send("b", 2, chat(), "", "x", "y"); placed.Machine != "x" {
-		t.Errorf("a chat goes to %s, where the prompt went", placed.Machine)
+	if placed := g.placeAndSend("b", 2, chat(), "", "x", "y"); placed.Machine != "x" {
+		t.Errorf("chat placed at %s, want x: the prompt went to y", placed.Machine)
 	}
 }
 
-// TestContinuedAnswer: an attempt that continues an answer is no prompt that nobody reads.
-func TestContinuedAnswer(t *testing.T) {
-	g := newGroup(t, "a", "b")
+// TestResumedAttemptAddsNoPrefill: an attempt that continues an answer must not count as a prompt
+// that waits for its prefill.
+func TestResumedAttemptAddsNoPrefill(t *testing.T) {
+	g := newTestCluster(t, "a", "b")
 	g.step("b", Asked{Number: 1, Work: longPrompt(), Candidates: candidates("x")})
 	g.step("b", Sent{Number: 1, Machine: "x", Answered: "x", Work: longPrompt(), Resumed: true})
-	g.pass(2 * time.Second)
-	if placed := g.send("b", 2, chat(), "", "x"); placed.Forecast.Backlog > 0 {
-		t.Errorf("backlog of %s at an engine that only streams", placed.Forecast.Backlog)
+	g.advance(2 * time.Second)
+	if placed := g.placeAndSend("b", 2, chat(), "", "x"); placed.Forecast.Backlog > 0 {
+		t.Errorf("backlog of %s at an engine without prefills", placed.Forecast.Backlog)
 	}
 }
--- a/fleet/dispatch/engine.go
+++ b/fleet/dispatch/engine.go
@@ -2,33 +2,34 @@
 
 import "github.com/valveslip/valveslip/cluster"
 
-// engine is what is known of one engine.
+// engine is the state of one engine as the dispatcher estimates it.
 type engine struct {
 	id cluster.MachineID
-	// reads are the attempts whose prompts are not read yet, in the order of their sending,
-	// and streams those that are being answered.
-	reads, streams []*booked
-	// busySince is since when the engine reads without a rest, clearAt until when what it read
-	// before is known to be over.
-	busySince, clearAt int64
-	// sentAt is when a request was sent there last, namedAt when a node named it last.
-	sentAt, namedAt int64
-	cache           *promptCache
+	// prefills are the attempts whose prompts are not yet prefilled, ordered by send time. streams
+	// are the attempts whose answers have begun.
+	prefills, streams []*trackedAttempt
+	// prefillingSince is when the engine began to prefill without an idle period, zero if it is
+	// idle. prefillDoneAt is the latest time at which a prefill is known to have ended.
+	prefillingSince, prefillDoneAt int64
+	// lastSendAt is the send time of the attempt that was placed there last. lastReferencedAt is
+	// when a node last named the engine as a candidate or in a report.
+	lastSendAt, lastReferencedAt int64
+	cache                        *prefixCache
 }
 
-// insert enters an attempt among those that are not read yet.
-func (e *engine) insert(a *booked) {
-	at := len(e.reads)
-	for at > 0 && e.reads[at-1].sendAt > a.sendAt {
+// insertPrefill inserts an attempt into prefills in order of send time.
+func (e *engine) insertPrefill(a *trackedAttempt) {
+	at := len(e.prefills)
+	for at > 0 && e.prefills[at-1].sendAt > a.sendAt {
 		at--
 	}
-	e.reads = append(e.reads, nil)
-	copy(e.reads[at+1:], e.reads[at:])
-	e.reads[at] = a
+	e.prefills = append(e.prefills, nil)
+	copy(e.prefills[at+1:], e.prefills[at:])
+	e.prefills[at] = a
 }
 
-// without returns the attempts but one.
-func without(list []*booked, a *booked) []*booked {
+// removeAttempt removes an attempt from a list in place.
+func removeAttempt(list []*trackedAttempt, a *trackedAttempt) []*trackedAttempt {
 	kept := list[:0]
 	for _, other := range list {
 		if other != a {
@@ -41,23 +42,24 @@
 	return kept
 }
 
-// continues notes that an attempt's answer has begun, without learning from it: when is not
-// known.
-func (a *booked) continues(began bool) {
-	if began && !a.began {
-		a.began = true
-		a.engine.reads = without(a.engine.reads, a)
+// markStreaming records that the answer of an attempt has begun, without an observation for the
+// estimator: the time to the first event is unknown.
+func (a *trackedAttempt) markStreaming(began bool) {
+	if began && !a.streaming {
+		a.streaming = true
+		a.engine.prefills = removeAttempt(a.engine.prefills, a)
 		a.engine.streams = append(a.engine.streams, a)
 	}
 }
 
-// settle notes that what the engine read before is over, when one of its prompts is.
-func (e *engine) settle(now int64) {
-	e.clearAt = now
-	for _, a := range e.reads {
+// recordPrefillEnd records that a prefill ended now. The engine becomes idle if no other prompt
+// has been sent to it.
+func (e *engine) recordPrefillEnd(now int64) {
+	e.prefillDoneAt = now
+	for _, a := range e.prefills {
 		if a.sendAt <= now {
 			return
 		}
 	}
-	e.busySince = 0
+	e.prefillingSince = 0
 }
--- a/fleet/dispatch/events.go
+++ b/fleet/dispatch/events.go
@@ -8,53 +8,53 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Event is an input of the core.
+// Event is an input of Core.Step.
 type Event interface{ dispatchEvent() }
 
-// Tick lets time pass. The shell sends one at least at Core.NextDue.
+// Tick lets Core act on the passage of time. The caller sends one no later than Core.NextDue.
 type Tick struct{}
 
-// PeersChanged brings the live nodes.
+// PeersChanged carries all live nodes.
 type PeersChanged struct{ Peers []Peer }
 
-// Asked asks where a request is to be sent; numbers are never used twice.
+// Asked requests a placement for an attempt. A number is never used twice.
 type Asked struct {
 	Number     int64
 	Work       wire.EngineWork
 	Candidates []wire.EngineCandidate
 }
 
-// Sent says that an attempt goes to a machine now. Answered is the one that the dispatcher
-// named, empty without an answer.
+// Sent reports that an attempt is being sent to Machine. Answered is the machine that the
+// dispatcher chose, empty if no answer came.
 type Sent struct {
 	Number            int64
 	Machine, Answered cluster.MachineID
 	Work              wire.EngineWork
-	// Resumed attempts continue an answer that has begun: nobody tells when theirs does.
+	// Resumed is true if the attempt continues an answer that has already begun: no Began follows.
 	Resumed bool
 }
 
-// Began says that the first event of an attempt's answer has come.
+// Began reports the first event of the answer of an attempt.
 type Began struct{ Number int64 }
 
-// Ended says that an attempt takes nothing of its machine any more, or was never sent. Read is
-// false where the machine did not run it; the dispatcher does not act on that yet, and a prompt
-// that was not read still counts as kept.
+// Ended reports that an attempt no longer uses its machine or was never sent. Read is false if the
+// machine did not run the attempt. The dispatcher doesn't use Read yet: the prompt of an attempt
+// that was not run still counts as cached.
 type Ended struct {
 	Number int64
 	Read   bool
 }
 
-// EngineGone says that an engine has ended.
+// EngineGone reports that an engine has ended.
 type EngineGone struct{ Machine cluster.MachineID }
 
-// Unloaded says that an engine no longer holds a model, and keeps nothing of its prompts.
+// Unloaded reports that an engine has unloaded a model and lost its cached prefixes.
 type Unloaded struct {
 	Machine cluster.MachineID
 	Model   cluster.ModelID
 }
 
-// Received brings a message of another node.
+// Received carries a message from another node.
 type Received struct{ Message wire.Message }
 
 func (Tick) dispatchEvent()         {}
@@ -67,31 +67,32 @@
 func (Unloaded) dispatchEvent()     {}
 func (Received) dispatchEvent()     {}
 
-// Effect is an output of the core.
+// Effect is an output of Core.Step.
 type Effect interface{ dispatchEffect() }
 
-// Send sends a message to another node; it may be lost.
+// Send requests that a message be sent to another node. The message may be lost.
 type Send struct {
 	Address string
 	Message wire.Message
 }
 
-// Answered says where and when a request is to be sent. An empty machine leaves both to the
-// node.
+// Answered carries the placement of an attempt. An empty Machine means that no dispatcher answered
+// or found an engine, and the node places the attempt itself.
 type Answered struct {
 	Number int64
-	// Dispatcher that answered, empty without an answer.
+	// Dispatcher is the node that answered, empty if none did.
 	Dispatcher cluster.NodeID
 	Machine    cluster.MachineID
-	// Delay until the send, and what the dispatcher expects of the engine.
+	// Delay is the time to wait before the send. Forecast holds the estimates of the dispatcher
+	// for the engine.
 	Delay    time.Duration
 	Forecast routing.Forecast
 }
 
-// DispatcherChanged says that another node is asked from now on.
+// DispatcherChanged reports that another node is asked from now on.
 type DispatcherChanged struct {
 	Dispatcher cluster.NodeID
-	// Silent is set when that is because the one before it did not answer.
+	// Silent is true if the previous dispatcher was replaced because it did not answer.
 	Silent bool
 }
 
--- a/fleet/dispatch/fetch.go
+++ b/fleet/dispatch/fetch.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// leastFetch is from how many tokens on an engine takes what another keeps: fewer are read
-	// in the time that a move may wait behind another one.
-	leastFetch = 1500
-	// fetchTime is how long a move takes, some GB over links of 100 GB a second and more;
-	// chosen, not measured.
-	fetchTime = 15 * time.Millisecond
-	// fetchPrice is what moving the memory of a million tokens, some 130 GB, counts in late
-	// answers: operators pay for what is moved, so that a prompt's usual 6,000 tokens count as
-	// a thirteenth of an answer.
-	fetchPrice = 12
+	// minFetchTokens is the number of tokens from which an engine fetches a prefix from another
+	// engine's cache: a prefill of fewer tokens takes no longer than a transfer can wait behind
+	// another one.
+	minFetchTokens = 1500
+	// fetchDuration is the assumed duration of a transfer: a few GB over links of 100 GB/s and
+	// more.
+	fetchDuration = 15 * time.Millisecond
+	// fetchCostPerMillionTokens is the cost, in late answers, to transfer the cache of a million
+	// tokens, about 130 GB. Operators pay for the traffic, so that the usual 6,000 tokens of a
+	// prompt cost about a thirteenth of a late answer.
+	fetchCostPerMillionTokens = 12
 )
 
-// keeper is the engine that keeps most of a prompt.
-type keeper struct {
+// cacheSource is the engine that caches the longest prefix of a prompt.
+type cacheSource struct {
 	engine *engine
 	tokens int
 }
 
-// keeper returns the candidate that keeps most of a prompt, none where engines don't take from
-// others.
-func (b *book) keeper(w *wire.EngineWork, candidates []wire.EngineCandidate) keeper {
-	var most keeper
-	if !b.cfg.Fetches || len(w.Prefixes) == 0 {
-		return most
+// findCacheSource returns the candidate that caches the longest prefix of a prompt, and the zero
+// value if none does or engines cannot fetch from each other.
+func (t *attemptTracker) findCacheSource(w *wire.EngineWork, candidates []wire.EngineCandidate) cacheSource {
+	var best cacheSource
+	if !t.cfg.Fetches || len(w.Prefixes) == 0 {
+		return best
 	}
 	for i := range candidates {
-		known := b.engines[candidates[i].Machine]
+		known := t.engines[candidates[i].Machine]
 		if known == nil {
 			continue
 		}
-		if tokens := known.cache.kept(w); tokens > most.tokens {
-			most = keeper{engine: known, tokens: tokens}
+		if tokens := known.cache.cachedTokens(w); tokens > best.tokens {
+			best = cacheSource{engine: known, tokens: tokens}
 		}
 	}
-	return most
+	return best
 }
