--- a/passthrough/attempt.go
+++ b/passthrough/attempt.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// maxHeld bounds an answer that is held until it is whole; a longer one is
-	// sent as it comes.
-	maxHeld = 1 << 20
-	// maxForeign bounds an answer to another request that is read and dropped,
-	// and foreignAnswers how many of them.
-	maxForeign     = 256 << 10
-	foreignAnswers = 3
+	// maxBufferedAnswerBytes bounds an answer that is buffered until it is complete. A longer
+	// answer is relayed as it arrives.
+	maxBufferedAnswerBytes = 1 << 20
+	// maxStaleAnswerBytes bounds an answer to an earlier request that is read and discarded;
+	// maxStaleAnswers bounds their number.
+	maxStaleAnswerBytes = 256 << 10
+	maxStaleAnswers     = 3
 )
 
-// errCaller marks an error of the caller's side.
-var errCaller = errors.New("the caller's side failed")
+// errCallerSide marks an error on the connection to the caller.
+var errCallerSide = errors.New("the caller's side failed")
 
 // attempt is one dispatch of a request to a machine.
 type attempt struct {
@@ -38,33 +38,34 @@
 	decision routing.Dispatch
 	conn     *upstream.Conn
 	watchdog *watchdog
-	// event is how many bytes of a long event that isn't whole are counted.
-	event  int64
-	status int
-	// successor is another worker that answers at the machine's address.
+	// countedEventBytes is how many bytes of an incomplete long event are reserved.
+	countedEventBytes int64
+	status            int
+	// successor is another worker that answers at the address of the machine.
 	successor cluster.MachineID
 
-	unreached, answered, full, missing bool
-	// withheld is set when the request must not be sent any more.
+	unreached, answered, engineFull, modelMissing bool
+	// withheld is true if the request must no longer be sent.
 	withheld bool
-	// broken is set when the machine's side ended the connection before the answer was whole.
-	broken bool
-	// ended is set when the machine's process is known to have ended.
-	ended bool
-	// whole is set when the machine's answer was read to its end, so that the
-	// connection may carry another request though this one failed.
-	whole bool
+	// connectionBroken is true if the machine's side ended the connection before the answer was
+	// complete.
+	connectionBroken bool
+	// processEnded is true if the process of the machine is known to have ended.
+	processEnded bool
+	// answerComplete is true if the answer was read to its end, so that the connection can be
+	// reused although the attempt failed.
+	answerComplete bool
 }
 
-// execute runs the attempt to its end.
+// execute runs the attempt to its end and returns the outcome for the router.
 func (a *attempt) execute(ctx context.Context) routing.AttemptEnded {
-	failure := a.try(ctx)
+	failure := a.connectAndExchange(ctx)
 	ended := routing.AttemptEnded{
 		Request: a.id, Attempt: a.decision.Attempt, Failure: failure,
-		Unreached: a.unreached, Withheld: a.withheld, Answered: a.answered, EngineFull: a.full, ModelMissing: a.missing,
-		Broken: a.broken, MachineEnded: a.ended,
+		Unreached: a.unreached, Withheld: a.withheld, Answered: a.answered, EngineFull: a.engineFull, ModelMissing: a.modelMissing,
+		Broken: a.connectionBroken, MachineEnded: a.processEnded,
 	}
-	if a.broken {
+	if a.connectionBroken {
 		ended.Content = a.fingerprint()
 	}
 	if failure != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && failure.Code != verdict.CodeDeadlineExceeded {
@@ -73,68 +74,70 @@
 	return ended
 }
 
-// try connects, sends and reads the answer; nil when it is whole.
-func (a *attempt) try(ctx context.Context) *verdict.Error {
+// connectAndExchange connects, sends the request and reads the answer. It returns nil if the
+// answer is complete.
+func (a *attempt) connectAndExchange(ctx context.Context) *verdict.Error {
 	connection, err := a.Pool.Get(ctx, a.decision.Address)
 	if err != nil {
 		a.unreached = true
-		a.ended = errors.Is(err, syscall.ECONNREFUSED)
+		a.processEnded = errors.Is(err, syscall.ECONNREFUSED)
 		return verdict.Wrap(err, verdict.NotRun, verdict.CodeEngineFailed, "the machine can't be reached")
 	}
 	a.conn = connection
 	stop := context.AfterFunc(ctx, connection.Interrupt)
-	failure := a.exchangeOn()
+	failure := a.sendAndReceive()
 	a.watchdog.stop()
-	if stop() && (failure == nil || a.whole) {
+	if stop() && (failure == nil || a.answerComplete) {
 		connection.Release()
 	} else {
 		connection.Close()
 	}
-	if a.broken {
-		a.ended = a.Pool.Refuses(ctx, a.decision.Address)
+	if a.connectionBroken {
+		a.processEnded = a.Pool.Refuses(ctx, a.decision.Address)
 	}
 	return failure
 }
 
-// exchangeOn sends the request on the connection and reads its answer.
-func (a *attempt) exchangeOn() *verdict.Error {
+// sendAndReceive sends the request on the connection and reads its answer.
+func (a *attempt) sendAndReceive() *verdict.Error {
 	if a.MaySend != nil {
 		if failure := a.MaySend(a.id); failure != nil {
 			a.unreached, a.withheld = true, true
 			return failure
 		}
 	}
-	forwarded := a.forwarded()
+	forwarded := a.forwardRequest()
 	if err := a.conn.Send(forwarded, a.body); err != nil {
 		if errors.Is(err, upstream.ErrNotSent) {
 			a.unreached = true
 			return verdict.Wrap(err, verdict.NotRun, verdict.CodeEngineFailed, "the request could not be sent")
 		}
-		// A machine may answer and stop reading: the answer counts.
+		// A machine may answer without reading the whole request. The answer counts, but the
+		// connection can't be reused.
 		a.conn.Spoil()
 	}
-	a.watch()
-	response, marks, err := a.head(forwarded)
+	a.startWatchdog()
+	response, marks, err := a.readHead(forwarded)
 	if err != nil {
-		a.noteBreak(err)
+		a.recordConnectionBreak(err)
 		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeEngineFailed, "the machine did not answer")
 	}
 	a.status = response.StatusCode
 	if marks.NotRun {
-		return a.refused(response, &marks)
+		return a.handleRefusal(response, &marks)
 	}
-	return a.take(response, &marks)
+	return a.handleAnswer(response, &marks)
 }
 
-// forwarded builds the request for the machine: the caller's, with the fields
-// that tell the machine what is expected of it.
-func (a *attempt) forwarded() *http.Request {
+// forwardRequest builds the request for the machine: the caller's request with the fields that
+// state the time left, the rank and the like.
+func (a *attempt) forwardRequest() *http.Request {
 	header := a.header.Clone()
 	if _, stated := header["User-Agent"]; !stated {
 		header["User-Agent"] = []string{""}
 	}
 	a.Dialect.PrepareForward(header, Forward{
-		Machine: a.decision.Machine, Remaining: a.left(), Rank: a.rankThere(), LastEventID: a.lastEvent,
+		Machine: a.decision.Machine, Remaining: a.remaining(), Rank: a.machineRank(), LastEventID: a.lastEventID,
 		Tenant: a.tenantName(), Keyed: a.keyed, FetchAddress: a.decision.Reason.Forecast.FetchAddress,
 	})
 	target := &url.URL{Scheme: "http", Host: a.request.Host, Opaque: a.request.RequestURI}
@@ -149,39 +152,40 @@
 	return request
 }
 
-// rankThere is the request's rank at the machine.
-func (a *attempt) rankThere() int {
+// machineRank returns the rank that the machine is told, lowestRank for a background request.
+func (a *attempt) machineRank() int {
 	if a.decision.Reason.Forecast.Background {
 		return lowestRank
 	}
 	return a.rank()
 }
 
-// head reads the head of this request's answer. Late answers to earlier requests
-// are dropped, and the connection is not used again then.
-func (a *attempt) head(forwarded *http.Request) (*http.Response, Marks, error) {
-	for range foreignAnswers {
+// readHead reads the head of the answer to this request. It discards late answers to earlier
+// requests; the connection is not reused after one.
+func (a *attempt) readHead(forwarded *http.Request) (*http.Response, Marks, error) {
+	for range maxStaleAnswers {
 		response, err := a.conn.Head(forwarded)
 		if err != nil {
 			return nil, Marks{}, err
 		}
 		marks := a.Dialect.ReadAnswer(a.decision.Machine, response.StatusCode, response.Header)
 		own := marks.RequestID == a.id || marks.RequestID == "" && marks.NotRun
-		a.hear(&marks, own)
+		a.reportNotice(&marks, own)
 		if own {
 			return response, marks, nil
 		}
 		a.conn.Spoil()
-		if marks.RequestID == "" || !upstream.Drained(response, maxForeign) {
+		if marks.RequestID == "" || !upstream.Drained(response, maxStaleAnswerBytes) {
 			break
 		}
 	}
 	return nil, Marks{}, eris.New("the answer belongs to another request")
 }
 
-// hear tells the core what an answer says of its machine. What the answer to another request
-// does not say means nothing.
-func (a *attempt) hear(marks *Marks, own bool) {
+// reportNotice reports to the router what the machine states about itself in an answer. An answer
+// that states nothing is reported only if it is this request's and the request was sent under a
+// limit.
+func (a *attempt) reportNotice(marks *Marks, own bool) {
 	if marks.Machine != "" && marks.Machine != a.decision.Machine {
 		return
 	}
@@ -193,80 +197,80 @@
 	}
 }
 
-// refused takes the machine's word that it did not run the request.
-func (a *attempt) refused(response *http.Response, marks *Marks) *verdict.Error {
+// handleRefusal handles an answer which states that the machine did not run the request.
+func (a *attempt) handleRefusal(response *http.Response, marks *Marks) *verdict.Error {
 	switch {
 	case marks.Misdirected && marks.Machine != "" && marks.Machine != a.decision.Machine:
-		a.successor, a.missing = marks.Machine, true
+		a.successor, a.modelMissing = marks.Machine, true
 	case marks.Misdirected:
-		a.missing = true
+		a.modelMissing = true
 	case response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests:
-		a.full = true
+		a.engineFull = true
 	}
-	a.whole = upstream.Drained(response, maxForeign)
+	a.answerComplete = upstream.Drained(response, maxStaleAnswerBytes)
 	return verdict.New(verdict.NotRun, verdict.CodeEngineRefused, "the machine answered %d without running the request", response.StatusCode)
 }
 
-// take reads the answer of a machine that ran the request.
-func (a *attempt) take(response *http.Response, marks *Marks) *verdict.Error {
+// handleAnswer reads the answer of a machine that ran the request.
+func (a *attempt) handleAnswer(response *http.Response, marks *Marks) *verdict.Error {
 	succeeded := response.StatusCode < http.StatusMultipleChoices
 	if succeeded && !marks.Signed {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeEngineFailed, "the answer bears no signature")
 	}
 	if succeeded && a.route.Kind == catalog.KindStream {
-		return a.stream(response)
+		return a.relayStream(response)
 	}
-	if a.started {
+	if a.headSent {
 		return verdict.New(verdict.Ran, verdict.CodeStreamCut, "the machine answered %d to the continuation of a stream", response.StatusCode)
 	}
-	return a.hold(response, marks)
+	return a.bufferAnswer(response, marks)
 }
 
-// hold reads an answer until it is whole. One that is too long to be held, or comes while
-// the node keeps too many bytes, is sent as it comes.
-func (a *attempt) hold(response *http.Response, marks *Marks) *verdict.Error {
+// bufferAnswer reads an answer until it is complete. An answer that is too long to be buffered, or
+// for which the node has no memory left, is relayed as it arrives.
+func (a *attempt) bufferAnswer(response *http.Response, marks *Marks) *verdict.Error {
 	a.watchdog.stop()
-	kept := a.keeps.Bytes()
-	body, whole, err := a.keeps.ReadAll(io.LimitReader(response.Body, maxHeld+1), response.ContentLength)
+	reservedBefore := a.reserved.Bytes()
+	body, complete, err := a.reserved.ReadAll(io.LimitReader(response.Body, maxBufferedAnswerBytes+1), response.ContentLength)
 	if err != nil {
-		a.keeps.Shrink(a.keeps.Bytes() - kept)
-		a.noteBreak(err)
+		a.reserved.Shrink(a.reserved.Bytes() - reservedBefore)
+		a.recordConnectionBreak(err)
 		return verdict.Wrap(err, verdict.Ran, verdict.CodeEngineFailed, "the answer was cut")
 	}
-	if !whole || len(body) > maxHeld {
-		return a.pass(response, body)
+	if !complete || len(body) > maxBufferedAnswerBytes {
+		return a.relayUnbuffered(response, body)
 	}
 	if marks.Signed || response.StatusCode < http.StatusInternalServerError {
-		a.held = &answer{status: response.StatusCode, header: response.Header, body: body}
+		a.buffered = &machineAnswer{status: response.StatusCode, header: response.Header, body: body}
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		a.answered, a.whole = true, true
+		a.answered, a.answerComplete = true, true
 		return verdict.New(verdict.Ran, verdict.CodeEngineFailed, "the machine answered %d", response.StatusCode)
 	}
 	return nil
 }
 
-// pass sends a long answer as it comes.
-func (a *attempt) pass(response *http.Response, begin []byte) *verdict.Error {
+// relayUnbuffered relays an answer as it arrives, after the part of it that was already read.
+func (a *attempt) relayUnbuffered(response *http.Response, begin []byte) *verdict.Error {
 	a.Decider.Report(routing.FirstByteSent{Request: a.id})
 	a.writeHead(response.StatusCode, response.Header, response.ContentLength)
 	if _, err := a.writer.Write(begin); err != nil {
-		return a.callerFailed(err)
+		return a.classifyWriteError(err)
 	}
 	if _, err := io.Copy(a.writer, response.Body); err != nil {
-		if stallOf(err) != nil {
-			return a.callerFailed(err)
+		if stallError(err) != nil {
+			return a.classifyWriteError(err)
 		}
-		a.noteBreak(err)
+		a.recordConnectionBreak(err)
 		return verdict.Wrap(err, verdict.Ran, verdict.CodeStreamCut, "the answer was cut")
 	}
 	return nil
 }
 
-// callerFailed classifies a failed write to the caller.
-func (a *attempt) callerFailed(err error) *verdict.Error {
-	if a.stalled = stallOf(err); a.stalled != nil {
-		return a.stalled
+// classifyWriteError returns the failure for a write to the caller that failed.
+func (a *attempt) classifyWriteError(err error) *verdict.Error {
+	if a.stallFailure = stallError(err); a.stallFailure != nil {
+		return a.stallFailure
 	}
-	return verdict.Wrap(errors.Join(errCaller, err), verdict.Ran, verdict.CodeCallerGone, "the caller left while the answer was sent")
+	return verdict.Wrap(errors.Join(errCallerSide, err), verdict.Ran, verdict.CodeCallerGone, "the caller left while the answer was sent")
 }
--- a/passthrough/content.go
+++ b/passthrough/content.go
@@ -11,39 +11,39 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// shortBody is the size in bytes up to which each request's fingerprint is taken as it
-// comes, so that the log tells those apart that come again.
-const shortBody = 4 << 10
+// alwaysFingerprintedBytes is the body size up to which the fingerprint of each request is
+// computed on arrival, so that the log shows which requests are repeated.
+const alwaysFingerprintedBytes = 4 << 10
 
-// takeContent takes the fingerprint of a request whose body is short, or of which something
-// may be known.
-func (e *exchange) takeContent() {
-	content := e.asked()
-	if len(e.body) <= shortBody || e.KnowsPoison != nil && e.KnowsPoison(content.Head()) {
+// recordFingerprint computes the fingerprint of a request that has a short body or whose head
+// matches a known poison request.
+func (e *exchange) recordFingerprint() {
+	content := e.requestContent()
+	if len(e.body) <= alwaysFingerprintedBytes || e.KnowsPoison != nil && e.KnowsPoison(content.Head()) {
 		e.content = content.Fingerprint()
 	}
 }
 
-// fingerprint returns the fingerprint of what the request asks for.
+// fingerprint returns the fingerprint of the request content and computes it on the first call.
 func (e *exchange) fingerprint() poison.Fingerprint {
 	if e.content.IsZero() {
-		content := e.asked()
+		content := e.requestContent()
 		e.content = content.Fingerprint()
 	}
 	return e.content
 }
 
-// asked is what the request asks for.
-func (e *exchange) asked() poison.Content {
+// requestContent returns the parts of the request that its fingerprint covers.
+func (e *exchange) requestContent() poison.Content {
 	return poison.Content{
 		Caller: e.request.Header.Get("Authorization"), Method: e.request.Method, Host: e.request.Host,
 		Target: e.request.RequestURI, Body: e.body,
 	}
 }
 
-// caller tells the request's caller from others: by its credential, without one by the
-// machine that it calls from.
-func (e *exchange) caller() uint64 {
+// callerHash returns a hash that identifies the caller: of the credential, or of the remote host
+// for a request without one. It is zero if neither is known.
+func (e *exchange) callerHash() uint64 {
 	if credential := e.request.Header.Get("Authorization"); credential != "" {
 		return xxhash.Sum64String(credential)
 	}
@@ -54,12 +54,13 @@
 	return xxhash.Sum64String(host)
 }
 
-// noteBreak notes that the machine's side ended the connection. One that this node
-// interrupted tells a time-out; where the caller left, the error may be of its side.
-func (a *attempt) noteBreak(err error) {
+// recordConnectionBreak sets connectionBroken if the error means that the machine's side ended the
+// connection. An interrupt by this node returns a timeout error instead. Once the caller has left,
+// the error may come from the caller's side and is ignored.
+func (a *attempt) recordConnectionBreak(err error) {
 	if a.request.Context().Err() != nil {
 		return
 	}
-	a.broken = errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
+	a.connectionBroken = errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/passthrough/credential.go
+++ b/passthrough/credential.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	// authorizationField holds a caller's key after bearerScheme.
+	// authorizationField holds the key of a caller after bearerScheme.
 	authorizationField = "Authorization"
 	bearerScheme       = "Bearer "
-	// longestKey bounds a key in bytes; a longer one can't be meant.
-	longestKey = 512
+	// maxKeyBytes bounds the length of a key. A longer value is refused as no key.
+	maxKeyBytes = 512
 )
 
-// credential is who a caller is, by its key.
+// credential identifies a caller by its key.
 type credential struct {
-	// hash of the key in lower-case hexadecimal SHA-256, empty for a caller without one.
+	// hash is the lower-case hexadecimal SHA-256 of the key, empty for a caller without one.
 	hash string
-	// tenant that holds the key, nil for a caller without one.
+	// tenant is the holder of the key, nil for a caller without one.
 	tenant *catalog.Tenant
 }
 
-// errNoKey refuses a caller whose key is missing or not given in the one form there is.
-func errNoKey() *verdict.Error {
+// invalidKeyError returns the refusal for a caller whose key is missing or malformed.
+func invalidKeyError() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "one key is required, as Authorization: Bearer KEY")
 }
 
-// readKey returns the hash of the caller's key. Two fields, another scheme, and an empty or
-// overlong key are none.
+// readKey returns the hash of the caller's key. It refuses repeated fields, other schemes, and
+// empty or overlong keys.
 func readKey(header http.Header) (string, *verdict.Error) {
 	fields := header.Values(authorizationField)
 	if len(fields) != 1 {
-		return "", errNoKey()
+		return "", invalidKeyError()
 	}
 	field := fields[0]
 	if len(field) <= len(bearerScheme) || !strings.EqualFold(field[:len(bearerScheme)], bearerScheme) {
-		return "", errNoKey()
+		return "", invalidKeyError()
 	}
 	key := field[len(bearerScheme):]
-	if len(key) > longestKey || strings.ContainsAny(key, " \t,") {
-		return "", errNoKey()
+	if len(key) > maxKeyBytes || strings.ContainsAny(key, " \t,") {
+		return "", invalidKeyError()
 	}
 	hash := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(hash[:]), nil
 }
 
-// authenticate finds out who the caller of a route is. A key that isn't known is refused only
-// on knowledge that is new enough; until then the caller waits for it.
+// authenticate returns the credential of the caller of a route. An unknown key is refused only if
+// the key store of this node is known to be recent enough; until then the caller waits.
 func (h *Handler) authenticate(compiled *catalog.Compiled, route *catalog.Route, r *http.Request) (credential, *verdict.Error) {
 	if route.Public || !compiled.Keyed() {
 		return credential{}, nil
@@ -73,21 +73,21 @@
 	return credential{hash: hash, tenant: tenant}, nil
 }
 
-// routeRanks is how many ranks of routes are told apart within one of tenants: machines know
-// ten ranks in all, and three of each fit.
-const routeRanks = 3
+// routeRanksPerTenantRank is the number of route ranks within one tenant rank: machines know ten
+// ranks in total, enough for three tenant ranks.
+const routeRanksPerTenantRank = 3
 
-// rank of the request, 0 being the highest: its tenant's goes before its route's, which
-// orders the requests of tenants of one rank. With the tenant's alone an answer that is wanted
-// within 0.6 s would wait behind one that has 4 s.
+// rank returns the rank of the request, 0 being the highest. The rank of the tenant comes first;
+// the priority of the route orders the requests of tenants with equal rank. With the tenant rank
+// alone, an answer that is due in 0.6 s would wait behind one that is due in 4 s.
 func (e *exchange) rank() int {
 	if e.credential.tenant != nil && e.credential.tenant.Ranked {
-		return e.credential.tenant.Rank*routeRanks + min(max(e.route.Priority, 0), routeRanks-1)
+		return e.credential.tenant.Rank*routeRanksPerTenantRank + min(max(e.route.Priority, 0), routeRanksPerTenantRank-1)
 	}
 	return e.route.Priority
 }
 
-// tenantName is the name of the caller's tenant, empty for none.
+// tenantName returns the name of the caller's tenant, empty without one.
 func (e *exchange) tenantName() string {
 	if e.credential.tenant == nil {
 		return ""
--- a/passthrough/credential_test.go
+++ b/passthrough/credential_test.go
@@ -9,32 +9,31 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// TestOneFormOfKeys: a key is given once, under one scheme, and is neither empty nor
-// overlong; anything else is none.
-func TestOneFormOfKeys(t *testing.T) {
+// TestOnlyOneBearerKeyIsAccepted: exactly one key of valid length under the Bearer scheme is
+// accepted, and a refusal must not repeat the key.
+func TestOnlyOneBearerKeyIsAccepted(t *testing.T) {
 	for _, fields := range [][]string{
-		{"Bearer k1"}, {"bearer k1"}, {"Bearer " + strings.Repeat("k", longestKey)},
+		{"Bearer k1"}, {"bearer k1"}, {"Bearer " + strings.Repeat("k", maxKeyBytes)},
 	} {
 		if hash, failure := readKey(http.Header{authorizationField: fields}); failure != nil || len(hash) != 64 {
-			t.Errorf("%.20q: %q, %v", fields, hash, failure)
+			t.Errorf("%.20q: hash %q, failure %v, want a hash", fields, hash, failure)
 		}
 	}
 	for _, fields := range [][]string{
 		nil, {""}, {"Bearer"}, {"Bearer "}, {"Bearer  k1"}, {"Basic k1"}, {"k1"}, {"Bearer k1", "Bearer k1"}, {"Bearer k1,k2"},
-		{"Bearer k1 k2"}, {"Bearer " + strings.Repeat("k", longestKey+1)},
+		{"Bearer k1 k2"}, {"Bearer " + strings.Repeat("k", maxKeyBytes+1)},
 	} {
 		_, failure := readKey(http.Header{authorizationField: fields})
 		if failure == nil || failure.Code != verdict.CodeUnauthorized || failure.Verdict != verdict.NotRun {
-			t.Errorf("%.20q: %v", fields, failure)
+			t.Errorf("%.20q: failure %v, want unauthorized and not run", fields, failure)
 		}
 		if failure != nil && strings.Contains(failure.Error(), "k1") {
-			t.Errorf("the refusal names a key: %v", failure)
+			t.Errorf("refusal repeats the key: %v", failure)
 		}
 	}
 }
 
-// FuzzReadKey: whatever a caller sends, the answer is a hash or a refusal that holds nothing
-// of it.
+// FuzzReadKey checks that any input yields either a hash or a refusal.
 func FuzzReadKey(f *testing.F) {
 	f.Add("Bearer k1", "")
 	f.Add("bearer\tk1", "Bearer k2")
@@ -45,23 +44,23 @@
 		}
 		hash, failure := readKey(header)
 		if (failure == nil) != (len(hash) == 64) || failure == nil && second != "" {
-			t.Errorf("%q, %q: %q, %v", first, second, hash, failure)
+			t.Errorf("fields %q and %q: hash %q, failure %v", first, second, hash, failure)
 		}
 	})
 }
 
-// TestTenantsRankGoesBeforeTheRoutes: any request of a higher tenant goes before all of a
-// lower one, and among tenants of one rank the route decides.
-func TestTenantsRankGoesBeforeTheRoutes(t *testing.T) {
+// TestTenantRankPrecedesRoutePriority: a request of a higher tenant rank precedes all requests of
+// a lower one. The route priority decides between tenants of equal rank.
+func TestTenantRankPrecedesRoutePriority(t *testing.T) {
 	rank := func(tenant, route int) int {
 		return (&exchange{
 			route: &catalog.Route{Priority: route}, credential: credential{tenant: &catalog.Tenant{Ranked: true, Rank: tenant}},
 		}).rank()
 	}
 	if rank(0, 2) >= rank(1, 0) || rank(1, 1) >= rank(1, 2) || rank(1, 0) >= rank(1, 1) || rank(1, 2) != rank(1, 7) {
-		t.Errorf("ranks %d, %d, %d, %d", rank(0, 2), rank(1, 0), rank(1, 1), rank(1, 2))
+		t.Errorf("ranks %d, %d, %d, %d, want the tenant rank before the route priority", rank(0, 2), rank(1, 0), rank(1, 1), rank(1, 2))
 	}
 	if got := (&exchange{route: &catalog.Route{Priority: 4}}).rank(); got != 4 {
-		t.Errorf("without a tenant's rank the route's counts, got %d", got)
+		t.Errorf("rank without a tenant rank is %d, want the route priority 4", got)
 	}
 }
--- a/passthrough/delivered_test.go
+++ b/passthrough/delivered_test.go
@@ -9,17 +9,17 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// TestDeliveredAnswerStands: an answer whose last byte went to the caller just when its
-// deadline passed is not broken off. Seen in a process soak: the continuation of a stream that
-// had no events left got its engine's whole answer at the deadline, and its caller a closed
-// connection without a head.
-func TestDeliveredAnswerStands(t *testing.T) {
+// TestDeliveredAnswerIsNotAborted: an answer whose last byte was sent just as its deadline passed
+// must not be aborted. In a process soak, the continuation of a stream with no events left got the
+// complete answer of its engine at the deadline, and the caller saw a closed connection without a
+// response head.
+func TestDeliveredAnswerIsNotAborted(t *testing.T) {
 	late := verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "the deadline passed")
 	for _, delivered := range []bool{true, false} {
 		recorder := httptest.NewRecorder()
 		current := &exchange{
 			Handler: NewHandler(Config{}), writer: recorder, request: httptest.NewRequest(http.MethodPost, "/", nil),
-			started: true, delivered: delivered,
+			headSent: true, delivered: delivered,
 		}
 		broken := func() (broken bool) {
 			defer func() { broken = recover() != nil }()
@@ -27,7 +27,7 @@
 			return false
 		}()
 		if broken == delivered {
-			t.Errorf("delivered %t: broken off %t", delivered, broken)
+			t.Errorf("delivered %t: aborted %t", delivered, broken)
 		}
 	}
 }
--- a/passthrough/exchange.go
+++ b/passthrough/exchange.go
@@ -15,10 +15,10 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// finishGrace bounds the wait for the core's decision after the deadline.
-const finishGrace = 400 * time.Millisecond
+// decisionGrace bounds the wait for the router's decision after the deadline of the request.
+const decisionGrace = 400 * time.Millisecond
 
-// exchange is one request with its answer.
+// exchange is one request and its answer.
 type exchange struct {
 	*Handler
 	writer     http.ResponseWriter
@@ -26,57 +26,58 @@
 	route      *catalog.Route
 	attributes Attributes
 	credential credential
-	// keyed is set where callers have keys.
+	// keyed is true if the configuration requires keys of callers.
 	keyed bool
 	body  []byte
 	id    cluster.RequestID
-	// content is the fingerprint, zero until it is asked for.
+	// content is the fingerprint of the request, zero until it is computed.
 	content poison.Fingerprint
-	// header holds the caller's fields that are passed on.
+	// header holds the caller's header fields that are forwarded.
 	header   http.Header
-	work     cluster.ModelID
+	model    cluster.ModelID
 	arrived  time.Time
 	deadline time.Time
 	ticket   *relay.Ticket
 
 	attempts int
 	machine  cluster.MachineID
-	// notice is what the last answer said of its machine.
+	// notice is what the machine stated about itself in the last answer.
 	notice routing.Notice
-	// lastEvent is the last whole event that went to the caller.
-	lastEvent string
-	// held is the last answer that a machine signed, not yet sent.
-	held *answer
-	// started is set once the answer's head went to the caller, delivered once all of it has.
-	started, delivered bool
-	first              time.Duration
-	// passed is when events were last sent, pause the longest time between two
-	// such moments, and pauseEnd when it ended, since the arrival.
-	passed          time.Time
-	pause, pauseEnd time.Duration
-	gone            bool
-	// stalled is set when the caller was left because it took nothing of the answer.
-	stalled *verdict.Error
-	// keeps counts what the node keeps for the request.
-	keeps *retained.Hold
-	// untaken is why a whole answer did not reach the caller.
-	untaken error
+	// lastEventID identifies the last complete event that was sent to the caller.
+	lastEventID string
+	// buffered is the last complete answer of a machine that is not yet sent, nil without one.
+	buffered *machineAnswer
+	// headSent is true once the head of the answer was sent to the caller, delivered once the
+	// whole answer was.
+	headSent, delivered bool
+	timeToFirstByte     time.Duration
+	// eventsSentAt is when events were last sent. longestPause is the longest time between two
+	// such sends, and longestPauseEnd is when it ended, counted from the arrival.
+	eventsSentAt                  time.Time
+	longestPause, longestPauseEnd time.Duration
+	callerLeft                    bool
+	// stallFailure is set if the caller was disconnected because it stopped reading the answer.
+	stallFailure *verdict.Error
+	// reserved counts the bytes that the node holds for the request.
+	reserved *retained.Hold
+	// callerWriteError is why a complete answer could not be written to the caller.
+	callerWriteError error
 }
 
-// answer is a machine's whole answer.
-type answer struct {
+// machineAnswer is a complete answer of a machine.
+type machineAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// run submits the request and carries out what is decided until it has ended.
+// run submits the request to the router and carries out its decisions until the request has ended.
 func (e *exchange) run() {
 	e.ticket = e.Decider.Submit(e.routingRequest())
 	for {
-		effect, err := e.next()
+		effect, err := e.nextDecision()
 		if err != nil {
-			e.lost()
+			e.endUndecided()
 			return
 		}
 		switch effect := effect.(type) {
@@ -89,42 +90,42 @@
 	}
 }
 
-// left is the time until the request must have ended.
-func (e *exchange) left() time.Duration { return e.deadline.Sub(e.now()) }
+// remaining returns the time until the deadline of the request.
+func (e *exchange) remaining() time.Duration { return e.deadline.Sub(e.now()) }
 
-// next waits for the next decision. A caller who leaves is reported, and the
-// decision that follows from it is waited for.
-func (e *exchange) next() (routing.Effect, error) {
+// nextDecision waits for the next decision. If the caller leaves, it reports that and waits for
+// the decision that follows.
+func (e *exchange) nextDecision() (routing.Effect, error) {
 	if effect, decided := e.ticket.Take(); decided {
 		return effect, nil
 	}
 	caller := e.request.Context()
-	bounded, cancel := context.WithTimeout(caller, e.left()+finishGrace)
+	bounded, cancel := context.WithTimeout(caller, e.remaining()+decisionGrace)
 	effect, err := e.ticket.Next(bounded)
 	cancel()
-	if err == nil || caller.Err() == nil || e.gone {
+	if err == nil || caller.Err() == nil || e.callerLeft {
 		return effect, err
 	}
-	e.callerGone()
-	bounded, cancel = context.WithTimeout(context.Background(), finishGrace)
+	e.reportCallerGone()
+	bounded, cancel = context.WithTimeout(context.Background(), decisionGrace)
 	defer cancel()
 	return e.ticket.Next(bounded)
 }
 
-// callerGone tells the core once that the caller left.
-func (e *exchange) callerGone() {
-	if !e.gone {
-		e.gone = true
+// reportCallerGone reports to the router, once, that the caller left.
+func (e *exchange) reportCallerGone() {
+	if !e.callerLeft {
+		e.callerLeft = true
 		e.Decider.Report(routing.CallerGone{Request: e.id})
 	}
 }
 
-// lost ends a request that the core did not decide in time.
-func (e *exchange) lost() {
+// endUndecided ends a request for which the router made no decision in time.
+func (e *exchange) endUndecided() {
 	e.end(verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the request was not decided in time"), routing.Explanation{})
 }
 
-// dispatch runs one attempt to its end and reports it.
+// dispatch runs one attempt to its end and reports the outcome.
 func (e *exchange) dispatch(decision routing.Dispatch) {
 	e.attempts++
 	e.machine, e.notice = decision.Machine, routing.Notice{}
@@ -136,11 +137,11 @@
 	ended := current.execute(ctx)
 	e.ticket.OnInterrupt(nil)
 	cancel()
-	e.delivered = ended.Failure == nil && e.started
+	e.delivered = ended.Failure == nil && e.headSent
 	if ended.Failure != nil {
 		e.logAttempt(current, &ended, e.now().Sub(began))
 		if e.request.Context().Err() != nil {
-			e.callerGone()
+			e.reportCallerGone()
 		}
 	}
 	if current.successor != "" {
@@ -154,7 +155,7 @@
 func (e *exchange) logSent(decision *routing.Dispatch) {
 	sent := eventlog.RequestSent{
 		Request: e.id, Attempt: decision.Attempt, Machine: decision.Machine, Waited: decision.Reason.Waited,
-		Compared: len(decision.Reason.Candidates), After: e.lastEvent, Held: decision.Reason.Held,
+		Compared: len(decision.Reason.Candidates), After: e.lastEventID, Held: decision.Reason.Held,
 		By: decision.Reason.Forecast.Dispatcher, Read: decision.Reason.Forecast.Read, Kept: decision.Reason.Forecast.Kept,
 		Speed: decision.Reason.Forecast.Speed, Foreseen: decision.Reason.Forecast.Expected, Background: decision.Reason.Forecast.Background,
 		Fetch: decision.Reason.Forecast.Fetch,
@@ -166,78 +167,79 @@
 }
 
 func (e *exchange) logAttempt(a *attempt, ended *routing.AttemptEnded, took time.Duration) {
-	line := eventlog.AttemptEnded{
+	record := eventlog.AttemptEnded{
 		Request: e.id, Attempt: ended.Attempt, Machine: e.machine, Code: string(ended.Failure.Code),
 		Verdict: ended.Failure.Verdict.String(), Status: a.status, Took: took, Cause: ended.Failure.Reason(),
 		Rest: e.notice.Rest,
 	}
-	if a.broken {
-		line.Content = e.fingerprint().String()
+	if a.connectionBroken {
+		record.Content = e.fingerprint().String()
 	}
-	e.Log.Write(line)
+	e.Log.Write(record)
 	e.Metrics.attemptFailed(ended.Failure)
 }
 
-// finish carries out the only end of the request.
+// finish ends the request as the router decided.
 func (e *exchange) finish(finish routing.Finish) { e.end(finish.Failure, finish.Reason) }
 
-// end answers the caller: with the held answer, with a refusal, or by breaking
-// off an answer that has begun.
+// end answers the caller: with the buffered answer, with a refusal, or by aborting an answer that
+// has begun.
 func (e *exchange) end(failure *verdict.Error, reason routing.Explanation) {
-	if failure != nil && e.stalled != nil {
-		// To the core, the caller left.
-		failure = e.stalled
+	if failure != nil && e.stallFailure != nil {
+		// The router only knows that the caller left.
+		failure = e.stallFailure
 	}
 	if e.delivered {
-		// The deadline may pass in the core between an answer's last byte and the word of that:
-		// to break the connection then would take from the caller what it has as a whole.
+		// The deadline can pass in the router between the last byte of an answer and the report of
+		// it. Aborting the connection then would take a complete answer from the caller.
 		failure = nil
 	}
 	status := 0
-	begun := e.started
+	wasHeadSent := e.headSent
 	switch {
-	case failure == nil && e.started:
+	case failure == nil && e.headSent:
 		status = http.StatusOK
-	case failure == nil && e.held != nil:
-		status = e.sendHeld()
-	case e.started || e.gone:
-	case failure != nil && failure.Verdict != verdict.NotRun && e.held != nil:
-		status = e.sendHeld()
+	case failure == nil && e.buffered != nil:
+		status = e.sendBuffered()
+	case e.headSent || e.callerLeft:
+	case failure != nil && failure.Verdict != verdict.NotRun && e.buffered != nil:
+		status = e.sendBuffered()
 	case failure != nil:
 		status = e.refuse(e.writer, failure)
 	}
 	e.logEnd(failure, &reason, status)
-	if failure != nil && begun {
-		// The caller must not take a part of an answer for the whole.
+	if failure != nil && wasHeadSent {
+		// The abort keeps the caller from taking a partial answer for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
 func (e *exchange) logEnd(failure *verdict.Error, reason *routing.Explanation, status int) {
-	line := eventlog.RequestEnded{
+	record := eventlog.RequestEnded{
 		Request: e.id, Status: status, Code: "served", Machine: e.machine, Attempts: e.attempts,
-		Took: e.now().Sub(e.arrived), Waited: reason.Waited, First: e.first, Pause: e.pause, PauseEnd: e.pauseEnd,
+		Took: e.now().Sub(e.arrived), Waited: reason.Waited, First: e.timeToFirstByte, Pause: e.longestPause, PauseEnd: e.longestPauseEnd,
 		Verdict: verdict.Ran.String(), Limit: e.notice.PerSecond, Leaving: e.notice.Leaving,
 	}
 	if failure != nil {
-		line.Code, line.Verdict, line.Back = string(failure.Code), failure.Verdict.String(), failure.RetryAfter
-		line.Setting, line.Cause = reason.Setting, failure.Message
+		record.Code, record.Verdict, record.Back = string(failure.Code), failure.Verdict.String(), failure.RetryAfter
+		record.Setting, record.Cause = reason.Setting, failure.Message
 	}
-	if e.untaken != nil {
-		line.Untaken = e.untaken.Error()
+	if e.callerWriteError != nil {
+		record.Untaken = e.callerWriteError.Error()
 	}
-	e.Log.Write(line)
-	e.Metrics.ended(line.Code, line.Took, line.Waited, line.First)
+	e.Log.Write(record)
+	e.Metrics.requestEnded(record.Code, record.Took, record.Waited, record.First)
 }
 
-// sendHeld sends a machine's whole answer.
-func (e *exchange) sendHeld() int {
-	e.writeHead(e.held.status, e.held.header, int64(len(e.held.body)))
-	_, e.untaken = e.writer.Write(e.held.body)
-	return e.held.status
+// sendBuffered sends the buffered answer and returns its status.
+func (e *exchange) sendBuffered() int {
+	e.writeHead(e.buffered.status, e.buffered.header, int64(len(e.buffered.body)))
+	_, e.callerWriteError = e.writer.Write(e.buffered.body)
+	return e.buffered.status
 }
 
-// writeHead sends a machine's head, with the body's length unless it is negative.
+// writeHead sends the head of a machine's answer, with the length of the body unless it is
+// negative.
 func (e *exchange) writeHead(status int, header http.Header, length int64) {
 	out := e.writer.Header()
 	copyEndToEnd(out, header)
@@ -248,7 +250,7 @@
 	if _, stated := out["Content-Type"]; !stated {
 		out["Content-Type"] = nil
 	}
-	e.first = e.now().Sub(e.arrived)
+	e.timeToFirstByte = e.now().Sub(e.arrived)
 	e.writer.WriteHeader(status)
-	e.started = true
+	e.headSent = true
 }
--- a/passthrough/handler.go
+++ b/passthrough/handler.go
@@ -24,90 +24,88 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Bounds of a Handler.
+// Defaults and bounds of a Handler.
 const (
-	// defaultMaxBody holds until a configuration states a bound.
-	defaultMaxBody = 4 << 20
-	// defaultDeadline holds where neither the caller nor the route states one.
+	// defaultMaxBodyBytes applies until a configuration states a bound.
+	defaultMaxBodyBytes = 4 << 20
+	// defaultDeadline applies if neither the caller nor the route states one.
 	defaultDeadline = time.Minute
-	// fullRetryAfter is when a caller should come back whose body the node has no room for:
-	// about as long as a usual request, with which its room is given back, takes.
-	fullRetryAfter = time.Second
-	// highestPriority turns ranks, of which 0 goes first, into priorities, of
-	// which the largest goes first.
+	// memoryFullRetryAfter is the Retry-After for a request whose body the node has no memory for:
+	// about the duration of a usual request, whose memory is free again after it.
+	memoryFullRetryAfter = time.Second
+	// highestPriority converts ranks, of which 0 is the most urgent, to priorities, of which the
+	// largest is.
 	highestPriority = 9
-	// lowestRank is that of requests which give way to all others.
+	// lowestRank is the rank of background requests.
 	lowestRank = 9
 )
 
-// Decider is the deciding core as this package uses it.
+// Decider is the interface of the router that this package needs.
 type Decider interface {
 	relay.Decider
-	// Now is the core's clock.
+	// Now returns the time on the router's clock.
 	Now() time.Time
 }
 
-// Config holds what a Handler needs.
+// Config holds the settings and dependencies of a Handler.
 type Config struct {
-	// Catalog returns the configuration in force, nil before the first.
+	// Catalog returns the current configuration, nil before the first one.
 	Catalog func() *catalog.Compiled
-	// Known is closed once Catalog returns the first configuration: callers who come before
-	// wait for that a little. Nil has none wait.
+	// Known is closed once Catalog returns the first configuration. Callers that arrive earlier
+	// wait for it for a short time; if nil, none wait.
 	Known   <-chan struct{}
 	Decider Decider
 	Dialect Dialect
 	Pool    *upstream.Pool
 	Log     *eventlog.Log
 	Metrics *Metrics
-	// Closing reports whether callers are to leave their connections; nil means
-	// that they never are.
+	// Closing reports whether callers should close their connections. If nil, they never should.
 	Closing func() bool
-	// Admits reports whether a request that must have ended by the deadline is
-	// still taken; nil takes all.
+	// Admits reports whether a request with the given deadline is still accepted. If nil, all are.
 	Admits func(deadline time.Time) bool
-	// KnowsPoison reports whether the fingerprint of a request with this head matters; nil
-	// wants none but those of short bodies.
+	// KnowsPoison reports whether the fingerprint of a request with this head is needed. If nil,
+	// only short bodies are fingerprinted.
 	KnowsPoison func(head poison.Head) bool
-	// FindKey returns the tenant that holds the key of a hash which the configuration in
-	// force doesn't name: one that was added a moment ago. It waits until what this node
-	// knows is new enough to say that there is none, and returns nil then; nil asks nobody.
+	// FindKey returns the tenant of a key, by its hash, that the current configuration doesn't
+	// contain: the key may have been added a moment ago. It waits until the key store of this node
+	// is recent enough to rule the key out, and then returns nil. If FindKey is nil, unknown keys
+	// are refused at once.
 	FindKey func(ctx context.Context, hash string) (*catalog.Tenant, *verdict.Error)
-	// MaySend says in the instant of a send why a request must not be sent any more; nil
-	// allows all.
+	// MaySend returns, right before a send, why a request must no longer be sent. If nil, every
+	// send is allowed.
 	MaySend func(id cluster.RequestID) *verdict.Error
-	// NewID makes an identifier for a request without one.
+	// NewID returns an ID for a request without one.
 	NewID func() cluster.RequestID
-	// MayTake says whether one more request may be taken, and how late the process carries
-	// out what is ready to run where it may not; nil takes all.
+	// MayTake reports whether another request may be accepted and, if not, how late the process
+	// runs tasks that are ready. If nil, all are accepted.
 	MayTake func() (late time.Duration, may bool)
-	// MostUnderWay is how many requests are under way at most; zero for any.
+	// MostUnderWay bounds the number of active requests; zero means no bound.
 	MostUnderWay int
-	// Retained counts the bytes that are kept of requests and answers; nil allows any.
+	// Retained bounds the bytes that are held for requests and answers; nil means no bound.
 	Retained *retained.Account
 }
 
-// Handler serves callers.
+// Handler serves the requests of callers.
 type Handler struct {
 	Config
-	draws sync.Map
-	// startWaits counts the callers that wait for the first configuration.
-	startWaits atomic.Int64
-	// underWay counts the requests whose handlers run.
-	underWay atomic.Int64
-	// now is the core's clock, by which requests have their time. What is bounded by the
-	// kernel or a timer is bounded by what is left of it.
+	splitCounters sync.Map
+	// startWaiters counts the callers that wait for the first configuration.
+	startWaiters atomic.Int64
+	// activeRequests counts the requests whose handlers run.
+	activeRequests atomic.Int64
+	// now returns the time on the router's clock, which all deadlines of requests use. Timeouts of
+	// the kernel and of timers are set from the time that is left.
 	now func() time.Time
-	// began is when the handler was made, at the start of its process.
-	began time.Time
+	// createdAt is when the handler was created, at the start of its process.
+	createdAt time.Time
 }
 
-// NewHandler returns a Handler.
 func NewHandler(config Config) *Handler {
 	h := &Handler{Config: config, now: time.Now}
 	if config.Decider != nil {
 		h.now = config.Decider.Now
 	}
-	h.began = h.now()
+	h.createdAt = h.now()
 	return h
 }
 
@@ -117,43 +115,43 @@
 	if h.Closing != nil && h.Closing() {
 		w.Header().Set("Connection", "close")
 	}
-	defer h.underWay.Add(-1)
-	if failure := h.overloaded(h.underWay.Add(1)); failure != nil {
-		// Its next try is another connection's, and what this one keeps is needed.
+	defer h.activeRequests.Add(-1)
+	if failure := h.checkOverload(h.activeRequests.Add(1)); failure != nil {
+		// The caller's next try needs another connection, and closing this one frees its memory.
 		w.Header().Set("Connection", "close")
-		h.turnAway(w, r, failure)
+		h.rejectRequest(w, r, failure)
 		return
 	}
-	compiled := h.knownCatalog(r)
+	compiled := h.awaitCatalog(r)
 	if compiled == nil {
-		h.turnAway(w, r, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no configuration is known yet").After(h.startRetryAfter()))
+		h.rejectRequest(w, r, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no configuration is known yet").After(h.startRetryAfter()))
 		return
 	}
 	route := compiled.Table.Find(r.Host, r.URL.EscapedPath())
 	if route == nil {
-		h.turnAway(w, r, verdict.New(verdict.NotRun, verdict.CodeModelNotFound, "there is no such route"))
+		h.rejectRequest(w, r, verdict.New(verdict.NotRun, verdict.CodeModelNotFound, "there is no such route"))
 		return
 	}
 	caller, failure := h.authenticate(compiled, route, r)
 	if failure != nil {
-		h.turnAway(w, r, failure)
+		h.rejectRequest(w, r, failure)
 		return
 	}
 	attributes := h.Dialect.ReadCaller(r.Header)
-	deadline := arrived.Add(allowedTime(route, &attributes))
-	keeps := retained.NewHold(h.Retained)
-	defer keeps.Release()
-	body, failure := readBody(w, r, keeps, compiled.Limits.MaxBodyBytes, deadline.Sub(arrived))
+	deadline := arrived.Add(requestTimeout(route, &attributes))
+	reserved := retained.NewHold(h.Retained)
+	defer reserved.Release()
+	body, failure := readBody(w, r, reserved, compiled.Limits.MaxBodyBytes, deadline.Sub(arrived))
 	if failure != nil {
-		h.turnAway(w, r, failure)
+		h.rejectRequest(w, r, failure)
 		return
 	}
 	current := h.newExchange(w, r, compiled, route, body, &attributes)
 	current.arrived, current.deadline = arrived, deadline
-	current.credential, current.keyed, current.keeps = caller, compiled.Keyed(), keeps
-	current.takeContent()
+	current.credential, current.keyed, current.reserved = caller, compiled.Keyed(), reserved
+	current.recordFingerprint()
 	h.Log.Write(eventlog.RequestAccepted{
-		Request: current.id, Route: route.Name, Version: compiled.Version, Work: current.work,
+		Request: current.id, Route: route.Name, Version: compiled.Version, Work: current.model,
 		Left: current.deadline.Sub(arrived), Attempts: route.Attempts, Unread: strings.Join(attributes.Unread, ","),
 		Content: current.content.String(), Tenant: current.tenantName(),
 		Tokens: attributes.PromptTokens + attributes.MaxTokens,
@@ -167,29 +165,30 @@
 	current.run()
 }
 
-// readBody reads the whole body, whose size is bounded, until the request's deadline: a
-// caller that stops in its middle would hold the handler for as long as it stays. What is
-// read counts among the bytes that the node keeps.
-func readBody(w http.ResponseWriter, r *http.Request, keeps *retained.Hold, most int64, allowed time.Duration) ([]byte, *verdict.Error) {
+// readBody reads the whole body within the size bound and until the deadline of the request.
+// Without the deadline, a caller that stops in the middle of the body would occupy the handler for
+// as long as it stays connected. The bytes are reserved while they are held.
+func readBody(w http.ResponseWriter, r *http.Request, reserved *retained.Hold, maxBytes int64, timeout time.Duration) ([]byte, *verdict.Error) {
 	if r.Body == http.NoBody {
 		return nil, nil
 	}
-	if most <= 0 {
-		most = defaultMaxBody
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if r.ContentLength > most {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeRequestTooLarge, "the body is larger than %d bytes", most)
+	if r.ContentLength > maxBytes {
+		return nil, verdict.New(verdict.NotRun, verdict.CodeRequestTooLarge, "the body is larger than %d bytes", maxBytes)
 	}
 	connection := http.NewResponseController(w)
-	bounded := connection.SetReadDeadline(time.Now().Add(allowed)) == nil
-	body, whole, err := keeps.ReadAll(http.MaxBytesReader(w, r.Body, most), r.ContentLength)
-	if err == nil && !whole {
-		// The server would read on, to keep the connection.
+	bounded := connection.SetReadDeadline(time.Now().Add(timeout)) == nil
+	body, complete, err := reserved.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes), r.ContentLength)
+	if err == nil && !complete {
+		// Otherwise the server would read the rest of the body to reuse the connection.
 		w.Header().Set("Connection", "close")
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this node has no room for the body now").After(fullRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this node has no room for the body now").After(memoryFullRetryAfter)
 	}
 	if err == nil && bounded {
-		// Kept on an error: the server would wait for the rest of the body otherwise.
+		// After an error the read deadline stays: the server would otherwise wait for the rest of
+		// the body.
 		_ = connection.SetReadDeadline(time.Time{})
 	}
 	var tooLarge *http.MaxBytesError
@@ -197,39 +196,38 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, verdict.Wrap(err, verdict.NotRun, verdict.CodeDeadlineExceeded, "the body did not come in time")
 	case errors.As(err, &tooLarge):
-		return nil, verdict.New(verdict.NotRun, verdict.CodeRequestTooLarge, "the body is larger than %d bytes", most)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeRequestTooLarge, "the body is larger than %d bytes", maxBytes)
 	case err != nil:
 		return nil, verdict.Wrap(err, verdict.NotRun, verdict.CodeInvalidRequest, "the body was cut")
 	}
 	return body, nil
 }
 
-// newExchange gathers what is known of a request.
+// newExchange returns the exchange of a request.
 func (h *Handler) newExchange(w http.ResponseWriter, r *http.Request, compiled *catalog.Compiled, route *catalog.Route, body []byte, attributes *Attributes) *exchange {
 	id := attributes.RequestID
 	if id == "" {
 		id = h.NewID()
 	}
-	service := route.Pick(h.draw(route.Name))
+	service := route.Pick(h.splitPosition(route.Name))
 	return &exchange{
 		Handler: h, writer: w, request: r, route: route, attributes: *attributes, body: body, id: id,
-		header: endToEnd(r.Header), work: workOf(compiled.Service(service), service, attributes),
-		lastEvent: attributes.LastEventID,
+		header: endToEnd(r.Header), model: modelOf(compiled.Service(service), service, attributes),
+		lastEventID: attributes.LastEventID,
 	}
 }
 
-// draw returns numbers that are even over [0, 1) for each route, so that parts
-// of a split get their weights also over few requests.
-func (h *Handler) draw(route string) float64 {
-	counter, _ := h.draws.LoadOrStore(route, new(atomic.Uint64))
+// splitPosition returns successive numbers that are evenly spread over [0, 1) for each route, so
+// that the weights of a traffic split hold for a few requests too.
+func (h *Handler) splitPosition(route string) float64 {
+	counter, _ := h.splitCounters.LoadOrStore(route, new(atomic.Uint64))
 	n := counter.(*atomic.Uint64).Add(1)
 	_, fraction := math.Modf(float64(n) * (math.Sqrt(5) - 1) / 2)
 	return fraction
 }
 
-// allowedTime is the time that the request has: the caller's, bounded by the
-// route's.
-func allowedTime(route *catalog.Route, attributes *Attributes) time.Duration {
+// requestTimeout returns the time limit of the request: the caller's, bounded by the route's.
+func requestTimeout(route *catalog.Route, attributes *Attributes) time.Duration {
 	allowed := attributes.Deadline
 	if route.Timeout > 0 && (allowed == 0 || route.Timeout < allowed) {
 		allowed = route.Timeout
@@ -240,8 +238,9 @@
 	return allowed
 }
 
-// workOf names what must be loaded where the request runs.
-func workOf(service *catalog.Service, name string, attributes *Attributes) cluster.ModelID {
+// modelOf returns the ID of the service, model or adapter that a machine must have loaded to run
+// the request.
+func modelOf(service *catalog.Service, name string, attributes *Attributes) cluster.ModelID {
 	switch {
 	case service == nil || service.Engine == nil:
 		return catalog.ServiceID(name)
@@ -251,9 +250,8 @@
 	return catalog.AdapterID(name, attributes.Model, attributes.Adapter)
 }
 
-// chain returns the hashes of the prompt's beginnings, shortest first. The last
-// part belongs to the request alone, unless it is a session's.
-func chain(parts []PromptPart) []uint64 {
+// prefixHashes returns the hashes of the prompt prefixes that end after each part, shortest first.
+func prefixHashes(parts []PromptPart) []uint64 {
 	hashes := make([]uint64, 0, len(parts))
 	digest := xxhash.New()
 	var word [8]byte
@@ -267,8 +265,9 @@
 	return hashes
 }
 
-// lengths returns the tokens of the prompt's beginnings, shortest first.
-func lengths(parts []PromptPart) []int {
+// prefixTokens returns the token counts of the prompt prefixes that end after each part, shortest
+// first.
+func prefixTokens(parts []PromptPart) []int {
 	sums := make([]int, len(parts))
 	sum := 0
 	for i := range parts {
@@ -278,7 +277,7 @@
 	return sums
 }
 
-// splitList splits the value of a list field.
+// splitList splits the value of a list field at commas.
 func splitList(value string) []string {
 	parts := strings.Split(value, ",")
 	for i := range parts {
@@ -287,21 +286,21 @@
 	return parts
 }
 
-// returned reports whether the caller has tried before: it has less time left than the
-// route gives.
-func (e *exchange) returned() bool {
+// isRetry reports whether the caller has tried before: the caller has less time left than the
+// timeout of the route.
+func (e *exchange) isRetry() bool {
 	return e.attributes.Deadline > 0 && e.attributes.Deadline < e.route.Timeout
 }
 
-// routingRequest is the request as the core knows it.
+// routingRequest returns the request in the form that the router needs.
 func (e *exchange) routingRequest() routing.Request {
 	request := routing.Request{
-		ID: e.id, Model: e.work, TokenPath: "/", Priority: highestPriority - e.rank(),
+		ID: e.id, Model: e.model, TokenPath: "/", Priority: highestPriority - e.rank(),
 		Deadline: e.deadline, Objective: e.route.Objective,
-		Patience: e.route.Patience, Returned: e.returned(), Repeatable: e.route.Repeatable(), BodyBytes: int64(len(e.body)),
+		Patience: e.route.Patience, Returned: e.isRetry(), Repeatable: e.route.Repeatable(), BodyBytes: int64(len(e.body)),
 		PromptTokens: e.attributes.PromptTokens, MaxTokens: e.attributes.MaxTokens,
 		LengthHint: e.attributes.LengthHint, LongestPause: e.route.LongestPause,
-		Attempts: max(e.route.Attempts, 1), Resumable: e.route.Resumable, Content: e.content, Caller: e.caller(),
+		Attempts: max(e.route.Attempts, 1), Resumable: e.route.Resumable, Content: e.content, Caller: e.callerHash(),
 	}
 	request.Credential, request.Public = e.credential.hash, e.route.Public
 	if tenant := e.credential.tenant; tenant != nil {
@@ -309,7 +308,7 @@
 	}
 	if len(e.attributes.Parts) > 1 {
 		shared := e.attributes.Parts[:len(e.attributes.Parts)-1]
-		request.Prefixes, request.PrefixTokens = chain(shared), lengths(shared)
+		request.Prefixes, request.PrefixTokens = prefixHashes(shared), prefixTokens(shared)
 	}
 	return request
 }
--- a/passthrough/log_test.go
+++ b/passthrough/log_test.go
@@ -16,15 +16,15 @@
 	"github.com/valveslip/valveslip/routing"
 )
 
-// testDialect reads the request's id only.
+// testDialect reads only the ID of the request.
 type testDialect struct{ Dialect }
 
 func (testDialect) ReadCaller(header http.Header) Attributes {
 	return Attributes{RequestID: cluster.RequestID(header.Get("Id"))}
 }
 
-// logged returns what is logged while a handler is used.
-func logged(use func(h *Handler)) string {
+// captureLog returns the log output of a handler.
+func captureLog(use func(h *Handler)) string {
 	var text bytes.Buffer
 	log := eventlog.New(&text, eventlog.Options{})
 	use(NewHandler(Config{Log: log, Dialect: testDialect{}}))
@@ -32,13 +32,13 @@
 	return text.String()
 }
 
-// brokenBody ends in its middle.
+// brokenBody is a request body that ends early.
 type brokenBody struct{}
 
 func (brokenBody) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// TestRefusalBeforeAcceptanceIsLogged: a request without a configuration or route, or
-// whose body was cut, has a line with the cause.
+// TestRefusalBeforeAcceptanceIsLogged: a request without a configuration or a route, or with a
+// truncated body, gets one log line with the cause.
 func TestRefusalBeforeAcceptanceIsLogged(t *testing.T) {
 	routes, err := catalog.Configuration{
 		Routes:   []catalog.Route{{Name: "r", Host: "h", PathPrefix: "/r/", Timeout: time.Minute, Targets: []catalog.Target{{Service: "s", Weight: 1}}}},
@@ -56,10 +56,10 @@
 	}{
 		{"no configuration", nil, "/r/", http.StatusServiceUnavailable, `code=unavailable cause="no configuration is known yet"`},
 		{"no route", routes, "/x/", http.StatusNotFound, `code=model_not_found cause="there is no such route"`},
-		{"a cut body", routes, "/r/", http.StatusBadRequest, `code=invalid_request cause="the body was cut: unexpected EOF"`},
+		{"truncated body", routes, "/r/", http.StatusBadRequest, `code=invalid_request cause="the body was cut: unexpected EOF"`},
 	} {
 		recorder := httptest.NewRecorder()
-		text := logged(func(h *Handler) {
+		text := captureLog(func(h *Handler) {
 			h.Catalog = func() *catalog.Compiled { return c.compiled }
 			request := httptest.NewRequest(http.MethodPost, "http://h"+c.path, brokenBody{})
 			request.Header.Set("Id", "a")
@@ -74,45 +74,45 @@
 	}
 }
 
-// untakingWriter is a caller who is gone when the answer is sent.
-type untakingWriter struct{ *httptest.ResponseRecorder }
+// failingWriter is the connection of a caller that has left when the answer is sent.
+type failingWriter struct{ *httptest.ResponseRecorder }
 
-func (untakingWriter) Write([]byte) (int, error) { return 0, errors.New("connection reset") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("connection reset") }
 
-// TestUntakenAnswerIsLogged: the end of a request says that its caller did not take the
-// machine's whole answer, and nothing of it when the caller did.
-func TestUntakenAnswerIsLogged(t *testing.T) {
-	for _, taken := range []bool{true, false} {
-		text := logged(func(h *Handler) {
+// TestFailedWriteToCallerIsLogged: the log line at the end of a request states that the caller did
+// not receive the complete answer, and only then.
+func TestFailedWriteToCallerIsLogged(t *testing.T) {
+	for _, written := range []bool{true, false} {
+		text := captureLog(func(h *Handler) {
 			var writer http.ResponseWriter = httptest.NewRecorder()
-			if !taken {
-				writer = untakingWriter{httptest.NewRecorder()}
+			if !written {
+				writer = failingWriter{httptest.NewRecorder()}
 			}
 			current := &exchange{
 				Handler: h, writer: writer, request: httptest.NewRequest(http.MethodPost, "/", nil),
-				held: &answer{status: http.StatusOK, header: http.Header{}, body: []byte("whole")},
+				buffered: &machineAnswer{status: http.StatusOK, header: http.Header{}, body: []byte("whole")},
 			}
 			current.end(nil, routing.Explanation{})
 		})
-		if said := strings.Contains(text, `untaken="connection reset"`); said == taken {
-			t.Errorf("taken %t: log %q", taken, text)
+		if logged := strings.Contains(text, `untaken="connection reset"`); logged == written {
+			t.Errorf("answer written %t: log %q", written, text)
 		}
 	}
 }
 
-// TestLongestPauseIsLoggedWithItsTime: the end of a stream says how long its longest pause
-// was and when it ended, so that what else its machine did then can be found.
+// TestLongestPauseIsLoggedWithItsTime: the log line at the end of a stream states the longest
+// pause and when it ended, so that it can be compared with other events on the machine.
 func TestLongestPauseIsLoggedWithItsTime(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	at := arrived
-	text := logged(func(h *Handler) {
+	text := captureLog(func(h *Handler) {
 		h.now = func() time.Time { return at }
 		stream := &attempt{exchange: &exchange{
-			Handler: h, writer: httptest.NewRecorder(), request: httptest.NewRequest(http.MethodPost, "/", nil), arrived: arrived, started: true,
+			Handler: h, writer: httptest.NewRecorder(), request: httptest.NewRequest(http.MethodPost, "/", nil), arrived: arrived, headSent: true,
 		}}
 		for _, event := range []time.Duration{100, 150, 950, 1000, 1300} {
 			at = arrived.Add(event * time.Millisecond)
-			stream.notePause()
+			stream.recordPause()
 		}
 		stream.end(nil, routing.Explanation{})
 	})
--- a/passthrough/metrics.go
+++ b/passthrough/metrics.go
@@ -8,36 +8,36 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Metrics counts what became of requests.
+// Metrics counts the outcomes of requests.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	total    prometheus.Histogram
-	queued   prometheus.Histogram
-	firstly  prometheus.Histogram
+	requests  *prometheus.CounterVec
+	attempts  *prometheus.CounterVec
+	total     prometheus.Histogram
+	queued    prometheus.Histogram
+	firstByte prometheus.Histogram
 }
 
-// stageBuckets reach from a short wait to the longest deadlines.
+// stageBuckets range from a short wait to the longest deadlines.
 var stageBuckets = []float64{.005, .02, .05, .1, .15, .3, .6, 1, 1.5, 3, 6, 12, 25}
 
-// NewMetrics returns metrics that are registered with a registry.
+// NewMetrics returns metrics that are registered with the given registry.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	histogram := func(name, help string) prometheus.Histogram {
 		return prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: stageBuckets})
 	}
 	metrics := &Metrics{
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "valveslip_route_requests_total", Help: "Requests of routes by outcome."}, []string{"code"}),
-		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "valveslip_route_failed_attempts_total", Help: "Failed attempts by class and verdict."}, []string{"code", "verdict"}),
-		total:    histogram("valveslip_route_request_seconds", "Time of requests of routes."),
-		queued:   histogram("valveslip_route_queue_seconds", "Time that requests of routes waited."),
-		firstly:  histogram("valveslip_route_first_byte_seconds", "Time to the first byte of an answer."),
+		requests:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "valveslip_route_requests_total", Help: "Requests of routes by outcome."}, []string{"code"}),
+		attempts:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "valveslip_route_failed_attempts_total", Help: "Failed attempts by class and verdict."}, []string{"code", "verdict"}),
+		total:     histogram("valveslip_route_request_seconds", "Time of requests of routes."),
+		queued:    histogram("valveslip_route_queue_seconds", "Time that requests of routes waited."),
+		firstByte: histogram("valveslip_route_first_byte_seconds", "Time to the first byte of an answer."),
 	}
-	registry.MustRegister(metrics.requests, metrics.attempts, metrics.total, metrics.queued, metrics.firstly)
+	registry.MustRegister(metrics.requests, metrics.attempts, metrics.total, metrics.queued, metrics.firstByte)
 	return metrics
 }
 
-// ended counts a request. A nil receiver counts nothing.
-func (m *Metrics) ended(code string, took, waited, first time.Duration) {
+// requestEnded counts a request. It does nothing on a nil receiver.
+func (m *Metrics) requestEnded(code string, took, waited, first time.Duration) {
 	if m == nil {
 		return
 	}
@@ -45,11 +45,11 @@
 	m.total.Observe(took.Seconds())
 	m.queued.Observe(waited.Seconds())
 	if first > 0 {
-		m.firstly.Observe(first.Seconds())
+		m.firstByte.Observe(first.Seconds())
 	}
 }
 
-// attemptFailed counts a failed attempt.
+// attemptFailed counts a failed attempt. It does nothing on a nil receiver.
 func (m *Metrics) attemptFailed(failure *verdict.Error) {
 	if m != nil {
 		m.attempts.WithLabelValues(string(failure.Code), failure.Verdict.String()).Inc()
--- a/passthrough/overload_test.go
+++ b/passthrough/overload_test.go
@@ -9,9 +9,9 @@
 	"github.com/valveslip/valveslip/catalog"
 )
 
-// TestLateNodeSendsCallersElsewhere: while the process works too late a request is refused at
-// once as not run, before anything of it is read or decided, with the time to come back.
-func TestLateNodeSendsCallersElsewhere(t *testing.T) {
+// TestOverloadedNodeRefusesRequests: while the process runs too late, a request is refused as not
+// run before any of it is read or decided, with a Retry-After.
+func TestOverloadedNodeRefusesRequests(t *testing.T) {
 	compiled, err := catalog.Configuration{}.Compile()
 	if err != nil {
 		t.Fatal(err)
@@ -23,17 +23,17 @@
 		recorder := httptest.NewRecorder()
 		h.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "http://h/r/", nil))
 		if recorder.Code != status {
-			t.Errorf("may be taken %t: status %d, want %d", may, recorder.Code, status)
+			t.Errorf("MayTake %t: status %d, want %d", may, recorder.Code, status)
 		}
 		if refused := status == http.StatusServiceUnavailable; refused != (recorder.Header().Get("Retry-After") == "0.050") {
-			t.Errorf("may be taken %t: come back after %q", may, recorder.Header().Get("Retry-After"))
+			t.Errorf("MayTake %t: Retry-After %q", may, recorder.Header().Get("Retry-After"))
 		}
 	}
 }
 
-// TestRequestsUnderWayAreBounded: what a node has no room for is refused at once, and taken
-// again when others have ended.
-func TestRequestsUnderWayAreBounded(t *testing.T) {
+// TestActiveRequestsAreBounded: a request above the bound is refused at once, and requests are
+// accepted again when others have ended.
+func TestActiveRequestsAreBounded(t *testing.T) {
 	compiled, err := catalog.Configuration{}.Compile()
 	if err != nil {
 		t.Fatal(err)
@@ -53,15 +53,15 @@
 	go func() { first <- serve() }()
 	<-entered
 	if status := serve(); status != http.StatusServiceUnavailable {
-		t.Errorf("a second one gets %d", status)
+		t.Errorf("second request: status %d, want 503", status)
 	}
 	close(leave)
 	if status := <-first; status != http.StatusNotFound {
-		t.Errorf("the first one gets %d", status)
+		t.Errorf("first request: status %d, want 404", status)
 	}
 	go func() { first <- serve() }()
 	<-entered
 	if status := <-first; status != http.StatusNotFound {
-		t.Errorf("one after that gets %d", status)
+		t.Errorf("request after the first has ended: status %d, want 404", status)
 	}
 }
--- a/passthrough/refusal.go
+++ b/passthrough/refusal.go
@@ -10,18 +10,18 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// minRetryAfter is the shortest wait that a refused caller is told.
+// minRetryAfter is the shortest Retry-After of a refusal.
 const minRetryAfter = 50 * time.Millisecond
 
-// refusalBody is the body of an answer that no machine gave.
+// refusalBody is the body of an answer that comes from the node, not from a machine.
 type refusalBody struct {
 	Code    verdict.Code `json:"code"`
 	Verdict string       `json:"verdict"`
 	Message string       `json:"message"`
 }
 
-// refuse answers a request at once with why it was given up, and when to come back if it
-// did not run or found no place.
+// refuse answers a request with the failure and returns the status. It sets Retry-After if the
+// request did not run or no machine had capacity in time.
 func (h *Handler) refuse(w http.ResponseWriter, failure *verdict.Error) int {
 	status := statusOf(failure)
 	body, err := json.Marshal(refusalBody{Code: failure.Code, Verdict: failure.Verdict.String(), Message: failure.Message})
@@ -29,7 +29,7 @@
 		body = nil
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || foundNoPlace(failure.Code) {
+	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || isCapacityFailure(failure.Code) {
 		wait := max(failure.RetryAfter, minRetryAfter)
 		w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	}
@@ -38,17 +38,17 @@
 	return status
 }
 
-// turnAway refuses a request that was not accepted.
-func (h *Handler) turnAway(w http.ResponseWriter, r *http.Request, failure *verdict.Error) {
+// rejectRequest refuses a request that was not accepted, and logs it.
+func (h *Handler) rejectRequest(w http.ResponseWriter, r *http.Request, failure *verdict.Error) {
 	status := h.refuse(w, failure)
 	h.Log.Write(eventlog.RequestRefused{
 		Request: h.Dialect.ReadCaller(r.Header).RequestID, Status: status, Code: string(failure.Code), Cause: failure.Reason(),
 	})
 }
 
-// foundNoPlace reports whether the request was given up since no machine would take it in
-// time; a repetition before the time told would fare no better.
-func foundNoPlace(code verdict.Code) bool {
+// isCapacityFailure reports whether the request failed because no machine had capacity in time. A
+// retry before Retry-After would fail too.
+func isCapacityFailure(code verdict.Code) bool {
 	switch code {
 	case verdict.CodeQueueFull, verdict.CodeQueueTimeout, verdict.CodeDeadlineUnmeetable:
 		return true
@@ -56,8 +56,8 @@
 	return false
 }
 
-// statusOf maps a failure to a status. 503 and 429 promise that nothing ran and nothing
-// will; after anything that may have run the answer is 502 or 504.
+// statusOf returns the HTTP status for a failure. 503 and 429 promise that the request did not run
+// and will not. If it may have run, the status is 502 or 504.
 func statusOf(failure *verdict.Error) int {
 	if failure.Verdict != verdict.NotRun {
 		if failure.Code == verdict.CodeDeadlineExceeded {
--- a/passthrough/stall.go
+++ b/passthrough/stall.go
@@ -8,13 +8,13 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// StalledError is the cause of a failed write to a caller who took nothing of an answer for
-// too long, or for as long as the node had room to wait. A listener's connections return it.
+// StalledError is the cause of a failed write to a caller that stopped reading the answer for too
+// long, or until the node had no memory left to wait. The connections of a listener return it.
 type StalledError struct {
-	// Waiting is how many bytes of the answer were not taken, For how long.
+	// Waiting is the number of unread bytes of the answer, For how long the caller has not read.
 	Waiting int64
 	For     time.Duration
-	// Full is set when the node keeps too many bytes to wait longer.
+	// Full is true if the node holds too many bytes to wait longer.
 	Full bool
 }
 
@@ -27,12 +27,12 @@
 	return text
 }
 
-// stallOf classifies a failed write to a caller who was left for taking nothing, nil for any
-// other.
-func stallOf(err error) *verdict.Error {
+// stallError returns the failure for a write that failed with a StalledError, and nil for any
+// other error.
+func stallError(err error) *verdict.Error {
 	var stalled *StalledError
 	if !errors.As(err, &stalled) {
 		return nil
 	}
-	return verdict.Wrap(errors.Join(errCaller, err), verdict.Ran, verdict.CodeCallerStalled, stalled.Error())
+	return verdict.Wrap(errors.Join(errCallerSide, err), verdict.Ran, verdict.CodeCallerStalled, stalled.Error())
 }
--- a/passthrough/start.go
+++ b/passthrough/start.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// longestStartWait bounds the wait of a caller who came before the first configuration
-	// was known: twice what 75 nodes of a fifth of a core take that start together and read
-	// 100 KB each over 10 Mbit/s (150 ms in the middle, 170 ms for 95 of 100). One sent back
-	// returns after 300 ms at the soonest, and callers of some routes return but once.
-	longestStartWait = 300 * time.Millisecond
-	// startWaitShare of a caller's deadline is waited at most, so that one who is sent back
-	// has time to be served elsewhere.
-	startWaitShare = 4
-	// leastStartRetry and longestStartRetry bound when a caller should come back who came
-	// before the first configuration did: where all nodes start, another one is no further.
-	leastStartRetry   = 300 * time.Millisecond
-	longestStartRetry = 5 * time.Second
-	// mostStartWaits is how many callers wait at a time: 16 KB each, their bodies unread.
-	mostStartWaits = 512
+	// maxStartWait bounds the wait of a caller for the first configuration: twice the time in
+	// which 75 nodes with a fifth of a core, started together, read 100 KB each over 10 Mbit/s
+	// (median 150 ms, 95th percentile 170 ms). A refused caller retries after 300 ms at the
+	// earliest, and the callers of some routes retry only once.
+	maxStartWait = 300 * time.Millisecond
+	// startWaitDivisor limits the wait to this fraction of the caller's deadline, so that a
+	// refused caller has time to be served elsewhere.
+	startWaitDivisor = 4
+	// minStartRetry and maxStartRetry bound the Retry-After before the first configuration. When
+	// all nodes start at the same time, no other node can serve the caller earlier.
+	minStartRetry = 300 * time.Millisecond
+	maxStartRetry = 5 * time.Second
+	// maxStartWaiters bounds the callers that wait at the same time. Each takes 16 KB; its body is
+	// not read yet.
+	maxStartWaiters = 512
 )
 
-// knownCatalog returns the configuration in force. Before the first one is known the caller
-// waits for it a little; nil is for one who came too early.
-func (h *Handler) knownCatalog(r *http.Request) *catalog.Compiled {
+// awaitCatalog returns the current configuration. It waits for the first one for at most
+// startWait, and returns nil if none is known by then.
+func (h *Handler) awaitCatalog(r *http.Request) *catalog.Compiled {
 	if compiled := h.Catalog(); compiled != nil || h.Known == nil {
 		return compiled
 	}
-	if h.startWaits.Add(1) > mostStartWaits {
-		h.startWaits.Add(-1)
+	if h.startWaiters.Add(1) > maxStartWaiters {
+		h.startWaiters.Add(-1)
 		return nil
 	}
-	defer h.startWaits.Add(-1)
+	defer h.startWaiters.Add(-1)
 	timer := time.NewTimer(h.startWait(r.Header))
 	defer timer.Stop()
 	select {
@@ -45,18 +46,18 @@
 	return h.Catalog()
 }
 
-// startRetryAfter is when a caller should come back who came too early. A start that has
-// lasted for a while is expected to last as long again: callers who were told the least time
-// whatever the start took came back too early once more, and many return but once.
+// startRetryAfter returns the Retry-After before the first configuration. It expects the start to
+// take as long again as it has taken so far. With a fixed minimum, callers came back too early a
+// second time, and many callers retry only once.
 func (h *Handler) startRetryAfter() time.Duration {
-	return min(max(h.now().Sub(h.began), leastStartRetry), longestStartRetry)
+	return min(max(h.now().Sub(h.createdAt), minStartRetry), maxStartRetry)
 }
 
-// startWait is how long a caller waits at most.
+// startWait returns how long a caller may wait for the first configuration.
 func (h *Handler) startWait(header http.Header) time.Duration {
 	deadline := h.Dialect.ReadCaller(header).Deadline
 	if deadline <= 0 {
-		return longestStartWait
+		return maxStartWait
 	}
-	return min(deadline/startWaitShare, longestStartWait)
+	return min(deadline/startWaitDivisor, maxStartWait)
 }
--- a/passthrough/start_test.go
+++ b/passthrough/start_test.go
@@ -13,7 +13,7 @@
 	"github.com/valveslip/valveslip/catalog"
 )
 
-// deadlineDialect reads a caller's deadline.
+// deadlineDialect reads only the deadline of the caller.
 type deadlineDialect struct{ testDialect }
 
 func (deadlineDialect) ReadCaller(header http.Header) Attributes {
@@ -21,11 +21,11 @@
 	return Attributes{Deadline: deadline}
 }
 
-// TestCallersWaitForTheFirstConfiguration: after all nodes lost power, 39 and 47 callers of a
-// day were sent back in the 150 ms between the first connection and the first reading of the
-// store; some could come back once only, and were refused then for other causes. They wait
-// for the configuration now, for a bounded time.
-func TestCallersWaitForTheFirstConfiguration(t *testing.T) {
+// TestCallersWaitForFirstConfiguration: after all nodes had lost power, 39 and 47 callers of a
+// simulated day were refused in the 150 ms between the first connection and the first read of the
+// store. Some of them could retry only once and were then refused for another reason. Callers must
+// wait for the configuration, for a bounded time.
+func TestCallersWaitForFirstConfiguration(t *testing.T) {
 	compiled, err := catalog.Configuration{}.Compile()
 	if err != nil {
 		t.Fatal(err)
@@ -33,13 +33,13 @@
 	for _, c := range []struct {
 		name     string
 		deadline string
-		// after is when the configuration becomes known, ended when the caller has an answer.
+		// after is when the configuration becomes known, ended when the caller gets an answer.
 		after, ended time.Duration
 		status       int
 	}{
-		{"it becomes known", "", 150 * time.Millisecond, 150 * time.Millisecond, http.StatusNotFound},
-		{"it does not", "", time.Second, longestStartWait, http.StatusServiceUnavailable},
-		{"the caller has little time", "400ms", time.Second, 100 * time.Millisecond, http.StatusServiceUnavailable},
+		{"configuration becomes known", "", 150 * time.Millisecond, 150 * time.Millisecond, http.StatusNotFound},
+		{"configuration stays unknown", "", time.Second, maxStartWait, http.StatusServiceUnavailable},
+		{"caller has a short deadline", "400ms", time.Second, 100 * time.Millisecond, http.StatusServiceUnavailable},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var known atomic.Pointer[catalog.Compiled]
@@ -61,13 +61,13 @@
 	}
 }
 
-// TestLongStartSendsCallersBackForLonger: a caller who comes before the first configuration is
-// told to come back after as long as the start has lasted, within bounds. When nodes read
-// 30,000 entries after a loss of power, of 142 requests in two seconds 67 were refused, most
-// of them twice: each had been told 0.3 s.
-func TestLongStartSendsCallersBackForLonger(t *testing.T) {
-	for after, told := range map[time.Duration]time.Duration{
-		0: leastStartRetry, 700 * time.Millisecond: time.Second, time.Minute: longestStartRetry,
+// TestRetryAfterGrowsWithStartDuration: before the first configuration, Retry-After is the
+// duration of the start so far, within bounds. When nodes read 30,000 entries after a power loss,
+// 67 of 142 requests in two seconds were refused, most of them twice, because each was told to
+// retry after 0.3 s.
+func TestRetryAfterGrowsWithStartDuration(t *testing.T) {
+	for after, want := range map[time.Duration]time.Duration{
+		0: minStartRetry, 700 * time.Millisecond: time.Second, time.Minute: maxStartRetry,
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			h := NewHandler(Config{Dialect: deadlineDialect{}, Catalog: func() *catalog.Compiled { return nil }, Known: make(chan struct{})})
@@ -75,23 +75,23 @@
 			recorder := httptest.NewRecorder()
 			h.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "http://h/r/", nil))
 			seconds, err := strconv.ParseFloat(recorder.Header().Get("Retry-After"), 64)
-			if got := time.Duration(seconds * float64(time.Second)); err != nil || got < told-time.Millisecond || got > told+time.Millisecond {
-				t.Errorf("after %s: told %q, want %s", after, recorder.Header().Get("Retry-After"), told)
+			if got := time.Duration(seconds * float64(time.Second)); err != nil || got < want-time.Millisecond || got > want+time.Millisecond {
+				t.Errorf("start took %s: Retry-After %q, want %s", after, recorder.Header().Get("Retry-After"), want)
 			}
 		})
 	}
 }
 
-// TestFewCallersWaitForTheFirstConfiguration: a flood in the first moments takes a bounded
-// part of the memory; the callers beyond it are sent back at once.
-func TestFewCallersWaitForTheFirstConfiguration(t *testing.T) {
+// TestStartWaitersAreBounded: a flood of callers before the first configuration takes a bounded
+// amount of memory. Callers above the bound are refused at once.
+func TestStartWaitersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHandler(Config{
 			Dialect: deadlineDialect{}, Catalog: func() *catalog.Compiled { return nil }, Known: make(chan struct{}),
 		})
 		var waited, atOnce atomic.Int64
 		var callers sync.WaitGroup
-		for range mostStartWaits + 20 {
+		for range maxStartWaiters + 20 {
 			callers.Go(func() {
 				began := time.Now()
 				h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "http://h/r/", nil))
@@ -103,8 +103,8 @@
 			})
 		}
 		callers.Wait()
-		if waited.Load() != mostStartWaits || atOnce.Load() != 20 {
-			t.Errorf("%d waited, %d were sent back at once", waited.Load(), atOnce.Load())
+		if waited.Load() != maxStartWaiters || atOnce.Load() != 20 {
+			t.Errorf("%d callers waited and %d were refused at once", waited.Load(), atOnce.Load())
 		}
 	})
 }
--- a/passthrough/stream.go
+++ b/passthrough/stream.go
@@ -13,147 +13,147 @@
 )
 
 const (
-	readBytes = 8 << 10
-	// maxEvent bounds one event of a stream.
-	maxEvent = 1 << 20
-	// uncountedEvent is up to which size the beginning of an event is not counted among the
-	// bytes that the node keeps: as much as each connection's buffers have room for.
-	uncountedEvent = readBytes
+	readBufferBytes = 8 << 10
+	// maxEventBytes bounds one event of a stream.
+	maxEventBytes = 1 << 20
+	// uncountedEventBytes is the size up to which an incomplete event is not reserved: it fits the
+	// buffers that each connection has anyway.
+	uncountedEventBytes = readBufferBytes
 )
 
-var readBuffers = sync.Pool{New: func() any { buffer := make([]byte, readBytes); return &buffer }}
+var readBuffers = sync.Pool{New: func() any { buffer := make([]byte, readBufferBytes); return &buffer }}
 
-// The parts of a stream that are looked for.
+// Delimiters and fields of the event stream format.
 var (
-	eventEnd        = []byte("\n\n")
-	eventEndReturns = []byte("\r\n\r\n")
-	idField         = []byte("id:")
+	eventEnd     = []byte("\n\n")
+	eventEndCRLF = []byte("\r\n\r\n")
+	idField      = []byte("id:")
 )
 
-// stream relays a series of events, each as soon as it is whole. What is left of
-// an event when the stream is cut is dropped; a resumable stream is continued
-// after the last whole event.
-func (a *attempt) stream(response *http.Response) *verdict.Error {
+// relayStream relays the events of a stream, each as soon as it is complete. An incomplete event
+// at the end of a broken stream is dropped; a resumable stream continues after the last complete
+// event.
+func (a *attempt) relayStream(response *http.Response) *verdict.Error {
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
 	var pending []byte
-	resumed := a.started
+	resumed := a.headSent
 	for {
-		a.watchdog.wait(a.nextPatience())
+		a.watchdog.restart(a.nextByteTimeout())
 		n, err := response.Body.Read(*buffer)
 		a.watchdog.pause()
 		pending = append(pending, (*buffer)[:n]...)
-		rest, failure := a.passEvents(response, pending, resumed)
+		rest, failure := a.relayEvents(response, pending, resumed)
 		if failure != nil {
 			return failure
 		}
 		pending = append(pending[:0], rest...)
-		if !a.keepEvent(len(pending)) {
+		if !a.reserveEvent(len(pending)) {
 			return verdict.New(verdict.Ran, verdict.CodeUnavailable, "the node keeps too many bytes to wait for the end of an event")
 		}
 		switch {
 		case err == io.EOF && len(bytes.TrimSpace(pending)) == 0:
-			a.begin(response)
+			a.sendHead(response)
 			return nil
 		case err != nil:
-			a.noteBreak(err)
+			a.recordConnectionBreak(err)
 			return verdict.Wrap(err, verdict.Ran, verdict.CodeStreamCut, "the stream was cut")
-		case len(pending) > maxEvent:
-			return verdict.New(verdict.Ran, verdict.CodeEngineFailed, "an event is larger than %d bytes", maxEvent)
+		case len(pending) > maxEventBytes:
+			return verdict.New(verdict.Ran, verdict.CodeEngineFailed, "an event is larger than %d bytes", maxEventBytes)
 		}
 	}
 }
 
-// keepEvent counts the beginning of a long event among what the node keeps, or reports that
-// it would be too much.
-func (a *attempt) keepEvent(length int) bool {
-	wanted := max(int64(length-uncountedEvent), 0)
+// reserveEvent adjusts the reservation for a long incomplete event. It returns false if the node
+// holds too many bytes.
+func (a *attempt) reserveEvent(length int) bool {
+	wanted := max(int64(length-uncountedEventBytes), 0)
 	switch {
-	case wanted > a.event:
-		if !a.keeps.Grow(wanted - a.event) {
+	case wanted > a.countedEventBytes:
+		if !a.reserved.Grow(wanted - a.countedEventBytes) {
 			return false
 		}
-	case wanted < a.event:
-		a.keeps.Shrink(a.event - wanted)
+	case wanted < a.countedEventBytes:
+		a.reserved.Shrink(a.countedEventBytes - wanted)
 	}
-	a.event = wanted
+	a.countedEventBytes = wanted
 	return true
 }
 
-// begin sends the head of the first machine's answer, once.
-func (a *attempt) begin(response *http.Response) {
-	if a.started {
+// sendHead sends the head of the answer, unless an earlier attempt has sent it.
+func (a *attempt) sendHead(response *http.Response) {
+	if a.headSent {
 		return
 	}
 	a.Decider.Report(routing.FirstByteSent{Request: a.id})
 	a.writeHead(response.StatusCode, response.Header, -1)
 }
 
-// passEvents sends the whole events at the beginning of data and returns what is
-// left. Of a continued stream, events that the caller has already are dropped.
-func (a *attempt) passEvents(response *http.Response, data []byte, resumed bool) ([]byte, *verdict.Error) {
+// relayEvents sends the complete events at the start of data and returns the rest. In a resumed
+// stream, it drops events that the caller already has.
+func (a *attempt) relayEvents(response *http.Response, data []byte, resumed bool) ([]byte, *verdict.Error) {
 	rest := data
-	// passed is the beginning of data until an event is left out.
-	passed, whole := data[:0], true
+	// relayed is a prefix of data until an event is dropped, and a copy from then on.
+	relayed, contiguous := data[:0], true
 	for {
-		end := endOfEvent(rest)
+		end := eventLength(rest)
 		if end == 0 {
 			break
 		}
 		event := rest[:end]
 		rest = rest[end:]
 		id, stated := eventID(event)
-		if resumed && stated && !follows(id, a.lastEvent) {
-			if whole {
-				passed, whole = slices.Clone(passed), false
+		if resumed && stated && !isAfter(id, a.lastEventID) {
+			if contiguous {
+				relayed, contiguous = slices.Clone(relayed), false
 			}
 			continue
 		}
 		if stated {
-			a.lastEvent = id
+			a.lastEventID = id
 		}
-		if whole {
-			passed = data[:len(data)-len(rest)]
+		if contiguous {
+			relayed = data[:len(data)-len(rest)]
 		} else {
-			passed = append(passed, event...)
+			relayed = append(relayed, event...)
 		}
 	}
-	if len(passed) == 0 {
+	if len(relayed) == 0 {
 		return rest, nil
 	}
-	a.begin(response)
-	a.notePause()
-	if _, err := a.writer.Write(passed); err != nil {
-		return rest, a.callerFailed(err)
+	a.sendHead(response)
+	a.recordPause()
+	if _, err := a.writer.Write(relayed); err != nil {
+		return rest, a.classifyWriteError(err)
 	}
 	if err := http.NewResponseController(a.writer).Flush(); err != nil {
-		return rest, a.callerFailed(err)
+		return rest, a.classifyWriteError(err)
 	}
 	return rest, nil
 }
 
-// notePause measures the time since events were last sent.
-func (a *attempt) notePause() {
+// recordPause updates the longest pause between two sends of events.
+func (a *attempt) recordPause() {
 	now := a.now()
-	if pause := now.Sub(a.passed); !a.passed.IsZero() && pause > a.pause {
-		a.pause, a.pauseEnd = pause, now.Sub(a.arrived)
+	if pause := now.Sub(a.eventsSentAt); !a.eventsSentAt.IsZero() && pause > a.longestPause {
+		a.longestPause, a.longestPauseEnd = pause, now.Sub(a.arrived)
 	}
-	a.passed = now
+	a.eventsSentAt = now
 }
 
-// endOfEvent returns the length of the first whole event, zero without one.
-func endOfEvent(data []byte) int {
+// eventLength returns the length of the first complete event with its delimiter, zero without one.
+func eventLength(data []byte) int {
 	end := 0
 	if at := bytes.Index(data, eventEnd); at >= 0 {
 		end = at + len(eventEnd)
 	}
-	if at := bytes.Index(data, eventEndReturns); at >= 0 && (end == 0 || at < end) {
-		end = at + len(eventEndReturns)
+	if at := bytes.Index(data, eventEndCRLF); at >= 0 && (end == 0 || at < end) {
+		end = at + len(eventEndCRLF)
 	}
 	return end
 }
 
-// eventID returns the identifier of an event.
+// eventID returns the ID of an event and whether it has one.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		if value, found := bytes.CutPrefix(line, idField); found {
@@ -163,9 +163,8 @@
 	return "", false
 }
 
-// follows reports whether an event comes after another, by their numbers.
-// Identifiers that are no numbers are taken to follow.
-func follows(id, last string) bool {
+// isAfter reports whether the event id comes after last. IDs that are not numbers count as later.
+func isAfter(id, last string) bool {
 	number, err := strconv.ParseUint(id, 10, 64)
 	before, lastErr := strconv.ParseUint(last, 10, 64)
 	return err != nil || lastErr != nil || number > before
--- a/passthrough/types.go
+++ b/passthrough/types.go
@@ -9,92 +9,92 @@
 	"github.com/valveslip/valveslip/routing"
 )
 
-// PromptPart is a part of a prompt that requests may share.
+// PromptPart is a part of a prompt that several requests may share.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Attributes is what a caller's header fields state. Zero values mean that a
-// field is missing or can't be read.
+// Attributes holds what the header fields of a caller state. A zero value means that the field is
+// missing or invalid.
 type Attributes struct {
 	RequestID cluster.RequestID
-	// Deadline is how long the caller will wait.
+	// Deadline is how long the caller waits, counted from the arrival.
 	Deadline time.Duration
-	// Model and the Adapter of it that the request is for.
+	// Model is the model of the request, Adapter the adapter of that model, if any.
 	Model, Adapter string
-	// PromptTokens and MaxTokens of the request; LengthHint is the caller's
-	// estimate of the tokens that will be generated.
+	// PromptTokens is the size of the prompt, MaxTokens the bound on generated tokens, and
+	// LengthHint the caller's estimate of them.
 	PromptTokens, MaxTokens, LengthHint int
-	// Parts of the prompt, in order.
+	// Parts are the parts of the prompt, in order.
 	Parts []PromptPart
-	// LastEventID is the event after which a stream is to be continued.
+	// LastEventID is the event after which a stream is to be resumed.
 	LastEventID string
-	// Unread names the fields that can't be read.
+	// Unread names the invalid fields.
 	Unread []string
 }
 
-// Forward is what a machine is told besides the caller's own fields.
+// Forward is what a machine is told in addition to the caller's own fields.
 type Forward struct {
-	// Machine that the request is meant for.
+	// Machine is the machine that the request is meant for.
 	Machine cluster.MachineID
-	// Remaining time until the request must have ended.
+	// Remaining is the time until the deadline of the request.
 	Remaining time.Duration
-	// Rank of the request, 0 being the most urgent.
+	// Rank is the urgency of the request, 0 being the most urgent.
 	Rank int
-	// LastEventID is the event after which a stream is continued.
+	// LastEventID is the event after which a stream is resumed.
 	LastEventID string
-	// Tenant is the name of the caller's tenant, empty for none.
+	// Tenant is the name of the caller's tenant, empty without one.
 	Tenant string
-	// Keyed is true where callers have keys, which no machine may see.
+	// Keyed is true if callers have keys. Machines must not see these.
 	Keyed bool
-	// FetchAddress is of the machine from which this one first takes what it keeps of the
-	// prompt, empty for none.
+	// FetchAddress is the address of the machine from which this one fetches the cached prefix of
+	// the prompt first, empty for none.
 	FetchAddress string
 }
 
-// Marks is what an answer's head says besides its status.
+// Marks is what the head of an answer states besides its status.
 type Marks struct {
-	// RequestID that the answer belongs to, empty when it names none.
+	// RequestID is the request that the answer belongs to, empty if it states none.
 	RequestID cluster.RequestID
-	// Signed answers bear the machine's signature.
+	// Signed is true if the answer has the signature of the machine.
 	Signed bool
-	// NotRun is the machine's word that it did not and will not run the request.
+	// NotRun is true if the machine states that it did not and will not run the request.
 	NotRun bool
-	// Misdirected is set when the machine is not the one that the request was
-	// meant for, or does not hold what it needs.
+	// Misdirected is true if the request was meant for another machine, or this machine has not
+	// loaded what the request needs.
 	Misdirected bool
-	// Machine that answered, when it says so: the one that was asked unless it bears another
-	// name.
+	// Machine is the machine that answered. It is the one that was asked unless the answer states
+	// another name, and empty if the answer states none.
 	Machine cluster.MachineID
-	// Notice is what the machine says of itself.
+	// Notice is what the machine states about itself.
 	Notice routing.Notice
 }
 
-// Dialect names the header fields that callers and machines use.
+// Dialect maps between header fields and the types of this package, for callers and machines.
 type Dialect interface {
 	// ReadCaller reads the fields of a caller's request.
 	ReadCaller(header http.Header) Attributes
-	// PrepareForward sets the fields for a machine.
+	// PrepareForward sets the fields of a request to a machine.
 	PrepareForward(header http.Header, forward Forward)
-	// ReadAnswer reads the fields of the answer to what a machine was asked.
+	// ReadAnswer reads the fields of the answer of the machine that was asked.
 	ReadAnswer(asked cluster.MachineID, status int, header http.Header) Marks
 }
 
-// connectionFields concern one connection only and are not passed on.
+// connectionFields concern one connection only and are not forwarded.
 var connectionFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns the fields that are passed on. Their values are shared, not copied.
+// endToEnd returns the fields that are forwarded. Their values are shared, not copied.
 func endToEnd(header http.Header) http.Header {
-	passed := make(http.Header, len(header))
-	copyEndToEnd(passed, header)
-	return passed
+	kept := make(http.Header, len(header))
+	copyEndToEnd(kept, header)
+	return kept
 }
 
-// copyEndToEnd sets the fields of from that are passed on in to, and leaves others of to.
+// copyEndToEnd copies the fields to forward into to. It keeps the other fields of to.
 func copyEndToEnd(to, from http.Header) {
 	var named []string
 	for _, list := range from["Connection"] {
