--- a/passthrough/retained/account.go
+++ b/passthrough/retained/account.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Account counts the bytes that are kept and refuses more than its limit. It is safe for
-// concurrent use; a nil Account counts nothing and refuses nothing.
+// Account bounds the bytes that a node holds. It is safe for concurrent use. A nil Account counts
+// nothing and refuses nothing.
 type Account struct {
 	limit   int64
 	used    atomic.Int64
@@ -11,10 +11,11 @@
 	refused atomic.Uint64
 }
 
-// NewAccount returns an account that keeps at most limit bytes; zero or less keeps any.
+// NewAccount returns an account with a limit in bytes. Zero or less means no limit.
 func NewAccount(limit int64) *Account { return &Account{limit: limit} }
 
-// Reserve counts n further bytes, or reports that they would be too many.
+// Reserve counts n more bytes. It returns false, and counts nothing, if they would exceed the
+// limit.
 func (a *Account) Reserve(n int64) bool {
 	if a == nil || n <= 0 {
 		return true
@@ -25,19 +26,19 @@
 		a.refused.Add(1)
 		return false
 	}
-	a.notePeak(used)
+	a.updatePeak(used)
 	return true
 }
 
-// Release counts n bytes less.
+// Release returns n bytes to the account.
 func (a *Account) Release(n int64) {
 	if a != nil && n > 0 {
 		a.used.Add(-n)
 	}
 }
 
-// notePeak remembers the most that was kept.
-func (a *Account) notePeak(used int64) {
+// updatePeak raises the peak to used if it is lower.
+func (a *Account) updatePeak(used int64) {
 	for {
 		peak := a.peak.Load()
 		if used <= peak || a.peak.CompareAndSwap(peak, used) {
@@ -46,7 +47,7 @@
 	}
 }
 
-// Used returns how many bytes are kept.
+// Used returns the number of bytes in use.
 func (a *Account) Used() int64 {
 	if a == nil {
 		return 0
@@ -54,7 +55,7 @@
 	return a.used.Load()
 }
 
-// Peak returns the most bytes that were kept at one time.
+// Peak returns the largest number of bytes that were in use at one time.
 func (a *Account) Peak() int64 {
 	if a == nil {
 		return 0
@@ -62,7 +63,7 @@
 	return a.peak.Load()
 }
 
-// Limit returns how many bytes may be kept, zero for any number.
+// Limit returns the limit in bytes, zero without one.
 func (a *Account) Limit() int64 {
 	if a == nil {
 		return 0
@@ -70,7 +71,7 @@
 	return max(a.limit, 0)
 }
 
-// Refused counts the reservations that were refused.
+// Refused returns the number of refused reservations.
 func (a *Account) Refused() uint64 {
 	if a == nil {
 		return 0
--- a/passthrough/retained/doc.go
+++ b/passthrough/retained/doc.go
@@ -1,4 +1,3 @@
-// Package retained counts the bytes that a node keeps on behalf of callers and machines
-// which read slowly, so that they are bounded for the whole node and not for each
-// connection alone.
+// Package retained counts the bytes that a node holds for callers and machines that read slowly,
+// so that they are bounded for the whole node and not only for each connection.
 package retained
--- a/passthrough/retained/read.go
+++ b/passthrough/retained/read.go
@@ -2,25 +2,25 @@
 
 import "io"
 
-// How many bytes of a body are made room for at first: most bodies whole.
+// Sizes of the first buffer for a body, with and without a stated length: most bodies fit it.
 const (
-	firstRead       = 16 << 10
-	firstReadUnsaid = 4 << 10
+	initialBytes              = 16 << 10
+	initialBytesUnknownLength = 4 << 10
 )
 
-// Hold is what one request has reserved of an account. It is not safe for concurrent use.
+// Hold is the part of an account that one request has reserved. It is not safe for concurrent use.
 type Hold struct {
 	account *Account
 	bytes   int64
 }
 
-// NewHold returns an empty hold of an account.
+// NewHold returns an empty reservation of an account.
 func NewHold(account *Account) *Hold { return &Hold{account: account} }
 
-// Bytes returns how many bytes are reserved.
+// Bytes returns the number of reserved bytes.
 func (h *Hold) Bytes() int64 { return h.bytes }
 
-// Grow reserves n further bytes, or reports that they would be too many.
+// Grow reserves n more bytes. It returns false if they would exceed the limit.
 func (h *Hold) Grow(n int64) bool {
 	if !h.account.Reserve(n) {
 		return false
@@ -29,32 +29,33 @@
 	return true
 }
 
-// Shrink gives n bytes back.
+// Shrink returns n bytes to the account.
 func (h *Hold) Shrink(n int64) {
 	h.account.Release(n)
 	h.bytes -= n
 }
 
-// Release gives everything back.
+// Release returns all reserved bytes to the account.
 func (h *Hold) Release() {
 	h.account.Release(h.bytes)
 	h.bytes = 0
 }
 
-// ReadAll reads a body to its end, whose length is stated or negative, and reserves the room
-// that it takes as it comes: who states a length and sends nothing takes next to none. whole
-// is false when the account is full; the rest of the body can be read behind data then.
-func (h *Hold) ReadAll(body io.Reader, stated int64) (data []byte, whole bool, err error) {
-	room := int64(firstReadUnsaid)
-	if stated >= 0 {
-		room = min(stated, firstRead)
+// ReadAll reads a body to its end. length is the stated length, negative if unknown. It reserves
+// memory as the data arrives, so that a caller that states a length and sends nothing takes next
+// to none. complete is false if the account is full; the unread part of the body then follows
+// data.
+func (h *Hold) ReadAll(body io.Reader, length int64) (data []byte, complete bool, err error) {
+	size := int64(initialBytesUnknownLength)
+	if length >= 0 {
+		size = min(length, initialBytes)
 	}
 	for {
-		if !h.Grow(room) {
+		if !h.Grow(size) {
 			return data, false, nil
 		}
-		// One byte more than stated has the end seen without growing.
-		grown := make([]byte, len(data), len(data)+int(room)+1)
+		// One extra byte lets Read return the end of the body without another allocation.
+		grown := make([]byte, len(data), len(data)+int(size)+1)
 		copy(grown, data)
 		data = grown
 		for len(data) < cap(data) {
@@ -67,9 +68,9 @@
 				return data, false, err
 			}
 		}
-		room = int64(len(data))
-		if rest := stated - room; rest >= 0 {
-			room = min(rest, room)
+		size = int64(len(data))
+		if rest := length - size; rest >= 0 {
+			size = min(rest, size)
 		}
 	}
 }
