--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is one connection to a machine. It carries one exchange at a time; all
-// methods but Interrupt are called by one goroutine.
+// Conn is one connection to a machine. It carries one exchange at a time. All methods except
+// Interrupt must be called from one goroutine.
 type Conn struct {
 	pool       *Pool
 	address    string
@@ -24,43 +24,42 @@
 	reader     *bufio.Reader
 	reused     bool
 	idleSince  time.Time
-	// idleLimit is what the machine stated last, zero when it did not.
+	// idleLimit is the keep-alive timeout that the machine stated last, zero without one.
 	idleLimit time.Duration
 
-	// writing is closed once the request has been written, with writeError set
-	// before.
-	writing    chan struct{}
+	// writeDone is closed once the request has been written. writeError is set before.
+	writeDone  chan struct{}
 	writeError error
-	sent       atomic.Bool
+	bytesSent  atomic.Bool
 	answer     *http.Response
-	// spoiled connections carry no further exchange.
-	spoiled bool
-	// sentAt is when the present request was begun, zero before the first.
-	sentAt time.Time
-	// broken is set when the kernel gave the connection up because the machine was silent.
-	broken atomic.Bool
+	// unusable is true if the connection can't carry another exchange.
+	unusable bool
+	// requestStart is when the current request was begun, zero before the first one.
+	requestStart time.Time
+	// kernelTimedOut is true if the kernel closed the connection because the machine did not
+	// respond.
+	kernelTimedOut atomic.Bool
 }
 
-// inlineBody is the size up to which a body is written before the answer is
-// read; a longer one is written beside that, since a machine may answer early.
-const inlineBody = 16 << 10
+// maxInlineBodyBytes is the size up to which a body is written before the answer is read. A longer
+// body is written concurrently, since a machine may answer before it has read all of it.
+const maxInlineBodyBytes = 16 << 10
 
-// acknowledgedWithin is after how long a request that was written whole must have been
-// acknowledged by the machine's kernel: a round trip of 100 ms and the 40 ms for which an
-// acknowledgement may be delayed. It is less than an attempt's least patience, so that the
-// next attempt of a request knows of the silence. A lost packet only costs connections.
-const acknowledgedWithin = 140 * time.Millisecond
+// maxAcknowledgeDelay is the time within which the machine's kernel must acknowledge a request
+// that was completely written: a round trip of 100 ms plus the 40 ms of a delayed acknowledgement.
+// It is less than the shortest timeout of an attempt, so that the next attempt of the request
+// knows about the silence. A lost packet costs only idle connections.
+const maxAcknowledgeDelay = 140 * time.Millisecond
 
-// ErrNotSent is the cause of an error when no byte of a request left.
+// ErrNotSent is the cause of an error if no byte of a request was sent.
 var ErrNotSent = eris.New("nothing was sent")
 
-// Reused reports whether the connection carried an exchange before.
+// Reused reports whether the connection has carried an exchange before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// alive reports whether an idle connection may carry another request: it is not
-// too old, and nothing has arrived on it, neither bytes that belong to no request
-// nor its end.
-func (c *Conn) alive() bool {
+// reusableIdle reports whether an idle connection can carry another request: it has not expired,
+// and neither data nor the end of the stream has arrived on it.
+func (c *Conn) reusableIdle() bool {
 	if c.expired(c.pool.options.Now()) || c.reader.Buffered() > 0 {
 		return false
 	}
@@ -72,7 +71,7 @@
 	err = raw.Read(func(descriptor uintptr) bool {
 		var probe [1]byte
 		_, readError := syscall.Read(int(descriptor), probe[:])
-		c.note(readError)
+		c.recordError(readError)
 		quiet = errors.Is(readError, syscall.EAGAIN)
 		return true
 	})
@@ -88,13 +87,13 @@
 	return now.Sub(c.idleSince) > limit
 }
 
-// Send writes the request with its body. Long bodies go on being written while
-// the answer is read. An error with the cause ErrNotSent means that no byte left.
+// Send writes the request with its body. A long body is written while the answer is read. An error
+// with the cause ErrNotSent means that no byte was sent.
 func (c *Conn) Send(request *http.Request, body []byte) error {
-	c.sent.Store(false)
-	c.sentAt = c.pool.options.Now()
-	c.writing = make(chan struct{})
-	if len(body) <= inlineBody {
+	c.bytesSent.Store(false)
+	c.requestStart = c.pool.options.Now()
+	c.writeDone = make(chan struct{})
+	if len(body) <= maxInlineBodyBytes {
 		c.write(request)
 		return c.writeError
 	}
@@ -105,72 +104,73 @@
 // Sending reports whether the request is still being written.
 func (c *Conn) Sending() bool {
 	select {
-	case <-c.writing:
+	case <-c.writeDone:
 		return false
 	default:
 		return true
 	}
 }
 
-// writers are the buffers of requests that have been written: a buffer a request would be an
-// eighth of what a small one allocates.
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferBytes) }}
+// writerPool holds the write buffers. A new buffer for each request would be an eighth of the
+// allocations of a small request.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, ioBufferBytes) }}
 
-// write writes the whole request.
+// write writes the whole request and sets writeError.
 func (c *Conn) write(request *http.Request) {
-	defer close(c.writing)
-	writer := writers.Get().(*bufio.Writer)
-	writer.Reset(&countingWriter{conn: c})
+	defer close(c.writeDone)
+	writer := writerPool.Get().(*bufio.Writer)
+	writer.Reset(&sendTracker{conn: c})
 	defer func() {
 		writer.Reset(nil)
-		writers.Put(writer)
+		writerPool.Put(writer)
 	}()
 	err := request.Write(writer)
 	if err == nil {
 		err = writer.Flush()
 	}
-	if err != nil && !c.sent.Load() {
+	if err != nil && !c.bytesSent.Load() {
 		err = errors.Join(ErrNotSent, err)
 	}
 	c.writeError = err
 }
 
-// countingWriter notes that bytes were handed to the kernel.
-type countingWriter struct{ conn *Conn }
+// sendTracker records that bytes were passed to the kernel.
+type sendTracker struct{ conn *Conn }
 
 // Write implements io.Writer.
-func (w *countingWriter) Write(data []byte) (int, error) {
+func (w *sendTracker) Write(data []byte) (int, error) {
 	n, err := w.conn.connection.Write(data)
 	if n > 0 {
-		w.conn.sent.Store(true)
+		w.conn.bytesSent.Store(true)
 	}
-	w.conn.note(err)
+	w.conn.recordError(err)
 	return n, err
 }
 
-// observedReader reads from the connection and notes why it broke.
-type observedReader struct{ conn *Conn }
+// errorRecorder reads from the connection and records its errors.
+type errorRecorder struct{ conn *Conn }
 
 // Read implements io.Reader.
-func (r *observedReader) Read(data []byte) (int, error) {
+func (r *errorRecorder) Read(data []byte) (int, error) {
 	n, err := r.conn.connection.Read(data)
-	r.conn.note(err)
+	r.conn.recordError(err)
 	return n, err
 }
 
-// note takes an error of the connection, nil without one.
-func (c *Conn) note(err error) {
+// recordError sets kernelTimedOut if the error, which may be nil, means that the kernel closed the
+// connection.
+func (c *Conn) recordError(err error) {
 	if errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
-		c.broken.Store(true)
+		c.kernelTimedOut.Store(true)
 	}
 }
 
-// Head reads the head of the next answer. Interim answers are passed over.
+// Head reads the head of the next answer and skips interim answers.
 func (c *Conn) Head(request *http.Request) (*http.Response, error) {
 	for {
 		answer, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			c.spoiled = true
+			c.unusable = true
 			return nil, err
 		}
 		if answer.StatusCode >= http.StatusOK || answer.StatusCode == http.StatusSwitchingProtocols {
@@ -180,15 +180,15 @@
 	}
 }
 
-// Spoil keeps the connection from carrying another exchange.
-func (c *Conn) Spoil() { c.spoiled = true }
+// Spoil marks the connection as unusable for another exchange.
+func (c *Conn) Spoil() { c.unusable = true }
 
-// Interrupt ends reads and writes under way. Any goroutine may call it.
+// Interrupt ends all current reads and writes. It may be called from any goroutine.
 func (c *Conn) Interrupt() { _ = c.connection.SetDeadline(time.Unix(1, 0)) }
 
-// Release gives the connection back after an answer was read whole, or closes it
-// when it can carry no other request: the request was not written whole, the
-// machine said so, the answer had no length, or bytes follow the answer.
+// Release returns the connection to the pool after a complete answer. It closes a connection that
+// can't carry another request: the request was not completely written, the machine asked to close,
+// the answer had no length, or more bytes follow the answer.
 func (c *Conn) Release() {
 	if c.reusable() && c.connection.SetDeadline(time.Time{}) == nil {
 		c.answer = nil
@@ -199,29 +199,29 @@
 }
 
 func (c *Conn) reusable() bool {
-	if c.spoiled || c.answer == nil || c.answer.Close || c.reader.Buffered() > 0 || !c.written() {
+	if c.unusable || c.answer == nil || c.answer.Close || c.reader.Buffered() > 0 || !c.written() {
 		return false
 	}
 	unframed := c.answer.ContentLength < 0 && len(c.answer.TransferEncoding) == 0
 	if unframed && c.answer.Body != http.NoBody {
 		return false
 	}
-	c.idleLimit = statedIdle(c.answer.Header.Get("Keep-Alive"))
+	c.idleLimit = keepAliveTimeout(c.answer.Header.Get("Keep-Alive"))
 	return true
 }
 
-// Close closes the connection. If it has gone silent, so most likely have the idle ones to
-// the machine of which nothing was heard since it was last used: they are closed too. What
-// the machine has not received of a request is discarded, so that a request whose caller
-// left or that runs elsewhere does not reach it later.
+// Close closes the connection. If it is unresponsive, idle connections to the same machine that
+// have received nothing since its last use are probably unresponsive too, and are closed. Bytes
+// that the machine has not acknowledged are discarded, so that a request that was abandoned or
+// runs elsewhere doesn't reach the machine later.
 func (c *Conn) Close() {
 	unacknowledged := c.unacknowledged()
-	if c.silent(unacknowledged) {
-		heard := c.idleSince
-		if c.sentAt.After(heard) {
-			heard = c.sentAt
+	if c.unresponsive(unacknowledged) {
+		heardAt := c.idleSince
+		if c.requestStart.After(heardAt) {
+			heardAt = c.requestStart
 		}
-		c.pool.wentSilent(c.address, heard)
+		c.pool.connectionWentSilent(c.address, heardAt)
 	}
 	if connection, ok := c.connection.(*net.TCPConn); ok && unacknowledged > 0 {
 		_ = connection.SetLinger(0)
@@ -229,23 +229,23 @@
 	_ = c.connection.Close()
 }
 
-// silent reports whether the machine no longer acknowledges what is sent.
-func (c *Conn) silent(unacknowledged int) bool {
-	return c.broken.Load() || unacknowledged > 0 && c.written() && c.pool.options.Now().Sub(c.sentAt) > acknowledgedWithin
+// unresponsive reports whether the machine no longer acknowledges data.
+func (c *Conn) unresponsive(unacknowledged int) bool {
+	return c.kernelTimedOut.Load() || unacknowledged > 0 && c.written() && c.pool.options.Now().Sub(c.requestStart) > maxAcknowledgeDelay
 }
 
-// written reports whether the request was written without an error.
+// written reports whether the request was completely written without an error.
 func (c *Conn) written() bool {
 	select {
-	case <-c.writing:
+	case <-c.writeDone:
 		return c.writeError == nil
 	default:
 		return false
 	}
 }
 
-// unacknowledged counts the bytes that were sent and not acknowledged, zero where the
-// system does not tell.
+// unacknowledged returns the number of bytes that were sent but not acknowledged, zero if the
+// system doesn't tell.
 func (c *Conn) unacknowledged() (count int) {
 	raw, err := c.connection.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -259,8 +259,8 @@
 	return count
 }
 
-// Drained reads what is left of an answer that nobody wants, up to a bound, and
-// reports whether it was read whole.
+// Drained reads the rest of an unwanted answer, up to bound bytes, and reports whether it was read
+// completely.
 func Drained(answer *http.Response, bound int64) bool {
 	n, err := io.CopyN(io.Discard, answer.Body, bound)
 	return errors.Is(err, io.EOF) && n < bound
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -29,36 +29,36 @@
 	DefaultMaxIdle = 32
 )
 
-const bufferBytes = 4 << 10
+const ioBufferBytes = 4 << 10
 
-// probes have the kernel break an idle connection that went silent within 3 s, before a
-// request that can't be repeated is lost on it. Per idle connection they cost two packets
-// in 2 s, 52 bytes each; one in use sends none. TCP counts them in whole seconds.
-var probes = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 1}
+// keepAliveProbes lets the kernel close an unresponsive idle connection within 3 s, before a
+// request that can't be repeated is lost on it. Each idle connection costs two packets of 52 bytes
+// every 2 s, a connection in use none. TCP counts these times in whole seconds.
+var keepAliveProbes = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 1}
 
-// sweepsPerLimit is how often in IdleLimit connections that are too old are closed.
+// sweepsPerLimit is the number of sweeps for expired connections per IdleLimit.
 const sweepsPerLimit = 4
 
-// Options tunes a Pool; zero fields take the defaults above.
+// Options configures a Pool. Zero fields take the defaults above.
 type Options struct {
 	DialTimeout time.Duration
-	// UserTimeout is after how long a connection breaks whose sent bytes nobody
-	// acknowledges.
+	// UserTimeout is the time after which a connection fails if sent bytes are not acknowledged.
 	UserTimeout time.Duration
-	// IdleLimit is how long a connection may rest whose machine stated no time,
-	// IdleMargin how much earlier than the stated time it is given up.
+	// IdleLimit is how long a connection may stay idle if the machine stated no keep-alive
+	// timeout. IdleMargin is how long before a stated timeout it is closed.
 	IdleLimit, IdleMargin time.Duration
 	MaxIdle               int
-	// SocketBytes bounds what the kernel keeps of a connection in each direction, for a
-	// machine or a caller that reads slowly; it takes twice as much memory for it. Zero
-	// leaves the bound to the kernel: some MB.
+	// SocketBytes bounds the kernel's buffer in each direction of a connection to a slow reader.
+	// The kernel allocates twice as much memory for it. Zero leaves the bound to the kernel, which
+	// is several MB.
 	SocketBytes int
-	// Now is the clock by which idle connections age: machines close them by their own,
-	// also while this one is suspended. The steady clock by default.
+	// Now is the clock for the age of idle connections. Machines close them by their own clock,
+	// also while this machine is suspended. The default is time.Now, whose differences are
+	// monotonic.
 	Now func() time.Time
 }
 
-// withDefaults fills zero fields.
+// withDefaults sets zero fields to the defaults.
 func (o Options) withDefaults() Options {
 	o.DialTimeout = cmp.Or(o.DialTimeout, DefaultDialTimeout)
 	o.UserTimeout = cmp.Or(o.UserTimeout, DefaultUserTimeout)
@@ -71,45 +71,45 @@
 	return o
 }
 
-// Pool keeps idle connections by address. It is safe for concurrent use.
+// Pool holds idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
 	mutex   sync.Mutex
 	idle    map[string][]*Conn
-	// silence is the last one that was noticed.
-	silence silence
-	// sweptAt is when connections that are too old were last looked for.
+	// lastSilence is the last silent connection that was noticed.
+	lastSilence silentConnection
+	// sweptAt is the time of the last sweep for expired connections.
 	sweptAt time.Time
 	opened  atomic.Uint64
 }
 
-// silence is what is known of a connection that went silent.
-type silence struct {
+// silentConnection describes a connection that became unresponsive.
+type silentConnection struct {
 	address string
-	// heard is when the machine was last heard of on it, or its last request begun.
-	heard   time.Time
-	noticed time.Time
+	// heardAt is when the machine last responded on the connection, or when the last request on it
+	// began if that is later.
+	heardAt   time.Time
+	noticedAt time.Time
 }
 
-// spreadWithin is how soon after each other silences at two machines are noticed that
-// have one cause: the attempts of a request lie at most 3 s apart.
-const spreadWithin = 5 * time.Second
+// commonCauseWindow is the time within which silent connections to two machines are taken to have
+// one cause. It is longer than the time between the attempts of a request, at most 3 s.
+const commonCauseWindow = 5 * time.Second
 
 // NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
 	options = options.withDefaults()
 	pool := &Pool{options: options, idle: make(map[string][]*Conn)}
-	pool.dialer = net.Dialer{Timeout: options.DialTimeout, KeepAliveConfig: probes, Control: func(_, _ string, raw syscall.RawConn) error {
-		limitBuffers(raw, options.SocketBytes)
-		return limitSilence(raw, options.UserTimeout)
+	pool.dialer = net.Dialer{Timeout: options.DialTimeout, KeepAliveConfig: keepAliveProbes, Control: func(_, _ string, raw syscall.RawConn) error {
+		setSocketBuffers(raw, options.SocketBytes)
+		return setUserTimeout(raw, options.UserTimeout)
 	}}
 	return pool
 }
 
-// limitSilence has the kernel break a connection whose sent bytes nobody
-// acknowledges.
-func limitSilence(raw syscall.RawConn, after time.Duration) error {
+// setUserTimeout lets the kernel close a connection whose sent bytes are not acknowledged.
+func setUserTimeout(raw syscall.RawConn, after time.Duration) error {
 	var failure error
 	if err := raw.Control(func(descriptor uintptr) {
 		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(after.Milliseconds()))
@@ -119,33 +119,32 @@
 	return failure
 }
 
-// limitBuffers bounds the kernel's buffers of a connection. A bound that can't be set is
-// done without.
-func limitBuffers(raw syscall.RawConn, most int) {
-	if most <= 0 {
+// setSocketBuffers bounds the kernel's buffers of a connection. Errors are ignored: the connection
+// works without the bound.
+func setSocketBuffers(raw syscall.RawConn, maxBytes int) {
+	if maxBytes <= 0 {
 		return
 	}
 	_ = raw.Control(func(descriptor uintptr) {
-		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_RCVBUF, most)
-		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_SNDBUF, most)
+		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_RCVBUF, maxBytes)
+		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_SNDBUF, maxBytes)
 	})
 }
 
-// Opened counts the connections made.
+// Opened returns the number of connections that were opened.
 func (p *Pool) Opened() uint64 { return p.opened.Load() }
 
-// Get returns an idle connection that is still open, or a new one. An error
-// means that nothing was sent.
+// Get returns an open idle connection or a new one. An error means that nothing was sent.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
-		kept := p.take(address)
-		if kept == nil {
+		idle := p.take(address)
+		if idle == nil {
 			break
 		}
-		if kept.alive() {
-			return kept, nil
+		if idle.reusableIdle() {
+			return idle, nil
 		}
-		kept.Close()
+		idle.Close()
 	}
 	return p.dial(ctx, address)
 }
@@ -158,19 +157,19 @@
 	}
 	p.opened.Add(1)
 	c := &Conn{pool: p, address: address, connection: connection}
-	c.reader = bufio.NewReaderSize(&observedReader{conn: c}, bufferBytes)
+	c.reader = bufio.NewReaderSize(&errorRecorder{conn: c}, ioBufferBytes)
 	return c, nil
 }
 
-// confirmTimeout bounds the question whether a machine's process has ended, which the next
-// attempt of a request waits for: a connection is refused within a round trip, 100 ms
-// between regions that lie far apart.
-const confirmTimeout = 150 * time.Millisecond
+// refusalCheckTimeout bounds the check whether the process of a machine has ended, which the next
+// attempt of a request waits for: a connection is refused within a round trip, 100 ms between
+// distant regions.
+const refusalCheckTimeout = 150 * time.Millisecond
 
-// Refuses reports whether an address refuses connections, since no process listens there. A
-// connection that it takes is kept for another request.
+// Refuses reports whether an address refuses connections because no process listens there. If the
+// connection succeeds, it is kept for another request.
 func (p *Pool) Refuses(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
+	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
 	c, err := p.dial(ctx, address)
 	if err != nil {
@@ -180,7 +179,7 @@
 	return false
 }
 
-// take removes the idle connection that was used last.
+// take removes and returns the most recently used idle connection, nil without one.
 func (p *Pool) take(address string) *Conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -208,7 +207,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// sweep closes the connections that are too old to be used. The caller holds the mutex.
+// sweep closes the expired connections. The caller must hold the mutex.
 func (p *Pool) sweep(now time.Time) {
 	p.sweptAt = now
 	for address, list := range p.idle {
@@ -227,37 +226,38 @@
 	}
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) { p.forgetUnheard(address, p.options.Now()) }
+// Forget closes all idle connections to an address.
+func (p *Pool) Forget(address string) { p.closeUnheard(address, p.options.Now()) }
 
-// wentSilent takes notice of a silent connection. The idle ones to its machine of which
-// nothing was heard since are closed. Silences at two machines have their cause on the way
-// or at this end: connections to the others are not to be trusted either then.
-func (p *Pool) wentSilent(address string, heard time.Time) {
+// connectionWentSilent closes the idle connections to a machine that have received nothing since
+// heardAt. If connections to two machines go silent within commonCauseWindow, the cause is
+// probably the network or this machine: the idle connections to all machines are then checked in
+// the same way.
+func (p *Pool) connectionWentSilent(address string, heardAt time.Time) {
 	now := p.options.Now()
 	p.mutex.Lock()
-	before := p.silence
-	p.silence = silence{address: address, heard: heard, noticed: now}
+	previous := p.lastSilence
+	p.lastSilence = silentConnection{address: address, heardAt: heardAt, noticedAt: now}
 	doubtful := []string{address}
-	if before.address != "" && before.address != address && now.Sub(before.noticed) < spreadWithin {
+	if previous.address != "" && previous.address != address && now.Sub(previous.noticedAt) < commonCauseWindow {
 		doubtful = slices.Collect(maps.Keys(p.idle))
 	}
 	p.mutex.Unlock()
 	for _, other := range doubtful {
-		since := heard
-		if other != address && before.heard.Before(since) {
-			since = before.heard
+		since := heardAt
+		if other != address && previous.heardAt.Before(since) {
+			since = previous.heardAt
 		}
-		p.forgetUnheard(other, since)
+		p.closeUnheard(other, since)
 	}
 }
 
-// forgetUnheard closes the idle connections to an address of which nothing was heard
-// since a time.
-func (p *Pool) forgetUnheard(address string, since time.Time) {
+// closeUnheard closes the idle connections to an address that have received nothing since the
+// given time.
+func (p *Pool) closeUnheard(address string, since time.Time) {
 	p.mutex.Lock()
 	list := p.idle[address]
-	// Connections are kept in the order in which they were last heard of.
+	// The list is ordered by the time of the last answer.
 	unheard := 0
 	for unheard < len(list) && list[unheard].idleSince.Before(since) {
 		unheard++
@@ -267,14 +267,13 @@
 		delete(p.idle, address)
 	}
 	p.mutex.Unlock()
-	for _, kept := range list[:unheard] {
-		_ = kept.connection.Close()
+	for _, idle := range list[:unheard] {
+		_ = idle.connection.Close()
 	}
 }
 
-// statedIdle reads the time after which a machine closes an idle connection from
-// the value of a Keep-Alive field, zero when it states none.
-func statedIdle(field string) time.Duration {
+// keepAliveTimeout returns the timeout in the value of a Keep-Alive field, zero without one.
+func keepAliveTimeout(field string) time.Duration {
 	for part := range strings.SplitSeq(field, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if strings.EqualFold(name, "timeout") {
--- a/upstream/silent_test.go
+++ b/upstream/silent_test.go
@@ -15,16 +15,16 @@
 	"github.com/valveslip/valveslip/internal/blackhole"
 )
 
-// waitLimit ends a wait that would never end; nothing is measured by it.
-const waitLimit = 20 * time.Second
+// testTimeout ends a wait that would otherwise never end. It measures nothing.
+const testTimeout = 20 * time.Second
 
-// machine answers every request with "ok"; its connections can be silenced.
-type machine struct {
+// testMachine answers every request with "ok". Its connections can be silenced.
+type testMachine struct {
 	*blackhole.Listener
 	t *testing.T
 }
 
-func startMachine(t *testing.T) *machine {
+func startMachine(t *testing.T) *testMachine {
 	t.Helper()
 	listener, err := blackhole.Listen()
 	if err != nil {
@@ -40,7 +40,7 @@
 			go answerAll(connection)
 		}
 	}()
-	return &machine{Listener: listener, t: t}
+	return &testMachine{Listener: listener, t: t}
 }
 
 func answerAll(connection net.Conn) {
@@ -55,21 +55,21 @@
 	}
 }
 
-// silence silences all connections so far.
-func (m *machine) silence() {
+// silenceAll silences all connections that were accepted so far.
+func (m *testMachine) silenceAll() {
 	m.t.Helper()
 	if _, err := m.Silence(); err != nil {
 		m.t.Fatal(err)
 	}
 }
 
-// newPool returns a pool that waits for new connections: no test is about their opening.
+// newPool returns a pool with a long dial timeout: no test is about opening connections.
 func newPool(options Options) *Pool {
-	options.DialTimeout = waitLimit
+	options.DialTimeout = testTimeout
 	return NewPool(options)
 }
 
-func get(t *testing.T, pool *Pool, m *machine) *Conn {
+func get(t *testing.T, pool *Pool, m *testMachine) *Conn {
 	t.Helper()
 	connection, err := pool.Get(context.Background(), m.Addr().String())
 	if err != nil {
@@ -78,8 +78,8 @@
 	return connection
 }
 
-// exchange sends a request and reads its answer, which must come within a time that is
-// counted from when the request has been sent.
+// exchange sends a request and reads its answer, which must arrive within the given time after the
+// send.
 func exchange(t *testing.T, c *Conn, within time.Duration) error {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodGet, "http://machine.example/", http.NoBody)
@@ -97,29 +97,29 @@
 	return nil
 }
 
-// serve makes exchanges at the same time and keeps their connections.
-func serve(t *testing.T, pool *Pool, m *machine, count int) {
+// serveAndRelease runs concurrent exchanges and releases their connections to the pool.
+func serveAndRelease(t *testing.T, pool *Pool, m *testMachine, count int) {
 	t.Helper()
 	var connections []*Conn
 	for range count {
 		connections = append(connections, get(t, pool, m))
 	}
 	for _, c := range connections {
-		if err := exchange(t, c, waitLimit); err != nil {
+		if err := exchange(t, c, testTimeout); err != nil {
 			t.Fatal(err)
 		}
 		c.Release()
 	}
 }
 
-// TestSilentIdleConnectionIsBroken: a kept connection that went silent is not used once
-// the kernel's probes have shown it.
-func TestSilentIdleConnectionIsBroken(t *testing.T) {
+// TestSilentIdleConnectionIsNotReused: an idle connection that went silent is not used again once
+// the kernel's keep-alive probes have failed.
+func TestSilentIdleConnectionIsNotReused(t *testing.T) {
 	t.Parallel()
 	m, pool := startMachine(t), newPool(Options{IdleLimit: time.Hour})
-	serve(t, pool, m, 1)
-	m.silence()
-	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
+	serveAndRelease(t, pool, m, 1)
+	m.silenceAll()
+	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
 		c := get(t, pool, m)
 		if !c.Reused() {
 			c.Close()
@@ -127,12 +127,12 @@
 		}
 		pool.put(c)
 	}
-	t.Fatal("the silent connection is still kept")
+	t.Fatal("silent connection is still in the pool")
 }
 
-// TestSilenceSpreadsToOlderConnections: after a request was lost on a silent connection,
-// the other idle ones of which nothing was heard since are not tried.
-func TestSilenceSpreadsToOlderConnections(t *testing.T) {
+// TestLostRequestClosesOlderIdleConnections: after a request was lost on a silent connection, the
+// other idle connections that received nothing since are not used.
+func TestLostRequestClosesOlderIdleConnections(t *testing.T) {
 	t.Parallel()
 	const unacknowledged = 400 * time.Millisecond
 	for _, test := range []struct {
@@ -141,103 +141,103 @@
 		within  time.Duration
 		want    error
 	}{
-		{"broken by the kernel", Options{UserTimeout: unacknowledged}, waitLimit, syscall.ETIMEDOUT},
-		{"given up", Options{UserTimeout: time.Hour}, 150 * time.Millisecond, nil},
+		{"broken by the kernel", Options{UserTimeout: unacknowledged}, testTimeout, syscall.ETIMEDOUT},
+		{"abandoned", Options{UserTimeout: time.Hour}, 150 * time.Millisecond, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			m, pool := startMachine(t), newPool(test.options)
-			serve(t, pool, m, 3)
-			m.silence()
+			serveAndRelease(t, pool, m, 3)
+			m.silenceAll()
 			c := get(t, pool, m)
 			err := exchange(t, c, test.within)
 			if err == nil || test.want != nil && !errors.Is(err, test.want) {
-				t.Fatalf("the request on a silent connection: %v, want %v", err, test.want)
+				t.Fatalf("request on a silent connection: error %v, want %v", err, test.want)
 			}
 			c.Close()
 			next := get(t, pool, m)
 			if next.Reused() {
-				t.Fatal("another silent connection was taken")
+				t.Fatal("another silent connection was reused")
 			}
-			if err := exchange(t, next, waitLimit); err != nil {
+			if err := exchange(t, next, testTimeout); err != nil {
 				t.Fatal(err)
 			}
 		})
 	}
 }
 
-// loseOne loses a request on a silent connection.
-func loseOne(t *testing.T, pool *Pool, m *machine) {
+// loseRequest loses a request on a silent connection.
+func loseRequest(t *testing.T, pool *Pool, m *testMachine) {
 	t.Helper()
 	c := get(t, pool, m)
-	if err := exchange(t, c, waitLimit); !errors.Is(err, syscall.ETIMEDOUT) {
-		t.Fatalf("the request on a silent connection: %v", err)
+	if err := exchange(t, c, testTimeout); !errors.Is(err, syscall.ETIMEDOUT) {
+		t.Fatalf("request on a silent connection: error %v, want ETIMEDOUT", err)
 	}
 	c.Close()
 }
 
-// TestSilenceAtTwoMachinesSpreads: silent connections to one machine say nothing of
-// others; to two machines they say that none is to be trusted of which nothing was heard
-// since.
-func TestSilenceAtTwoMachinesSpreads(t *testing.T) {
+// TestSilenceAtTwoMachinesClosesIdleConnectionsToAll: silent connections to one machine don't
+// affect other machines. Silent connections to two machines close the idle connections to all
+// machines that received nothing since.
+func TestSilenceAtTwoMachinesClosesIdleConnectionsToAll(t *testing.T) {
 	t.Parallel()
 	pool := newPool(Options{UserTimeout: 400 * time.Millisecond, IdleLimit: time.Hour})
 	first, second, quiet, busy := startMachine(t), startMachine(t), startMachine(t), startMachine(t)
-	for _, m := range []*machine{first, second, quiet, busy} {
-		serve(t, pool, m, 1)
+	for _, m := range []*testMachine{first, second, quiet, busy} {
+		serveAndRelease(t, pool, m, 1)
 	}
-	first.silence()
-	second.silence()
-	loseOne(t, pool, first)
+	first.silenceAll()
+	second.silenceAll()
+	loseRequest(t, pool, first)
 	other := get(t, pool, quiet)
 	if !other.Reused() {
-		t.Fatal("one silent machine cost a connection to another")
+		t.Fatal("one silent machine closed a connection to another machine")
 	}
 	pool.put(other)
 	pool.mutex.Lock()
-	other.idleSince = pool.silence.heard.Add(-time.Nanosecond)
+	other.idleSince = pool.lastSilence.heardAt.Add(-time.Nanosecond)
 	pool.mutex.Unlock()
-	serve(t, pool, busy, 1)
-	loseOne(t, pool, second)
+	serveAndRelease(t, pool, busy, 1)
+	loseRequest(t, pool, second)
 	if get(t, pool, quiet).Reused() {
-		t.Fatal("a connection that may be silent was taken")
+		t.Fatal("connection without data since the silence was reused")
 	}
 	if !get(t, pool, busy).Reused() {
-		t.Fatal("a connection that was heard of since was given up")
+		t.Fatal("connection with data since the silence was closed")
 	}
 }
 
-// TestSilenceSparesConnectionsHeardSince: what was heard after the lost request was sent
-// is not silent, nor are idle connections behind a machine that is merely slow.
-func TestSilenceSparesConnectionsHeardSince(t *testing.T) {
+// TestConnectionsHeardSinceLostRequestAreKept: an idle connection that received data after the
+// lost request was sent is kept.
+func TestConnectionsHeardSinceLostRequestAreKept(t *testing.T) {
 	t.Parallel()
 	m, pool := startMachine(t), newPool(Options{UserTimeout: 400 * time.Millisecond})
-	serve(t, pool, m, 1)
-	m.silence()
+	serveAndRelease(t, pool, m, 1)
+	m.silenceAll()
 	lost := get(t, pool, m)
-	// It is still set by the first exchange.
-	lost.sent.Store(false)
+	// The first exchange left the flag set.
+	lost.bytesSent.Store(false)
 	ended := make(chan error)
-	go func() { ended <- exchange(t, lost, waitLimit) }()
-	for !lost.sent.Load() {
+	go func() { ended <- exchange(t, lost, testTimeout) }()
+	for !lost.bytesSent.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	serve(t, pool, m, 2)
+	serveAndRelease(t, pool, m, 2)
 	if err := <-ended; !errors.Is(err, syscall.ETIMEDOUT) {
-		t.Fatalf("the request on a silent connection: %v", err)
+		t.Fatalf("request on a silent connection: error %v, want ETIMEDOUT", err)
 	}
 	lost.Close()
 	if next := get(t, pool, m); !next.Reused() {
-		t.Fatal("a connection that works was given up")
+		t.Fatal("working connection was closed")
 	}
 }
 
-// TestSlowAnswerForgetsNothing: a request that is given up says nothing of the other
-// connections when the machine has acknowledged it.
-func TestSlowAnswerForgetsNothing(t *testing.T) {
+// TestSlowAnswerKeepsIdleConnections: abandoning a request that the machine has acknowledged does
+// not close the other connections.
+func TestSlowAnswerKeepsIdleConnections(t *testing.T) {
 	t.Parallel()
 	m, pool := startMachine(t), newPool(Options{})
-	serve(t, pool, m, 2)
+	serveAndRelease(t, pool, m, 2)
 	c := get(t, pool, m)
 	request, err := http.NewRequest(http.MethodPost, "http://machine.example/", http.NoBody)
 	if err != nil {
@@ -249,19 +249,19 @@
 	time.Sleep(400 * time.Millisecond)
 	c.Close()
 	if next := get(t, pool, m); !next.Reused() {
-		t.Fatal("a connection that works was given up")
+		t.Fatal("working connection was closed")
 	}
 }
 
-// TestOldIdleConnectionsAreClosed: connections that nobody takes any more are closed when
-// others are kept, also those to other machines.
-func TestOldIdleConnectionsAreClosed(t *testing.T) {
+// TestExpiredIdleConnectionsAreClosed: expired connections are closed when another connection is
+// released, even one to another machine.
+func TestExpiredIdleConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	pool := newPool(Options{IdleLimit: time.Millisecond})
 	left, used := startMachine(t), startMachine(t)
-	serve(t, pool, left, 3)
-	for limit := time.Now().Add(waitLimit); ; time.Sleep(2 * time.Millisecond) {
-		serve(t, pool, used, 1)
+	serveAndRelease(t, pool, left, 3)
+	for limit := time.Now().Add(testTimeout); ; time.Sleep(2 * time.Millisecond) {
+		serveAndRelease(t, pool, used, 1)
 		pool.mutex.Lock()
 		kept := len(pool.idle[left.Addr().String()])
 		pool.mutex.Unlock()
@@ -269,14 +269,14 @@
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("%d connections that are too old are kept", kept)
+			t.Fatalf("%d expired connections are still in the pool", kept)
 		}
 	}
 }
 
-// TestGivenUpRequestIsNotDelivered: what a machine has not received of a request when the
-// request is given up does not follow later.
-func TestGivenUpRequestIsNotDelivered(t *testing.T) {
+// TestAbandonedRequestIsNotDelivered: the part of a request that a machine has not received when
+// the request is abandoned must not arrive later.
+func TestAbandonedRequestIsNotDelivered(t *testing.T) {
 	t.Parallel()
 	const length = 48 << 10
 	listener, err := blackhole.Listen()
@@ -308,13 +308,13 @@
 	if err := c.Send(request, body); err != nil {
 		t.Fatal(err)
 	}
-	<-c.writing
+	<-c.writeDone
 	if c.writeError != nil || c.unacknowledged() == 0 {
-		t.Fatalf("the request does not wait in the kernel: %v", c.writeError)
+		t.Fatalf("request is not buffered in the kernel: write error %v", c.writeError)
 	}
 	c.Close()
 	n, err := io.Copy(io.Discard, connection)
 	if err == nil {
-		t.Fatalf("%d bytes and the end of the connection came after the request was given up", n)
+		t.Fatalf("%d bytes and a regular end of the connection arrived after the request was abandoned", n)
 	}
 }
