--- a/placement/wait_test.go
+++ b/placement/wait_test.go
@@ -8,8 +8,8 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// busyWaitState returns machines of 40 GB of which the first has the checkpoint of
-// booking on its disk and carries out an order for so long.
+// busyWaitState returns machines with 40 GB. The first one has the checkpoint of booking on its
+// disk and carries out an order for the given time.
 func busyWaitState(busyFor time.Duration) State {
 	state := testState(testSnapshot(1, testModel("assistant", nil), testModel("booking", nil)), 2)
 	state.Machines[0].Cached["booking"] = cluster.TierDisk
@@ -18,10 +18,10 @@
 	return state
 }
 
-// TestBusyMachineWithCheckpointIsAwaited: a machine that is busy for a moment loads
-// from its disk sooner than another from the weight store, whose load would hold up
-// that machine and all other loads from the store.
-func TestBusyMachineWithCheckpointIsAwaited(t *testing.T) {
+// TestLoadWaitsForBrieflyBusyMachineWithCheckpoint: a machine that is busy for a moment can
+// load from its disk sooner than another one from the weight store. The store load would also
+// occupy that machine and delay other loads from the store.
+func TestLoadWaitsForBrieflyBusyMachineWithCheckpoint(t *testing.T) {
 	planner := NewPlanner(Config{})
 	state := busyWaitState(300 * time.Millisecond)
 	plan := planner.Plan(state)
@@ -29,8 +29,8 @@
 		t.Fatalf("actions %v, want to wait for the machine with the checkpoint", actionsOf(plan))
 	}
 	at := slices.IndexFunc(plan.Decisions, func(d Decision) bool { return d.Model == "booking" })
-	if at < 0 || plan.Decisions[at].Reason.Cause != CauseBusy {
-		t.Fatalf("decisions %+v, want the cause %q", plan.Decisions, CauseBusy)
+	if at < 0 || plan.Decisions[at].Reason.Cause != CauseMachineBusy {
+		t.Fatalf("decisions %+v, want the cause %q", plan.Decisions, CauseMachineBusy)
 	}
 	state.Now = state.Now.Add(300 * time.Millisecond)
 	state.Machines[0].Busy, state.Machines[0].BusyFor = false, 0
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestLongBusyMachineIsNotAwaited: one that is busy for longer than a load from the
-// weight store takes is not waited for, nor one of which nothing is known.
-func TestLongBusyMachineIsNotAwaited(t *testing.T) {
+// TestLoadDoesNotWaitForLongBusyMachine: no load may wait for a machine that is busy for longer
+// than a load from the weight store takes, or for an unknown time.
+func TestLoadDoesNotWaitForLongBusyMachine(t *testing.T) {
 	for name, busyFor := range map[string]time.Duration{"long": time.Minute, "unknown": 0} {
 		t.Run(name, func(t *testing.T) {
 			state := busyWaitState(busyFor)
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestBusyMachineIsAwaitedByFewModels: each model that waits for a machine takes its
-// time of it, so that further ones load elsewhere.
-func TestBusyMachineIsAwaitedByFewModels(t *testing.T) {
+// TestFurtherModelsDoNotWaitForSameBusyMachine: each model that waits for a busy machine adds
+// to its queue, so further models must be loaded on other machines.
+func TestFurtherModelsDoNotWaitForSameBusyMachine(t *testing.T) {
 	state := busyWaitState(300 * time.Millisecond)
 	state.Machines[0].MemoryBytes = 400 * gigabyte
 	models := state.Settings.Models
@@ -68,7 +68,7 @@
 	state.Settings = testSnapshot(2, models...)
 	state.Allotment = testAllotment(state.Settings)
 	plan := NewPlanner(Config{}).Plan(state)
-	if n := len(plan.Actions); n == 0 || n == 7 {
-		t.Fatalf("%d loads begin elsewhere, want some of seven: %v", n, actionsOf(plan))
+	if loads := len(plan.Actions); loads == 0 || loads == 7 {
+		t.Fatalf("%d loads begin elsewhere, want some of seven: %v", loads, actionsOf(plan))
 	}
 }
--- a/placement/world_test.go
+++ b/placement/world_test.go
@@ -12,10 +12,10 @@
 
 const gigabyte = int64(1e9)
 
-// start is the fixed beginning of every test.
+// start is the time at which every test begins.
 var start = time.Date(2026, time.March, 2, 8, 0, 0, 0, time.UTC)
 
-// testModel returns a base model with usual policy values.
+// testModel returns a base model with common policy values.
 func testModel(id string, change func(*settings.Model)) settings.Model {
 	model := settings.Model{
 		ID: cluster.ModelID(id), Kind: settings.KindModel, Path: "/" + id, Team: "/",
@@ -34,13 +34,13 @@
 	return model
 }
 
-// testSnapshot compiles models into a snapshot.
+// testSnapshot returns a settings snapshot with the models.
 func testSnapshot(revision int64, models ...settings.Model) *settings.Snapshot {
 	slices.SortFunc(models, func(a, b settings.Model) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return settings.NewSnapshot(settings.Stamp{History: "test", Revision: revision}, models, nil, nil)
 }
 
-// testAllotment allots every model up to its maximum on any machine.
+// testAllotment allots each model up to its maximum, on any machine.
 func testAllotment(snapshot *settings.Snapshot) *cluster.Allotment {
 	allotment := &cluster.Allotment{Zone: "zone-a", Revision: 7, SettingsRevision: snapshot.Stamp.Revision}
 	for i := range snapshot.Models {
@@ -51,8 +51,7 @@
 	return allotment
 }
 
-// testMachines returns sealed machines of 40 GB in the assistant pool, two in
-// each rack.
+// testMachines returns sealed machines with 40 GB in the pool "assistant", two in each rack.
 func testMachines(count int) []Machine {
 	machines := make([]Machine, count)
 	for i := range machines {
@@ -65,7 +64,7 @@
 	return machines
 }
 
-// testState returns a state at the start with nothing loaded.
+// testState returns a state at the start time with nothing loaded.
 func testState(snapshot *settings.Snapshot, machines int) State {
 	return State{
 		Now: start, Zone: "zone-a", Token: 5, Settings: snapshot, Allotment: testAllotment(snapshot),
@@ -74,8 +73,8 @@
 	}
 }
 
-// hold puts a loaded replica on the machine.
-func hold(state *State, machine int, id cluster.ModelID) *Slot {
+// addLoadedReplica puts a loaded replica on the machine.
+func addLoadedReplica(state *State, machine int, id cluster.ModelID) *Slot {
 	model := state.Settings.Model(id)
 	slot := Slot{Model: id, State: cluster.ReplicaLoaded, Since: state.Now}
 	if model != nil {
@@ -88,42 +87,42 @@
 	return &replicas[at]
 }
 
-// engines carry out plans: loads take their expected time times the slowness,
-// unloads one second.
-type engines struct {
-	slowness float64
-	ready    map[loadKey]time.Time
+// fakeEngines carries out plans. A load takes its expected time multiplied by loadTimeFactor,
+// and an unload takes one second.
+type fakeEngines struct {
+	loadTimeFactor float64
+	completesAt    map[loadKey]time.Time
 }
 
-// order enters the plan's actions into the ledger.
-func (e *engines) order(state *State, plan Plan) {
+// apply enters the plan's actions into the ledger.
+func (e *fakeEngines) apply(state *State, plan Plan) {
 	for _, action := range plan.Actions {
 		m := slices.IndexFunc(state.Machines, func(machine Machine) bool { return machine.ID == action.Machine })
 		machine := &state.Machines[m]
 		key := loadKey{machine: action.Machine, model: action.Model}
 		switch action.Kind {
 		case cluster.OrderLoad:
-			slot := hold(state, m, action.Model)
+			slot := addLoadedReplica(state, m, action.Model)
 			slot.State = cluster.ReplicaLoading
-			e.ready[key] = state.Now.Add(time.Duration(e.slowness * float64(action.ExpectedTime)))
+			e.completesAt[key] = state.Now.Add(time.Duration(e.loadTimeFactor * float64(action.ExpectedTime)))
 		case cluster.OrderUnload:
 			at := slices.IndexFunc(machine.Replicas, func(s Slot) bool { return s.Model == action.Model })
 			machine.Replicas[at].State = cluster.ReplicaUnloading
-			e.ready[key] = state.Now.Add(time.Second)
+			e.completesAt[key] = state.Now.Add(time.Second)
 		case cluster.OrderSetPool:
 			machine.Pool = action.Pool
 		}
 	}
 }
 
-// advance moves time on and completes what is due.
-func (e *engines) advance(state *State, step time.Duration) {
+// advance moves the time forward and completes the orders that are due.
+func (e *fakeEngines) advance(state *State, step time.Duration) {
 	state.Now = state.Now.Add(step)
 	for m := range state.Machines {
 		machine := &state.Machines[m]
 		kept := machine.Replicas[:0]
 		for _, slot := range machine.Replicas {
-			due, ok := e.ready[loadKey{machine: machine.ID, model: slot.Model}]
+			due, ok := e.completesAt[loadKey{machine: machine.ID, model: slot.Model}]
 			if ok && !due.After(state.Now) {
 				if slot.State == cluster.ReplicaUnloading {
 					continue
