--- a/node/apportioner.go
+++ b/node/apportioner.go
@@ -13,29 +13,30 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// apportionerRole divides the decided replica counts over the zones while this
-// node holds the apportioner's lease. Only a cell's controller stands for it,
-// and every write compares the lease record, so a lapsed holder writes nothing.
+// apportionerRole divides the fleet's replica counts over the zones while this node
+// holds the apportioner lease. Only the controller of a zone competes for the lease.
+// Every write compares the lease record, so a node whose lease has expired cannot
+// write.
 type apportionerRole struct {
 	core  *Core
 	lease *lease.Client
 
-	renewDue  time.Time
-	standDue  time.Time
-	reportDue time.Time
-	// reportedRevision is the allotment's revision in the last report.
+	nextRenewal     time.Time
+	nextAcquisition time.Time
+	nextReport      time.Time
+	// reportedRevision is the allotment revision in the last zone report.
 	reportedRevision int64
-	dueAt            time.Time
+	nextDivision     time.Time
 	presence         *authority.Presence
-	reports          map[cluster.ZoneID]zoneReport
-	planWanted       map[cluster.ModelID]int
-	// writing is true while a division's transaction has no answer.
-	writing bool
+	reports          map[cluster.ZoneID]receivedZoneReport
+	plannedReplicas  map[cluster.ModelID]int
+	// transactionPending is true until the transaction of the last division is answered.
+	transactionPending bool
 }
 
-type zoneReport struct {
-	report wire.ZoneReport
-	at     time.Time
+type receivedZoneReport struct {
+	report     wire.ZoneReport
+	receivedAt time.Time
 }
 
 func newApportionerRole(core *Core) *apportionerRole {
@@ -43,11 +44,11 @@
 		core:     core,
 		lease:    newLease(core, keyApportioner),
 		presence: authority.NewPresence(machineLag(core.config.Controller)),
-		reports:  map[cluster.ZoneID]zoneReport{},
+		reports:  map[cluster.ZoneID]receivedZoneReport{},
 	}
 }
 
-func (r *apportionerRole) holding() bool {
+func (r *apportionerRole) holdsLease() bool {
 	return r.lease.Holding()
 }
 
@@ -55,29 +56,30 @@
 	if !r.core.cellRole.controller.Holding() || r.core.draining {
 		return
 	}
-	r.report()
-	if !r.holding() {
-		r.stand()
+	r.reportIfDue()
+	if !r.holdsLease() {
+		r.acquireLease()
 		return
 	}
-	if !r.core.now.Before(r.renewDue) {
-		r.renewDue = r.core.now.Add(leaseTTL / 3)
+	if !r.core.now.Before(r.nextRenewal) {
+		r.nextRenewal = r.core.now.Add(leaseTTL / 3)
 		r.lease.Renew()
 	}
-	if !r.core.now.Before(r.dueAt) {
-		r.dueAt = r.core.now.Add(apportionInterval)
+	if !r.core.now.Before(r.nextDivision) {
+		r.nextDivision = r.core.now.Add(apportionInterval)
 		r.apportion()
 	}
 }
 
-// stand tries to take the lease when no live node claims it.
-func (r *apportionerRole) stand() {
-	if r.core.now.Before(r.standDue) {
+// acquireLease tries to acquire the lease unless another live node is known to hold
+// it.
+func (r *apportionerRole) acquireLease() {
+	if r.core.now.Before(r.nextAcquisition) {
 		return
 	}
-	r.standDue = r.core.now.Add(leaseTTL / 4)
-	claim, claimed := r.core.cells.claimed[ApportionerZone]
-	if claimed && claim.Node != r.core.self.ID && r.core.cellRole.unsuspected(claim.Node) {
+	r.nextAcquisition = r.core.now.Add(leaseTTL / 4)
+	claim, claimed := r.core.cells.latestClaims[ApportionerZone]
+	if claimed && claim.Node != r.core.self.ID && r.core.cellRole.isUnsuspected(claim.Node) {
 		return
 	}
 	r.lease.Acquire()
@@ -86,24 +88,24 @@
 func (r *apportionerRole) leaseAnswered(answer KeyValueAnswered) {
 	switch r.lease.Answered(leaseAnswerOf(answer)) {
 	case lease.Won:
-		r.core.cells.note(wire.ControllerClaim{Zone: ApportionerZone, Node: r.core.self.ID, Token: r.lease.Token()})
-		r.renewDue = r.core.now.Add(leaseTTL / 3)
-		// The first division waits for the zones' reports.
-		r.dueAt = r.core.now.Add(apportionInterval / 4)
+		r.core.cells.recordClaim(wire.ControllerClaim{Zone: ApportionerZone, Node: r.core.self.ID, Token: r.lease.Token()})
+		r.nextRenewal = r.core.now.Add(leaseTTL / 3)
+		// Leave the controllers time to send their zone reports before the first division.
+		r.nextDivision = r.core.now.Add(apportionInterval / 4)
 	case lease.Taken:
 		holder, token := r.lease.Holder()
-		r.core.noteClaim(wire.ControllerClaim{Zone: ApportionerZone, Node: cluster.NodeID(holder), Token: token})
+		r.core.claimReceived(wire.ControllerClaim{Zone: ApportionerZone, Node: cluster.NodeID(holder), Token: token})
 	}
 }
 
-func (r *apportionerRole) superseded(claim wire.ControllerClaim) {
-	if r.holding() && claim.Token > r.lease.Token() {
+func (r *apportionerRole) claimSuperseded(claim wire.ControllerClaim) {
+	if r.holdsLease() && claim.Token > r.lease.Token() {
 		r.lease.Reset()
 	}
 }
 
-func (r *apportionerRole) resign() {
-	if r.holding() {
+func (r *apportionerRole) releaseLease() {
+	if r.holdsLease() {
 		r.lease.Release()
 	}
 }
@@ -112,7 +114,7 @@
 	r.presence.Listed(r.core.now, machines)
 }
 
-// machineLag is the configured lag of the machine list.
+// machineLag returns the configured lag of the machine list, or the default.
 func machineLag(config authority.ControllerConfig) time.Duration {
 	if config.MachineLag > 0 {
 		return config.MachineLag
@@ -120,37 +122,39 @@
 	return authority.DefaultMachineLag
 }
 
-func (r *apportionerRole) wanted(wanted map[cluster.ModelID]int) { r.planWanted = wanted }
+func (r *apportionerRole) setPlannedReplicas(replicas map[cluster.ModelID]int) {
+	r.plannedReplicas = replicas
+}
 
 func (r *apportionerRole) reportReceived(report wire.ZoneReport) {
 	known := r.reports[report.Zone]
 	if report.Token < known.report.Token {
 		return
 	}
-	r.reports[report.Zone] = zoneReport{report: report, at: r.core.now}
+	r.reports[report.Zone] = receivedZoneReport{report: report, receivedAt: r.core.now}
 }
 
-// report tells the apportioner what this cell holds and wants. Models with
-// neither are left out.
-func (r *apportionerRole) report() {
+// reportIfDue sends the apportioner the cell's replicas and planned replica counts. It
+// sends at every zoneReportInterval, and at once when the allotment revision changes.
+func (r *apportionerRole) reportIfDue() {
 	revision := r.core.cellRole.controller.AllotmentRevision()
-	if r.core.now.Before(r.reportDue) && revision == r.reportedRevision {
+	if r.core.now.Before(r.nextReport) && revision == r.reportedRevision {
 		return
 	}
 	r.reportedRevision = revision
-	r.reportDue = r.core.now.Add(zoneReportInterval)
-	report := r.ownReport()
-	if r.holding() {
+	r.nextReport = r.core.now.Add(zoneReportInterval)
+	report := r.buildZoneReport()
+	if r.holdsLease() {
 		r.reportReceived(report)
 		return
 	}
-	claim := r.core.cells.claimed[ApportionerZone]
+	claim := r.core.cells.latestClaims[ApportionerZone]
 	if member, ok := r.core.members.Member(claim.Node); ok {
 		r.core.send(member.Node.PeerAddress, report)
 	}
 }
 
-func (r *apportionerRole) ownReport() wire.ZoneReport {
+func (r *apportionerRole) buildZoneReport() wire.ZoneReport {
 	controller := r.core.cellRole.controller
 	report := wire.ZoneReport{
 		Zone: r.core.self.Zone, Token: controller.Token(),
@@ -163,62 +167,62 @@
 			held[model.Model] = model.Held
 		}
 	}
-	for model := range r.planWanted {
+	for model := range r.plannedReplicas {
 		if _, ok := held[model]; !ok {
 			held[model] = 0
 		}
 	}
 	for model, count := range held {
-		report.Models = append(report.Models, wire.ZoneModelReport{Model: model, Wanted: r.planWanted[model], Held: count})
+		report.Models = append(report.Models, wire.ZoneModelReport{Model: model, Wanted: r.plannedReplicas[model], Held: count})
 	}
 	sort.Slice(report.Models, func(i, j int) bool { return report.Models[i].Model < report.Models[j].Model })
 	return report
 }
 
-// apportion makes one division and stores the records that change, all in one
-// transaction. It compares the lease record, so a lapsed holder writes nothing,
-// and the guard that every division rewrites, so a division made from stale
-// records writes nothing: not even when the answer to this node's own earlier
-// write was lost.
+// apportion computes one division and stores the changed records in one transaction.
+// The transaction compares the lease record, so that a node whose lease has expired
+// writes nothing. It also compares the guard key that every division rewrites, so that
+// a division computed from stale records writes nothing, even if the answer to this
+// node's own previous write was lost.
 func (r *apportionerRole) apportion() {
-	if r.writing || r.core.keyValue.revision == 0 {
+	if r.transactionPending || r.core.keyValue.revision == 0 {
 		return
 	}
-	plan := authority.Apportion(r.state())
+	plan := authority.Apportion(r.apportionState())
 	if plan.Refused != "" || len(plan.Writes) == 0 {
 		return
 	}
 	txn := plan.Transaction()
 	txn.Compares = append(txn.Compares, keyvalue.Compare{Key: keyApportioner, ModRevision: int64(r.lease.Token())})
-	r.writing = true
+	r.transactionPending = true
 	r.core.keyValueCall(KeyValueCall{Operation: KeyValueTxn, Txn: txn}, callPurpose{division: true})
 }
 
-// written ends the write under way. Its effect, if any, comes by the watch: a
-// division made before that fails its compares.
-func (r *apportionerRole) written() { r.writing = false }
+// transactionAnswered allows the next division. The records change only when the watch
+// delivers the write; a division computed before that fails its compares.
+func (r *apportionerRole) transactionAnswered() { r.transactionPending = false }
 
-func (r *apportionerRole) state() authority.ApportionState {
+func (r *apportionerRole) apportionState() authority.ApportionState {
 	state := authority.ApportionState{
 		Now: r.core.now, Settings: r.core.Snapshot(), Presence: r.presence,
-		GuardRevision: r.core.keyValue.guard,
+		GuardRevision: r.core.keyValue.guardRevision,
 	}
-	for _, zone := range r.zones() {
-		view := authority.ZoneView{
+	for _, zone := range r.knownZones() {
+		zoneView := authority.ZoneView{
 			Zone: zone, Allotment: r.core.keyValue.allotments[zone],
 		}
-		view.Allotment.Zone = zone
+		zoneView.Allotment.Zone = zone
 		if known, ok := r.reports[zone]; ok {
 			report := known.report
-			view.Report, view.ReportAge = &report, r.core.now.Sub(known.at)
+			zoneView.Report, zoneView.ReportAge = &report, r.core.now.Sub(known.receivedAt)
 		}
-		state.Zones = append(state.Zones, view)
+		state.Zones = append(state.Zones, zoneView)
 	}
 	return state
 }
 
-// zones lists the zones that have machines or a record, sorted.
-func (r *apportionerRole) zones() []cluster.ZoneID {
+// knownZones returns, sorted, the zones that have machines or an allotment record.
+func (r *apportionerRole) knownZones() []cluster.ZoneID {
 	known := map[cluster.ZoneID]bool{}
 	for _, machine := range r.presence.Retained() {
 		known[machine.Zone] = true
--- a/node/caches.go
+++ b/node/caches.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	// maxCacheMoves run at once in a zone.
+	// maxCacheMoves is the largest number of concurrent cache moves in a zone.
 	maxCacheMoves = 2
-	// moveAttempts bounds how often the move of one cache is tried.
-	moveAttempts = 3
+	// maxMoveAttempts is the largest number of attempts to move one cache.
+	maxMoveAttempts = 3
 )
 
-// cacheMoves are the KV caches that a controller has copied from machines that
-// leave to the replicas that replace theirs.
+// cacheMoves tracks the KV caches that a controller copies from leaving machines to
+// the replicas that replace theirs.
 type cacheMoves struct {
-	// departures are the replicas on machines that leave.
-	departures map[replicaKey]*departure
-	running    int
+	// departing holds the replicas on leaving machines.
+	departing map[replicaKey]*departingReplica
+	running   int
 }
 
-// departure is one replica on a machine that leaves.
-type departure struct {
-	// before are the machines that had the model loaded when the leaving was
-	// seen. They have caches of their own, and are no targets.
-	before   []cluster.MachineID
-	attempts int
-	running  bool
-	moved    bool
+// departingReplica is one replica on a leaving machine.
+type departingReplica struct {
+	// loadedBefore lists the machines that had the model loaded when the machine was
+	// first seen leaving. They have caches of their own and are not targets.
+	loadedBefore []cluster.MachineID
+	attempts     int
+	running      bool
+	moved        bool
 }
 
 func newCacheMoves() cacheMoves {
-	return cacheMoves{departures: map[replicaKey]*departure{}}
+	return cacheMoves{departing: map[replicaKey]*departingReplica{}}
 }
 
-// forget drops the departures of machines that are gone.
-func (m *cacheMoves) forget(machine func(cluster.MachineID) (cluster.Machine, bool)) {
-	for key, leaving := range m.departures {
-		if _, listed := machine(key.machine); !listed && !leaving.running {
-			delete(m.departures, key)
+// forgetRemovedMachines drops the replicas of machines that are no longer listed.
+func (m *cacheMoves) forgetRemovedMachines(machine func(cluster.MachineID) (cluster.Machine, bool)) {
+	for key, replica := range m.departing {
+		if _, listed := machine(key.machine); !listed && !replica.running {
+			delete(m.departing, key)
 		}
 	}
 }
 
-// moveCaches begins the moves that became possible: from each loaded replica on
-// a machine that leaves to one of the same version that was loaded since.
+// moveCaches starts a cache move from each loaded replica on a leaving machine to a
+// replica of the same version that was loaded after the machine began to leave.
 func (r *cellRole) moveCaches() {
 	if !r.controller.Ready() {
 		return
 	}
-	r.moves.forget(r.controller.Machine)
+	r.moves.forgetRemovedMachines(r.controller.Machine)
 	inventories := r.controller.Inventories()
 	for i := range inventories {
 		machine, listed := r.controller.Machine(inventories[i].Machine)
@@ -67,23 +67,24 @@
 	}
 }
 
-// moveCache begins one move, unless it has run, runs, or has no target yet.
+// moveCache starts one move unless it is done or running, has used all its attempts,
+// or has no target yet.
 func (r *cellRole) moveCache(machine cluster.Machine, replica cluster.Replica, inventories []cluster.Inventory) {
 	key := replicaKey{machine.ID, replica.Model}
-	leaving := r.moves.departures[key]
-	if leaving == nil {
-		leaving = &departure{before: loadedOn(replica.Model, inventories)}
-		r.moves.departures[key] = leaving
+	departing := r.moves.departing[key]
+	if departing == nil {
+		departing = &departingReplica{loadedBefore: machinesWithLoadedModel(replica.Model, inventories)}
+		r.moves.departing[key] = departing
 	}
-	if leaving.moved || leaving.running || leaving.attempts == moveAttempts || r.moves.running == maxCacheMoves {
+	if departing.moved || departing.running || departing.attempts == maxMoveAttempts || r.moves.running == maxCacheMoves {
 		return
 	}
-	target, found := r.replacement(replica, leaving.before, inventories)
+	target, found := r.findReplacement(replica, departing.loadedBefore, inventories)
 	if !found {
 		return
 	}
-	leaving.attempts++
-	leaving.running = true
+	departing.attempts++
+	departing.running = true
 	r.moves.running++
 	r.core.emit(EngineCall{
 		Operation: EngineMoveCache, Machine: machine, Token: r.controller.Token(),
@@ -91,8 +92,8 @@
 	})
 }
 
-// loadedOn lists the machines that have a model loaded.
-func loadedOn(model cluster.ModelID, inventories []cluster.Inventory) []cluster.MachineID {
+// machinesWithLoadedModel returns the machines that have the model loaded.
+func machinesWithLoadedModel(model cluster.ModelID, inventories []cluster.Inventory) []cluster.MachineID {
 	var machines []cluster.MachineID
 	for i := range inventories {
 		for _, replica := range inventories[i].Replicas {
@@ -104,17 +105,17 @@
 	return machines
 }
 
-// replacement is the first machine that stays, answers, and has loaded the same
-// version of the model since the leaving was seen.
-func (r *cellRole) replacement(of cluster.Replica, before []cluster.MachineID, inventories []cluster.Inventory) (cluster.Machine, bool) {
+// findReplacement returns the first machine that is responsive, is not leaving, and
+// has loaded the same version of the model since the departure was seen.
+func (r *cellRole) findReplacement(departing cluster.Replica, loadedBefore []cluster.MachineID, inventories []cluster.Inventory) (cluster.Machine, bool) {
 	for i := range inventories {
 		id := inventories[i].Machine
 		machine, listed := r.controller.Machine(id)
-		if !listed || machine.Leaving || inventories[i].Leaving || slices.Contains(before, id) || !r.controller.Responsive(id) {
+		if !listed || machine.Leaving || inventories[i].Leaving || slices.Contains(loadedBefore, id) || !r.controller.Responsive(id) {
 			continue
 		}
 		for _, replica := range inventories[i].Replicas {
-			if replica.Model == of.Model && replica.Version == of.Version && replica.State == cluster.ReplicaLoaded {
+			if replica.Model == departing.Model && replica.Version == departing.Version && replica.State == cluster.ReplicaLoaded {
 				return machine, true
 			}
 		}
@@ -122,20 +123,20 @@
 	return cluster.Machine{}, false
 }
 
-// cacheMoved takes the outcome of a move and tells the zone's routers of one
-// that succeeded. Outcomes of an earlier term are ignored.
+// cacheMoved handles the outcome of a move and announces a successful one to the
+// routers of the zone. Outcomes of an earlier term are ignored.
 func (r *cellRole) cacheMoved(answer *EngineAnswered) {
 	call := &answer.Call
-	leaving := r.moves.departures[replicaKey{call.Machine.ID, call.Model}]
-	if !r.controller.Holding() || call.Token != r.controller.Token() || leaving == nil || !leaving.running {
+	departing := r.moves.departing[replicaKey{call.Machine.ID, call.Model}]
+	if !r.controller.Holding() || call.Token != r.controller.Token() || departing == nil || !departing.running {
 		return
 	}
-	leaving.running = false
+	departing.running = false
 	r.moves.running--
 	if answer.Err != nil {
 		return
 	}
-	leaving.moved = true
-	r.core.routing(routing.CacheMoved{Model: call.Model, From: call.Machine.ID, To: call.Target.ID})
-	r.tellZone(wire.CacheMoved{Zone: r.core.self.Zone, Model: call.Model, Machine: call.Machine.ID, Target: call.Target.ID})
+	departing.moved = true
+	r.core.stepRouter(routing.CacheMoved{Model: call.Model, From: call.Machine.ID, To: call.Target.ID})
+	r.sendToZone(wire.CacheMoved{Zone: r.core.self.Zone, Model: call.Model, Machine: call.Machine.ID, Target: call.Target.ID})
 }
--- a/node/caches_test.go
+++ b/node/caches_test.go
@@ -11,24 +11,25 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// cacheZone is a controller whose engines are inventories written by the test.
-type cacheZone struct {
-	*prefixNode
+// cacheMoveFixture is a controller whose engines report the inventories that the test
+// sets.
+type cacheMoveFixture struct {
+	*coreFixture
 	inventories map[cluster.MachineID]cluster.Inventory
 	leaving     cluster.MachineID
 }
 
-// hold gives a machine a replica of model m.
-func (z *cacheZone) hold(machine cluster.MachineID, version string, state cluster.ReplicaState) {
+// setReplica makes a replica of model m the only replica of a machine.
+func (z *cacheMoveFixture) setReplica(machine cluster.MachineID, version string, state cluster.ReplicaState) {
 	z.inventories[machine] = cluster.Inventory{
 		Machine: machine, Token: 9, Epoch: 1, Sequence: z.inventories[machine].Sequence + 1, MemoryBytes: 100, Slots: 4,
 		Replicas: []cluster.Replica{{Model: "m", Version: version, State: state, Bytes: 10}},
 	}
 }
 
-// pass ticks for ten seconds, answers seals, inventories and renewals, and returns
-// the moves that began.
-func (z *cacheZone) pass() (moves []EngineCall) {
+// runTenSeconds ticks for ten seconds, answers seals, inventories and lease renewals,
+// and returns the cache moves that started.
+func (z *cacheMoveFixture) runTenSeconds() (moves []EngineCall) {
 	var list []cluster.Machine
 	for _, id := range []cluster.MachineID{"a", "b", "c"} {
 		list = append(list, cluster.Machine{ID: id, Zone: "z", Region: "r", Address: string(id) + ":2", Leaving: id == z.leaving})
@@ -41,7 +42,7 @@
 		})
 		for waiting = append(waiting, z.step(Tick{})...); len(waiting) > 0; {
 			call, ok := waiting[0].(EngineCall)
-			if renewal, is := waiting[0].(KeyValueCall); is && renewal.Operation == KeyValueKeepAlive {
+			if renewal, isCall := waiting[0].(KeyValueCall); isCall && renewal.Operation == KeyValueKeepAlive {
 				z.step(KeyValueAnswered{ID: renewal.ID, TTL: leaseTTL})
 			}
 			waiting = waiting[1:]
@@ -56,75 +57,77 @@
 	return moves
 }
 
-func newCacheZone(t *testing.T) *cacheZone {
-	z := &cacheZone{prefixNode: newPrefixNode(t, "c", time.Unix(1_000_000, 0)), inventories: map[cluster.MachineID]cluster.Inventory{}}
-	z.lead()
-	z.hold("a", "1", cluster.ReplicaLoaded)
-	z.hold("b", "1", cluster.ReplicaLoaded)
-	z.hold("c", "1", cluster.ReplicaLoading)
-	z.pass()
+func newCacheMoveFixture(t *testing.T) *cacheMoveFixture {
+	z := &cacheMoveFixture{coreFixture: newCoreFixture(t, "c", time.Unix(1_000_000, 0)), inventories: map[cluster.MachineID]cluster.Inventory{}}
+	z.becomeController()
+	z.setReplica("a", "1", cluster.ReplicaLoaded)
+	z.setReplica("b", "1", cluster.ReplicaLoaded)
+	z.setReplica("c", "1", cluster.ReplicaLoading)
+	z.runTenSeconds()
 	z.leaving = "a"
 	return z
 }
 
-// TestCachesMoveToTheReplacement: only a replica that was loaded since the
-// leaving, of the same version, gets the cache; routers are told once it has it.
-func TestCachesMoveToTheReplacement(t *testing.T) {
-	z := newCacheZone(t)
-	if moves := z.pass(); len(moves) != 0 {
-		t.Fatalf("moved to a replica that is loading, or has a cache of its own: %+v", moves)
+// TestCacheMovesOnlyToReplicaLoadedAfterDeparture checks that the cache of a leaving
+// machine is copied only to a replica of the same version that was loaded after the
+// machine began to leave, and that routers learn of it only when the copy is complete.
+func TestCacheMovesOnlyToReplicaLoadedAfterDeparture(t *testing.T) {
+	z := newCacheMoveFixture(t)
+	if moves := z.runTenSeconds(); len(moves) != 0 {
+		t.Fatalf("cache moved to a replica that is loading or that was loaded before the departure: %+v", moves)
 	}
-	z.hold("c", "2", cluster.ReplicaLoaded)
-	if moves := z.pass(); len(moves) != 0 {
-		t.Fatalf("moved to another version: %+v", moves)
+	z.setReplica("c", "2", cluster.ReplicaLoaded)
+	if moves := z.runTenSeconds(); len(moves) != 0 {
+		t.Fatalf("cache moved to a replica of another version: %+v", moves)
 	}
-	z.hold("c", "1", cluster.ReplicaLoaded)
-	moves := z.pass()
+	z.setReplica("c", "1", cluster.ReplicaLoaded)
+	moves := z.runTenSeconds()
 	if len(moves) != 1 || moves[0].Machine.ID != "a" || moves[0].Target.ID != "c" || moves[0].Token != 9 || moves[0].Version != "1" {
-		t.Fatalf("moves %+v", moves)
+		t.Fatalf("moves %+v, want one move of version 1 from a to c with token 9", moves)
 	}
-	if again := z.pass(); len(again) != 0 {
-		t.Fatalf("moved again while it runs: %+v", again)
+	if again := z.runTenSeconds(); len(again) != 0 {
+		t.Fatalf("second move started while the first one runs: %+v", again)
 	}
-	told := z.step(EngineAnswered{Call: moves[0]})
+	effects := z.step(EngineAnswered{Call: moves[0]})
 	want := wire.CacheMoved{Zone: "z", Model: "m", Machine: "a", Target: "c"}
-	if len(told) == 0 || told[len(told)-1] != Effect(SendMessage{Address: "n2:1", Message: want}) {
-		t.Errorf("told %+v", told)
+	if len(effects) == 0 || effects[len(effects)-1] != Effect(SendMessage{Address: "n2:1", Message: want}) {
+		t.Errorf("effects after the move: %+v", effects)
 	}
-	if again := z.pass(); len(again) != 0 {
-		t.Errorf("moved again: %+v", again)
+	if again := z.runTenSeconds(); len(again) != 0 {
+		t.Errorf("cache moved again after success: %+v", again)
 	}
 }
 
-// TestMovesAreBounded: a move that fails is tried again, three times in all, and
-// nobody is told of it; an outcome that comes after the term is ignored.
-func TestMovesAreBounded(t *testing.T) {
-	z := newCacheZone(t)
-	z.pass()
-	z.hold("c", "1", cluster.ReplicaLoaded)
-	for attempt := range moveAttempts {
-		moves := z.pass()
+// TestFailedCacheMoveIsRetriedUpToMaximum checks that a failed move is tried at most
+// maxMoveAttempts times and not announced, and that an outcome that arrives after the
+// controller's term is ignored.
+func TestFailedCacheMoveIsRetriedUpToMaximum(t *testing.T) {
+	z := newCacheMoveFixture(t)
+	z.runTenSeconds()
+	z.setReplica("c", "1", cluster.ReplicaLoaded)
+	for attempt := range maxMoveAttempts {
+		moves := z.runTenSeconds()
 		if len(moves) != 1 {
 			t.Fatalf("attempt %d: %+v", attempt, moves)
 		}
-		if told := z.step(EngineAnswered{Call: moves[0], Err: errors.New("cut")}); len(told) != 0 {
-			t.Fatalf("told of a failure: %+v", told)
+		if effects := z.step(EngineAnswered{Call: moves[0], Err: errors.New("cut")}); len(effects) != 0 {
+			t.Fatalf("failed move was announced: %+v", effects)
 		}
 	}
-	if moves := z.pass(); len(moves) != 0 {
-		t.Errorf("a fourth attempt: %+v", moves)
+	if moves := z.runTenSeconds(); len(moves) != 0 {
+		t.Errorf("attempt after the maximum: %+v", moves)
 	}
 
-	late := newCacheZone(t)
-	late.pass()
-	late.hold("c", "1", cluster.ReplicaLoaded)
-	moves := late.pass()
-	late.core.cellRole.control(authority.StaleToken{Machine: "a", Held: 10})
+	late := newCacheMoveFixture(t)
+	late.runTenSeconds()
+	late.setReplica("c", "1", cluster.ReplicaLoaded)
+	moves := late.runTenSeconds()
+	late.core.cellRole.stepController(authority.StaleToken{Machine: "a", Held: 10})
 	late.step(Tick{})
-	if told := late.step(EngineAnswered{Call: moves[0]}); len(told) != 0 {
-		t.Errorf("told after the term: %+v", told)
+	if effects := late.step(EngineAnswered{Call: moves[0]}); len(effects) != 0 {
+		t.Errorf("effects after the end of the term: %+v", effects)
 	}
-	if told := late.step(EngineAnswered{Call: moves[0], Err: &engine.StaleTokenError{Held: 10}}); len(told) != 0 {
-		t.Errorf("told after the term: %+v", told)
+	if effects := late.step(EngineAnswered{Call: moves[0], Err: &engine.StaleTokenError{Held: 10}}); len(effects) != 0 {
+		t.Errorf("effects after the end of the term: %+v", effects)
 	}
 }
--- a/node/config.go
+++ b/node/config.go
@@ -6,14 +6,14 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Config is a node's own settings: its addresses, its place and where to find
-// the platform. It is read from a YAML file by LoadConfig; flags and
-// environment override it.
+// Config is the configuration of one node: its listen addresses, its location and the
+// URLs of the platform services. LoadConfig reads it from a YAML file; flags and
+// environment variables override the file.
 type Config struct {
-	// Zone and Region the node runs in.
+	// Zone and Region are the location of the node.
 	Zone   cluster.ZoneID   `yaml:"zone"`
 	Region cluster.RegionID `yaml:"region"`
-	// CallerAddress is the listen address, IP:port, of the callers' API.
+	// CallerAddress is the listen address, IP:port, of the inference API.
 	CallerAddress string `yaml:"caller_address"`
 	// AdminAddress is the listen address of the administration API, metrics
 	// and health.
@@ -22,34 +22,36 @@
 	PeerAddress string `yaml:"peer_address"`
 	// Seeds are peer addresses of other nodes, any of which may be down.
 	Seeds []string `yaml:"seeds"`
-	// KeyValueURL, MachineListURL and WeightStoreURL are the platform's.
+	// KeyValueURL, MachineListURL and WeightStoreURL are the URLs of the platform
+	// services.
 	KeyValueURL    string `yaml:"key_value_url"`
 	MachineListURL string `yaml:"machine_list_url"`
 	WeightStoreURL string `yaml:"weight_store_url"`
-	// DrainTime bounds a planned stop; the default is 60 s.
+	// DrainTime is the longest time a graceful stop waits for requests in flight; the
+	// default is 60 s.
 	DrainTime time.Duration `yaml:"drain_time"`
-	// MachineListLag is for how long a machine must be missing from the machine
-	// list before its replicas count as gone; the default is 30 s.
+	// MachineListLag is the time a machine must be missing from the machine list before
+	// its replicas are taken as gone; the default is 30 s.
 	MachineListLag time.Duration `yaml:"machine_list_lag"`
-	// MaxBodyBytes bounds a request body; the default is 4 MiB.
+	// MaxBodyBytes is the largest accepted request body; the default is 4 MiB.
 	MaxBodyBytes int64 `yaml:"max_body_bytes"`
 	// LogLevel is debug, info, warn or error; the default is info.
 	LogLevel string `yaml:"log_level"`
-	// BootstrapTokenSHA256 is the lower-case hexadecimal SHA-256 of a token
-	// that may edit the whole tree besides the tokens in it, for the first
-	// edits; empty means none.
+	// BootstrapTokenSHA256 is the lower-case hexadecimal SHA-256 of a token that may
+	// edit the whole settings tree except its tokens, for the first edits. Empty
+	// disables it.
 	BootstrapTokenSHA256 string `yaml:"bootstrap_token_sha256"`
-	// TLS settings; all empty means plain TCP.
+	// TLS names the certificate files; without any the listeners use plain TCP.
 	TLS TLSConfig `yaml:"tls"`
 }
 
-// TLSConfig names PEM files. They are read again when they change.
+// TLSConfig names PEM files, which are reloaded when they change.
 type TLSConfig struct {
-	// CertificateFile and KeyFile serve the callers' and administration
-	// listeners, and identify the node to its peers.
+	// CertificateFile and KeyFile are used by the caller and administration listeners,
+	// and identify the node to its peers.
 	CertificateFile string `yaml:"certificate_file"`
 	KeyFile         string `yaml:"key_file"`
-	// PeerAuthorityFile holds the authorities that sign the nodes'
-	// certificates; setting it turns on mutual TLS between nodes.
+	// PeerAuthorityFile holds the CA certificates that sign the nodes' certificates.
+	// Setting it turns on mutual TLS between nodes.
 	PeerAuthorityFile string `yaml:"peer_authority_file"`
 }
--- a/node/config_keys.go
+++ b/node/config_keys.go
@@ -7,42 +7,42 @@
 	"github.com/valveslip/valveslip/authority"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultDrainTime    = 60 * time.Second
 	DefaultMaxBodyBytes = 4 << 20
 	DefaultLogLevel     = "info"
 )
 
-// ConfigKey describes one setting of a node. Flags, environment variables and
-// the documentation are made from the list of them.
+// ConfigKey describes one configuration key. Flags, environment variables and the
+// documentation are generated from the list of keys.
 type ConfigKey struct {
-	// Name in the file; nested keys are joined by a dot.
+	// Name is the key in the YAML file; nested keys are joined by a dot.
 	Name string
-	// Default as text, empty when there is none.
+	// Default is the default value as text, empty if there is none.
 	Default string
-	// Required keys have no default and may not be empty.
+	// Required is true for keys that have no default and must not be empty.
 	Required bool
-	// Usage is one sentence.
+	// Usage is a one-sentence description.
 	Usage string
 
 	target func(*Config) any
 }
 
-// FlagName is the key's name as a command line flag.
+// FlagName returns the name of the command-line flag.
 func (k ConfigKey) FlagName() string {
 	return strings.NewReplacer("_", "-", ".", "-").Replace(k.Name)
 }
 
-// EnvironmentName is the key's name as an environment variable.
+// EnvironmentName returns the name of the environment variable.
 func (k ConfigKey) EnvironmentName() string {
 	return EnvironmentPrefix + "_" + strings.ToUpper(strings.NewReplacer("-", "_", ".", "_").Replace(k.Name))
 }
 
-// EnvironmentPrefix begins the names of environment variables.
+// EnvironmentPrefix is the prefix of all environment variables.
 const EnvironmentPrefix = "VALVESLIP"
 
-// configKeys lists every setting, in the order of the documentation.
+// configKeys lists every configuration key in the order of the documentation.
 var configKeys = []ConfigKey{
 	{Name: "zone", Required: true, Usage: "Zone the node runs in; requests prefer engines of its zone.", target: func(c *Config) any { return &c.Zone }},
 	{Name: "region", Usage: "Region the zone belongs to.", target: func(c *Config) any { return &c.Region }},
@@ -63,10 +63,10 @@
 	{Name: "tls.peer_authority_file", Usage: "PEM certificates of the authorities that sign nodes' certificates; turns on mutual TLS between nodes.", target: func(c *Config) any { return &c.TLS.PeerAuthorityFile }},
 }
 
-// ConfigKeys returns the settings of a node in the order of the documentation.
+// ConfigKeys returns a copy of all configuration keys in the order of the
+// documentation.
 func ConfigKeys() []ConfigKey { return append([]ConfigKey(nil), configKeys...) }
 
-// findKey returns the key with the given name.
 func findKey(name string) (ConfigKey, bool) {
 	for _, key := range configKeys {
 		if key.Name == name {
--- a/node/config_load.go
+++ b/node/config_load.go
@@ -13,13 +13,14 @@
 	"github.com/valveslip/valveslip/authority"
 )
 
-// ConfigError is one fault of a node's configuration.
+// ConfigError is one error in a node's configuration.
 type ConfigError struct {
-	// Source is the file, or names the flags and environment.
+	// Source is the file name, or says that a flag or an environment variable set the
+	// value.
 	Source string
-	// Line in the file, zero when it has none.
+	// Line is the line in the file, zero if unknown.
 	Line int
-	// Key at fault, empty when the whole source is.
+	// Key is the invalid key, empty if the error concerns the whole source.
 	Key    string
 	Reason string
 }
@@ -36,37 +37,37 @@
 	return fmt.Sprintf("%s: key %q: %s", place, e.Key, e.Reason)
 }
 
-// Override is a value of a flag or an environment variable. It goes before the
-// file.
+// Override is a value from a flag or an environment variable. It takes precedence over
+// the file.
 type Override struct {
 	Key, Value string
-	// Source names where it was set.
+	// Source names the flag or environment variable.
 	Source string
 }
 
-// LoadConfig reads the YAML file at path, applies overrides and defaults and
-// validates the outcome. Its error joins a *ConfigError for every fault. An
-// empty path means no file.
+// LoadConfig reads the YAML file at path, applies overrides and defaults and validates
+// the result. The returned error joins one *ConfigError for each error found. With an
+// empty path no file is read.
 func LoadConfig(path string, overrides []Override) (Config, error) {
-	loader := loader{config: Config{
+	loader := configLoader{config: Config{
 		DrainTime: DefaultDrainTime, MachineListLag: authority.DefaultMachineLag, MaxBodyBytes: DefaultMaxBodyBytes, LogLevel: DefaultLogLevel,
-	}, places: make(map[string]ConfigError)}
+	}, sources: make(map[string]ConfigError)}
 	if path != "" {
 		data, err := os.ReadFile(path)
 		if err != nil {
-			return Config{}, &ConfigError{Source: path, Reason: "cannot be read: " + cause(err)}
+			return Config{}, &ConfigError{Source: path, Reason: "cannot be read: " + fileErrorReason(err)}
 		}
-		loader.file(path, data)
+		loader.readFile(path, data)
 	}
 	for _, override := range overrides {
-		loader.override(override)
+		loader.applyOverride(override)
 	}
 	loader.validate(path)
-	return loader.config, errors.Join(loader.faults...)
+	return loader.config, errors.Join(loader.errs...)
 }
 
-// cause returns the reason of a file error without the path.
-func cause(err error) string {
+// fileErrorReason returns the message of a file error without the path.
+func fileErrorReason(err error) string {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
 		return pathError.Err.Error()
@@ -74,76 +75,77 @@
 	return err.Error()
 }
 
-// loader collects a configuration, where each value came from, and the faults.
-type loader struct {
-	config Config
-	places map[string]ConfigError
-	faults []error
+// configLoader collects the configuration, the source of each value, and the errors.
+type configLoader struct {
+	config  Config
+	sources map[string]ConfigError
+	errs    []error
 }
 
-// fault records a fault at the place a key was set.
-func (l *loader) fault(key, format string, arguments ...any) {
-	place := l.places[key]
-	place.Key = key
-	place.Reason = fmt.Sprintf(format, arguments...)
-	l.faults = append(l.faults, &place)
+// addError records an error at the source of the key.
+func (l *configLoader) addError(key, format string, arguments ...any) {
+	source := l.sources[key]
+	source.Key = key
+	source.Reason = fmt.Sprintf(format, arguments...)
+	l.errs = append(l.errs, &source)
 }
 
-// file reads a YAML document.
-func (l *loader) file(path string, data []byte) {
+// readFile reads the keys of a YAML document.
+func (l *configLoader) readFile(path string, data []byte) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
-		l.faults = append(l.faults, &ConfigError{Source: path, Reason: strings.TrimPrefix(err.Error(), "yaml: ")})
+		l.errs = append(l.errs, &ConfigError{Source: path, Reason: strings.TrimPrefix(err.Error(), "yaml: ")})
 		return
 	}
 	if len(document.Content) == 0 {
 		return
 	}
-	l.mapping(path, "", document.Content[0])
+	l.readMapping(path, "", document.Content[0])
 }
 
-// mapping reads the keys of one mapping; prefix is the name of the one around.
-func (l *loader) mapping(path, prefix string, node *yaml.Node) {
+// readMapping reads the keys of one mapping. prefix is the name of the enclosing key
+// followed by a dot, or empty.
+func (l *configLoader) readMapping(path, prefix string, node *yaml.Node) {
 	if node.Kind != yaml.MappingNode {
-		l.faults = append(l.faults, &ConfigError{Source: path, Line: node.Line, Key: strings.TrimSuffix(prefix, "."), Reason: "is not a mapping of keys to values"})
+		l.errs = append(l.errs, &ConfigError{Source: path, Line: node.Line, Key: strings.TrimSuffix(prefix, "."), Reason: "is not a mapping of keys to values"})
 		return
 	}
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		name, value := prefix+node.Content[i].Value, node.Content[i+1]
-		l.entry(path, name, node.Content[i].Line, value)
+		l.readEntry(path, name, node.Content[i].Line, value)
 	}
 }
 
-// entry reads one key of the file.
-func (l *loader) entry(path, name string, line int, value *yaml.Node) {
-	place := ConfigError{Source: path, Line: line}
-	if _, twice := l.places[name]; twice {
-		l.places[name] = place
-		l.fault(name, "stands twice")
+// readEntry reads one key of the file.
+func (l *configLoader) readEntry(path, name string, line int, value *yaml.Node) {
+	source := ConfigError{Source: path, Line: line}
+	if _, duplicate := l.sources[name]; duplicate {
+		l.sources[name] = source
+		l.addError(name, "is set twice")
 		return
 	}
-	l.places[name] = place
+	l.sources[name] = source
 	if name == "tls" {
-		l.mapping(path, "tls.", value)
+		l.readMapping(path, "tls.", value)
 		return
 	}
 	key, known := findKey(name)
 	if !known {
-		l.fault(name, "is unknown")
+		l.addError(name, "is unknown")
 		return
 	}
 	target := key.target(&l.config)
 	if err := value.Decode(target); err != nil {
-		l.fault(name, "%q is not a %s", value.Value, kindName(target))
+		l.addError(name, "%q is not a %s", value.Value, kindName(target))
 	}
 }
 
-// override applies a flag or environment variable.
-func (l *loader) override(override Override) {
-	l.places[override.Key] = ConfigError{Source: override.Source}
+// applyOverride applies a flag or environment variable.
+func (l *configLoader) applyOverride(override Override) {
+	l.sources[override.Key] = ConfigError{Source: override.Source}
 	key, known := findKey(override.Key)
 	if !known {
-		l.fault(override.Key, "is unknown")
+		l.addError(override.Key, "is unknown")
 		return
 	}
 	target := key.target(&l.config)
@@ -156,11 +158,11 @@
 		value.Tag = "!!str"
 	}
 	if err := value.Decode(target); err != nil {
-		l.fault(override.Key, "%q is not a %s", override.Value, kindName(target))
+		l.addError(override.Key, "%q is not a %s", override.Value, kindName(target))
 	}
 }
 
-// splitList splits a comma-separated list; an empty text is an empty list.
+// splitList splits a comma-separated list, dropping empty elements.
 func splitList(text string) []string {
 	var list []string
 	for part := range strings.SplitSeq(text, ",") {
@@ -171,16 +173,16 @@
 	return list
 }
 
-// kindName names the kind of value a key takes.
+// kindName describes the type of a configuration value for error messages.
 func kindName(target any) string {
 	switch kind := reflect.TypeOf(target).Elem(); {
 	case kind == reflect.TypeFor[[]string]():
-		return "list of texts"
+		return "list of strings"
 	case kind.String() == "time.Duration":
 		return "duration such as 30s"
 	case kind.Kind() == reflect.Int64:
 		return "whole number"
 	default:
-		return "text"
+		return "string"
 	}
 }
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -11,8 +11,8 @@
 	"github.com/valveslip/valveslip/node"
 )
 
-// valid is a file with every required key.
-const valid = `zone: a
+// validConfig is a configuration file with every required key.
+const validConfig = `zone: a
 region: north
 caller_address: 127.0.0.1:8000
 admin_address: 127.0.0.1:8001
@@ -28,8 +28,8 @@
   key_file: node.key
 `
 
-// load writes a file and loads it. Errors name it node.yaml.
-func load(t *testing.T, content string, overrides ...node.Override) (node.Config, string) {
+// loadConfig writes a file and loads it. Error texts call the file node.yaml.
+func loadConfig(t *testing.T, content string, overrides ...node.Override) (node.Config, string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "node.yaml")
 	if err := os.WriteFile(file, []byte(content), 0o600); err != nil {
@@ -42,13 +42,15 @@
 	return config, strings.ReplaceAll(err.Error(), file, "node.yaml")
 }
 
-func TestValidConfiguration(t *testing.T) {
-	config, fault := load(t, valid,
+// TestLoadConfigAppliesOverridesAndDefaults checks that overrides replace values of the
+// file and that keys without a value get their default.
+func TestLoadConfigAppliesOverridesAndDefaults(t *testing.T) {
+	config, message := loadConfig(t, validConfig,
 		node.Override{Key: "zone", Value: "1", Source: "environment"},
 		node.Override{Key: "seeds", Value: "127.0.0.1:1, 127.0.0.1:2", Source: "flag"},
 		node.Override{Key: "drain_time", Value: "2m", Source: "flag"})
-	if fault != "" {
-		t.Fatal(fault)
+	if message != "" {
+		t.Fatal(message)
 	}
 	if config.Zone != "1" || len(config.Seeds) != 2 || config.DrainTime.Minutes() != 2 || config.MaxBodyBytes != 65536 {
 		t.Fatalf("%+v", config)
@@ -58,50 +60,53 @@
 	}
 }
 
-func TestFaultsNameFileKeyAndReason(t *testing.T) {
+// TestConfigErrorsNameFileKeyAndReason checks that each invalid configuration is
+// rejected with an error that names the file, the key and the reason.
+func TestConfigErrorsNameFileKeyAndReason(t *testing.T) {
 	tests := []struct{ name, content string }{
 		{"empty", ""},
 		{"not yaml", "zone: [a"},
 		{"not a mapping", "- zone"},
-		{"unknown key", valid + "colour: blue\n"},
-		{"unknown nested key", valid + "  cipher: x\n"},
-		{"doubled key", valid + "zone: b\n"},
-		{"tls not a mapping", strings.Split(valid, "tls:")[0] + "tls: yes\n"},
-		{"duration", strings.Replace(valid, "90s", "soon", 1)},
-		{"duration out of bounds", strings.Replace(valid, "90s", "2h", 1)},
-		{"number", strings.Replace(valid, "65536", "many", 1)},
-		{"number out of bounds", strings.Replace(valid, "65536", "7", 1)},
-		{"list", strings.Replace(valid, "[127.0.0.1:9002]", "{a: b}", 1)},
-		{"zone name", strings.Replace(valid, "zone: a", "zone: A b", 1)},
-		{"host name as address", strings.Replace(valid, "127.0.0.1:8000", "localhost:8000", 1)},
-		{"duplicate address", strings.Replace(valid, ":8001", ":8000", 1)},
-		{"overlapping address", strings.Replace(valid, "127.0.0.1:8001", "0.0.0.0:8000", 1)},
-		{"peer address for all interfaces", strings.Replace(valid, "127.0.0.1:8002", "0.0.0.0:8002", 1)},
-		{"duplicate seed", strings.Replace(valid, "[127.0.0.1:9002]", "[127.0.0.1:1, 127.0.0.1:1]", 1)},
-		{"seed without port", strings.Replace(valid, ":9002", ":0", 1)},
-		{"url", strings.Replace(valid, "http://127.0.0.1:1", "127.0.0.1:1", 1)},
-		{"log level", valid + "log_level: loud\n"},
-		{"token hash", valid + "bootstrap_token_sha256: secret\n"},
-		{"certificate without key", strings.Replace(valid, "  key_file: node.key\n", "", 1)},
-		{"authority without certificate", strings.Split(valid, "tls:")[0] + "tls:\n  peer_authority_file: ca.pem\n"},
+		{"unknown key", validConfig + "colour: blue\n"},
+		{"unknown nested key", validConfig + "  cipher: x\n"},
+		{"duplicate key", validConfig + "zone: b\n"},
+		{"tls not a mapping", strings.Split(validConfig, "tls:")[0] + "tls: yes\n"},
+		{"duration", strings.Replace(validConfig, "90s", "soon", 1)},
+		{"duration out of bounds", strings.Replace(validConfig, "90s", "2h", 1)},
+		{"number", strings.Replace(validConfig, "65536", "many", 1)},
+		{"number out of bounds", strings.Replace(validConfig, "65536", "7", 1)},
+		{"list", strings.Replace(validConfig, "[127.0.0.1:9002]", "{a: b}", 1)},
+		{"zone name", strings.Replace(validConfig, "zone: a", "zone: A b", 1)},
+		{"host name as address", strings.Replace(validConfig, "127.0.0.1:8000", "localhost:8000", 1)},
+		{"duplicate address", strings.Replace(validConfig, ":8001", ":8000", 1)},
+		{"overlapping address", strings.Replace(validConfig, "127.0.0.1:8001", "0.0.0.0:8000", 1)},
+		{"peer address for all interfaces", strings.Replace(validConfig, "127.0.0.1:8002", "0.0.0.0:8002", 1)},
+		{"duplicate seed", strings.Replace(validConfig, "[127.0.0.1:9002]", "[127.0.0.1:1, 127.0.0.1:1]", 1)},
+		{"seed without port", strings.Replace(validConfig, ":9002", ":0", 1)},
+		{"url", strings.Replace(validConfig, "http://127.0.0.1:1", "127.0.0.1:1", 1)},
+		{"log level", validConfig + "log_level: loud\n"},
+		{"token hash", validConfig + "bootstrap_token_sha256: secret\n"},
+		{"certificate without key", strings.Replace(validConfig, "  key_file: node.key\n", "", 1)},
+		{"authority without certificate", strings.Split(validConfig, "tls:")[0] + "tls:\n  peer_authority_file: ca.pem\n"},
 	}
-	var faults strings.Builder
+	var messages strings.Builder
 	for _, test := range tests {
-		_, fault := load(t, test.content)
-		if fault == "" {
-			t.Errorf("%s: accepted", test.name)
+		_, message := loadConfig(t, test.content)
+		if message == "" {
+			t.Errorf("%s: invalid configuration accepted", test.name)
 		}
-		faults.WriteString("## " + test.name + "\n" + fault + "\n")
+		messages.WriteString("## " + test.name + "\n" + message + "\n")
 	}
 	_, err := node.LoadConfig(filepath.Join(t.TempDir(), "missing.yaml"), nil)
 	if err == nil || !strings.Contains(err.Error(), "missing.yaml: cannot be read") {
 		t.Errorf("missing file: %v", err)
 	}
-	goldie.New(t).Assert(t, "config_faults", []byte(faults.String()))
+	goldie.New(t).Assert(t, "config_faults", []byte(messages.String()))
 }
 
+// FuzzLoadConfig checks that no accepted file leaves required values empty.
 func FuzzLoadConfig(f *testing.F) {
-	f.Add([]byte(valid))
+	f.Add([]byte(validConfig))
 	f.Add([]byte("zone: &a [*a]\n"))
 	f.Add([]byte("tls: {certificate_file: 1, certificate_file: 2}\n"))
 	f.Add([]byte("? {a: b}\n: c\n"))
@@ -112,7 +117,7 @@
 		}
 		config, err := node.LoadConfig(file, nil)
 		if err == nil && (config.Zone == "" || config.CallerAddress == "" || config.DrainTime <= 0) {
-			t.Fatalf("accepted %+v", config)
+			t.Fatalf("invalid configuration accepted: %+v", config)
 		}
 	})
 }
--- a/node/controller.go
+++ b/node/controller.go
@@ -16,60 +16,61 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// candidacyStep delays each node's attempt to become controller by its rank
-// among the zone's live nodes, so that they do not all write at once.
-const candidacyStep = 300 * time.Millisecond
-
-// The lease record of a holder that is suspected, or was given up, is tried for
-// until it lapses: each node at most once in challengeInterval, and while the
-// holder is only suspected just the first few nodes of the zone, to spare the
-// key-value service.
+// candidacyDelayPerRank delays a node's attempt to become controller by its rank among
+// the live nodes of the zone, so that they do not all write at once.
+const candidacyDelayPerRank = 300 * time.Millisecond
+
+// A node that finds the lease held by a suspected, dead or leaving node retries until
+// the lease expires: at most once in challengeInterval, and while the holder is only
+// suspected just the first maxSuspectChallengers nodes of the zone. This limits the
+// load on the key-value service.
 const (
-	challengeInterval = 500 * time.Millisecond
-	challengers       = 2
+	challengeInterval     = 500 * time.Millisecond
+	maxSuspectChallengers = 2
 )
 
-// firstStatusWait is how long a new controller's first plan waits for the weight
-// store's status. A plan that does not know the store takes it to bear one load
-// at a time, and its planner would open up only slowly from there.
-const firstStatusWait = time.Second
+// maxFirstStatusWait is the longest time a new controller's first plan waits for the
+// weight store's status. Without a status, a plan assumes that the store allows one
+// load at a time, and the planner raises that limit only slowly.
+const maxFirstStatusWait = time.Second
 
-// cellRole is this node's part in controlling its zone: the controller core,
-// its lease, the demand it sums, its plans and the status it publishes.
+// cellRole is this node's role in controlling its zone: the controller core, its
+// lease, the demand it aggregates, its plans and the status it publishes.
 type cellRole struct {
-	core       *Core
-	controller *authority.Controller
-	lease      *lease.Client
-	planner    placement.Planner
-	demand     *demand.Ledger
-	publisher  *statusPublisher
-	prefixes   prefixRelay
-	moves      cacheMoves
-	store      weights.Status
-	loads      map[cluster.MachineID]cluster.LoadReport
-	// vacantSince is when the zone was first seen without a live controller.
+	core        *Core
+	controller  *authority.Controller
+	lease       *lease.Client
+	planner     placement.Planner
+	demand      *demand.Ledger
+	publisher   *statusPublisher
+	prefixes    prefixRelay
+	moves       cacheMoves
+	storeStatus weights.Status
+	loads       map[cluster.MachineID]cluster.LoadReport
+	// vacantSince is the time since which the zone has had no live controller as far as
+	// this node knows, zero while it has one.
 	vacantSince time.Time
-	// heldUntil is until when the lease record of another is not challenged
-	// again.
-	heldUntil  time.Time
-	planDue    time.Time
-	planned    time.Time
-	storeDue   time.Time
-	reportsDue time.Time
-	// storeWait is until when plans wait for the weight store's first status.
-	storeWait   time.Time
-	replan      bool
-	listVersion uint64
-	// minimum is the zone's part of minimum replica counts, nil when it must be
-	// divided again.
-	minimum map[cluster.ModelID]int
-	// seen is the last inventory of each machine.
-	seen map[cluster.MachineID]inventoryVersion
-	// expected is when loads under way should be done.
-	expected map[replicaKey]time.Time
+	// nextChallenge is the earliest time of the next attempt on a lease record that
+	// another node holds.
+	nextChallenge time.Time
+	nextPlan      time.Time
+	lastPlan      time.Time
+	nextStoreRead time.Time
+	nextLoadRead  time.Time
+	// storeStatusDeadline ends the wait of plans for the weight store's first status.
+	storeStatusDeadline time.Time
+	inputsChanged       bool
+	listVersion         uint64
+	// minReplicas is the zone's share of minimum replica counts, nil when it must be
+	// computed again.
+	minReplicas map[cluster.ModelID]int
+	// lastInventories is the version of the last inventory of each machine.
+	lastInventories map[cluster.MachineID]inventoryVersion
+	// expectedLoadEnds is the expected end of each load in progress.
+	expectedLoadEnds map[replicaKey]time.Time
 }
 
-// inventoryVersion identifies one state of an engine.
+// inventoryVersion identifies one state of an engine's inventory.
 type inventoryVersion struct{ epoch, sequence uint64 }
 
 type replicaKey struct {
@@ -85,12 +86,12 @@
 	}
 	role := &cellRole{core: core, controller: authority.NewController(config)}
 	role.lease = newLease(core, keyCells+string(core.self.Zone))
-	role.begin()
+	role.resetTerm()
 	return role
 }
 
-// begin forgets what belongs to one term as controller.
-func (r *cellRole) begin() {
+// resetTerm drops the state that belongs to one term as controller.
+func (r *cellRole) resetTerm() {
 	if r.core.config.NewPlanner != nil {
 		r.planner = r.core.config.NewPlanner()
 	} else {
@@ -101,18 +102,18 @@
 	r.prefixes = newPrefixRelay()
 	r.moves = newCacheMoves()
 	r.loads = map[cluster.MachineID]cluster.LoadReport{}
-	r.expected = map[replicaKey]time.Time{}
-	r.seen = map[cluster.MachineID]inventoryVersion{}
-	r.planDue, r.storeDue, r.reportsDue = time.Time{}, time.Time{}, time.Time{}
-	r.core.readMachinesSoon()
+	r.expectedLoadEnds = map[replicaKey]time.Time{}
+	r.lastInventories = map[cluster.MachineID]inventoryVersion{}
+	r.nextPlan, r.nextStoreRead, r.nextLoadRead = time.Time{}, time.Time{}, time.Time{}
+	r.core.readMachinesAtNextTick()
 }
 
-// control feeds the controller core and carries out its effects.
-func (r *cellRole) control(event authority.Event) {
+// stepController passes an event to the controller core and carries out its effects.
+func (r *cellRole) stepController(event authority.Event) {
 	for _, effect := range r.controller.Step(r.core.now, event) {
 		switch e := effect.(type) {
 		case authority.AcquireLease:
-			if r.mayStand() {
+			if r.mayAcquireLease() {
 				r.lease.Acquire()
 			}
 		case authority.RenewLease:
@@ -127,42 +128,42 @@
 			r.core.emit(EngineCall{Operation: EngineOrder, Machine: e.Machine, Token: e.Order.Token, Order: e.Order})
 		case authority.SteppedDown:
 			r.lease.Reset()
-			r.begin()
+			r.resetTerm()
 		}
 	}
 }
 
-// mayStand reports whether this node should try to become controller now: the
-// zone has no live controller, and the nodes ranked before this one have had
-// their turn.
-func (r *cellRole) mayStand() bool {
+// mayAcquireLease reports whether this node should try to become controller now: the
+// zone has no live controller, and the candidacy delay of this node's rank has passed.
+func (r *cellRole) mayAcquireLease() bool {
 	if r.core.draining {
 		return false
 	}
-	claim, claimed := r.core.cells.claimed[r.core.self.Zone]
-	another := claimed && claim.Node != r.core.self.ID
-	if another && r.unsuspected(claim.Node) {
+	claim, claimed := r.core.cells.latestClaims[r.core.self.Zone]
+	heldByOther := claimed && claim.Node != r.core.self.ID
+	if heldByOther && r.isUnsuspected(claim.Node) {
 		r.vacantSince = time.Time{}
 		return false
 	}
-	if r.core.now.Before(r.heldUntil) || another && r.alive(claim.Node) && r.rank() >= challengers {
+	if r.core.now.Before(r.nextChallenge) || heldByOther && r.isAlive(claim.Node) && r.rank() >= maxSuspectChallengers {
 		return false
 	}
 	if r.vacantSince.IsZero() {
 		r.vacantSince = r.core.now
 	}
-	return r.core.now.Sub(r.vacantSince) >= time.Duration(r.rank())*candidacyStep
+	return r.core.now.Sub(r.vacantSince) >= time.Duration(r.rank())*candidacyDelayPerRank
 }
 
-// unsuspected reports whether a node seems to run. A holder under suspicion may
-// be challenged: the lease record alone decides, and a holder that lives has it.
-func (r *cellRole) unsuspected(id cluster.NodeID) bool {
+// isUnsuspected reports whether membership considers the node alive. A suspected
+// holder may be challenged, because only the lease record decides: a live holder keeps
+// its lease.
+func (r *cellRole) isUnsuspected(id cluster.NodeID) bool {
 	member, known := r.core.members.Member(id)
 	return known && member.State == membership.StateAlive
 }
 
-// alive reports whether a node runs and is not leaving, as far as is known.
-func (r *cellRole) alive(id cluster.NodeID) bool {
+// isAlive reports whether a node is not known to be dead or leaving.
+func (r *cellRole) isAlive(id cluster.NodeID) bool {
 	if id == r.core.self.ID {
 		return !r.core.draining
 	}
@@ -170,11 +171,11 @@
 	return known && member.State != membership.StateDead && member.State != membership.StateLeaving
 }
 
-// rank is the number of live nodes of the zone with a smaller ID.
+// rank returns the number of live nodes of the zone with a smaller ID.
 func (r *cellRole) rank() int {
 	rank := 0
 	for _, member := range r.core.members.Members() {
-		if member.Node.Zone == r.core.self.Zone && member.Node.ID < r.core.self.ID && r.alive(member.Node.ID) {
+		if member.Node.Zone == r.core.self.Zone && member.Node.ID < r.core.self.ID && r.isAlive(member.Node.ID) {
 			rank++
 		}
 	}
@@ -184,69 +185,69 @@
 func (r *cellRole) leaseAnswered(answer KeyValueAnswered) {
 	switch r.lease.Answered(leaseAnswerOf(answer)) {
 	case lease.Won:
-		r.begin()
-		// Records read in an earlier term may be out of date.
-		r.core.readAgain()
-		r.core.cells.note(wire.ControllerClaim{Zone: r.core.self.Zone, Node: r.core.self.ID, Token: r.lease.Token()})
-		r.control(authority.LeaseAcquired{Token: r.lease.Token(), SentAt: r.lease.SentAt(), TTL: r.lease.Promised()})
-		r.storeWait = r.core.now.Add(firstStatusWait)
-		r.poll()
+		r.resetTerm()
+		// Records read in an earlier term may be outdated.
+		r.core.restartRead()
+		r.core.cells.recordClaim(wire.ControllerClaim{Zone: r.core.self.Zone, Node: r.core.self.ID, Token: r.lease.Token()})
+		r.stepController(authority.LeaseAcquired{Token: r.lease.Token(), SentAt: r.lease.SentAt(), TTL: r.lease.Promised()})
+		r.storeStatusDeadline = r.core.now.Add(maxFirstStatusWait)
+		r.pollPlatform()
 	case lease.Taken:
 		holder, token := r.lease.Holder()
-		r.heldUntil = r.core.now.Add(challengeInterval)
-		r.core.noteClaim(wire.ControllerClaim{Zone: r.core.self.Zone, Node: cluster.NodeID(holder), Token: token})
+		r.nextChallenge = r.core.now.Add(challengeInterval)
+		r.core.claimReceived(wire.ControllerClaim{Zone: r.core.self.Zone, Node: cluster.NodeID(holder), Token: token})
 	case lease.Extended:
-		r.control(authority.LeaseRenewed{SentAt: r.lease.SentAt(), TTL: r.lease.Promised()})
+		r.stepController(authority.LeaseRenewed{SentAt: r.lease.SentAt(), TTL: r.lease.Promised()})
 	case lease.Gone:
-		r.control(authority.LeaseLost{})
+		r.stepController(authority.LeaseLost{})
 	case lease.NoAnswer:
-		r.control(authority.LeaseUnreachable{Unknown: verdict.Of(answer.Err) == verdict.MayHaveRun})
+		r.stepController(authority.LeaseUnreachable{Unknown: verdict.Of(answer.Err) == verdict.MayHaveRun})
 	}
 }
 
-// superseded ends this node's term when another node holds a newer token.
-func (r *cellRole) superseded(claim wire.ControllerClaim) {
+// claimSuperseded ends this node's term when another node holds a newer token.
+func (r *cellRole) claimSuperseded(claim wire.ControllerClaim) {
 	if r.controller.Holding() && claim.Token > r.controller.Token() {
-		r.control(authority.LeaseLost{})
+		r.stepController(authority.LeaseLost{})
 	}
 }
 
-// resign gives up the cell at once, so that another node can take it over.
+// resign releases the controller lease at once, so that another node can take over.
 func (r *cellRole) resign() {
 	if !r.controller.Holding() {
 		return
 	}
-	r.control(authority.Resign{})
+	r.stepController(authority.Resign{})
 }
 
 func (r *cellRole) tick() {
-	r.control(authority.Tick{})
+	r.stepController(authority.Tick{})
 	if !r.controller.Holding() {
 		return
 	}
-	r.poll()
+	r.pollPlatform()
 	r.demand.Expire(r.core.now, routerDemandTimeout)
-	r.plan()
+	r.planIfDue()
 	r.publisher.tick()
 	r.relayPrefixes()
 	r.moveCaches()
 }
 
-// poll reads the platform at fixed intervals.
-func (r *cellRole) poll() {
+// pollPlatform reads the weight store's status and the engines' load reports when due.
+func (r *cellRole) pollPlatform() {
 	now := r.core.now
-	if !now.Before(r.storeDue) {
-		r.storeDue = now.Add(storeStatusInterval)
+	if !now.Before(r.nextStoreRead) {
+		r.nextStoreRead = now.Add(storeStatusInterval)
 		r.core.emit(ReadStoreStatus{})
 	}
-	if !now.Before(r.reportsDue) {
-		r.reportsDue = now.Add(loadReportInterval)
-		r.readReports()
+	if !now.Before(r.nextLoadRead) {
+		r.nextLoadRead = now.Add(loadReportInterval)
+		r.requestLoadReports()
 	}
 }
 
-// readReports asks the engines that hold replicas how much work they have.
-func (r *cellRole) readReports() {
+// requestLoadReports requests load reports from the engines that hold replicas.
+func (r *cellRole) requestLoadReports() {
 	for _, inventory := range r.controller.Inventories() {
 		if len(inventory.Replicas) == 0 {
 			continue
@@ -275,41 +276,41 @@
 	var refused *engine.RefusedError
 	switch {
 	case errors.As(answer.Err, &stale):
-		r.control(authority.StaleToken{Machine: answer.Call.Machine.ID, Held: stale.Held})
+		r.stepController(authority.StaleToken{Machine: answer.Call.Machine.ID, Held: stale.Held})
 	case errors.As(answer.Err, &refused) && answer.Call.Operation == EngineOrder:
-		r.control(authority.OrderRefused{Machine: answer.Call.Machine.ID, Order: answer.Call.Order.ID})
+		r.stepController(authority.OrderRefused{Machine: answer.Call.Machine.ID, Order: answer.Call.Order.ID})
 	case answer.Err != nil:
-		r.control(authority.EngineUnreachable{Machine: answer.Call.Machine.ID})
+		r.stepController(authority.EngineUnreachable{Machine: answer.Call.Machine.ID})
 	case answer.Call.Operation == EngineSeal:
-		r.control(authority.Sealed{Inventory: answer.Inventory})
+		r.stepController(authority.Sealed{Inventory: answer.Inventory})
 	default:
-		r.control(authority.InventoryRead{Inventory: answer.Inventory, Order: answer.Call.Order.ID})
+		r.stepController(authority.InventoryRead{Inventory: answer.Inventory, Order: answer.Call.Order.ID})
 	}
-	if r.news(&answer) && r.controller.Holding() {
-		r.replan, r.publisher.changed = true, true
-		r.plan()
+	if r.recordInventory(&answer) && r.controller.Holding() {
+		r.inputsChanged, r.publisher.changed = true, true
+		r.planIfDue()
 		r.publisher.tick()
 	}
 }
 
-// news reports whether an engine's answer tells something new: a failure, or an
-// inventory that differs from the last one of the machine. Most inventories are
-// read to find that nothing has changed.
-func (r *cellRole) news(answer *EngineAnswered) bool {
+// recordInventory reports whether an engine's answer has to be processed: it is a
+// failure, or its inventory differs from the last one of the machine. Most inventory
+// reads find no change.
+func (r *cellRole) recordInventory(answer *EngineAnswered) bool {
 	machine := answer.Call.Machine.ID
 	if answer.Err != nil {
-		delete(r.seen, machine)
+		delete(r.lastInventories, machine)
 		return true
 	}
 	version := inventoryVersion{answer.Inventory.Epoch, answer.Inventory.Sequence}
-	if r.seen[machine] == version && answer.Call.Operation == EngineInventory {
+	if r.lastInventories[machine] == version && answer.Call.Operation == EngineInventory {
 		return false
 	}
-	r.seen[machine] = version
+	r.lastInventories[machine] = version
 	return true
 }
 
-// machinesListed hands the zone's part of the list to the controller and the
+// machinesListed passes the zone's part of the machine list to the controller and the
 // whole list to the apportioner.
 func (r *cellRole) machinesListed(listed MachinesListed) {
 	own := make([]cluster.Machine, 0, len(listed.Machines))
@@ -321,48 +322,48 @@
 	if listed.Version != r.listVersion {
 		r.listVersion, r.publisher.changed = listed.Version, true
 	}
-	r.core.apportion.machinesListed(listed.Machines)
-	r.control(authority.MachinesListed{Machines: own})
+	r.core.apportioner.machinesListed(listed.Machines)
+	r.stepController(authority.MachinesListed{Machines: own})
 }
 
 func (r *cellRole) storeStatusRead(read StoreStatusRead) {
 	if read.Err == nil {
-		r.store = read.Status
-		r.storeWait = time.Time{}
+		r.storeStatus = read.Status
+		r.storeStatusDeadline = time.Time{}
 	}
 }
 
-// minimumShares divides the minimum replica counts again when settings or
-// records have changed.
+// minimumShares returns the zone's share of minimum replica counts, recomputed after
+// settings or allotments have changed.
 func (r *cellRole) minimumShares() map[cluster.ModelID]int {
-	if r.minimum == nil {
-		r.minimum = r.core.minimumShares()
+	if r.minReplicas == nil {
+		r.minReplicas = r.core.minimumShares()
 	}
-	return r.minimum
+	return r.minReplicas
 }
 
-func (r *cellRole) settingsChanged()  { r.replan, r.minimum = true, nil }
-func (r *cellRole) allotmentChanged() { r.replan, r.publisher.changed = true, true }
+func (r *cellRole) settingsChanged()  { r.inputsChanged, r.minReplicas = true, nil }
+func (r *cellRole) allotmentChanged() { r.inputsChanged, r.publisher.changed = true, true }
 
 func (r *cellRole) demandReceived(received wire.Demand) {
 	if r.controller.Holding() {
 		r.demand.Note(r.core.now, received)
-		r.plan()
+		r.planIfDue()
 	}
 }
 
 func (r *cellRole) forgetRouter(id cluster.NodeID) { r.demand.Forget(id) }
 
-// plan makes a plan when something has changed or planInterval has passed, and
-// hands it to the controller core, which checks it against its ledger again.
-func (r *cellRole) plan() {
-	due := !r.core.now.Before(r.planDue)
-	news := (r.replan || r.demand.Changed()) && r.core.now.Sub(r.planned) >= planSpacing
-	if !due && !news || !r.controller.Ready() || r.core.Snapshot() == nil || r.core.now.Before(r.storeWait) {
+// planIfDue makes a plan when its inputs have changed or the next plan is due, and
+// passes it to the controller core, which checks it against its own state again.
+func (r *cellRole) planIfDue() {
+	due := !r.core.now.Before(r.nextPlan)
+	inputChange := (r.inputsChanged || r.demand.Changed()) && r.core.now.Sub(r.lastPlan) >= minPlanInterval
+	if !due && !inputChange || !r.controller.Ready() || r.core.Snapshot() == nil || r.core.now.Before(r.storeStatusDeadline) {
 		return
 	}
-	r.planned = r.core.now
-	r.replan = false
+	r.lastPlan = r.core.now
+	r.inputsChanged = false
 	state := r.controller.State(r.core.now)
 	state.Settings = r.core.Snapshot()
 	state.Demand = r.demand.Sum(r.core.now)
@@ -372,17 +373,18 @@
 		state.Machines[i].Load = r.loads[state.Machines[i].ID]
 	}
 	plan := r.planner.Plan(state)
-	r.planDue = r.nextPlan(plan.Store, state.Store)
-	r.expect(plan)
-	r.core.apportion.wanted(plan.Wanted)
-	r.control(authority.PlanMade{Plan: plan})
+	r.nextPlan = r.nextPlanTime(plan.Store, state.Store)
+	r.recordExpectedLoadEnds(plan)
+	r.core.apportioner.setPlannedReplicas(plan.Wanted)
+	r.stepController(authority.PlanMade{Plan: plan})
 	r.core.emit(Planned{Zone: r.core.self.Zone, Plan: plan})
 }
 
-// nextPlan is when the next plan is due: when the weight store allows the next start, if
-// that is sooner than planInterval. A start that is allowed and not taken is lost where
-// less than two a second are: up to a second of the 1.5 s between two starts of a zone.
-func (r *cellRole) nextPlan(use placement.StoreUse, store placement.StoreState) time.Time {
+// nextPlanTime returns when the next plan is due: after planInterval, or sooner if the
+// weight store allows the next load start sooner. Below two starts per second, a start
+// that is not used as soon as it is allowed is lost: up to one second of the 1.5 s
+// between two starts of a zone.
+func (r *cellRole) nextPlanTime(use placement.StoreUse, store placement.StoreState) time.Time {
 	wait := planInterval
 	if store.StartsPerSecond > 0 && use.Starts < 1 {
 		wait = min(wait, time.Duration((1-use.Starts)/store.StartsPerSecond*float64(time.Second)))
@@ -390,49 +392,50 @@
 	return r.core.now.Add(wait)
 }
 
-// expect remembers when loads should be done, for the routers. They refuse requests by
-// it, so what is only assumed is not told: a new controller assumes 9 s for 4 GiB, which
-// a store may bring in less than one.
-func (r *cellRole) expect(plan placement.Plan) {
+// recordExpectedLoadEnds stores when loads should end, for the routers. Routers refuse
+// requests based on these times, so only configured or observed load times are
+// published, not assumed ones: a new controller assumes 9 s for 4 GiB, while a store
+// may need less than 1 s.
+func (r *cellRole) recordExpectedLoadEnds(plan placement.Plan) {
 	for _, action := range plan.Actions {
 		if action.Kind == cluster.OrderLoad && action.Founded {
-			r.expected[replicaKey{action.Machine, action.Model}] = r.core.now.Add(action.ExpectedTime)
+			r.expectedLoadEnds[replicaKey{action.Machine, action.Model}] = r.core.now.Add(action.ExpectedTime)
 		}
 	}
 }
 
-// storeShare is this cell's part of the weight store: an equal part of its
-// limits among the cells that may order loads, and half of what is free at the moment
-// beyond that.
+// storeShare returns this cell's share of the weight store's limits: an equal share
+// among the cells whose controller may order loads, or half of the free concurrency in
+// addition to its own loads if that is more.
 func (r *cellRole) storeShare() placement.StoreState {
-	cells := r.orderingCells()
-	equal := (r.store.Concurrency + cells - 1) / cells
-	own := r.loading()
-	free := max(0, r.store.Concurrency-r.store.Active)
-	speed := r.store.Speed
+	cells := r.countOrderingCells()
+	equalShare := (r.storeStatus.Concurrency + cells - 1) / cells
+	ownLoads := r.countLoadingReplicas()
+	free := max(0, r.storeStatus.Concurrency-r.storeStatus.Active)
+	speed := r.storeStatus.Speed
 	if speed <= 0 {
 		speed = 1
 	}
 	return placement.StoreState{
-		StartsPerSecond: r.store.StartsPerSecond / float64(cells),
-		Concurrency:     max(1, equal, own+free/2),
+		StartsPerSecond: r.storeStatus.StartsPerSecond / float64(cells),
+		Concurrency:     max(1, equalShare, ownLoads+free/2),
 		Speed:           speed,
 	}
 }
 
-// orderingCells counts the cells whose controller may order loads, this node's own
-// included.
-func (r *cellRole) orderingCells() int {
+// countOrderingCells returns the number of cells whose controller may order loads,
+// including this node's cell.
+func (r *cellRole) countOrderingCells() int {
 	count := 1
-	for zone := range r.core.cells.claimed {
-		if zone != ApportionerZone && zone != r.core.self.Zone && r.core.controlled(zone) {
+	for zone := range r.core.cells.latestClaims {
+		if zone != ApportionerZone && zone != r.core.self.Zone && r.core.hasLiveController(zone) {
 			count++
 		}
 	}
 	return count
 }
 
-func (r *cellRole) loading() int {
+func (r *cellRole) countLoadingReplicas() int {
 	count := 0
 	for _, inventory := range r.controller.Inventories() {
 		for _, replica := range inventory.Replicas {
--- a/node/core.go
+++ b/node/core.go
@@ -15,125 +15,127 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Intervals of the composed core. All are measured on the time the shell passes
-// to Step.
+// Intervals and timeouts of the composed core, measured by the time that the shell
+// passes to Step.
 const (
-	// TickInterval is how often shells send a Tick.
+	// TickInterval is the time between two Tick events from a shell.
 	TickInterval = 100 * time.Millisecond
-	// demandInterval is how often a router reports its demand while requests
-	// wait, quietDemandInterval how often it does while none does; a model that
-	// begins to wait is reported at once, newsSpacing apart.
-	demandInterval      = time.Second
-	quietDemandInterval = 3 * time.Second
-	newsSpacing         = 25 * time.Millisecond
-	// idleDemandInterval is how often an empty report is repeated.
+	// demandInterval is the time between a router's demand reports while requests wait,
+	// quietDemandInterval the time between them while none waits. A model that gets its
+	// first waiting request is reported at once, at most every minNewDemandInterval.
+	demandInterval       = time.Second
+	quietDemandInterval  = 3 * time.Second
+	minNewDemandInterval = 25 * time.Millisecond
+	// idleDemandInterval is the time after which an empty report is repeated.
 	idleDemandInterval = 10 * time.Second
-	// statusInterval is how often a controller publishes its cell's status in
-	// its own zone; changes are published at the next Tick.
+	// statusInterval is the time between two statuses that a controller publishes in its
+	// own zone; changes are published at the next Tick.
 	statusInterval = 2 * time.Second
-	// remoteStatusInterval is the same towards other zones.
+	// remoteStatusInterval is the time between two statuses published to other zones.
 	remoteStatusInterval = 10 * time.Second
-	// planInterval is how often a controller plans when nothing has changed;
-	// with new demand or inventories it plans at once, planSpacing apart.
-	planInterval = time.Second
-	planSpacing  = 25 * time.Millisecond
-	// busyInventoryInterval is how often the inventory of a machine with work
-	// in progress is read when the configuration does not say.
+	// planInterval is the time between two plans of a controller while nothing changes.
+	// After new demand or a new inventory it plans at once, at most every
+	// minPlanInterval.
+	planInterval    = time.Second
+	minPlanInterval = 25 * time.Millisecond
+	// busyInventoryInterval is the default time between two inventory reads of a machine
+	// with orders in progress.
 	busyInventoryInterval = 150 * time.Millisecond
-	// storeStatusInterval is how often a controller reads the weight store.
+	// storeStatusInterval is the time between two reads of the weight store's status.
 	storeStatusInterval = time.Second
-	// loadReportInterval is how often a controller reads engines' reports.
+	// loadReportInterval is the time between two reads of the engines' load reports.
 	loadReportInterval = 2 * time.Second
-	// zoneReportInterval is how often a controller reports to the apportioner;
-	// when it begins to act on another allotment it reports at once.
+	// zoneReportInterval is the time between two reports of a controller to the
+	// apportioner. It reports at once when it starts to apply another allotment.
 	zoneReportInterval = 5 * time.Second
-	// apportionInterval is how often the apportioner divides replica counts.
+	// apportionInterval is the time between two divisions of replica counts.
 	apportionInterval = 2 * time.Second
-	// cellStatusTimeout is when a cell whose status has not come is lost to a
-	// router.
+	// cellStatusTimeout is the time without a status after which a router drops a cell.
 	cellStatusTimeout = 30 * time.Second
-	// leaseTTL of the cells' and the apportioner's leases.
+	// leaseTTL is the time to live of the controller and apportioner leases.
 	leaseTTL = 6 * time.Second
-	// routerDemandTimeout is when a silent router's demand is forgotten.
+	// routerDemandTimeout is the time after which a controller drops the demand of a
+	// silent router.
 	routerDemandTimeout = 25 * time.Second
 )
 
-// CoreConfig configures a Core. The zero value of each part means its
-// documented defaults.
+// CoreConfig configures a Core. The zero value of each part selects its documented
+// defaults.
 type CoreConfig struct {
 	Self  cluster.Node
 	Seeds []string
-	// Seed of all pseudo-random choices of this node.
+	// Seed initializes all pseudo-random choices of this node.
 	Seed        uint64
 	Routing     routing.Config
 	Placement   placement.Config
 	Membership  membership.Config
 	Replication replication.Config
 	Controller  authority.ControllerConfig
-	// NewPlanner makes the planner when this node becomes a controller; nil
-	// means the adaptive planner.
+	// NewPlanner creates the planner each time this node becomes a controller; nil
+	// selects the adaptive planner.
 	NewPlanner func() placement.Planner
 }
 
-// Core is one node without clock, network or goroutine: the composition of the
-// deciding cores. It is not safe for concurrent use.
+// Core is the decision logic of one node, without clock, network or goroutines: it
+// composes the cores for membership, replication, routing and control. It is not safe
+// for concurrent use.
 type Core struct {
-	config      CoreConfig
-	self        cluster.Node
-	members     *membership.Core
-	replication *replication.Core
-	router      *routing.Router
-	cells       *cellDirectory
-	keyValue    *keyValueReader
-	cellRole    *cellRole
-	apportion   *apportionerRole
-	demand      *demandReporter
-	machines    *machineWatch
-	prefixes    prefixReporter
-	draining    bool
-	drained     bool
-	routersDue  time.Time
-	routers     routing.RoutersChanged
+	config            CoreConfig
+	self              cluster.Node
+	members           *membership.Core
+	replication       *replication.Core
+	router            *routing.Router
+	cells             *cellDirectory
+	keyValue          *keyValueReader
+	cellRole          *cellRole
+	apportioner       *apportionerRole
+	demand            *demandReporter
+	machinePoller     *machinePoller
+	prefixes          prefixReporter
+	draining          bool
+	drained           bool
+	nextRoutersUpdate time.Time
+	lastRouters       routing.RoutersChanged
 
 	now     time.Time
 	effects []Effect
 }
 
-// NewCore returns a core that has not yet seen an event.
+// NewCore returns a core in its initial state.
 func NewCore(config CoreConfig) *Core {
 	config.Routing.Zone, config.Routing.Region = config.Self.Zone, config.Self.Region
 	config.Replication.Address = config.Self.PeerAddress
 	c := &Core{
-		config:      config,
-		self:        config.Self,
-		members:     membership.New(config.Self, config.Seeds, config.Membership, config.Seed),
-		replication: replication.New(config.Self.ID, config.Replication),
-		router:      routing.New(config.Routing, config.Seed),
-		cells:       newCellDirectory(),
-		demand:      newDemandReporter(),
-		machines:    newMachineWatch(),
+		config:        config,
+		self:          config.Self,
+		members:       membership.New(config.Self, config.Seeds, config.Membership, config.Seed),
+		replication:   replication.New(config.Self.ID, config.Replication),
+		router:        routing.New(config.Routing, config.Seed),
+		cells:         newCellDirectory(),
+		demand:        newDemandReporter(),
+		machinePoller: newMachinePoller(),
 	}
 	c.keyValue = newKeyValueReader()
 	c.cellRole = newCellRole(c)
-	c.apportion = newApportionerRole(c)
+	c.apportioner = newApportionerRole(c)
 	return c
 }
 
-// Step takes one event at the given time and returns the effects in the order
-// they must begin. The slice is valid until the next Step.
+// Step handles one event at the given time and returns the effects in the order in
+// which the shell must start them. The slice is valid until the next call.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	last := c.now
 	c.now = now
 	c.effects = c.effects[:0]
-	c.notePause(last)
+	c.holdDispatchesAfterPause(last)
 	switch e := event.(type) {
 	case Tick:
 		c.tick()
 	case MessageReceived:
 		c.messageReceived(e.Message)
 	case RoutingInput:
-		c.routing(e.Event)
-		c.reportNews()
+		c.stepRouter(e.Event)
+		c.reportNewDemand()
 	case KeyValueAnswered:
 		c.keyValueAnswered(e)
 	case WatchDelivered:
@@ -141,14 +143,14 @@
 	case WatchEnded:
 		c.watchEnded(e)
 	case EngineAnswered:
-		c.noteLeaving(&e)
+		c.reportLeavingEngine(&e)
 		c.cellRole.engineAnswered(e)
 	case MachinesListed:
 		c.machinesListed(e)
 	case StoreStatusRead:
 		c.cellRole.storeStatusRead(e)
 	case EditCommitted:
-		c.replicate(replication.Accepted{History: e.History, Entries: []settings.Entry{e.Entry}})
+		c.stepReplication(replication.Accepted{History: e.History, Entries: []settings.Entry{e.Entry}})
 	case DrainStarted:
 		c.drain()
 	}
@@ -156,26 +158,26 @@
 	return c.effects
 }
 
-// Snapshot returns the settings in force, nil before the first.
+// Snapshot returns the settings in force, nil before the first are applied.
 func (c *Core) Snapshot() *settings.Snapshot { return c.replication.Snapshot() }
 
-// Tree returns the tree in force, nil before the first.
+// Tree returns the settings tree in force, nil before the first is applied.
 func (c *Core) Tree() *settings.Tree { return c.replication.Tree() }
 
 // Members returns the known members, sorted by ID.
 func (c *Core) Members() []membership.Member { return c.members.Members() }
 
-// InFlight returns the number of requests that have not ended.
+// InFlight returns the number of unfinished requests.
 func (c *Core) InFlight() int { return c.router.InFlight() }
 
 // Controller returns the controller core of this node's cell, for inspection.
 func (c *Core) Controller() *authority.Controller { return c.cellRole.controller }
 
 // Claims returns the newest known controller of each zone, sorted by zone.
-func (c *Core) Claims() []wire.ControllerClaim { return c.cells.claims() }
+func (c *Core) Claims() []wire.ControllerClaim { return c.cells.sortedClaims() }
 
 // StoreStatus returns the weight store's status as this controller last read it.
-func (c *Core) StoreStatus() weights.Status { return c.cellRole.store }
+func (c *Core) StoreStatus() weights.Status { return c.cellRole.storeStatus }
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
@@ -187,17 +189,17 @@
 }
 
 func (c *Core) tick() {
-	c.membership(membership.Tick{})
-	c.replicate(replication.Tick{})
-	c.noteRouters()
-	c.routing(routing.Tick{})
+	c.stepMembership(membership.Tick{})
+	c.stepReplication(replication.Tick{})
+	c.updateRouters()
+	c.stepRouter(routing.Tick{})
 	c.pollMachines()
 	c.expireCells()
-	c.reportDemand()
-	c.reportPrefixes()
+	c.reportDemandIfDue()
+	c.reportPrefixesIfDue()
 	c.keyValueTick()
 	c.cellRole.tick()
-	c.apportion.tick()
+	c.apportioner.tick()
 }
 
 func (c *Core) messageReceived(message wire.Message) {
@@ -205,7 +207,7 @@
 	case wire.Heartbeat:
 		c.heartbeatReceived(m)
 	case wire.ConfigurationRequest, wire.ConfigurationEntries, wire.ConfigurationSnapshot:
-		c.replicate(replication.MessageReceived{Message: message})
+		c.stepReplication(replication.MessageReceived{Message: message})
 	case wire.Demand:
 		c.cellRole.demandReceived(m)
 	case wire.CellStatus:
@@ -216,19 +218,19 @@
 		c.prefixesReceived(m)
 	case wire.CacheMoved:
 		if m.Zone == c.self.Zone {
-			c.routing(routing.CacheMoved{Model: m.Model, From: m.Machine, To: m.Target})
+			c.stepRouter(routing.CacheMoved{Model: m.Model, From: m.Machine, To: m.Target})
 		}
 	case wire.ZoneReport:
-		c.apportion.reportReceived(m)
+		c.apportioner.reportReceived(m)
 	}
 }
 
 func (c *Core) heartbeatReceived(heartbeat wire.Heartbeat) {
-	c.membership(membership.HeartbeatReceived{Heartbeat: heartbeat})
+	c.stepMembership(membership.HeartbeatReceived{Heartbeat: heartbeat})
 	for _, claim := range heartbeat.Claims {
-		c.noteClaim(claim)
+		c.claimReceived(claim)
 	}
-	c.replicate(replication.StampSeen{
+	c.stepReplication(replication.StampSeen{
 		From:     heartbeat.From.ID,
 		Address:  heartbeat.From.PeerAddress,
 		Stamp:    heartbeat.Stamp,
@@ -236,7 +238,7 @@
 	})
 }
 
-func (c *Core) membership(event membership.Event) {
+func (c *Core) stepMembership(event membership.Event) {
 	for _, effect := range c.members.Step(c.now, event) {
 		switch e := effect.(type) {
 		case membership.SendHeartbeat:
@@ -249,51 +251,53 @@
 	}
 }
 
-// memberChanged forgets the demand of a node that is gone, so that its waiting
-// requests no longer keep models loaded.
+// memberChanged drops the demand of a dead node, so that its waiting requests no
+// longer keep models loaded.
 func (c *Core) memberChanged(member membership.Member) {
 	if member.State == membership.StateDead {
 		c.cellRole.forgetRouter(member.Node.ID)
-		c.replicate(replication.PeerGone{ID: member.Node.ID})
+		c.stepReplication(replication.PeerGone{ID: member.Node.ID})
 	}
 }
 
-func (c *Core) replicate(event replication.Event) {
+func (c *Core) stepReplication(event replication.Event) {
 	for _, effect := range c.replication.Step(c.now, event) {
 		switch e := effect.(type) {
 		case replication.Send:
 			c.send(e.Address, e.Message)
 		case replication.InForce:
-			c.routing(routing.SettingsChanged{Snapshot: e.Snapshot})
+			c.stepRouter(routing.SettingsChanged{Snapshot: e.Snapshot})
 			c.cellRole.settingsChanged()
 			c.emit(SettingsInForce{Snapshot: e.Snapshot})
 		case replication.LoadNeeded:
-			c.readAgain()
+			c.restartRead()
 		case replication.Rejected:
 			c.emit(SettingsRejected{Stamp: e.Stamp, Err: e.Err})
 		}
 	}
 }
 
-func (c *Core) routing(event routing.Event) {
+func (c *Core) stepRouter(event routing.Event) {
 	for _, effect := range c.router.Step(c.now, event) {
-		if _, asks := effect.(routing.StatusNeeded); asks {
-			// The cell directory sees the same gap and has asked already.
+		if _, isStatusRequest := effect.(routing.StatusNeeded); isStatusRequest {
+			// The cell directory detects the same gap and has already requested a full
+			// status.
 			continue
 		}
 		c.emit(RoutingOutput{Effect: effect})
 	}
 }
 
-// noteRouters tells the router how many nodes share replicas and limits.
-func (c *Core) noteRouters() {
-	if c.now.Before(c.routersDue) {
+// updateRouters informs the router of the number of nodes that share replicas and
+// limits.
+func (c *Core) updateRouters() {
+	if c.now.Before(c.nextRoutersUpdate) {
 		return
 	}
-	c.routersDue = c.now.Add(statusInterval)
+	c.nextRoutersUpdate = c.now.Add(statusInterval)
 	change := routing.RoutersChanged{Routers: 1}
 	for _, member := range c.members.Members() {
-		if !c.cellRole.alive(member.Node.ID) {
+		if !c.cellRole.isAlive(member.Node.ID) {
 			continue
 		}
 		change.Routers++
@@ -301,27 +305,27 @@
 			change.Rank++
 		}
 	}
-	for _, zone := range c.cells.order {
+	for _, zone := range c.cells.sortedZones {
 		change.Zones = append(change.Zones, routing.ZoneRegion{Zone: zone, Region: c.cells.cells[zone].region})
 	}
-	if change.Routers == c.routers.Routers && change.Rank == c.routers.Rank && slices.Equal(change.Zones, c.routers.Zones) {
+	if change.Routers == c.lastRouters.Routers && change.Rank == c.lastRouters.Rank && slices.Equal(change.Zones, c.lastRouters.Zones) {
 		return
 	}
-	c.routers = change
-	c.routing(change)
+	c.lastRouters = change
+	c.stepRouter(change)
 }
 
-// drain closes admission, gives up leadership and tells the members. Requests
-// in flight end by themselves.
+// drain closes admission, releases the leases and announces the departure to the
+// members. Requests in flight run to their end.
 func (c *Core) drain() {
 	if c.draining {
 		return
 	}
 	c.draining = true
-	c.routing(routing.DrainStarted{})
+	c.stepRouter(routing.DrainStarted{})
 	c.cellRole.resign()
-	c.apportion.resign()
-	c.membership(membership.LeaveStarted{})
+	c.apportioner.releaseLease()
+	c.stepMembership(membership.LeaveStarted{})
 }
 
 func (c *Core) checkDrained() {
--- a/node/demand.go
+++ b/node/demand.go
@@ -8,109 +8,111 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// overflowWait is how long a request waits for one zone before its demand is
-// also shown to the next zone that may load the model.
-const overflowWait = 20 * time.Second
+// nextZoneWait is the time a request waits for one zone before its demand is also
+// reported to the next zone that may load the model.
+const nextZoneWait = 20 * time.Second
 
-// demandReporter remembers what this router last told each zone.
+// demandReporter tracks the demand reports that this router has sent to each zone.
 type demandReporter struct {
-	sequence uint64
-	next     time.Time
-	last     time.Time
-	// told is when each zone last got a report and whether it was empty.
-	told map[cluster.ZoneID]toldZone
+	sequence   uint64
+	nextReport time.Time
+	lastReport time.Time
+	// lastReports holds, by zone, when the last report was sent and whether it was
+	// empty.
+	lastReports map[cluster.ZoneID]sentReport
 }
 
-type toldZone struct {
-	at    time.Time
-	empty bool
+type sentReport struct {
+	sentAt time.Time
+	empty  bool
 }
 
 func newDemandReporter() *demandReporter {
-	return &demandReporter{told: map[cluster.ZoneID]toldZone{}}
+	return &demandReporter{lastReports: map[cluster.ZoneID]sentReport{}}
 }
 
-// reportNews reports a model that has just begun to wait.
-func (c *Core) reportNews() {
-	if c.now.Sub(c.demand.last) >= newsSpacing && c.router.NewlyWaiting() {
+// reportNewDemand sends demand if a model has just got its first waiting request.
+func (c *Core) reportNewDemand() {
+	if c.now.Sub(c.demand.lastReport) >= minNewDemandInterval && c.router.NewlyWaiting() {
 		c.sendDemand()
 	}
 }
 
-// reportDemand reports at least every demandInterval.
-func (c *Core) reportDemand() {
-	if !c.now.Before(c.demand.next) {
+// reportDemandIfDue sends demand when the regular report is due, or for new demand.
+func (c *Core) reportDemandIfDue() {
+	if !c.now.Before(c.demand.nextReport) {
 		c.sendDemand()
 		return
 	}
-	c.reportNews()
+	c.reportNewDemand()
 }
 
-// sendDemand sends this router's demand to the zones that should load the
-// models.
+// sendDemand sends this router's demand to the zones that should load the models.
 func (c *Core) sendDemand() {
-	c.demand.last, c.demand.next = c.now, c.now.Add(quietDemandInterval)
+	c.demand.lastReport, c.demand.nextReport = c.now, c.now.Add(quietDemandInterval)
 	demand := c.router.Demand(c.now, true)
 	if slices.ContainsFunc(demand.Models, func(m wire.ModelDemand) bool { return m.Waiting > 0 }) {
-		c.demand.next = c.now.Add(demandInterval)
+		c.demand.nextReport = c.now.Add(demandInterval)
 	}
 	perZone := c.divideDemand(demand.Models)
-	for _, zone := range append([]cluster.ZoneID(nil), c.cells.order...) {
-		c.tellZone(zone, perZone[zone], demand.Scopes)
+	for _, zone := range append([]cluster.ZoneID(nil), c.cells.sortedZones...) {
+		c.sendZoneDemand(zone, perZone[zone], demand.Scopes)
 	}
 }
 
-// divideDemand assigns each model's demand to its preferred zone. Models that no zone
-// loads though they waited for spreadShare of their time are divided evenly.
+// divideDemand assigns each model's demand to its preferred zones. Models that no zone
+// loads although requests have waited for overdueWaitFraction of their time are
+// divided evenly over equivalent zones.
 func (c *Core) divideDemand(models []wire.ModelDemand) map[cluster.ZoneID][]wire.ModelDemand {
 	perZone := make(map[cluster.ZoneID][]wire.ModelDemand)
-	spread := newDemandSpread()
+	spreader := newDemandSpreader()
 	for _, model := range models {
 		zones := c.preferredZones(model.Model)
-		root := c.rootOf(model.Model)
-		if spread.add(model, root, zones, c.likeFirst(root, zones)) {
+		baseModel := c.baseModelOf(model.Model)
+		if spreader.add(model, baseModel, zones, c.countEquivalentZones(baseModel, zones)) {
 			continue
 		}
-		show(perZone, model, zones)
+		assignDemand(perZone, model, zones)
 	}
-	spread.divide(perZone)
+	spreader.divide(perZone)
 	return perZone
 }
 
-// show shows a model's demand to the first of its zones, and to further ones as its
-// oldest request waits longer.
-func show(perZone map[cluster.ZoneID][]wire.ModelDemand, model wire.ModelDemand, zones []*cell) {
-	reach := 1 + int(model.OldestWait/overflowWait)
-	for i := 0; i < len(zones) && i < reach; i++ {
+// assignDemand adds a model's demand to the first of its zones, and to one more for
+// each nextZoneWait that its oldest request has waited.
+func assignDemand(perZone map[cluster.ZoneID][]wire.ModelDemand, model wire.ModelDemand, zones []*cell) {
+	zoneCount := 1 + int(model.OldestWait/nextZoneWait)
+	for i := 0; i < len(zones) && i < zoneCount; i++ {
 		perZone[zones[i].zone] = append(perZone[zones[i].zone], model)
 	}
 }
 
-// likeFirst returns how many of the preferred zones may load a model of the root as
-// well as the first: they are as near, as well controlled, and hold the root as it does.
-func (c *Core) likeFirst(root cluster.ModelID, zones []*cell) int {
+// countEquivalentZones returns how many of the first preferred zones are equally
+// suited to load the model: they are in the same region, have a live controller and
+// hold the base model exactly if the first zone does.
+func (c *Core) countEquivalentZones(baseModel cluster.ModelID, zones []*cell) int {
 	for i, zone := range zones {
-		alike := zone.region == zones[0].region && c.controlled(zone.zone) == c.controlled(zones[0].zone) &&
-			(len(zone.held[root]) > 0) == (len(zones[0].held[root]) > 0)
-		if !alike {
+		equivalent := zone.region == zones[0].region && c.hasLiveController(zone.zone) == c.hasLiveController(zones[0].zone) &&
+			(len(zone.replicaMachines[baseModel]) > 0) == (len(zones[0].replicaMachines[baseModel]) > 0)
+		if !equivalent {
 			return i
 		}
 	}
 	return len(zones)
 }
 
-// tellZone sends one zone its part; an empty one is repeated rarely, because
-// its only use is to say that the router lives.
-func (c *Core) tellZone(zone cluster.ZoneID, models []wire.ModelDemand, scopes []wire.ScopeDemand) {
+// sendZoneDemand sends one zone its part of the demand. An empty report is repeated
+// only every idleDemandInterval, because it only shows that the router is alive.
+func (c *Core) sendZoneDemand(zone cluster.ZoneID, models []wire.ModelDemand, scopes []wire.ScopeDemand) {
 	if zone != c.self.Zone {
 		scopes = nil
 	}
 	empty := len(models) == 0 && len(scopes) == 0
-	told := c.demand.told[zone]
-	if empty && told.empty && c.now.Sub(told.at) < idleDemandInterval {
+	previous := c.demand.lastReports[zone]
+	if empty && previous.empty && c.now.Sub(previous.sentAt) < idleDemandInterval {
 		return
 	}
-	c.demand.told[zone] = toldZone{at: c.now, empty: empty}
+	c.demand.lastReports[zone] = sentReport{sentAt: c.now, empty: empty}
 	c.demand.sequence++
 	message := wire.Demand{
 		From: c.self.ID, Zone: c.self.Zone, Sequence: c.demand.sequence,
--- a/node/events.go
+++ b/node/events.go
@@ -12,21 +12,21 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Event is an input of the composed core. The shells (the real node and the
-// simulator) feed it one at a time.
+// Event is an input of the composed core. A shell (the real node or the simulator)
+// passes events one at a time.
 type Event interface{ nodeEvent() }
 
-// Tick lets time pass; shells send one every TickInterval.
+// Tick signals the passing of time; shells send one every TickInterval.
 type Tick struct{}
 
-// MessageReceived brings a message of a peer.
+// MessageReceived is a message from a peer.
 type MessageReceived struct{ Message wire.Message }
 
-// RoutingInput brings an event of the request path.
+// RoutingInput is an event of the request path.
 type RoutingInput struct{ Event routing.Event }
 
-// KeyValueAnswered brings the answer to the KeyValueCall with the same ID. Err
-// is nil or a *verdict.Error: MayHaveRun when the answer was lost.
+// KeyValueAnswered is the answer to the KeyValueCall with the same ID. Err is nil or a
+// *verdict.Error: MayHaveRun when the answer was lost.
 type KeyValueAnswered struct {
 	ID       uint64
 	Pairs    []keyvalue.KeyValue
@@ -37,20 +37,21 @@
 	Err      error
 }
 
-// WatchDelivered brings changes of the watch started by the call with this ID.
+// WatchDelivered is a batch of changes from the watch that the call with this ID
+// started.
 type WatchDelivered struct {
 	ID    uint64
 	Batch keyvalue.WatchBatch
 }
 
-// WatchEnded says that the watch broke.
+// WatchEnded reports that a watch has failed.
 type WatchEnded struct {
 	ID  uint64
 	Err error
 }
 
-// EngineAnswered brings the answer to an EngineCall. Err is nil, a
-// *engine.StaleTokenError or any other error, after which the effect of an
+// EngineAnswered is the answer to an EngineCall. Err is nil, an
+// *engine.StaleTokenError or any other error; after another error the effect of an
 // order is unknown.
 type EngineAnswered struct {
 	Call      EngineCall
@@ -59,27 +60,27 @@
 	Err       error
 }
 
-// MachinesListed brings the platform's machine list.
+// MachinesListed is the platform's machine list, or the error of reading it.
 type MachinesListed struct {
 	Machines []cluster.Machine
 	Version  uint64
 	Err      error
 }
 
-// StoreStatusRead brings the weight store's status.
+// StoreStatusRead is the weight store's status, or the error of reading it.
 type StoreStatusRead struct {
 	Status weights.Status
 	Err    error
 }
 
-// EditCommitted brings an edit that the administration API of this node has
-// just committed, so that it need not wait for a controller's watch.
+// EditCommitted is a settings edit that the administration API of this node has just
+// committed. It applies here without waiting for a controller's watch.
 type EditCommitted struct {
 	History string
 	Entry   settings.Entry
 }
 
-// DrainStarted begins a planned stop.
+// DrainStarted starts a graceful stop.
 type DrainStarted struct{}
 
 func (Tick) nodeEvent()             {}
@@ -94,16 +95,17 @@
 func (EditCommitted) nodeEvent()    {}
 func (DrainStarted) nodeEvent()     {}
 
-// Effect is an output of the composed core that a shell carries out.
+// Effect is an output of the composed core, carried out by the shell.
 type Effect interface{ nodeEffect() }
 
-// SendMessage sends a message to the peer listening at Address. It may be lost.
+// SendMessage sends a message to the peer listening at Address. The message may be
+// lost.
 type SendMessage struct {
 	Address string
 	Message wire.Message
 }
 
-// KeyValueOperation is the kind of a KeyValueCall.
+// KeyValueOperation is the type of a KeyValueCall.
 type KeyValueOperation uint8
 
 // The operations of the key-value service.
@@ -120,16 +122,16 @@
 type KeyValueCall struct {
 	ID        uint64
 	Operation KeyValueOperation
-	// Prefix for KeyValueRange and KeyValueWatch.
+	// Prefix is used by KeyValueRange and KeyValueWatch.
 	Prefix string
-	// StartRevision for KeyValueWatch.
+	// StartRevision is used by KeyValueWatch.
 	StartRevision int64
 	Txn           keyvalue.Transaction
 	Lease         int64
 	TTL           time.Duration
 }
 
-// EngineOperation is the kind of an EngineCall.
+// EngineOperation is the type of an EngineCall.
 type EngineOperation uint8
 
 // The control operations of an engine.
@@ -147,8 +149,8 @@
 	Machine   cluster.Machine
 	Token     cluster.FencingToken
 	Order     cluster.Order
-	// Target, Model and Version of EngineMoveCache, which copies the KV cache of
-	// the model on Machine to Target.
+	// Target, Model and Version are used by EngineMoveCache, which copies the model's KV
+	// cache from Machine to Target.
 	Target  cluster.Machine
 	Model   cluster.ModelID
 	Version string
@@ -160,33 +162,33 @@
 // ReadStoreStatus asks the shell to read the weight store's status.
 type ReadStoreStatus struct{}
 
-// RoutingOutput hands an effect of the routing core to the request path.
+// RoutingOutput passes an effect of the routing core to the request path.
 type RoutingOutput struct{ Effect routing.Effect }
 
-// SettingsInForce says that the snapshot decides from now on.
+// SettingsInForce reports that the snapshot now applies to all decisions.
 type SettingsInForce struct{ Snapshot *settings.Snapshot }
 
-// SettingsRejected says that a configuration could not be put in force. The
-// former one stays; an operator must act.
+// SettingsRejected reports that new settings could not be applied. The previous ones
+// stay in force; an operator must act.
 type SettingsRejected struct {
 	Stamp settings.Stamp
 	Err   error
 }
 
-// RecordUnreadable says that what the key-value service holds under a key, or below it,
-// can't be read. What was known before stays.
+// RecordUnreadable reports that the data stored in the key-value service at a key, or
+// below it, cannot be decoded. The previously known data stays in use.
 type RecordUnreadable struct {
 	Key string
 	Err error
 }
 
-// Planned reports one planning round of this node as controller.
+// Planned reports a plan that this node made as controller.
 type Planned struct {
 	Zone cluster.ZoneID
 	Plan placement.Plan
 }
 
-// Drained says that nothing of a planned stop is left to do.
+// Drained reports that a graceful stop is complete.
 type Drained struct{}
 
 func (SendMessage) nodeEffect()      {}
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -10,19 +10,19 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// The methods below read the core for operators. They change nothing.
+// The methods below read the core's state for operators and change nothing.
 
 // Queues returns the models with waiting or running requests on this node.
 func (c *Core) Queues(now time.Time) []routing.QueueView { return c.router.Queues(now) }
 
-// Stamp identifies the settings in force.
+// Stamp returns the stamp of the settings in force.
 func (c *Core) Stamp() settings.Stamp { return c.replication.Stamp() }
 
-// Peers returns the configuration stamps of other nodes, sorted by node.
+// Peers returns the settings stamps of other nodes, sorted by node ID.
 func (c *Core) Peers() []replication.Peer { return c.replication.Peers() }
 
-// Cell returns the state of this node's cell as its controller knows it, or
-// false when the node does not control it.
+// Cell returns the controller's state of this node's cell, or false if this node is
+// not its controller.
 func (c *Core) Cell(now time.Time) (placement.State, bool) {
 	if !c.cellRole.controller.Holding() {
 		return placement.State{}, false
@@ -30,7 +30,7 @@
 	return c.cellRole.controller.State(now), true
 }
 
-// MachineEntry returns the machine list's entry of a machine of the cell.
+// MachineEntry returns the machine list entry of a machine of the cell.
 func (c *Core) MachineEntry(id cluster.MachineID) (cluster.Machine, bool) {
 	return c.cellRole.controller.Machine(id)
 }
--- a/node/keyvalue.go
+++ b/node/keyvalue.go
@@ -14,43 +14,45 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Keys in the key-value service. The tree's keys are package settings' own.
+// Keys in the key-value service. Package settings defines the keys of the settings
+// tree.
 const (
 	keyRoot        = "/valveslip/"
 	keyCells       = keyRoot + "cells/"
 	keyApportioner = keyRoot + "apportioner"
 )
 
-// readRetryInterval spaces attempts to read after a refusal. A read whose answer
-// did not come has waited for its time-out and is repeated at once.
+// readRetryInterval is the delay before a rejected read is retried. A read that timed
+// out has already waited and is retried at once.
 const readRetryInterval = 2 * time.Second
 
-// callPurpose says what the answer of a call is for.
+// callPurpose determines which component handles the answer to a call.
 type callPurpose struct {
 	lease *lease.Client
-	// read is true for the range that reading begins with.
-	read bool
-	// watch is true for the watch that follows it.
+	// initialRead is true for the range read that precedes the watch.
+	initialRead bool
+	// watch is true for the watch that follows the initial read.
 	watch bool
 	// division is true for the apportioner's transaction.
 	division bool
 }
 
-// keyValueReader is this node's use of the key-value service besides leases:
-// only controllers read everything once and watch from there.
+// keyValueReader reads and watches the key-value service while this node is a
+// controller: it reads everything once and watches from that revision. Leases are
+// handled separately.
 type keyValueReader struct {
 	nextID  uint64
 	pending map[uint64]callPurpose
-	// wanted is true while this node is a controller.
-	wanted bool
-	// reading and watching are the IDs of the calls under way, zero for none.
-	reading, watching uint64
-	// revision up to which everything has been seen.
+	// enabled is true while this node is a controller.
+	enabled bool
+	// readCallID and watchCallID are the IDs of the calls in progress, zero for none.
+	readCallID, watchCallID uint64
+	// revision is the revision up to which all changes have been received.
 	revision int64
-	retryAt  time.Time
-	// guard is the revision of the last seen division of replica counts.
-	guard int64
-	// allotments are the records by zone.
+	nextRead time.Time
+	// guardRevision is the revision of the last received division of replica counts.
+	guardRevision int64
+	// allotments holds the allotment records by zone.
 	allotments map[cluster.ZoneID]cluster.Allotment
 }
 
@@ -69,23 +71,23 @@
 	return call.ID
 }
 
-// keyValueTick begins to read and watch as soon as this node is a controller,
-// and stops when it no longer is.
+// keyValueTick starts the read or the watch when this node is a controller and neither
+// is in progress.
 func (c *Core) keyValueTick() {
 	s := c.keyValue
-	s.wanted = c.cellRole.controller.Holding()
-	if !s.wanted || s.reading != 0 || s.watching != 0 || c.now.Before(s.retryAt) {
+	s.enabled = c.cellRole.controller.Holding()
+	if !s.enabled || s.readCallID != 0 || s.watchCallID != 0 || c.now.Before(s.nextRead) {
 		return
 	}
 	if s.revision > 0 {
 		c.watch()
 		return
 	}
-	s.reading = c.keyValueCall(KeyValueCall{Operation: KeyValueRange, Prefix: keyRoot}, callPurpose{read: true})
+	s.readCallID = c.keyValueCall(KeyValueCall{Operation: KeyValueRange, Prefix: keyRoot}, callPurpose{initialRead: true})
 }
 
 func (c *Core) watch() {
-	c.keyValue.watching = c.keyValueCall(KeyValueCall{
+	c.keyValue.watchCallID = c.keyValueCall(KeyValueCall{
 		Operation: KeyValueWatch, Prefix: keyRoot, StartRevision: c.keyValue.revision + 1,
 	}, callPurpose{watch: true})
 }
@@ -99,25 +101,25 @@
 		delete(c.keyValue.pending, answer.ID)
 	}
 	switch {
-	case purpose.read:
-		c.rangeRead(answer)
+	case purpose.initialRead:
+		c.initialReadAnswered(answer)
 	case purpose.division:
-		c.apportion.written()
+		c.apportioner.transactionAnswered()
 	case purpose.lease != nil && purpose.lease == c.cellRole.lease:
 		c.cellRole.leaseAnswered(answer)
-	case purpose.lease != nil && purpose.lease == c.apportion.lease:
-		c.apportion.leaseAnswered(answer)
+	case purpose.lease != nil && purpose.lease == c.apportioner.lease:
+		c.apportioner.leaseAnswered(answer)
 	}
 }
 
-// rangeRead takes over everything stored and watches from there.
-func (c *Core) rangeRead(answer KeyValueAnswered) {
+// initialReadAnswered applies all stored records and starts the watch.
+func (c *Core) initialReadAnswered(answer KeyValueAnswered) {
 	s := c.keyValue
-	s.reading = 0
+	s.readCallID = 0
 	if answer.Err != nil {
-		s.retryAt = c.now
+		s.nextRead = c.now
 		if verdict.Of(answer.Err) == verdict.NotRun {
-			s.retryAt = c.now.Add(readRetryInterval)
+			s.nextRead = c.now.Add(readRetryInterval)
 		}
 		return
 	}
@@ -128,26 +130,26 @@
 			tree = append(tree, pair)
 			continue
 		}
-		c.pairSeen(pair, answer.Revision)
+		c.pairReceived(pair, answer.Revision)
 	}
 	loaded, stamp, err := settings.FromPairs(tree)
 	switch {
 	case err != nil:
 		c.emit(RecordUnreadable{Key: settings.KeyPrefix, Err: err})
 	case loaded != nil:
-		c.replicate(replication.Loaded{Tree: loaded, Stamp: stamp})
+		c.stepReplication(replication.Loaded{Tree: loaded, Stamp: stamp})
 	}
 	c.watch()
 }
 
 func (c *Core) watchDelivered(delivered WatchDelivered) {
 	s := c.keyValue
-	if delivered.ID != s.watching {
+	if delivered.ID != s.watchCallID {
 		return
 	}
 	if delivered.Batch.Compacted {
-		delete(s.pending, s.watching)
-		s.watching, s.revision = 0, 0
+		delete(s.pending, s.watchCallID)
+		s.watchCallID, s.revision = 0, 0
 		return
 	}
 	s.revision = max(s.revision, delivered.Batch.Revision)
@@ -158,14 +160,14 @@
 			continue
 		}
 		if !event.Deleted {
-			c.pairSeen(event.KeyValue, event.KeyValue.ModRevision)
+			c.pairReceived(event.KeyValue, event.KeyValue.ModRevision)
 		}
 	}
 	c.treeChanged(tree)
 }
 
-// treeChanged hands accepted edits to the replication core. Edits that do not
-// connect with what is known, or cannot be read, cause a fresh read.
+// treeChanged passes accepted edits to the replication core. Edits that do not
+// continue the known history, or that cannot be decoded, cause a full read.
 func (c *Core) treeChanged(events []keyvalue.Event) {
 	if len(events) == 0 {
 		return
@@ -176,71 +178,71 @@
 		c.emit(RecordUnreadable{Key: settings.KeyPrefix, Err: err})
 	}
 	if err != nil || len(entries) > 0 && !ok || len(entries) == 0 && c.replication.Stamp().Revision == 0 {
-		c.readAgain()
+		c.restartRead()
 		return
 	}
 	if len(entries) == 0 {
 		return
 	}
-	c.replicate(replication.Accepted{History: stamp.History, Entries: entries})
+	c.stepReplication(replication.Accepted{History: stamp.History, Entries: entries})
 	if last := entries[len(entries)-1].Revision; c.replication.Stamp().Revision < last {
-		c.readAgain()
+		c.restartRead()
 	}
 }
 
-// readAgain makes the next Tick read everything.
-func (c *Core) readAgain() {
+// restartRead discards the watch, so that the next Tick reads everything again.
+func (c *Core) restartRead() {
 	s := c.keyValue
-	delete(s.pending, s.watching)
-	s.watching, s.revision = 0, 0
+	delete(s.pending, s.watchCallID)
+	s.watchCallID, s.revision = 0, 0
 }
 
 func (c *Core) watchEnded(ended WatchEnded) {
 	s := c.keyValue
 	delete(s.pending, ended.ID)
-	if ended.ID != s.watching {
+	if ended.ID != s.watchCallID {
 		return
 	}
-	s.watching = 0
-	s.retryAt = c.now.Add(readRetryInterval)
+	s.watchCallID = 0
+	s.nextRead = c.now.Add(readRetryInterval)
 }
 
-// pairSeen takes over a lease record or an allotment that was read or watched at
-// the given global revision.
-func (c *Core) pairSeen(pair keyvalue.KeyValue, readRevision int64) {
+// pairReceived applies a lease record or allotment that was read or watched at the
+// given global revision.
+func (c *Core) pairReceived(pair keyvalue.KeyValue, readRevision int64) {
 	switch {
 	case strings.HasPrefix(pair.Key, keyCells):
 		zone := cluster.ZoneID(strings.TrimPrefix(pair.Key, keyCells))
-		c.noteClaim(wire.ControllerClaim{
+		c.claimReceived(wire.ControllerClaim{
 			Zone: zone, Node: cluster.NodeID(pair.Value), Token: cluster.FencingToken(pair.CreateRevision),
 		})
 	case pair.Key == keyApportioner:
-		c.noteClaim(wire.ControllerClaim{
+		c.claimReceived(wire.ControllerClaim{
 			Zone: ApportionerZone, Node: cluster.NodeID(pair.Value), Token: cluster.FencingToken(pair.CreateRevision),
 		})
 	case pair.Key == authority.AllotmentGuardKey:
-		c.keyValue.guard = max(c.keyValue.guard, pair.ModRevision)
+		c.keyValue.guardRevision = max(c.keyValue.guardRevision, pair.ModRevision)
 	default:
 		allotment, ok, err := authority.AllotmentFromPair(pair)
 		switch {
 		case err != nil:
 			c.emit(RecordUnreadable{Key: pair.Key, Err: err})
 		case ok:
-			c.allotmentSeen(allotment, readRevision)
+			c.allotmentReceived(allotment, readRevision)
 		}
 	}
 }
 
-// allotmentSeen keeps the newest record of each zone and hands this zone's to
-// the controller.
-func (c *Core) allotmentSeen(allotment cluster.Allotment, readRevision int64) {
+// allotmentReceived stores an allotment unless a newer one is known for its zone, and
+// passes this zone's allotment to the controller.
+func (c *Core) allotmentReceived(allotment cluster.Allotment, readRevision int64) {
 	if allotment.Revision < c.keyValue.allotments[allotment.Zone].Revision {
 		return
 	}
 	c.keyValue.allotments[allotment.Zone] = allotment
-	c.cellRole.minimum = nil
+	c.cellRole.minReplicas = nil
 	if allotment.Zone == c.self.Zone {
-		c.cellRole.control(authority.AllotmentRead{Allotment: allotment, ReadRevision: readRevision})
+		c.cellRole.stepController(authority.AllotmentRead{Allotment: allotment, ReadRevision: readRevision})
 		c.cellRole.allotmentChanged()
 	}
 }
--- a/node/loads.go
+++ b/node/loads.go
@@ -8,54 +8,56 @@
 )
 
 const (
-	// loadChangeParts is the part of a machine's slots by which its work must
-	// have changed to be told again: one eighth, but at least leastLoadChange.
-	loadChangeParts = 8
-	leastLoadChange = 2
-	// loadRefresh is when an unchanged load is told again all the same, because
-	// routers trust reports less as they age and messages get lost.
-	loadRefresh = 6 * time.Second
+	// loadChangeDivisor sets the change of a machine's load that is published at once:
+	// its number of slots divided by this value, but at least minLoadChange.
+	loadChangeDivisor = 8
+	minLoadChange     = 2
+	// loadRefreshInterval is the time after which an unchanged load is published again,
+	// because routers trust reports less as they age and messages may be lost.
+	loadRefreshInterval = 6 * time.Second
 )
 
-// loadNews decides which load reports are worth telling the routers of a zone:
-// at the two-year size they were most of what a controller sent.
-type loadNews struct {
-	told map[cluster.MachineID]toldLoad
+// loadFilter selects the load reports that are published to the routers of a zone.
+// At the size of the two-year scenario, unfiltered reports were most of what a
+// controller sent.
+type loadFilter struct {
+	published map[cluster.MachineID]publishedLoad
 }
 
-type toldLoad struct {
-	measured time.Time
-	work     int
-	at       time.Time
+type publishedLoad struct {
+	measuredAt  time.Time
+	work        int
+	publishedAt time.Time
 }
 
-func newLoadNews() loadNews { return loadNews{told: map[cluster.MachineID]toldLoad{}} }
+func newLoadFilter() loadFilter { return loadFilter{published: map[cluster.MachineID]publishedLoad{}} }
 
-// take reports whether the report should be told now, and notes that it is.
-func (n *loadNews) take(now time.Time, slots int, report *cluster.LoadReport) bool {
-	told, known := n.told[report.Machine]
+// takeIfChanged reports whether the load report must be published now, and if so
+// records it as published.
+func (f *loadFilter) takeIfChanged(now time.Time, slots int, report *cluster.LoadReport) bool {
+	previous, known := f.published[report.Machine]
 	work := report.Running + report.Queued
-	if !report.At.After(told.measured) || work == 0 && told.work == 0 {
+	if !report.At.After(previous.measuredAt) || work == 0 && previous.work == 0 {
 		return false
 	}
-	change := work - told.work
+	change := work - previous.work
 	if change < 0 {
 		change = -change
 	}
-	changed := change >= max(leastLoadChange, slots/loadChangeParts) || (work == 0) != (told.work == 0)
-	if known && !changed && now.Sub(told.at) < loadRefresh {
+	changed := change >= max(minLoadChange, slots/loadChangeDivisor) || (work == 0) != (previous.work == 0)
+	if known && !changed && now.Sub(previous.publishedAt) < loadRefreshInterval {
 		return false
 	}
-	n.told[report.Machine] = toldLoad{measured: report.At, work: work, at: now}
+	f.published[report.Machine] = publishedLoad{measuredAt: report.At, work: work, publishedAt: now}
 	return true
 }
 
-// loads lists the reports worth telling, in the order of machines.
-func (p *statusPublisher) loads() []wire.MachineLoad {
+// changedLoads returns the load reports to publish, in the order of the machines.
+func (p *statusPublisher) changedLoads() []wire.MachineLoad {
 	var loads []wire.MachineLoad
 	for _, inventory := range p.role.controller.Inventories() {
 		report, ok := p.role.loads[inventory.Machine]
-		if !ok || !p.news.take(p.role.core.now, inventory.Slots, &report) {
+		if !ok || !p.loadFilter.takeIfChanged(p.role.core.now, inventory.Slots, &report) {
 			continue
 		}
 		loads = append(loads, wire.MachineLoad{
--- a/node/loads_test.go
+++ b/node/loads_test.go
@@ -7,15 +7,18 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-func TestLoadsAreToldWhenTheyChange(t *testing.T) {
+// TestLoadReportsArePublishedOnlyWhenChangedOrStale checks that a load report is published
+// after a considerable change, or when the last published one is too old, and that
+// idle machines are not published again.
+func TestLoadReportsArePublishedOnlyWhenChangedOrStale(t *testing.T) {
 	const slots = 32
 	start := time.Unix(1_000_000, 0)
-	news := newLoadNews()
+	filter := newLoadFilter()
 	for _, step := range []struct {
-		name    string
-		seconds int
-		work    int
-		told    bool
+		name      string
+		seconds   int
+		work      int
+		published bool
 	}{
 		{"idle machine", 0, 0, false},
 		{"first work", 1, 1, true},
@@ -28,13 +31,13 @@
 	} {
 		now := start.Add(time.Duration(step.seconds) * time.Second)
 		report := cluster.LoadReport{Machine: "a", At: now, Running: step.work}
-		if told := news.take(now, slots, &report); told != step.told {
-			t.Errorf("%s: told %v, want %v", step.name, told, step.told)
+		if published := filter.takeIfChanged(now, slots, &report); published != step.published {
+			t.Errorf("%s: published %v, want %v", step.name, published, step.published)
 		}
 	}
 	now := start.Add(time.Minute)
 	report := cluster.LoadReport{Machine: "b", At: now, Running: 9}
-	if !news.take(now, slots, &report) || news.take(now.Add(time.Minute), slots, &report) {
-		t.Error("one report must be told once, however late")
+	if !filter.takeIfChanged(now, slots, &report) || filter.takeIfChanged(now.Add(time.Minute), slots, &report) {
+		t.Error("a report must be published exactly once, however late")
 	}
 }
--- a/node/machines.go
+++ b/node/machines.go
@@ -9,127 +9,135 @@
 )
 
 const (
-	// machineListInterval is how often a controller reads the machine list.
+	// machineListInterval is the time between two reads of the machine list by a
+	// controller.
 	machineListInterval = time.Second
-	// routerListInterval is how often any other node reads it.
-	routerListInterval = 2 * time.Second
-	// listSilence is after what time without an answer of the list the engines
-	// themselves are asked whether they leave, each probeInterval.
-	listSilence   = 3 * time.Second
-	probeInterval = 2 * time.Second
-	// pauseGap between two events, which Ticks keep well below, means that this
-	// process stood still; verifyTime bounds the wait for the machine list then.
-	pauseGap   = 3 * time.Second
-	verifyTime = time.Second
-	// maxProbes bounds the engines asked at once; more are asked in turn.
-	maxProbes = 32
+	// nonControllerListInterval is the time between two reads by any other node.
+	nonControllerListInterval = 2 * time.Second
+	// machineListTimeout is the time without an answer from the machine list after which
+	// the engines themselves are asked whether they are leaving, every
+	// engineProbeInterval.
+	machineListTimeout  = 3 * time.Second
+	engineProbeInterval = 2 * time.Second
+	// pauseThreshold is the gap between two events that shows that this process was
+	// paused; Ticks normally keep the gap far shorter. pauseHoldTime limits how long
+	// dispatches then wait for the machine list.
+	pauseThreshold = 3 * time.Second
+	pauseHoldTime  = time.Second
+	// maxProbesPerRound limits the engines probed in one round; further engines are
+	// probed in rotation.
+	maxProbesPerRound = 32
 )
 
-// machineWatch reads the platform's machine list on every node, because the
-// promise that a leaving machine gets no new work must not hang on a controller
-// that is down or cut off. The list is read conditionally, so that one without
-// changes costs next to nothing.
-type machineWatch struct {
-	due time.Time
-	// listed is when the list last answered.
-	listed time.Time
-	// probeDue is when engines are asked next, and probed where the turn is.
-	probeDue time.Time
-	probed   int
-	// leaving holds the machines whose end the router has been told.
+// machinePoller reads the platform's machine list. Every node does so, because the
+// guarantee that a leaving machine gets no new work must not depend on a controller
+// that may be down or partitioned. The list is read conditionally, so a read without
+// changes costs almost nothing.
+type machinePoller struct {
+	nextRead time.Time
+	// lastRead is the time of the last successful read.
+	lastRead time.Time
+	// nextProbe is the time of the next round of engine probes, and probeOffset the
+	// position of the rotation.
+	nextProbe   time.Time
+	probeOffset int
+	// leaving holds the machines that the router knows to be leaving.
 	leaving map[cluster.MachineID]bool
 }
 
-func newMachineWatch() *machineWatch { return &machineWatch{leaving: map[cluster.MachineID]bool{}} }
+func newMachinePoller() *machinePoller { return &machinePoller{leaving: map[cluster.MachineID]bool{}} }
 
-// pollMachines reads the list when due, and asks the engines when it is silent.
+// pollMachines reads the machine list when due, and probes engines if necessary.
 func (c *Core) pollMachines() {
 	c.probeEngines()
-	if c.now.Before(c.machines.due) {
+	if c.now.Before(c.machinePoller.nextRead) {
 		return
 	}
-	interval := routerListInterval
+	interval := nonControllerListInterval
 	if c.cellRole.controller.Holding() {
 		interval = machineListInterval
 	}
-	c.machines.due = c.now.Add(interval)
+	c.machinePoller.nextRead = c.now.Add(interval)
 	c.emit(ListMachines{})
 }
 
-// machinesListed tells the router which machines leave, and the roles what the
-// list holds.
+// machinesListed informs the router of leaving machines and passes the list to the
+// roles.
 func (c *Core) machinesListed(listed MachinesListed) {
 	if listed.Err != nil {
 		return
 	}
-	c.machines.listed = c.now
-	defer c.routing(routing.DispatchesReleased{})
-	present := make(map[cluster.MachineID]bool, len(c.machines.leaving))
+	c.machinePoller.lastRead = c.now
+	defer c.stepRouter(routing.DispatchesReleased{})
+	present := make(map[cluster.MachineID]bool, len(c.machinePoller.leaving))
 	for i := range listed.Machines {
 		machine := &listed.Machines[i]
 		if !machine.Leaving {
 			continue
 		}
 		present[machine.ID] = true
-		if !c.machines.leaving[machine.ID] {
-			c.routing(routing.MachineLeaving{Machine: machine.ID})
+		if !c.machinePoller.leaving[machine.ID] {
+			c.stepRouter(routing.MachineLeaving{Machine: machine.ID})
 		}
 	}
-	c.machines.leaving = present
+	c.machinePoller.leaving = present
 	c.cellRole.machinesListed(listed)
 }
 
-// probeEngines asks engines that may get requests whether they leave, when nobody
-// else would tell: all while the machine list does not answer, and those of a
-// zone whose controller is silent, because a list that answers may stand still.
+// probeEngines asks engines that may get requests whether they are leaving, if no
+// other source reports it: all engines while the machine list does not answer, and the
+// engines of a zone whose controller is silent, because a list that answers may be
+// outdated.
 func (c *Core) probeEngines() {
-	if c.now.Before(c.machines.probeDue) {
+	if c.now.Before(c.machinePoller.nextProbe) {
 		return
 	}
-	c.machines.probeDue = c.now.Add(probeInterval)
+	c.machinePoller.nextProbe = c.now.Add(engineProbeInterval)
 	engines := c.router.Machines()
-	if c.now.Sub(c.machines.listed) <= listSilence {
-		engines = slices.DeleteFunc(engines, func(machine cluster.Machine) bool { return !c.cellSilent(machine.Zone) })
+	if c.now.Sub(c.machinePoller.lastRead) <= machineListTimeout {
+		engines = slices.DeleteFunc(engines, func(machine cluster.Machine) bool { return !c.cellStatusOverdue(machine.Zone) })
 	}
-	for i := range min(len(engines), maxProbes) {
-		machine := engines[(c.machines.probed+i)%len(engines)]
+	for i := range min(len(engines), maxProbesPerRound) {
+		machine := engines[(c.machinePoller.probeOffset+i)%len(engines)]
 		c.emit(EngineCall{Operation: EngineInventory, Machine: machine})
 	}
-	c.machines.probed += maxProbes
+	c.machinePoller.probeOffset += maxProbesPerRound
 }
 
-// cellSilent reports whether a zone's status is overdue.
-func (c *Core) cellSilent(zone cluster.ZoneID) bool {
+// cellStatusOverdue reports whether no status of the zone has come for longer than its
+// interval and machineListTimeout together.
+func (c *Core) cellStatusOverdue(zone cluster.ZoneID) bool {
 	interval := remoteStatusInterval
 	if zone == c.self.Zone {
 		interval = statusInterval
 	}
 	known, ok := c.cells.cells[zone]
-	return !ok || c.now.Sub(known.seen) > interval+listSilence
+	return !ok || c.now.Sub(known.lastStatusAt) > interval+machineListTimeout
 }
 
-// notePause holds dispatches back after this process stood still: machines may
-// have left meanwhile, and requests that came during the pause are handled before
-// anything else is heard. The list and the engines are asked at once.
-func (c *Core) notePause(last time.Time) {
-	if last.IsZero() || c.now.Sub(last) < pauseGap {
+// holdDispatchesAfterPause holds dispatches after this process was paused: machines
+// may have started to leave meanwhile, and requests that came during the pause are
+// handled before any other event. It reads the machine list and probes the engines at
+// once.
+func (c *Core) holdDispatchesAfterPause(last time.Time) {
+	if last.IsZero() || c.now.Sub(last) < pauseThreshold {
 		return
 	}
-	c.routing(routing.DispatchesHeld{Until: c.now.Add(verifyTime)})
-	c.machines.due, c.machines.probeDue = time.Time{}, time.Time{}
+	c.stepRouter(routing.DispatchesHeld{Until: c.now.Add(pauseHoldTime)})
+	c.machinePoller.nextRead, c.machinePoller.nextProbe = time.Time{}, time.Time{}
 	c.pollMachines()
 }
 
-// noteLeaving tells the router of an engine that says that it leaves.
-func (c *Core) noteLeaving(answer *EngineAnswered) {
+// reportLeavingEngine informs the router if an engine reports that it is leaving.
+func (c *Core) reportLeavingEngine(answer *EngineAnswered) {
 	if answer.Err == nil && answer.Inventory.Leaving {
-		c.routing(routing.MachineLeaving{Machine: answer.Call.Machine.ID})
+		c.stepRouter(routing.MachineLeaving{Machine: answer.Call.Machine.ID})
 	}
 }
 
-// readMachinesSoon makes the next Tick read the list.
-func (c *Core) readMachinesSoon() {
-	if c.machines != nil {
-		c.machines.due = time.Time{}
+// readMachinesAtNextTick makes the next Tick read the machine list.
+func (c *Core) readMachinesAtNextTick() {
+	if c.machinePoller != nil {
+		c.machinePoller.nextRead = time.Time{}
 	}
 }
--- a/node/minimum.go
+++ b/node/minimum.go
@@ -6,10 +6,10 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// minimumShares returns this zone's part of the replicas that each model keeps
-// loaded even when idle. The whole minimum holds over all zones: it goes to the
-// zones that may hold the model in the order of zoneHash, each as far as its
-// allotment reaches. All controllers read the same records and so divide alike.
+// minimumShares returns this zone's share of the replicas that each model keeps loaded
+// even when idle. The configured minimum is the total of all zones. Zones that may
+// hold the model take it in the order of zoneHash, each up to its allotment. All
+// controllers read the same records and so compute the same division.
 func (c *Core) minimumShares() map[cluster.ModelID]int {
 	shares := map[cluster.ModelID]int{}
 	snapshot := c.Snapshot()
@@ -28,7 +28,7 @@
 	return shares
 }
 
-// minimumShare divides one model's minimum.
+// minimumShare returns this zone's share of one model's minimum.
 func (c *Core) minimumShare(model cluster.ModelID, minimum int) int {
 	zones := make([]cluster.ZoneID, 0, len(c.keyValue.allotments))
 	for zone := range c.keyValue.allotments {
--- a/node/minimum_test.go
+++ b/node/minimum_test.go
@@ -6,9 +6,9 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// TestMinimumIsHeldOnceOverAllZones: whatever the allotments, the shares of all
-// zones sum to the minimum, or to what is allotted when that is less.
-func TestMinimumIsHeldOnceOverAllZones(t *testing.T) {
+// TestMinimumReplicasAreSharedOutOnceOverZones checks that the shares of all zones sum
+// to the minimum, or to the allotted replicas if those are fewer, for any allotments.
+func TestMinimumReplicasAreSharedOutOnceOverZones(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		allotted map[cluster.ZoneID]int
--- a/node/prefixes.go
+++ b/node/prefixes.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// prefixInterval is how often routers tell their zone's controller which
-	// prompts went where, and how often it passes that on.
+	// prefixInterval is the time between two reports of sent prompt prefixes from a
+	// router to its zone's controller, and between two relays by the controller.
 	prefixInterval = time.Second
-	// maxRelayedPrefixes bounds what a controller passes on at once; older ones
-	// are dropped. With names of 16 bytes and no two prompts at one replica that
-	// is 11 KiB a second to each node.
+	// maxRelayedPrefixes limits the prefixes in one relay; older ones are dropped. With
+	// names of 16 bytes and each prompt at another replica, this is 11 KiB/s to each
+	// node.
 	maxRelayedPrefixes = 256
 )
 
-// prefixReporter tells the zone which prompts this router's engines have read.
-type prefixReporter struct{ next time.Time }
+// prefixReporter schedules the reports of the prompts that this router's engines have
+// processed.
+type prefixReporter struct{ nextReport time.Time }
 
-// reportPrefixes tells the zone's controller what was sent where.
-func (c *Core) reportPrefixes() {
-	if c.now.Before(c.prefixes.next) {
+// reportPrefixesIfDue reports to the zone's controller which prefixes were sent to
+// which machines.
+func (c *Core) reportPrefixesIfDue() {
+	if c.now.Before(c.prefixes.nextReport) {
 		return
 	}
-	c.prefixes.next = c.now.Add(prefixInterval)
+	c.prefixes.nextReport = c.now.Add(prefixInterval)
 	groups := c.router.SentPrefixes()
 	if len(groups) == 0 {
 		return
 	}
 	if c.cellRole.controller.Holding() {
-		c.cellRole.prefixes.sent.NoteGroups(groups)
+		c.cellRole.prefixes.pending.NoteGroups(groups)
 		return
 	}
 	if own := c.cells.cells[c.self.Zone]; own != nil {
@@ -40,48 +42,48 @@
 	}
 }
 
-// prefixesReceived takes a router's part as controller, and the zone's sum as
-// router. Those of another zone are ignored: a node may have changed its zone.
+// prefixesReceived handles a router's report as controller, or the controller's relay
+// as router. Messages of another zone are ignored: a node may have changed its zone.
 func (c *Core) prefixesReceived(message wire.SentPrefixes) {
 	switch {
 	case message.Zone != c.self.Zone:
 	case message.Relayed:
-		c.routing(routing.PrefixesTold{Groups: message.Groups})
+		c.stepRouter(routing.PrefixesTold{Groups: message.Groups})
 	case c.cellRole.controller.Holding():
-		c.cellRole.prefixes.sent.NoteGroups(message.Groups)
+		c.cellRole.prefixes.pending.NoteGroups(message.Groups)
 	}
 }
 
-// prefixRelay sums up the routers' prompts as controller.
+// prefixRelay collects the routers' reports in the controller.
 type prefixRelay struct {
-	sent *affinity.Ledger
-	next time.Time
+	pending   *affinity.Ledger
+	nextRelay time.Time
 }
 
 func newPrefixRelay() prefixRelay {
-	return prefixRelay{sent: affinity.NewLedger(maxRelayedPrefixes)}
+	return prefixRelay{pending: affinity.NewLedger(maxRelayedPrefixes)}
 }
 
-// relayPrefixes passes on to the zone's routers, and to this node's, what was
-// sent since the last time.
+// relayPrefixes sends the prefixes collected since the last relay to the routers of
+// the zone, this node's included.
 func (r *cellRole) relayPrefixes() {
 	core := r.core
-	if core.now.Before(r.prefixes.next) {
+	if core.now.Before(r.prefixes.nextRelay) {
 		return
 	}
-	r.prefixes.next = core.now.Add(prefixInterval)
-	groups := r.prefixes.sent.Take()
+	r.prefixes.nextRelay = core.now.Add(prefixInterval)
+	groups := r.prefixes.pending.Take()
 	if len(groups) == 0 {
 		return
 	}
-	core.routing(routing.PrefixesTold{Groups: groups})
-	r.tellZone(wire.SentPrefixes{From: core.self.ID, Zone: core.self.Zone, Relayed: true, Groups: groups})
+	core.stepRouter(routing.PrefixesTold{Groups: groups})
+	r.sendToZone(wire.SentPrefixes{From: core.self.ID, Zone: core.self.Zone, Relayed: true, Groups: groups})
 }
 
-// tellZone sends a message to the other live nodes of the zone.
-func (r *cellRole) tellZone(message wire.Message) {
+// sendToZone sends a message to the other live nodes of the zone.
+func (r *cellRole) sendToZone(message wire.Message) {
 	for _, member := range r.core.members.Members() {
-		if member.Node.Zone == r.core.self.Zone && r.alive(member.Node.ID) {
+		if member.Node.Zone == r.core.self.Zone && r.isAlive(member.Node.ID) {
 			r.core.send(member.Node.PeerAddress, message)
 		}
 	}
--- a/node/prefixes_test.go
+++ b/node/prefixes_test.go
@@ -12,19 +12,19 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// prefixNode is one core of a zone with two machines, driven by hand.
-type prefixNode struct {
+// coreFixture is one core in a zone with two machines, stepped by the test.
+type coreFixture struct {
 	t    *testing.T
 	core *Core
 	now  time.Time
 }
 
-func newPrefixNode(t *testing.T, id cluster.NodeID, now time.Time) *prefixNode {
-	n := &prefixNode{t: t, now: now, core: NewCore(CoreConfig{
+func newCoreFixture(t *testing.T, id cluster.NodeID, now time.Time) *coreFixture {
+	n := &coreFixture{t: t, now: now, core: NewCore(CoreConfig{
 		Self: cluster.Node{ID: id, Zone: "z", Region: "r", PeerAddress: string(id) + ":1"}, Seed: 1,
 	})}
 	policy := settings.Policy{MaxReplicas: 2, QueueLength: 8, QueueBytes: 1 << 20, QueueTime: time.Minute, Deadline: time.Minute, RetryAttempts: 2}
-	n.core.routing(routing.SettingsChanged{Snapshot: settings.NewSnapshot(settings.Stamp{Revision: 1},
+	n.core.stepRouter(routing.SettingsChanged{Snapshot: settings.NewSnapshot(settings.Stamp{Revision: 1},
 		[]settings.Model{{ID: "m", Kind: settings.KindModel, Path: "/m", Team: "/", Policy: policy}}, nil, nil)})
 	status := wire.CellStatus{Zone: "z", Region: "r", From: "c", FromAddress: "c:1", Token: 7, Sequence: 1, Full: true}
 	for _, machine := range []cluster.MachineID{"a", "b"} {
@@ -34,14 +34,15 @@
 	return n
 }
 
-func (n *prefixNode) step(event Event) []Effect { return slices.Clone(n.core.Step(n.now, event)) }
+func (n *coreFixture) step(event Event) []Effect { return slices.Clone(n.core.Step(n.now, event)) }
 
-func (n *prefixNode) receive(message wire.Message) []Effect {
+func (n *coreFixture) receive(message wire.Message) []Effect {
 	return n.step(MessageReceived{Message: message})
 }
 
-// sent ticks after a while and returns the prefixes sent to an address.
-func (n *prefixNode) sent(address string) (messages []wire.SentPrefixes) {
+// sentPrefixes ticks after prefixInterval and returns the prefix messages sent to an
+// address.
+func (n *coreFixture) sentPrefixes(address string) (messages []wire.SentPrefixes) {
 	n.now = n.now.Add(prefixInterval)
 	for _, effect := range n.step(Tick{}) {
 		if send, ok := effect.(SendMessage); ok && send.Address == address {
@@ -53,9 +54,9 @@
 	return messages
 }
 
-// runs brings a request and returns the machine it goes to and how many of its
-// blocks are expected there.
-func (n *prefixNode) runs(id cluster.RequestID) (cluster.MachineID, float64) {
+// dispatchRequest submits a request and returns the machine it is dispatched to and
+// the number of its prefix blocks expected there.
+func (n *coreFixture) dispatchRequest(id cluster.RequestID) (cluster.MachineID, float64) {
 	for _, effect := range n.step(RoutingInput{Event: routing.RequestArrived{Request: routing.Request{
 		ID: id, Model: "m", TokenPath: "/", Team: "/", Prefixes: []uint64{1, 2, 3, 4},
 	}}}) {
@@ -69,8 +70,8 @@
 	return "", 0
 }
 
-// lead makes the node its zone's controller.
-func (n *prefixNode) lead() {
+// becomeController makes the node the controller of its zone.
+func (n *coreFixture) becomeController() {
 	for !n.core.cellRole.controller.Holding() {
 		n.now = n.now.Add(TickInterval)
 		waiting := n.step(Tick{})
@@ -85,50 +86,50 @@
 			waiting = append(waiting, n.step(answer)...)
 		}
 		if n.now.After(time.Unix(1_000_100, 0)) {
-			n.t.Fatal("not elected")
+			n.t.Fatal("node did not become controller")
 		}
 	}
 }
 
-// TestPrefixesReachOtherRouters follows a prompt from the router that sent it
-// over the controller to another router, and checks that messages of other zones
-// and reports to a node that is no controller change nothing.
-func TestPrefixesReachOtherRouters(t *testing.T) {
+// TestPrefixesReachOtherRoutersOfTheZoneOnly follows a prompt prefix from the router
+// that sent it through the controller to another router. Messages of other zones, and
+// reports to a node that is not the controller, must have no effect.
+func TestPrefixesReachOtherRoutersOfTheZoneOnly(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	first, second, controller := newPrefixNode(t, "n1", now), newPrefixNode(t, "n2", now), newPrefixNode(t, "c", now)
-	controller.lead()
-	for _, router := range []*prefixNode{first, second} {
+	first, second, controller := newCoreFixture(t, "n1", now), newCoreFixture(t, "n2", now), newCoreFixture(t, "c", now)
+	controller.becomeController()
+	for _, router := range []*coreFixture{first, second} {
 		controller.receive(wire.Heartbeat{From: router.core.self, Incarnation: 1, Sequence: 1})
 	}
-	machine, _ := first.runs("r1")
+	machine, _ := first.dispatchRequest("r1")
 	first.step(RoutingInput{Event: routing.FirstByteSent{Request: "r1"}})
-	reports := first.sent("c:1")
+	reports := first.sentPrefixes("c:1")
 	if len(reports) != 1 || reports[0].Relayed || reports[0].Groups[0].Machine != machine {
-		t.Fatalf("the router reported %+v", reports)
+		t.Fatalf("router reported %+v", reports)
 	}
-	if again := first.sent("c:1"); len(again) != 0 {
-		t.Fatalf("the router reported again: %+v", again)
+	if again := first.sentPrefixes("c:1"); len(again) != 0 {
+		t.Fatalf("router reported the same prefixes again: %+v", again)
 	}
 	second.receive(reports[0])
-	if _, expected := second.runs("r2"); expected != 0 {
-		t.Fatal("a router took a report that was not for it")
+	if _, expected := second.dispatchRequest("r2"); expected != 0 {
+		t.Fatal("router that is not the controller applied a report")
 	}
 	controller.receive(reports[0])
-	relayed := controller.sent("n2:1")
+	relayed := controller.sentPrefixes("n2:1")
 	if len(relayed) != 1 || !relayed[0].Relayed {
-		t.Fatalf("the controller passed on %+v", relayed)
+		t.Fatalf("controller relayed %+v", relayed)
 	}
-	third := newPrefixNode(t, "n3", now)
+	third := newCoreFixture(t, "n3", now)
 	foreign := relayed[0]
 	foreign.Zone = "other"
 	third.receive(foreign)
 	third.receive(relayed[0])
-	if chosen, expected := third.runs("r3"); chosen != machine || expected < 3 {
-		t.Errorf("the other router expects %v blocks at %s, the prompt is at %s", expected, chosen, machine)
+	if chosen, expected := third.dispatchRequest("r3"); chosen != machine || expected < 3 {
+		t.Errorf("other router expects %v blocks at %s, the prefix is at %s", expected, chosen, machine)
 	}
-	fourth := newPrefixNode(t, "n4", now)
+	fourth := newCoreFixture(t, "n4", now)
 	fourth.receive(foreign)
-	if _, expected := fourth.runs("r4"); expected != 0 {
-		t.Error("a router took prefixes of another zone")
+	if _, expected := fourth.dispatchRequest("r4"); expected != 0 {
+		t.Error("router applied prefixes of another zone")
 	}
 }
--- a/node/settings_page_test.go
+++ b/node/settings_page_test.go
@@ -11,7 +11,8 @@
 
 const settingsPage = "../docs/operations/node-settings.md"
 
-// TestSettingsPageListsEveryKey holds the table of the page equal to the keys.
+// TestSettingsPageListsEveryKey checks that the table in the documentation matches the
+// configuration keys.
 func TestSettingsPageListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile(settingsPage)
 	if err != nil {
@@ -20,7 +21,7 @@
 	_, rest, found := strings.Cut(string(page), "by a test -->\n")
 	table, _, closed := strings.Cut(rest, "<!-- end of table -->")
 	if !found || !closed {
-		t.Fatal("the page has no table")
+		t.Fatal("documentation page has no table of keys")
 	}
 	var wanted strings.Builder
 	wanted.WriteString("| Key | Default | Meaning |\n|---|---|---|\n")
@@ -35,6 +36,6 @@
 		fmt.Fprintf(&wanted, "| `%s` | %s | %s |\n", key.Name, value, key.Usage)
 	}
 	if table != wanted.String() {
-		t.Errorf("the table should read:\n%s", wanted.String())
+		t.Errorf("table in the documentation differs from the keys, want:\n%s", wanted.String())
 	}
 }
--- a/node/shares.go
+++ b/node/shares.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// shareLifetime is how long a router may use a share of a limit.
+	// shareLifetime is the time after which a router's share of a limit expires.
 	shareLifetime = 5 * time.Second
-	// equalPart of a zone's part of a limit goes to its routers alike; the rest
-	// follows their demand.
-	equalPart = 0.25
+	// equalShareFraction is the fraction of a zone's share of a limit that its routers
+	// get in equal parts; the rest follows their demand.
+	equalShareFraction = 0.25
 )
 
-// divideLimits divides this zone's part of every limited scope that has demand
-// over the zone's routers.
+// divideLimits divides this zone's share of every limited scope with demand over the
+// zone's routers.
 func divideLimits(core *Core, ledger *demand.Ledger) map[cluster.NodeID][]wire.ScopeShare {
 	snapshot := core.Snapshot()
 	if snapshot == nil || len(snapshot.Scopes) == 0 {
 		return nil
 	}
-	part := zonePart(core)
+	zoneShare := ownLimitShare(core)
 	shares := make(map[cluster.NodeID][]wire.ScopeShare)
-	for _, path := range demandedScopes(ledger) {
+	for _, path := range scopesWithDemand(ledger) {
 		scope, limited := snapshot.Scopes[path]
 		if limited {
-			divideScope(shares, scopeWants(core, ledger, scope.Path), scope, part)
+			divideScope(shares, routerWeights(core, ledger, scope.Path), scope, zoneShare)
 		}
 	}
 	return shares
 }
 
-// limitPart is a zone's part of every limit: its size, and where it begins when
-// the zones' parts are laid out in order.
-type limitPart struct {
-	begin, size float64
-	routers     int
+// zoneLimitShare is a zone's share of every limit: its fraction of the whole, and its
+// offset when the fractions of all zones are laid out in order.
+type zoneLimitShare struct {
+	offset, fraction float64
+	routers          int
 }
 
-// zonePart is this zone's part of every limit, by its number of nodes. Suspected
-// and dead nodes count in the whole: a partition must not enlarge the part.
-func zonePart(core *Core) limitPart {
+// ownLimitShare returns this zone's share of every limit, proportional to its number
+// of nodes. Suspected and dead nodes count in the total, so that a partition does not
+// enlarge the share.
+func ownLimitShare(core *Core) zoneLimitShare {
 	all, before, routers := 1, 0, 1
 	for _, member := range core.members.Members() {
 		if member.State == membership.StateLeaving {
@@ -60,12 +61,12 @@
 			routers++
 		}
 	}
-	return limitPart{
-		begin: float64(before) / float64(all), size: float64(routers) / float64(all), routers: routers,
+	return zoneLimitShare{
+		offset: float64(before) / float64(all), fraction: float64(routers) / float64(all), routers: routers,
 	}
 }
 
-func demandedScopes(ledger *demand.Ledger) []string {
+func scopesWithDemand(ledger *demand.Ledger) []string {
 	seen := map[string]bool{}
 	var paths []string
 	for _, id := range ledger.Routers() {
@@ -80,36 +81,36 @@
 	return paths
 }
 
-// divideScope grants every router of the zone its share, those without demand
-// too: a router without a grant would keep an even part beside the others'.
-func divideScope(shares map[cluster.NodeID][]wire.ScopeShare, wants []scopeWant, scope settings.Scope, part limitPart) {
+// divideScope grants every router of the zone its share, also routers without demand:
+// a router without a grant would keep using an even share in addition to the others.
+func divideScope(shares map[cluster.NodeID][]wire.ScopeShare, weights []routerWeight, scope settings.Scope, zoneShare zoneLimitShare) {
 	total := 0.0
-	for _, want := range wants {
-		total += want.weight
+	for _, router := range weights {
+		total += router.weight
 	}
-	routers := max(part.routers, len(wants))
-	position := part.begin
-	for _, want := range wants {
-		size := part.size * (equalPart/float64(routers) + (1-equalPart)*want.weight/total)
-		shares[want.router] = append(shares[want.router], wire.ScopeShare{
+	routers := max(zoneShare.routers, len(weights))
+	position := zoneShare.offset
+	for _, router := range weights {
+		size := zoneShare.fraction * (equalShareFraction/float64(routers) + (1-equalShareFraction)*router.weight/total)
+		shares[router.router] = append(shares[router.router], wire.ScopeShare{
 			Path: scope.Path, ExpiresIn: shareLifetime,
 			Requests:    scope.RequestsPerSecond * size,
 			Tokens:      scope.TokensPerSecond * size,
-			Concurrency: wholePart(scope.MaxConcurrency, position+size) - wholePart(scope.MaxConcurrency, position),
+			Concurrency: wholeUnits(scope.MaxConcurrency, position+size) - wholeUnits(scope.MaxConcurrency, position),
 		})
 		position += size
 	}
 }
 
-// wholePart is how many whole requests of a limit lie before a position. The
-// differences between positions sum to the limit over all routers, so none of
-// a small limit is lost to rounding and none is granted twice.
-func wholePart(limit int, position float64) int {
-	const rounding = 1e-9
-	return int(float64(limit)*position + rounding)
+// wholeUnits returns the number of whole requests of a limit that lie before a
+// position. The differences between consecutive positions sum to the limit over all
+// routers, so a small limit loses nothing to rounding and nothing is granted twice.
+func wholeUnits(limit int, position float64) int {
+	const roundingTolerance = 1e-9
+	return int(float64(limit)*position + roundingTolerance)
 }
 
-type scopeWant struct {
+type routerWeight struct {
 	router cluster.NodeID
 	weight float64
 }
@@ -117,20 +118,20 @@
 // idleWeight is the weight of a router without demand, in requests.
 const idleWeight = 0.01
 
-// scopeWants weighs the zone's routers by requests in flight and arriving.
-func scopeWants(core *Core, ledger *demand.Ledger, path string) []scopeWant {
-	var wants []scopeWant
+// routerWeights weighs the zone's routers by their requests in flight and arriving.
+func routerWeights(core *Core, ledger *demand.Ledger, path string) []routerWeight {
+	var weights []routerWeight
 	for _, id := range ledger.Routers() {
 		if ledger.Zone(id) != core.self.Zone {
 			continue
 		}
-		want := scopeWant{id, idleWeight}
+		router := routerWeight{id, idleWeight}
 		for _, scope := range ledger.Scopes(id) {
 			if scope.Path == path {
-				want.weight += scope.Requests + float64(scope.Concurrency)
+				router.weight += scope.Requests + float64(scope.Concurrency)
 			}
 		}
-		wants = append(wants, want)
+		weights = append(weights, router)
 	}
-	return wants
+	return weights
 }
--- a/node/shares_test.go
+++ b/node/shares_test.go
@@ -10,9 +10,9 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestSharesSumToTheLimit divides random limits over random zones and routers:
-// each unit is granted exactly once, whatever the demand.
-func TestSharesSumToTheLimit(t *testing.T) {
+// TestRouterSharesSumToTheLimit divides random limits over random zones and routers
+// and checks that each unit is granted exactly once for any demand.
+func TestRouterSharesSumToTheLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 200 {
 		zones := make([]int, 1+random.IntN(6))
@@ -25,13 +25,13 @@
 		shares := make(map[cluster.NodeID][]wire.ScopeShare)
 		before := 0
 		for zone, routers := range zones {
-			part := limitPart{begin: float64(before) / float64(all), size: float64(routers) / float64(all), routers: routers}
-			var wants []scopeWant
+			zoneShare := zoneLimitShare{offset: float64(before) / float64(all), fraction: float64(routers) / float64(all), routers: routers}
+			var weights []routerWeight
 			for router := range routers {
 				id := cluster.NodeID(fmt.Sprint(zone, "-", router))
-				wants = append(wants, scopeWant{id, idleWeight + float64(random.IntN(3))*random.Float64()*20})
+				weights = append(weights, routerWeight{id, idleWeight + float64(random.IntN(3))*random.Float64()*20})
 			}
-			divideScope(shares, wants, scope, part)
+			divideScope(shares, weights, scope, zoneShare)
 			before += routers
 		}
 		concurrency, requests := 0, 0.0
@@ -40,7 +40,7 @@
 			requests += granted[0].Requests
 		}
 		if concurrency != scope.MaxConcurrency || requests > 10.0001 || requests < 9.999 {
-			t.Fatalf("round %d: %d of %d and %f of 10 granted over zones %v", round, concurrency, scope.MaxConcurrency, requests, zones)
+			t.Fatalf("round %d: granted concurrency %d of %d and request rate %f of 10 over zones %v", round, concurrency, scope.MaxConcurrency, requests, zones)
 		}
 	}
 }
--- a/node/status.go
+++ b/node/status.go
@@ -8,87 +8,87 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// publishSpacing keeps statuses apart, so that changes that come together travel
-// together and one message does not overtake another within a zone, which would
-// look like a loss and cost a full status.
-const publishSpacing = 20 * time.Millisecond
+// minPublishInterval is the shortest time between two statuses. It combines changes
+// that come together, and keeps one message from overtaking another within a zone,
+// which receivers would take for a loss and answer by requesting a full status.
+const minPublishInterval = 20 * time.Millisecond
 
-// statusPublisher tells routers what this cell holds: changes at the next Tick,
-// everything when asked. Nodes of the own zone get it directly, with loads and
-// limit shares each statusInterval; other zones' controllers get it once and
-// pass it on to their nodes.
+// statusPublisher publishes the cell's state to routers: changes at the next Tick, a
+// full status on request. Nodes of the own zone get it directly, with loads and limit
+// shares every statusInterval. Controllers of other zones get it once and forward it
+// to their nodes.
 type statusPublisher struct {
 	role          *cellRole
 	local, remote statusStream
 	// fullDue makes the next status of both streams a full one.
 	fullDue bool
-	// published is when something was last compared and sent.
-	published time.Time
-	// allotted lists the models that the zone may hold, as last told, sorted.
-	allotted []cluster.ModelID
-	news     loadNews
-	// changed is true when an inventory or the machine list changed since the
-	// records were last compared.
+	// lastPublish is when the records were last compared and published.
+	lastPublish time.Time
+	// allotted lists, sorted, the models that the zone may hold as last published.
+	allotted   []cluster.ModelID
+	loadFilter loadFilter
+	// changed is true if an inventory or the machine list has changed since the records
+	// were last compared.
 	changed bool
 }
 
-// statusStream is what one group of receivers has been told. Its sequence
-// numbers have no gaps, so that a receiver can tell a lost message.
+// statusStream is the state published to one group of receivers. Its sequence numbers
+// have no gaps, so that a receiver can detect a lost message.
 type statusStream struct {
 	sequence uint64
-	// published replicas as last told, sorted by machine then model.
-	published []wire.ReplicaRecord
-	next      time.Time
-	interval  time.Duration
+	// published holds the replicas as last published, sorted by machine and model.
+	published  []wire.ReplicaRecord
+	nextStatus time.Time
+	interval   time.Duration
 }
 
 func newStatusPublisher(role *cellRole) *statusPublisher {
 	return &statusPublisher{
-		role: role, fullDue: true, news: newLoadNews(),
+		role: role, fullDue: true, loadFilter: newLoadFilter(),
 		local:  statusStream{interval: statusInterval},
 		remote: statusStream{interval: remoteStatusInterval},
 	}
 }
 
-// tick publishes to each group when something changed or is due.
+// tick publishes to each group when something has changed or a status is due.
 func (p *statusPublisher) tick() {
 	now := p.role.core.now
-	idle := !p.changed && !p.fullDue && now.Before(p.local.next) && now.Before(p.remote.next)
-	if idle || now.Sub(p.published) < publishSpacing || !p.role.controller.Ready() {
+	idle := !p.changed && !p.fullDue && now.Before(p.local.nextStatus) && now.Before(p.remote.nextStatus)
+	if idle || now.Sub(p.lastPublish) < minPublishInterval || !p.role.controller.Ready() {
 		return
 	}
-	p.published = now
+	p.lastPublish = now
 	if allotted := p.allottedModels(); !slices.Equal(allotted, p.allotted) {
 		p.allotted, p.fullDue = allotted, true
 	}
 	p.changed = false
 	current := p.records()
-	if status, due := p.next(&p.local, current); due {
-		status.Loads = p.loads()
+	if status, due := p.nextStatus(&p.local, current); due {
+		status.Loads = p.changedLoads()
 		p.publishLocal(status)
 	}
-	if status, due := p.next(&p.remote, current); due {
+	if status, due := p.nextStatus(&p.remote, current); due {
 		p.publishRemote(status)
 	}
 	p.fullDue = false
 }
 
-// next returns the stream's next status and whether it must be sent.
-func (p *statusPublisher) next(stream *statusStream, current []wire.ReplicaRecord) (wire.CellStatus, bool) {
+// nextStatus returns the stream's next status and whether it must be sent.
+func (p *statusPublisher) nextStatus(stream *statusStream, current []wire.ReplicaRecord) (wire.CellStatus, bool) {
 	now := p.role.core.now
-	changes := difference(stream.published, current)
-	if len(changes) == 0 && now.Before(stream.next) && !p.fullDue {
+	changes := changedRecords(stream.published, current)
+	if len(changes) == 0 && now.Before(stream.nextStatus) && !p.fullDue {
 		return wire.CellStatus{}, false
 	}
 	stream.sequence++
-	stream.published, stream.next = current, now.Add(stream.interval)
+	stream.published, stream.nextStatus = current, now.Add(stream.interval)
 	if p.fullDue {
-		return p.full(stream), true
+		return p.fullStatus(stream), true
 	}
-	return p.status(stream, changes), true
+	return p.newStatus(stream, changes), true
 }
 
-func (p *statusPublisher) status(stream *statusStream, records []wire.ReplicaRecord) wire.CellStatus {
+func (p *statusPublisher) newStatus(stream *statusStream, records []wire.ReplicaRecord) wire.CellStatus {
 	core := p.role.core
 	return wire.CellStatus{
 		Zone: core.self.Zone, Region: core.self.Region,
@@ -98,60 +98,61 @@
 	}
 }
 
-// full returns everything under the stream's present sequence number.
-func (p *statusPublisher) full(stream *statusStream) wire.CellStatus {
-	status := p.status(stream, stream.published)
+// fullStatus returns all records under the stream's current sequence number.
+func (p *statusPublisher) fullStatus(stream *statusStream) wire.CellStatus {
+	status := p.newStatus(stream, stream.published)
 	status.Full, status.Allotted = true, p.allotted
 	return status
 }
 
-// allottedModels lists the models that the zone may hold, sorted. A model whose
-// whole allotment is lost is left out, so that its demand goes to other zones.
+// allottedModels returns, sorted, the models that the zone may hold. A model is left
+// out if unresponsive engines hold its whole allotment, so that its demand goes to
+// other zones.
 func (p *statusPublisher) allottedModels() []cluster.ModelID {
-	lost := p.countLost()
+	unresponsive := p.countUnresponsiveReplicas()
 	allotment := p.role.core.keyValue.allotments[p.role.core.self.Zone]
 	models := make([]cluster.ModelID, 0, len(allotment.Models))
 	for i := range allotment.Models {
-		if model := &allotment.Models[i]; model.MaxReplicas > lost[model.Model] {
+		if model := &allotment.Models[i]; model.MaxReplicas > unresponsive[model.Model] {
 			models = append(models, model.Model)
 		}
 	}
 	return models
 }
 
-// publishLocal tells the live nodes of the own zone, each with its limit shares,
-// and this node itself.
+// publishLocal sends the status to this node and to the live nodes of its zone, each
+// with its limit shares.
 func (p *statusPublisher) publishLocal(status wire.CellStatus) {
 	core := p.role.core
 	shares := divideLimits(core, p.role.demand)
-	personal := status
-	personal.Shares = shares[core.self.ID]
-	core.cellStatusReceived(personal)
+	addressed := status
+	addressed.Shares = shares[core.self.ID]
+	core.cellStatusReceived(addressed)
 	for _, member := range core.members.Members() {
-		if member.Node.Zone != core.self.Zone || !p.role.alive(member.Node.ID) {
+		if member.Node.Zone != core.self.Zone || !p.role.isAlive(member.Node.ID) {
 			continue
 		}
-		personal.Shares = shares[member.Node.ID]
-		core.send(member.Node.PeerAddress, personal)
+		addressed.Shares = shares[member.Node.ID]
+		core.send(member.Node.PeerAddress, addressed)
 	}
 }
 
-// publishRemote tells the other zones' controllers, without loads: between
-// zones the router's own count of its requests must do.
+// publishRemote sends the status to the other zones' controllers, without loads:
+// across zones a router relies on its own count of its requests.
 func (p *statusPublisher) publishRemote(status wire.CellStatus) {
 	for _, address := range p.role.core.remoteAddresses() {
 		p.role.core.send(address, status)
 	}
 }
 
-// remoteAddresses lists who passes this zone's status on: each other zone's
-// controller, or, when that is gone, all of the zone's nodes for themselves.
+// remoteAddresses returns the nodes that get this zone's status for other zones: each
+// zone's controller, or all nodes of a zone without a live controller.
 func (c *Core) remoteAddresses() []string {
 	var addresses []string
-	for _, claim := range c.cells.claims() {
+	for _, claim := range c.cells.sortedClaims() {
 		switch {
 		case claim.Zone == c.self.Zone || claim.Zone == ApportionerZone:
-		case !c.controlled(claim.Zone):
+		case !c.hasLiveController(claim.Zone):
 			addresses = append(addresses, c.zoneAddresses(claim.Zone)...)
 		default:
 			if address := c.controllerAddress(claim); address != "" {
@@ -162,8 +163,7 @@
 	return addresses
 }
 
-// controllerAddress returns where a zone's controller listens, empty when that
-// is not known.
+// controllerAddress returns the peer address of a zone's controller, empty if unknown.
 func (c *Core) controllerAddress(claim wire.ControllerClaim) string {
 	if known, ok := c.cells.cells[claim.Zone]; ok && known.address != "" && known.token == claim.Token {
 		return known.address
@@ -172,7 +172,7 @@
 	return member.Node.PeerAddress
 }
 
-// zoneAddresses lists the running nodes of a zone.
+// zoneAddresses returns the peer addresses of a zone's running nodes.
 func (c *Core) zoneAddresses(zone cluster.ZoneID) []string {
 	var addresses []string
 	for _, member := range c.members.Members() {
@@ -183,19 +183,20 @@
 	return addresses
 }
 
-// forwardStatus passes another zone's status on to the nodes of this zone.
+// forwardStatus sends another zone's status to the nodes of this zone, if this node is
+// the controller.
 func (r *cellRole) forwardStatus(status wire.CellStatus) {
 	if status.Zone == r.core.self.Zone || !r.controller.Holding() {
 		return
 	}
 	for _, member := range r.core.members.Members() {
-		if member.Node.Zone == r.core.self.Zone && r.alive(member.Node.ID) {
+		if member.Node.Zone == r.core.self.Zone && r.isAlive(member.Node.ID) {
 			r.core.send(member.Node.PeerAddress, status)
 		}
 	}
 }
 
-// statusRequested answers with a full status of the stream that the asking node
+// statusRequested answers with a full status of the stream that the requesting node
 // follows.
 func (r *cellRole) statusRequested(request wire.CellStatusRequest) {
 	stream := &r.publisher.remote
@@ -205,11 +206,11 @@
 	if request.Zone != r.core.self.Zone || !r.controller.Ready() || stream.sequence == 0 {
 		return
 	}
-	r.core.send(request.FromAddress, r.publisher.full(stream))
+	r.core.send(request.FromAddress, r.publisher.fullStatus(stream))
 }
 
-// records lists all replicas of confirmed inventories whose engines answer,
-// sorted by machine and model.
+// records returns the replicas of all confirmed inventories whose engines are
+// responsive, sorted by machine and model.
 func (p *statusPublisher) records() []wire.ReplicaRecord {
 	var records []wire.ReplicaRecord
 	for _, inventory := range p.role.controller.Inventories() {
@@ -228,53 +229,54 @@
 	return records
 }
 
-// countLost counts, by model, the replicas on machines whose engines don't
-// answer: they use up the allotment and serve nobody.
-func (p *statusPublisher) countLost() map[cluster.ModelID]int {
-	lost := map[cluster.ModelID]int{}
+// countUnresponsiveReplicas counts, by model, the replicas on unresponsive engines:
+// they use up the allotment and serve no requests.
+func (p *statusPublisher) countUnresponsiveReplicas() map[cluster.ModelID]int {
+	counts := map[cluster.ModelID]int{}
 	for _, inventory := range p.role.controller.Inventories() {
 		if p.role.controller.Responsive(inventory.Machine) {
 			continue
 		}
 		for _, replica := range inventory.Replicas {
-			lost[replica.Model]++
+			counts[replica.Model]++
 		}
 	}
-	return lost
+	return counts
 }
 
-// readyIn is the expected rest of a load, zero for replicas not loading.
+// readyIn returns the expected remaining time of a load, zero for replicas that are
+// not loading.
 func (p *statusPublisher) readyIn(machine cluster.MachineID, replica cluster.Replica) time.Duration {
 	key := replicaKey{machine, replica.Model}
 	if replica.State != cluster.ReplicaLoading {
-		delete(p.role.expected, key)
+		delete(p.role.expectedLoadEnds, key)
 		return 0
 	}
-	at, known := p.role.expected[key]
+	at, known := p.role.expectedLoadEnds[key]
 	if !known {
 		return 0
 	}
 	return max(at.Sub(p.role.core.now), 0)
 }
 
-// difference lists the records of after that differ from before, and those that
-// are gone as absent. Both are sorted alike; a changed ReadyIn alone is no
-// difference.
-func difference(before, after []wire.ReplicaRecord) []wire.ReplicaRecord {
+// changedRecords returns the records of after that differ from before, and those
+// missing from after as absent. Both are sorted by machine and model. A change of
+// ReadyIn alone does not count.
+func changedRecords(before, after []wire.ReplicaRecord) []wire.ReplicaRecord {
 	var changes []wire.ReplicaRecord
 	i, j := 0, 0
 	for i < len(before) || j < len(after) {
 		switch order := compareRecords(before, i, after, j); {
 		case order < 0:
-			gone := before[i]
-			gone.State, gone.ReadyIn = cluster.ReplicaAbsent, 0
-			changes = append(changes, gone)
+			absent := before[i]
+			absent.State, absent.ReadyIn = cluster.ReplicaAbsent, 0
+			changes = append(changes, absent)
 			i++
 		case order > 0:
 			changes = append(changes, after[j])
 			j++
 		default:
-			if !sameRecord(before[i], after[j]) {
+			if !equalExceptReadyIn(before[i], after[j]) {
 				changes = append(changes, after[j])
 			}
 			i++
@@ -297,7 +299,7 @@
 	return slices.Compare([]cluster.ModelID{before[i].Model}, []cluster.ModelID{after[j].Model})
 }
 
-func sameRecord(a, b wire.ReplicaRecord) bool {
+func equalExceptReadyIn(a, b wire.ReplicaRecord) bool {
 	a.ReadyIn, b.ReadyIn = 0, 0
 	return a == b
 }
