--- a/authority/apportion.go
+++ b/authority/apportion.go
@@ -19,21 +19,21 @@
 	DefaultWriteBudget       = 256 << 10
 )
 
-// ApportionConfig holds the apportioner's parameters; zero values take the
-// documented defaults.
+// ApportionConfig holds the parameters of Apportion. Zero values take the documented
+// defaults.
 type ApportionConfig struct {
-	// CandidateCount is how many machines of a larger zone may hold a model,
-	// at least; a zone with no more machines names none, which allows all.
+	// CandidateCount is the minimum number of machines of a large zone that may hold a
+	// model. A zone with no more machines than this names no candidates, which allows all.
 	// Default 8.
 	CandidateCount int
-	// RebalanceInterval is how old a zone's record must be before counts move
-	// between zones for balance or demand alone. Default 1 min.
+	// RebalanceInterval is the minimum age of a zone's record before counts move between
+	// zones for balance or demand alone. Default 1 min.
 	RebalanceInterval time.Duration
-	// ReportMaxAge is how old a zone report may be to be used for balance and
-	// demand. Confirmations don't age. Default 15 s.
+	// ReportMaxAge is the maximum age of a zone report that is used for balance and
+	// demand. A report confirms lowered counts at any age. Default 15 s.
 	ReportMaxAge time.Duration
-	// WriteBudget bounds the bytes of the records written at once. Default
-	// 256 KiB.
+	// WriteBudget is the maximum total size in bytes of the records written by one plan; a
+	// single larger record is still written. Default 256 KiB.
 	WriteBudget int
 }
 
@@ -53,61 +53,62 @@
 	return c
 }
 
-// ApportionState is all that a round of apportioning decides from. The
-// apportioner keeps nothing else: a new one goes on from the records alone.
+// ApportionState is the complete input of Apportion. No other state is kept between
+// rounds, so a new node continues from the stored records alone.
 type ApportionState struct {
 	Config   ApportionConfig
 	Now      time.Time
 	Settings *settings.Snapshot
-	// Presence follows the whole machine list.
+	// Presence tracks the machine list of all zones.
 	Presence *Presence
-	// Zones must include every stored record, all read at one revision together
-	// with the guard, or followed by a watch.
+	// Zones must include every stored record, all read at one revision together with the
+	// guard key, or kept up to date by a watch.
 	Zones []ZoneView
-	// GuardRevision is the revision of the guard key, zero when absent.
+	// GuardRevision is the revision of the guard key, zero when it is absent.
 	GuardRevision int64
 }
 
 // ZoneView is what is known of one zone.
 type ZoneView struct {
 	Zone cluster.ZoneID
-	// Allotment is the present record; Revision is zero when there is none.
+	// Allotment is the stored record; its Revision is zero when there is none.
 	Allotment cluster.Allotment
-	// Report is the last one received, nil for none. Its AllotmentRevision must
-	// be that of the reporting Controller at the moment of the report.
+	// Report is the last report received, nil for none. Its AllotmentRevision must be that
+	// of the reporting Controller at the moment of the report.
 	Report    *wire.ZoneReport
 	ReportAge time.Duration
 }
 
-// ApportionPlan is the outcome of a round.
+// ApportionPlan is the result of one round of Apportion.
 type ApportionPlan struct {
-	// Writes must be applied in one transaction with the guard, or not at all.
+	// Writes must be applied in one transaction with the guard key, or not at all.
 	Writes        []AllotmentWrite
 	GuardRevision int64
-	// Refused is set when the state did not allow to decide.
+	// Refused is the reason why the round decided nothing, empty if it decided.
 	Refused RefusedCause
-	// Changes explains every changed count, by zone, then model.
+	// Changes lists every changed count, sorted by zone, then model.
 	Changes []CountChange
-	// Deferred counts the zones left to the next round by the write budget.
+	// Deferred is the number of changed records left to the next round by the write
+	// budget.
 	Deferred int
 }
 
-// AllotmentWrite replaces one record.
+// AllotmentWrite replaces one stored record if it still has revision ExpectRevision.
 type AllotmentWrite struct {
 	Allotment      cluster.Allotment
 	ExpectRevision int64
 }
 
-// RefusedCause says why a round decided nothing.
+// RefusedCause is the reason why a round decided nothing.
 type RefusedCause string
 
-// The causes of rounds without decision.
+// Reasons why a round decides nothing.
 const (
 	RefusedNoSettings  RefusedCause = "no settings"
 	RefusedNoMachines  RefusedCause = "machine list not read yet"
 	RefusedOldSettings RefusedCause = "a record was computed from later settings"
-	// RefusedNoReports holds back the very first division for ReportMaxAge, so
-	// that the candidates of large zones are chosen by their engine pools.
+	// RefusedNoReports delays the first division of all by up to ReportMaxAge, so that the
+	// candidates of large zones are chosen by the engine pools that the zones report.
 	RefusedNoReports RefusedCause = "waiting for the first zone reports"
 )
 
@@ -115,14 +116,14 @@
 type CountChange struct {
 	Zone  cluster.ZoneID
 	Model cluster.ModelID
-	// From and To are the counts before and after, Wanted the count that the
-	// division gives the zone. To is smaller than Wanted while another zone has
-	// not confirmed a lowered count.
+	// From and To are the allowed counts before and after the change, Wanted is the zone's
+	// target. To is smaller than Wanted while another zone has not confirmed a lowered
+	// count.
 	From, To, Wanted int
 }
 
-// Transaction returns the one transaction that carries out the plan. It fails
-// when any apportioning happened since the state was read.
+// Transaction returns the transaction that applies the plan. It fails if any allotment was
+// written since the state was read.
 func (p *ApportionPlan) Transaction() keyvalue.Transaction {
 	transaction := keyvalue.Transaction{Compares: []keyvalue.Compare{{Key: AllotmentGuardKey, ModRevision: p.GuardRevision}}}
 	for i := range p.Writes {
@@ -139,24 +140,25 @@
 
 // Apportion divides every model's decided replica count over the zones.
 //
-// Invariant: let the bound of a model in a zone be the most replicas it can
-// hold there, now or under the record. The sum of the bounds over all zones
-// never grows beyond the decided count. So a count is raised only by what the
-// bounds of the others leave: a lowered zone must first confirm by a report, or
-// its machines must have gone from the list.
+// The upper bound of a model in a zone is the largest number of replicas that the zone can
+// hold, now or under its record. Apportion keeps this invariant: it never raises the sum
+// of the upper bounds over all zones beyond the decided count. A zone's count is therefore
+// raised only by what the upper bounds of the other zones leave. A zone whose count was
+// lowered must first confirm this by a report, or its machines must have gone from the
+// machine list.
 func Apportion(state ApportionState) ApportionPlan {
 	state.Config = state.Config.withDefaults()
-	plan := ApportionPlan{GuardRevision: state.GuardRevision, Refused: refused(&state)}
+	plan := ApportionPlan{GuardRevision: state.GuardRevision, Refused: refusalCause(&state)}
 	if plan.Refused != "" {
 		return plan
 	}
 	division := newDivision(&state)
 	division.divide()
-	division.collect(&plan)
+	division.collectWrites(&plan)
 	return plan
 }
 
-func refused(state *ApportionState) RefusedCause {
+func refusalCause(state *ApportionState) RefusedCause {
 	if state.Settings == nil {
 		return RefusedNoSettings
 	}
@@ -168,16 +170,17 @@
 			return RefusedOldSettings
 		}
 	}
-	if state.awaitsReports() {
+	if state.mustAwaitReports() {
 		return RefusedNoReports
 	}
 	return ""
 }
 
-// awaitsReports reports whether nothing is divided yet and a zone large enough
-// to need candidates has not reported, shortly after the start.
-func (s *ApportionState) awaitsReports() bool {
-	if s.Now.Sub(s.Presence.first) >= s.Config.ReportMaxAge {
+// mustAwaitReports reports whether the first division has to wait: no record is stored,
+// the machine list was read less than ReportMaxAge ago, and a zone that is large enough to
+// need candidates has not reported.
+func (s *ApportionState) mustAwaitReports() bool {
+	if s.Now.Sub(s.Presence.firstListAt) >= s.Config.ReportMaxAge {
 		return false
 	}
 	reported := make(map[cluster.ZoneID]bool)
@@ -197,11 +200,11 @@
 	return false
 }
 
-// collect turns the divided zones into writes within the byte budget.
-func (d *division) collect(plan *ApportionPlan) {
+// collectWrites turns the changed records into writes within the byte budget.
+func (d *division) collectWrites(plan *ApportionPlan) {
 	bytes := 0
 	for _, zone := range d.zones {
-		write, changed := zone.write(d.state)
+		write, changed := zone.nextWrite(d.state)
 		if !changed {
 			continue
 		}
@@ -212,20 +215,20 @@
 		}
 		bytes += size
 		plan.Writes = append(plan.Writes, write)
-		plan.Changes = append(plan.Changes, zone.changes...)
+		plan.Changes = append(plan.Changes, zone.countChanges...)
 	}
 }
 
-// write returns the zone's next record and whether it must be stored.
-func (z *zoneDivision) write(state *ApportionState) (AllotmentWrite, bool) {
-	slices.SortFunc(z.next, func(a, b cluster.ModelAllotment) int { return compareStrings(a.Model, b.Model) })
-	slices.SortFunc(z.changes, func(a, b CountChange) int { return compareStrings(a.Model, b.Model) })
-	machines := !slices.Equal(z.machines, z.view.Allotment.Machines)
+// nextWrite returns the zone's next record and whether it must be stored.
+func (z *zoneDivision) nextWrite(state *ApportionState) (AllotmentWrite, bool) {
+	slices.SortFunc(z.nextEntries, func(a, b cluster.ModelAllotment) int { return compareStrings(a.Model, b.Model) })
+	slices.SortFunc(z.countChanges, func(a, b CountChange) int { return compareStrings(a.Model, b.Model) })
+	machinesChanged := !slices.Equal(z.nextRecordMachines, z.view.Allotment.Machines)
 	return AllotmentWrite{
 		ExpectRevision: z.view.Allotment.Revision,
 		Allotment: cluster.Allotment{
 			Zone: z.view.Zone, SettingsRevision: state.Settings.Stamp.Revision,
-			WrittenAt: state.Now.Truncate(time.Second), Machines: z.machines, Models: z.next,
+			WrittenAt: state.Now.Truncate(time.Second), Machines: z.nextRecordMachines, Models: z.nextEntries,
 		},
-	}, machines || z.candidatesChanged || len(z.changes) > 0
+	}, machinesChanged || z.candidatesChanged || len(z.countChanges) > 0
 }
--- a/authority/apportion_test.go
+++ b/authority/apportion_test.go
@@ -11,8 +11,8 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// divisionTest keeps the records of a few zones.
-type divisionTest struct {
+// divisionFixture stores the records and reports of a few zones and applies plans to them.
+type divisionFixture struct {
 	t        *testing.T
 	now      time.Time
 	revision int64
@@ -23,29 +23,29 @@
 	models   []settings.Model
 }
 
-func newDivisionTest(t *testing.T, zones, machines int) *divisionTest {
-	test := &divisionTest{
+func newDivisionFixture(t *testing.T, zones, machines int) *divisionFixture {
+	fixture := &divisionFixture{
 		t: t, now: testStart, revision: 100, presence: NewPresence(DefaultMachineLag),
 		records: make(map[cluster.ZoneID]cluster.Allotment), reports: make(map[cluster.ZoneID]*wire.ZoneReport),
 	}
 	for zone := range zones {
 		for machine := range machines {
-			test.machines = append(test.machines, cluster.Machine{
+			fixture.machines = append(fixture.machines, cluster.Machine{
 				ID: cluster.MachineID(fmt.Sprintf("z%d-m%d", zone, machine)), Zone: cluster.ZoneID(fmt.Sprintf("z%d", zone)),
 			})
 		}
 	}
-	test.presence.Listed(test.now, test.machines)
-	test.now = test.now.Add(DefaultReportMaxAge)
-	return test
+	fixture.presence.Listed(fixture.now, fixture.machines)
+	fixture.now = fixture.now.Add(DefaultReportMaxAge)
+	return fixture
 }
 
-func (d *divisionTest) setModel(id cluster.ModelID, maximum int, zones ...cluster.ZoneID) {
+func (d *divisionFixture) setModel(id cluster.ModelID, maximum int, zones ...cluster.ZoneID) {
 	d.models = []settings.Model{{ID: id, Policy: settings.Policy{MaxReplicas: maximum, Zones: zones}}}
 }
 
-// round applies one plan, as the transaction would.
-func (d *divisionTest) round() ApportionPlan {
+// apportion computes one plan and applies it, as the transaction would.
+func (d *divisionFixture) apportion() ApportionPlan {
 	state := ApportionState{
 		Now: d.now, Presence: d.presence, GuardRevision: d.revision,
 		Settings: settings.NewSnapshot(settings.Stamp{Revision: 1}, d.models, nil, nil),
@@ -62,15 +62,15 @@
 	return plan
 }
 
-// report makes the zone's controller report what it holds.
-func (d *divisionTest) report(zone cluster.ZoneID, token cluster.FencingToken, held int) {
+// reportHeld records a report that the zone holds a number of replicas of model x.
+func (d *divisionFixture) reportHeld(zone cluster.ZoneID, token cluster.FencingToken, held int) {
 	d.reports[zone] = &wire.ZoneReport{
 		Zone: zone, Token: token, AllotmentRevision: d.records[zone].Revision,
 		Models: []wire.ZoneModelReport{{Model: "x", Held: held}},
 	}
 }
 
-func (d *divisionTest) expect(zone cluster.ZoneID, want int) {
+func (d *divisionFixture) requireLimit(zone cluster.ZoneID, want int) {
 	d.t.Helper()
 	record := d.records[zone]
 	if got := record.Limit("x"); got != want {
@@ -78,89 +78,101 @@
 	}
 }
 
-func TestRaiseWaitsForTheLoweredZone(t *testing.T) {
-	test := newDivisionTest(t, 2, 2)
-	test.setModel("x", 1, "z0")
-	test.round()
-	test.expect("z0", 1)
-	test.setModel("x", 1, "z1")
-	test.round()
-	test.expect("z0", 0)
-	test.expect("z1", 0)
-	test.report("z0", 7, 1)
-	test.round()
-	test.expect("z1", 0)
-	test.report("z0", 7, 0)
-	test.reports["z0"].AllotmentRevision--
-	test.round()
-	test.expect("z1", 0)
-	test.report("z0", 7, 0)
-	test.round()
-	test.expect("z1", 1)
-	if plan := test.round(); len(plan.Writes) != 0 {
+// TestRaisedCountWaitsUntilLoweredZoneConfirms guards against a model loaded in two zones
+// at once: a zone whose count was lowered may still hold its replica until it reports,
+// under the lowered record, that it holds none.
+func TestRaisedCountWaitsUntilLoweredZoneConfirms(t *testing.T) {
+	fixture := newDivisionFixture(t, 2, 2)
+	fixture.setModel("x", 1, "z0")
+	fixture.apportion()
+	fixture.requireLimit("z0", 1)
+	fixture.setModel("x", 1, "z1")
+	fixture.apportion()
+	fixture.requireLimit("z0", 0)
+	fixture.requireLimit("z1", 0)
+	fixture.reportHeld("z0", 7, 1)
+	fixture.apportion()
+	fixture.requireLimit("z1", 0)
+	fixture.reportHeld("z0", 7, 0)
+	fixture.reports["z0"].AllotmentRevision--
+	fixture.apportion()
+	fixture.requireLimit("z1", 0)
+	fixture.reportHeld("z0", 7, 0)
+	fixture.apportion()
+	fixture.requireLimit("z1", 1)
+	if plan := fixture.apportion(); len(plan.Writes) != 0 {
 		t.Fatalf("%d writes in a settled state", len(plan.Writes))
 	}
 }
 
-func TestGoneZoneFreesItsShare(t *testing.T) {
-	test := newDivisionTest(t, 2, 2)
-	test.setModel("x", 1)
-	test.round()
+// TestCountMovesOnceZoneIsGonePastListLag guards against a count that stays with a zone
+// that no longer exists, and against moving it earlier than the machine list's lag, when
+// the zone may still hold the replica.
+func TestCountMovesOnceZoneIsGonePastListLag(t *testing.T) {
+	fixture := newDivisionFixture(t, 2, 2)
+	fixture.setModel("x", 1)
+	fixture.apportion()
 	holder, other := cluster.ZoneID("z0"), cluster.ZoneID("z1")
-	if record := test.records[other]; record.Limit("x") == 1 {
+	if record := fixture.records[other]; record.Limit("x") == 1 {
 		holder, other = other, holder
 	}
-	var left []cluster.Machine
-	for _, machine := range test.machines {
+	var remaining []cluster.Machine
+	for _, machine := range fixture.machines {
 		if machine.Zone == other {
-			left = append(left, machine)
+			remaining = append(remaining, machine)
 		}
 	}
-	test.presence.Listed(testStart.Add(DefaultMachineLag), left)
-	test.round()
-	test.expect(other, 0)
-	test.presence.Listed(testStart.Add(DefaultMachineLag+time.Second), left)
-	test.round()
-	test.expect(holder, 0)
-	test.expect(other, 1)
+	fixture.presence.Listed(testStart.Add(DefaultMachineLag), remaining)
+	fixture.apportion()
+	fixture.requireLimit(other, 0)
+	fixture.presence.Listed(testStart.Add(DefaultMachineLag+time.Second), remaining)
+	fixture.apportion()
+	fixture.requireLimit(holder, 0)
+	fixture.requireLimit(other, 1)
 }
 
-func TestLargeZonesWaitForReportsOfTheirPools(t *testing.T) {
-	test := newDivisionTest(t, 1, DefaultCandidateCount+4)
-	test.models = []settings.Model{{ID: "x", Policy: settings.Policy{MaxReplicas: 1, EnginePool: "ledger"}}}
-	test.now = testStart
-	if plan := test.round(); plan.Refused != RefusedNoReports {
+// TestFirstDivisionOfLargeZoneWaitsForPoolReport guards against candidates chosen from the
+// wrong engine pool: before the first report the pool of each machine is unknown.
+func TestFirstDivisionOfLargeZoneWaitsForPoolReport(t *testing.T) {
+	fixture := newDivisionFixture(t, 1, DefaultCandidateCount+4)
+	fixture.models = []settings.Model{{ID: "x", Policy: settings.Policy{MaxReplicas: 1, EnginePool: "ledger"}}}
+	fixture.now = testStart
+	if plan := fixture.apportion(); plan.Refused != RefusedNoReports {
 		t.Fatalf("refused %q, want %q", plan.Refused, RefusedNoReports)
 	}
 	ledger := []cluster.MachineID{"z0-m3", "z0-m4"}
-	test.records["z0"] = cluster.Allotment{Zone: "z0"}
-	test.reports["z0"] = &wire.ZoneReport{Zone: "z0", Token: 7, Pools: []wire.PoolReport{
+	fixture.records["z0"] = cluster.Allotment{Zone: "z0"}
+	fixture.reports["z0"] = &wire.ZoneReport{Zone: "z0", Token: 7, Pools: []wire.PoolReport{
 		{Pool: "assistant", Machines: []cluster.MachineID{
 			"z0-m0", "z0-m1", "z0-m10", "z0-m11", "z0-m2", "z0-m5", "z0-m6", "z0-m7", "z0-m8", "z0-m9"}},
 		{Pool: "ledger", Machines: ledger},
 	}}
-	test.round()
-	test.expect("z0", 1)
-	if got := test.records["z0"].Models[0].Candidates; !slices.Equal(got, ledger) {
+	fixture.apportion()
+	fixture.requireLimit("z0", 1)
+	if got := fixture.records["z0"].Models[0].Candidates; !slices.Equal(got, ledger) {
 		t.Fatalf("candidates %v, want %v", got, ledger)
 	}
 }
 
-func TestLoweredMaximumLowersRecordsAndNeverRaises(t *testing.T) {
-	test := newDivisionTest(t, 3, 3)
-	test.setModel("x", 6)
-	test.round()
+// TestLoweredMaximumLowersEveryZone guards against zones that keep their former count
+// after the settings lowered the maximum.
+func TestLoweredMaximumLowersEveryZone(t *testing.T) {
+	fixture := newDivisionFixture(t, 3, 3)
+	fixture.setModel("x", 6)
+	fixture.apportion()
 	for zone := range 3 {
-		test.expect(cluster.ZoneID(fmt.Sprintf("z%d", zone)), 2)
+		fixture.requireLimit(cluster.ZoneID(fmt.Sprintf("z%d", zone)), 2)
 	}
-	test.setModel("x", 3)
-	test.round()
+	fixture.setModel("x", 3)
+	fixture.apportion()
 	for zone := range 3 {
-		test.expect(cluster.ZoneID(fmt.Sprintf("z%d", zone)), 1)
+		fixture.requireLimit(cluster.ZoneID(fmt.Sprintf("z%d", zone)), 1)
 	}
 }
 
-func TestStoredAllotmentReadsBack(t *testing.T) {
+// TestEncodedAllotmentDecodesUnchanged guards against fields lost in storage and against a
+// truncated record that decodes as zero values.
+func TestEncodedAllotmentDecodesUnchanged(t *testing.T) {
 	want := cluster.Allotment{
 		SettingsRevision: 9, WrittenAt: testStart, Machines: []cluster.MachineID{"a", "b"},
 		Models: []cluster.ModelAllotment{
--- a/authority/benchmark_test.go
+++ b/authority/benchmark_test.go
@@ -11,13 +11,13 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// The size expected within two years.
+// The largest deployment expected within two years.
 const (
-	largeZones      = 18
-	largeMachines   = 100 // of a zone; 1,600 workers over 18 zones are 89
-	largeBaseModels = 62
-	largeAdapters   = 1600
-	largeHeld       = 8 // replicas on a machine
+	largeZones              = 18
+	largeMachines           = 100 // in each zone; 1,600 workers over 18 zones are 89
+	largeBaseModels         = 62
+	largeAdapters           = 1600
+	largeReplicasPerMachine = 8
 )
 
 func largeSettings() *settings.Snapshot {
@@ -36,7 +36,7 @@
 	return settings.NewSnapshot(settings.Stamp{Revision: 1}, models, nil, nil)
 }
 
-func largeList() []cluster.Machine {
+func largeMachineList() []cluster.Machine {
 	var list []cluster.Machine
 	for zone := range largeZones {
 		for machine := range largeMachines {
@@ -49,15 +49,15 @@
 	return list
 }
 
-// largeState returns a division state without records.
+// largeState returns the input of Apportion for the large deployment without records.
 func largeState() ApportionState {
 	presence := NewPresence(DefaultMachineLag)
-	presence.Listed(testStart, largeList())
+	presence.Listed(testStart, largeMachineList())
 	return ApportionState{Now: testStart.Add(DefaultReportMaxAge), Settings: largeSettings(), Presence: presence}
 }
 
-// settled returns the state after plan was stored and every zone reported.
-func settled(state ApportionState, plan ApportionPlan) ApportionState {
+// settledState returns the state after the plan was stored and every zone reported.
+func settledState(state ApportionState, plan ApportionPlan) ApportionState {
 	for _, write := range plan.Writes {
 		write.Allotment.Revision = 10
 		view := ZoneView{Zone: write.Allotment.Zone, Allotment: write.Allotment}
@@ -80,7 +80,7 @@
 
 func BenchmarkApportionSettled(b *testing.B) {
 	state := largeState()
-	state = settled(state, Apportion(state))
+	state = settledState(state, Apportion(state))
 	largest := 0
 	for _, zone := range state.Zones {
 		largest = max(largest, len(EncodeAllotment(zone.Allotment)))
@@ -94,11 +94,12 @@
 	b.ReportMetric(float64(largest), "record-bytes")
 }
 
-// BenchmarkEncodeWholeCatalogue is the worst record: every model in one zone.
-func BenchmarkEncodeWholeCatalogue(b *testing.B) {
+// BenchmarkEncodeAllModelsInOneZone encodes the largest possible record: every model in
+// one zone.
+func BenchmarkEncodeAllModelsInOneZone(b *testing.B) {
 	state := largeState()
 	presence := NewPresence(DefaultMachineLag)
-	presence.Listed(testStart, largeList()[:largeMachines])
+	presence.Listed(testStart, largeMachineList()[:largeMachines])
 	state.Presence = presence
 	state.Config.WriteBudget = 1 << 30
 	plan := Apportion(state)
@@ -111,10 +112,11 @@
 	b.ReportMetric(float64(len(plan.Writes[0].Allotment.Models)), "models")
 }
 
-// largeCell returns a controller that holds a zone of the large size.
-func largeCell() (*Controller, []cluster.Inventory) {
+// newLargeController returns a controller that holds the lease of a zone of the large
+// deployment.
+func newLargeController() (*Controller, []cluster.Inventory) {
 	controller := NewController(ControllerConfig{Zone: "zone-00", Node: "n"})
-	list := largeList()[:largeMachines]
+	list := largeMachineList()[:largeMachines]
 	controller.Step(testStart, MachinesListed{Machines: list})
 	controller.Step(testStart, LeaseAcquired{Token: 5, SentAt: testStart, TTL: testTTL})
 	allotment := cluster.Allotment{Zone: "zone-00", Revision: 7}
@@ -128,9 +130,9 @@
 	inventories := make([]cluster.Inventory, len(list))
 	for i, machine := range list {
 		inventory := cluster.Inventory{Machine: machine.ID, Token: 5, Sequence: 1, Epoch: 1, MemoryBytes: 80 << 30}
-		for r := range largeHeld {
+		for r := range largeReplicasPerMachine {
 			inventory.Replicas = append(inventory.Replicas, cluster.Replica{
-				Model: allotment.Models[i*largeHeld+r].Model, State: cluster.ReplicaLoaded, Bytes: 1 << 30,
+				Model: allotment.Models[i*largeReplicasPerMachine+r].Model, State: cluster.ReplicaLoaded, Bytes: 1 << 30,
 			})
 		}
 		inventories[i] = inventory
@@ -140,7 +142,7 @@
 }
 
 func BenchmarkStepTick(b *testing.B) {
-	controller, _ := largeCell()
+	controller, _ := newLargeController()
 	now := testStart
 	b.ReportAllocs()
 	for b.Loop() {
@@ -150,7 +152,7 @@
 }
 
 func BenchmarkStepInventory(b *testing.B) {
-	controller, inventories := largeCell()
+	controller, inventories := newLargeController()
 	i := 0
 	b.ReportAllocs()
 	for b.Loop() {
@@ -159,9 +161,9 @@
 	}
 }
 
-// BenchmarkStepPlan gives and settles one load and one unload.
+// BenchmarkStepPlan issues and settles one load and one unload.
 func BenchmarkStepPlan(b *testing.B) {
-	controller, inventories := largeCell()
+	controller, inventories := newLargeController()
 	plan := placement.Plan{Actions: []placement.Action{
 		{Kind: cluster.OrderLoad, Machine: inventories[0].Machine, Model: "base-61", Bytes: 1 << 30},
 		{Kind: cluster.OrderUnload, Machine: inventories[1].Machine, Model: inventories[1].Replicas[0].Model},
@@ -179,16 +181,16 @@
 }
 
 func BenchmarkState(b *testing.B) {
-	controller, _ := largeCell()
+	controller, _ := newLargeController()
 	b.ReportAllocs()
 	for b.Loop() {
 		controller.State(testStart)
 	}
 }
 
-// BenchmarkStateTakeover is State while no machine is sealed yet.
-func BenchmarkStateTakeover(b *testing.B) {
-	controller, _ := largeCell()
+// BenchmarkStateAfterTakeover measures State before any machine is sealed.
+func BenchmarkStateAfterTakeover(b *testing.B) {
+	controller, _ := newLargeController()
 	allotment := *controller.allotment
 	controller.Step(testStart, LeaseAcquired{Token: 9, SentAt: testStart, TTL: testTTL})
 	controller.Step(testStart, AllotmentRead{Allotment: allotment, ReadRevision: 10})
@@ -199,7 +201,7 @@
 }
 
 func BenchmarkReport(b *testing.B) {
-	controller, _ := largeCell()
+	controller, _ := newLargeController()
 	b.ReportAllocs()
 	for b.Loop() {
 		controller.Report()
--- a/authority/candidates.go
+++ b/authority/candidates.go
@@ -7,12 +7,12 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// remaining returns the entry's candidates that have not gone.
-func (z *zoneDivision) remaining(entry *cluster.ModelAllotment, presence *Presence) []cluster.MachineID {
+// remainingCandidates returns the entry's candidates that have not gone.
+func (z *zoneDivision) remainingCandidates(entry *cluster.ModelAllotment, presence *Presence) []cluster.MachineID {
 	if entry == nil {
 		return nil
 	}
-	if z.allAlive() {
+	if z.allMachinesRemain() {
 		return entry.Candidates
 	}
 	var list []cluster.MachineID
@@ -24,62 +24,63 @@
 	return list
 }
 
-// candidates chooses the machines of the zone that may hold the model, sorted;
-// none means any.
+// chooseCandidates returns the machines of the zone that may hold the model, sorted. An
+// empty list allows every machine.
 //
-// A candidate that may hold the model is never dropped before it has gone from
-// the machine list: a new controller looks for replicas on candidates only. An
-// entry that allows every machine stays so while the zone may hold the model.
-func (d *division) candidates(zone *zoneDivision, model *settings.Model, c *cell) []cluster.MachineID {
-	inUse := c.entry != nil && (c.bound > 0 || c.entry.MaxReplicas > 0)
-	small := len(zone.listed) <= d.state.Config.CandidateCount
-	if (inUse && len(c.entry.Candidates) == 0) || (!inUse && small) {
+// A candidate that may hold the model is dropped only once it has gone from the machine
+// list, because a new controller looks for replicas on candidates only. An entry that
+// allows every machine keeps doing so while the zone may hold the model.
+func (d *division) chooseCandidates(zone *zoneDivision, model *settings.Model, c *zoneModel) []cluster.MachineID {
+	inUse := c.currentEntry != nil && (c.upperBound > 0 || c.currentEntry.MaxReplicas > 0)
+	small := len(zone.listedMachines) <= d.state.Config.CandidateCount
+	if (inUse && len(c.currentEntry.Candidates) == 0) || (!inUse && small) {
 		return nil
 	}
 	var list []cluster.MachineID
 	if inUse {
-		list = zone.remaining(c.entry, d.state.Presence)
+		list = zone.remainingCandidates(c.currentEntry, d.state.Presence)
 	}
 	return d.extendCandidates(zone, model, list)
 }
 
-// candidateCount is how many candidates that can take the model it should have.
-func (d *division) candidateCount(zone *zoneDivision, model *settings.Model) int {
-	return max(d.state.Config.CandidateCount, min(2*model.Policy.MaxReplicas, len(zone.listed)))
+// wantedCandidates returns how many candidates able to take the model it should have.
+func (d *division) wantedCandidates(zone *zoneDivision, model *settings.Model) int {
+	return max(d.state.Config.CandidateCount, min(2*model.Policy.MaxReplicas, len(zone.listedMachines)))
 }
 
-// fittingCount is how many machines of the zone can take a model of the pool.
-func (z *zoneDivision) fittingCount(pool string) int {
-	if count, ok := z.fitting[pool]; ok {
+// countFittingMachines returns how many listed machines of the zone can take a model of
+// the pool.
+func (z *zoneDivision) countFittingMachines(pool string) int {
+	if count, ok := z.fittingByPool[pool]; ok {
 		return count
 	}
 	count := 0
-	for _, machine := range z.listed {
-		if z.fits(machine.ID, pool) {
+	for _, machine := range z.listedMachines {
+		if z.canHostPool(machine.ID, pool) {
 			count++
 		}
 	}
-	z.fitting[pool] = count
+	z.fittingByPool[pool] = count
 	return count
 }
 
-// fits reports whether the machine can take a model of the pool now. A machine
-// of unknown pool may.
-func (z *zoneDivision) fits(id cluster.MachineID, pool string) bool {
-	if z.leaving[id] {
+// canHostPool reports whether the machine can take a model of the engine pool now. A
+// machine whose pool is unknown counts as able to.
+func (z *zoneDivision) canHostPool(id cluster.MachineID, pool string) bool {
+	if z.leavingMachines[id] {
 		return false
 	}
-	present, known := z.pools[id]
+	present, known := z.poolByMachine[id]
 	return !known || pool == "" || present == pool
 }
 
-// extendCandidates adds machines in rendezvous order, those of other racks
-// first, until enough of the list can take the model.
+// extendCandidates adds machines in the order of rankMachines until enough of the list can
+// take the model.
 func (d *division) extendCandidates(zone *zoneDivision, model *settings.Model, list []cluster.MachineID) []cluster.MachineID {
-	wanted := min(d.candidateCount(zone, model), zone.fittingCount(model.Policy.EnginePool))
+	wanted := min(d.wantedCandidates(zone, model), zone.countFittingMachines(model.Policy.EnginePool))
 	fitting := 0
 	for _, id := range list {
-		if zone.fits(id, model.Policy.EnginePool) {
+		if zone.canHostPool(id, model.Policy.EnginePool) {
 			fitting++
 		}
 	}
@@ -91,7 +92,7 @@
 		if fitting >= wanted {
 			break
 		}
-		if !slices.Contains(list, id) && zone.fits(id, model.Policy.EnginePool) {
+		if !slices.Contains(list, id) && zone.canHostPool(id, model.Policy.EnginePool) {
 			extended = append(extended, id)
 			fitting++
 		}
@@ -100,8 +101,8 @@
 	return extended
 }
 
-// rankMachines orders the zone's machines for a model: by rendezvous hashing,
-// taking one of each rack in turn. Adapters follow their base model.
+// rankMachines orders the zone's machines for a model by rendezvous hashing, taking one
+// machine of each rack in turn. An adapter uses its base model's order.
 func (z *zoneDivision) rankMachines(model *settings.Model) []cluster.MachineID {
 	name := model.ID
 	if model.Base != "" {
@@ -113,8 +114,8 @@
 		score uint64
 		round int
 	}
-	list := make([]scored, len(z.listed))
-	for i, machine := range z.listed {
+	list := make([]scored, len(z.listedMachines))
+	for i, machine := range z.listedMachines {
 		list[i] = scored{id: machine.ID, rack: machine.Rack, score: hashPair(string(name), string(machine.ID))}
 	}
 	slices.SortFunc(list, func(a, b scored) int {
--- a/authority/canonical.go
+++ b/authority/canonical.go
@@ -9,13 +9,13 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Clone returns an independent copy, for exploring what may follow a state.
+// Clone returns an independent copy, for exploring the states that may follow.
 func (c *Controller) Clone() *Controller {
 	copied := *c
 	copied.presence = c.presence.Clone()
-	copied.machines = make([]*machineLedger, len(c.machines))
-	for i, entry := range c.machines {
-		copied.machines[i] = entry.clone()
+	copied.ledgers = make([]*machineLedger, len(c.ledgers))
+	for i, ledger := range c.ledgers {
+		copied.ledgers[i] = ledger.clone()
 	}
 	return &copied
 }
@@ -26,29 +26,29 @@
 	return &copied
 }
 
-// AppendState appends a canonical form for comparing states at now.
+// AppendState appends a canonical encoding of the state at now, for comparing states.
 func (p *Presence) AppendState(buffer []byte, now time.Time) []byte {
-	buffer = appendFlags(buffer, p.Started(), now.Sub(p.first) > p.lag, now.After(p.latest))
+	buffer = appendFlags(buffer, p.Started(), now.Sub(p.firstListAt) > p.lag, now.After(p.latestListAt))
 	for _, id := range sortedKeys(p.lastSeen) {
 		buffer = appendText(buffer, string(id))
-		buffer = appendFlags(buffer, p.inLatest(id), p.overdue(id, now))
+		buffer = appendFlags(buffer, p.isInLatestList(id), p.wouldBeGone(id, now))
 	}
 	return append(buffer, '\n')
 }
 
-// overdue reports whether the machine would have gone if a list without it were
+// wouldBeGone reports whether the machine would count as gone if a list without it were
 // read now.
-func (p *Presence) overdue(id cluster.MachineID, now time.Time) bool {
+func (p *Presence) wouldBeGone(id cluster.MachineID, now time.Time) bool {
 	seen, ok := p.lastSeen[id]
 	if !ok {
-		seen = p.first
+		seen = p.firstListAt
 	}
 	return now.Sub(seen) > p.lag
 }
 
 func (m *machineLedger) clone() *machineLedger {
 	copied := *m
-	copied.reserved = maps.Clone(m.reserved)
+	copied.reservedBytes = maps.Clone(m.reservedBytes)
 	copied.pending = make([]*pendingOrder, len(m.pending))
 	for i, pending := range m.pending {
 		order := *pending
@@ -57,24 +57,24 @@
 	return &copied
 }
 
-// AppendState appends a canonical form of all that decides what the controller
-// does at or after now, for comparing states. Points in time are reduced to
-// whether they have come.
+// AppendState appends a canonical encoding of everything that decides what the controller
+// does at or after now, for comparing states. Points in time are reduced to whether they
+// have passed.
 func (c *Controller) AppendState(buffer []byte, now time.Time) []byte {
-	buffer = appendNumbers(buffer, uint64(c.token), uint64(c.highest), c.orders, uint64(c.AllotmentRevision()))
-	if c.offered != nil {
-		buffer = appendNumbers(buffer, uint64(c.offered.Revision))
+	buffer = appendNumbers(buffer, uint64(c.token), uint64(c.highestToken), c.orderCount, uint64(c.AllotmentRevision()))
+	if c.pendingAllotment != nil {
+		buffer = appendNumbers(buffer, uint64(c.pendingAllotment.Revision))
 	}
-	buffer = appendFlags(buffer, c.offered != nil, c.leaseCertain(now), !now.Before(c.acquireAt), !now.Before(c.renewDue), c.presence.Started())
-	for _, entry := range c.machines {
-		buffer = appendText(buffer, string(entry.machine.ID))
-		id := entry.machine.ID
-		buffer = appendFlags(buffer, entry.machine.Leaving, c.presence.inLatest(id), c.presence.overdue(id, now))
-		buffer = entry.appendState(buffer, now)
+	buffer = appendFlags(buffer, c.pendingAllotment != nil, c.leaseIsCertain(now), !now.Before(c.nextAcquisition), !now.Before(c.nextRenewal), c.presence.Started())
+	for _, ledger := range c.ledgers {
+		buffer = appendText(buffer, string(ledger.machine.ID))
+		id := ledger.machine.ID
+		buffer = appendFlags(buffer, ledger.machine.Leaving, c.presence.isInLatestList(id), c.presence.wouldBeGone(id, now))
+		buffer = ledger.appendState(buffer, now)
 	}
 	if c.allotment != nil {
 		for _, id := range c.allotment.Machines {
-			buffer = appendFlags(buffer, c.presence.Gone(id), c.presence.overdue(id, now))
+			buffer = appendFlags(buffer, c.presence.Gone(id), c.presence.wouldBeGone(id, now))
 		}
 	}
 	return buffer
@@ -82,7 +82,7 @@
 
 func (m *machineLedger) appendState(buffer []byte, now time.Time) []byte {
 	inventory := &m.inventory
-	buffer = appendFlags(buffer, m.sealed, m.known, m.calling, !now.Before(m.nextCall), inventory.Leaving)
+	buffer = appendFlags(buffer, m.sealed, m.hasEvidence, m.callInFlight, !now.Before(m.nextCallAt), inventory.Leaving)
 	buffer = appendNumbers(buffer, uint64(inventory.Token), inventory.Epoch, inventory.Sequence, uint64(inventory.MemoryBytes))
 	buffer = appendText(buffer, inventory.Pool)
 	for _, replica := range inventory.Replicas {
@@ -91,11 +91,11 @@
 	}
 	for _, pending := range m.pending {
 		buffer = appendText(buffer, pending.order.ID)
-		buffer = appendFlags(buffer, pending.waiting, pending.unknown, !now.Before(pending.resendAt))
+		buffer = appendFlags(buffer, pending.waitsForBase, pending.outcomeUnknown, !now.Before(pending.resendAt))
 	}
-	for _, model := range slices.Sorted(maps.Keys(m.reserved)) {
+	for _, model := range slices.Sorted(maps.Keys(m.reservedBytes)) {
 		buffer = appendText(buffer, string(model))
-		buffer = appendNumbers(buffer, uint64(m.reserved[model]))
+		buffer = appendNumbers(buffer, uint64(m.reservedBytes[model]))
 	}
 	return append(buffer, '\n')
 }
--- a/authority/controller.go
+++ b/authority/controller.go
@@ -7,221 +7,220 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Controller decides, as a pure state machine, for one cell (zone): it holds
-// the cell's lease, seals the cell's machines, keeps the ledger of their memory
-// and turns plans into fenced orders.
+// Controller is the pure state machine that controls one zone (cell). It acquires and
+// renews the zone's lease, seals the zone's machines, accounts for their memory and turns
+// plans into fenced orders.
 //
-// Safety does not rest on the lease. A controller gives orders only to machines
-// that it sealed, and each counts every machine that it has not sealed as
-// holding whatever an earlier holder may have loaded there. The lease's time
-// matters in two places only: the answer to a seal counts, and a record comes
-// into use, only while the lease is certain to be held. So a former holder can't
-// take over an engine that has restarted and has forgotten its token, nor a
-// machine of which its successor does not know.
+// Safety does not depend on the lease. A controller gives orders only to machines that it
+// has sealed, and it counts every machine that it has not sealed as holding whatever an
+// earlier lease holder may have loaded there. The lease's duration matters in two places
+// only: an answer to a seal counts, and an allotment comes into use, only while the lease
+// is certainly held. Otherwise a former holder could take over an engine that has
+// restarted and lost its token, or use a machine that its successor does not know of.
 type Controller struct {
 	config ControllerConfig
 
-	token     cluster.FencingToken
-	highest   cluster.FencingToken
-	expiry    time.Time
-	ttl       time.Duration
-	renewedAt time.Time
-	renewDue  time.Time
-	acquireAt time.Time
-	orders    uint64
+	token             cluster.FencingToken
+	highestToken      cluster.FencingToken
+	leaseCertainUntil time.Time
+	leaseTTL          time.Duration
+	lastRenewalSent   time.Time
+	nextRenewal       time.Time
+	nextAcquisition   time.Time
+	orderCount        uint64
 
 	presence *Presence
-	// bases gives the base model of adapters that plans have named.
-	bases map[cluster.ModelID]cluster.ModelID
-	// machines are the listed ones that have not gone, sorted by ID.
-	machines  []*machineLedger
+	// baseModels maps adapters that plans have named to their base models.
+	baseModels map[cluster.ModelID]cluster.ModelID
+	// ledgers has the zone's machines that are listed or have not gone, sorted by ID.
+	ledgers   []*machineLedger
 	allotment *cluster.Allotment
-	// offered is a newer record that was read while the lease was not certain.
-	offered *cluster.Allotment
-	// limits and permitted index the allotment by model and machine.
-	limits    map[cluster.ModelID]*cluster.ModelAllotment
-	permitted map[cluster.MachineID]bool
+	// pendingAllotment is a newer allotment that was read while the lease was not certain.
+	pendingAllotment *cluster.Allotment
+	// modelAllotments and permittedMachines index the allotment by model and by machine.
+	modelAllotments   map[cluster.ModelID]*cluster.ModelAllotment
+	permittedMachines map[cluster.MachineID]bool
 }
 
-// NewController returns the controller core of one node for its zone. It holds
-// nothing until it has acquired the lease.
+// NewController returns a node's controller for its zone. It gives no orders until it has
+// acquired the lease.
 func NewController(config ControllerConfig) *Controller {
 	config = config.withDefaults()
 	return &Controller{
-		config:   config,
-		presence: NewPresence(config.MachineLag),
-		bases:    make(map[cluster.ModelID]cluster.ModelID),
+		config:     config,
+		presence:   NewPresence(config.MachineLag),
+		baseModels: make(map[cluster.ModelID]cluster.ModelID),
 	}
 }
 
-// Token returns the fencing token, zero while the cell is not held.
+// Token returns the fencing token, zero while the lease is not held.
 func (c *Controller) Token() cluster.FencingToken { return c.token }
 
-// Holding reports whether this controller acts for the cell. It may have been
-// superseded without knowing; the engines then refuse its orders.
+// Holding reports whether this controller acts for the zone. A later controller may have
+// superseded it without its knowledge; the engines then refuse its orders.
 func (c *Controller) Holding() bool { return c.token != 0 }
 
-// Ready reports whether plans can be made: at least one machine is sealed.
+// Ready reports whether a plan can lead to orders: at least one machine is sealed.
 func (c *Controller) Ready() bool {
-	for _, machine := range c.machines {
-		if machine.sealed {
+	for _, ledger := range c.ledgers {
+		if ledger.sealed {
 			return true
 		}
 	}
 	return false
 }
 
-// Step takes one event at a time and returns what the shell must do. Times
-// never go backwards between calls.
+// Step processes one event and returns the effects that the caller must carry out. The
+// time must not go back between calls.
 func (c *Controller) Step(now time.Time, event Event) []Effect {
 	switch event := event.(type) {
 	case LeaseAcquired:
-		return c.acquired(now, event)
+		return c.handleLeaseAcquired(now, event)
 	case LeaseRenewed:
-		c.renewed(now, event)
+		c.handleLeaseRenewed(now, event)
 	case LeaseLost:
-		return c.leaseLost(now)
+		return c.handleLeaseLost(now)
 	case LeaseUnreachable:
-		c.leaseUnreachable(now, event)
+		c.handleLeaseUnreachable(now, event)
 	case MachinesListed:
-		return c.listed(now, event.Machines)
+		return c.handleMachinesListed(now, event.Machines)
 	case AllotmentRead:
-		c.allotmentRead(now, event)
+		c.handleAllotmentRead(now, event)
 	case Sealed:
-		return c.machineSealed(now, event.Inventory)
+		return c.handleSealed(now, event.Inventory)
 	case InventoryRead:
-		return c.inventoryRead(now, event)
+		return c.handleInventoryRead(now, event)
 	case EngineUnreachable:
-		c.engineUnreachable(now, event.Machine)
+		c.handleEngineUnreachable(now, event.Machine)
 	case OrderRefused:
-		c.orderRefused(now, event)
+		c.handleOrderRefused(now, event)
 	case StaleToken:
-		return c.staleToken(now, event)
+		return c.handleStaleToken(now, event)
 	case PlanMade:
-		return c.planMade(now, event.Plan)
+		return c.handlePlanMade(now, event.Plan)
 	case Resign:
-		return c.resign(now)
+		return c.handleResign(now)
 	case Tick:
-		return c.tick(now)
+		return c.handleTick(now)
 	}
 	return nil
 }
 
-// leaseCertain reports whether no other controller can have acquired the lease
-// before now, given that clocks run at nearly the same rate.
-func (c *Controller) leaseCertain(now time.Time) bool {
-	return c.Holding() && now.Before(c.expiry)
+// leaseIsCertain reports whether no other controller can have acquired the lease before
+// now, provided that the clocks run at nearly the same rate.
+func (c *Controller) leaseIsCertain(now time.Time) bool {
+	return c.Holding() && now.Before(c.leaseCertainUntil)
 }
 
-// extend moves the certain end of the lease.
-func (c *Controller) extend(sentAt time.Time, ttl time.Duration) {
-	expiry := sentAt.Add(ttl - ttl/leaseMarginDivisor)
-	if expiry.After(c.expiry) {
-		c.expiry = expiry
+// extendLease sets the lease's end and next renewal after it was acquired or renewed.
+func (c *Controller) extendLease(sentAt time.Time, ttl time.Duration) {
+	expiry := sentAt.Add(ttl - ttl/leaseSafetyDivisor)
+	if expiry.After(c.leaseCertainUntil) {
+		c.leaseCertainUntil = expiry
 	}
-	c.ttl = ttl
-	c.renewedAt = sentAt
-	c.renewDue = sentAt.Add(ttl / renewDivisor)
+	c.leaseTTL = ttl
+	c.lastRenewalSent = sentAt
+	c.nextRenewal = sentAt.Add(ttl / renewalDivisor)
 }
 
-func (c *Controller) acquired(now time.Time, event LeaseAcquired) []Effect {
-	if event.Token <= c.highest {
+func (c *Controller) handleLeaseAcquired(now time.Time, event LeaseAcquired) []Effect {
+	if event.Token <= c.highestToken {
 		return nil
 	}
-	c.token, c.highest = event.Token, event.Token
-	c.expiry = time.Time{}
-	c.extend(event.SentAt, event.TTL)
-	c.orders = 0
-	c.offered = nil
+	c.token, c.highestToken = event.Token, event.Token
+	c.leaseCertainUntil = time.Time{}
+	c.extendLease(event.SentAt, event.TTL)
+	c.orderCount = 0
+	c.pendingAllotment = nil
 	c.setAllotment(nil)
-	for _, machine := range c.machines {
-		machine.forget(now)
+	for _, ledger := range c.ledgers {
+		ledger.reset(now)
 	}
 	return c.callEngines(now)
 }
 
-func (c *Controller) renewed(now time.Time, event LeaseRenewed) {
+func (c *Controller) handleLeaseRenewed(now time.Time, event LeaseRenewed) {
 	if c.Holding() {
-		c.extend(event.SentAt, event.TTL)
-		c.installOffered(now)
+		c.extendLease(event.SentAt, event.TTL)
+		c.installPendingAllotment(now)
 	}
 }
 
-func (c *Controller) leaseLost(now time.Time) []Effect {
-	c.acquireAt = now.Add(c.config.acquireDelay())
+func (c *Controller) handleLeaseLost(now time.Time) []Effect {
+	c.nextAcquisition = now.Add(c.config.acquireRetryDelay())
 	if !c.Holding() {
 		return nil
 	}
 	return c.stepDown("the lease record has gone or names another holder")
 }
 
-// leaseUnreachable keeps the holder going beyond the lease's end; only the time
-// of the next attempt changes. A call without an answer has already waited for
-// its time-out.
-func (c *Controller) leaseUnreachable(now time.Time, event LeaseUnreachable) {
+// handleLeaseUnreachable schedules the next attempt. A lease holder continues beyond the
+// lease's end. After a call that may have taken effect the next attempt comes soon,
+// because that call has already waited for its timeout.
+func (c *Controller) handleLeaseUnreachable(now time.Time, event LeaseUnreachable) {
 	switch {
 	case c.Holding() && event.Unknown:
-		c.renewDue = now.Add(c.config.AcquireInterval)
+		c.nextRenewal = now.Add(c.config.AcquireInterval)
 	case c.Holding():
-		c.renewDue = now.Add(c.ttl / renewDivisor)
+		c.nextRenewal = now.Add(c.leaseTTL / renewalDivisor)
 	case event.Unknown:
-		c.acquireAt = now.Add(c.config.AcquireInterval)
+		c.nextAcquisition = now.Add(c.config.AcquireInterval)
 	default:
-		c.acquireAt = now.Add(c.config.acquireDelay())
+		c.nextAcquisition = now.Add(c.config.acquireRetryDelay())
 	}
 }
 
-func (c *Controller) staleToken(now time.Time, event StaleToken) []Effect {
+func (c *Controller) handleStaleToken(now time.Time, event StaleToken) []Effect {
 	if !c.Holding() || event.Held <= c.token {
-		c.readSoon(now, event.Machine)
+		c.scheduleInventoryNow(now, event.Machine)
 		return nil
 	}
-	c.acquireAt = now.Add(c.config.acquireDelay())
+	c.nextAcquisition = now.Add(c.config.acquireRetryDelay())
 	return c.stepDown(fmt.Sprintf("machine %s follows token %d", event.Machine, event.Held))
 }
 
-func (c *Controller) resign(now time.Time) []Effect {
-	c.acquireAt = now.Add(c.config.acquireDelay())
+func (c *Controller) handleResign(now time.Time) []Effect {
+	c.nextAcquisition = now.Add(c.config.acquireRetryDelay())
 	if !c.Holding() {
 		return nil
 	}
-	// The lease is released first: stepping down forgets it.
+	// ReleaseLease comes first, because stepDown resets the token.
 	return append([]Effect{ReleaseLease{}}, c.stepDown("planned stop")...)
 }
 
-// stepDown forgets everything that was learned under the token.
+// stepDown gives up the token and discards everything learned under it.
 func (c *Controller) stepDown(cause string) []Effect {
 	c.token = 0
-	c.offered = nil
+	c.pendingAllotment = nil
 	c.setAllotment(nil)
-	for _, machine := range c.machines {
-		machine.forget(time.Time{})
+	for _, ledger := range c.ledgers {
+		ledger.reset(time.Time{})
 	}
 	return []Effect{SteppedDown{Cause: cause}}
 }
 
-func (c *Controller) tick(now time.Time) []Effect {
+func (c *Controller) handleTick(now time.Time) []Effect {
 	if !c.Holding() {
-		if now.Before(c.acquireAt) {
+		if now.Before(c.nextAcquisition) {
 			return nil
 		}
-		c.acquireAt = now.Add(c.config.AcquireInterval)
+		c.nextAcquisition = now.Add(c.config.AcquireInterval)
 		return []Effect{AcquireLease{Zone: c.config.Zone}}
 	}
 	var effects []Effect
-	if !now.Before(c.renewDue) {
-		c.renewDue = now.Add(c.ttl / renewDivisor)
+	if !now.Before(c.nextRenewal) {
+		c.nextRenewal = now.Add(c.leaseTTL / renewalDivisor)
 		effects = append(effects, RenewLease{})
 	}
 	effects = append(effects, c.callEngines(now)...)
 	return append(effects, c.resendOrders(now)...)
 }
 
-// allotmentRead keeps a record that is not older than the known one and installs
-// it while the lease is certain: whoever acquires the lease later then reads
-// this record or a newer one. A superseded holder that still reads records
-// would otherwise use machines of which its successor does not know.
-func (c *Controller) allotmentRead(now time.Time, event AllotmentRead) {
+// handleAllotmentRead stores an allotment that is not older than the known one and
+// installs it while the lease is certain. Whoever acquires the lease later then reads this
+// allotment or a newer one. A superseded holder that still reads allotments would
+// otherwise use machines that its successor does not know of.
+func (c *Controller) handleAllotmentRead(now time.Time, event AllotmentRead) {
 	switch {
 	case !c.Holding() || event.Allotment.Zone != c.config.Zone:
 		return
@@ -229,34 +228,34 @@
 		return
 	case event.Allotment.Revision < c.AllotmentRevision():
 		return
-	case c.offered != nil && event.Allotment.Revision < c.offered.Revision:
+	case c.pendingAllotment != nil && event.Allotment.Revision < c.pendingAllotment.Revision:
 		return
 	}
 	allotment := event.Allotment
-	c.offered = &allotment
-	c.installOffered(now)
+	c.pendingAllotment = &allotment
+	c.installPendingAllotment(now)
 }
 
-// installOffered puts the newest record in use once the lease is certain.
-func (c *Controller) installOffered(now time.Time) {
-	if c.offered == nil || !c.leaseCertain(now) {
+// installPendingAllotment puts the newest allotment into use if the lease is certain.
+func (c *Controller) installPendingAllotment(now time.Time) {
+	if c.pendingAllotment == nil || !c.leaseIsCertain(now) {
 		return
 	}
-	c.setAllotment(c.offered)
-	c.offered = nil
+	c.setAllotment(c.pendingAllotment)
+	c.pendingAllotment = nil
 }
 
 func (c *Controller) setAllotment(allotment *cluster.Allotment) {
 	c.allotment = allotment
-	c.limits = make(map[cluster.ModelID]*cluster.ModelAllotment)
-	c.permitted = make(map[cluster.MachineID]bool)
+	c.modelAllotments = make(map[cluster.ModelID]*cluster.ModelAllotment)
+	c.permittedMachines = make(map[cluster.MachineID]bool)
 	if allotment == nil {
 		return
 	}
 	for i := range allotment.Models {
-		c.limits[allotment.Models[i].Model] = &allotment.Models[i]
+		c.modelAllotments[allotment.Models[i].Model] = &allotment.Models[i]
 	}
 	for _, id := range allotment.Machines {
-		c.permitted[id] = true
+		c.permittedMachines[id] = true
 	}
 }
--- a/authority/division.go
+++ b/authority/division.go
@@ -11,55 +11,58 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// division is the work of one round.
+// division is the working state of one round of Apportion.
 type division struct {
 	state *ApportionState
-	// zones sorted by ID.
+	// zones are sorted by ID.
 	zones []*zoneDivision
-	// targets of base models by model, one count a zone in the zones' order.
-	targets map[cluster.ModelID][]int
-	// scratch
-	cells  []cell
-	ranked []int
+	// baseTargets has the targets of each base model, in the order of zones.
+	baseTargets map[cluster.ModelID][]int
+	// zoneModels and rankedZones are reused for each model: its state in each zone, and
+	// the indexes of the zones in the model's rendezvous order.
+	zoneModels  []zoneModel
+	rankedZones []int
 }
 
-// zoneDivision is one zone in a round.
+// zoneDivision is the working state of one zone in a round.
 type zoneDivision struct {
 	view *ZoneView
-	// listed are the machines that have not gone, sorted by ID.
-	listed []cluster.Machine
-	// machines of the next record, sorted.
-	machines []cluster.MachineID
-	// usable counts listed machines that are not leaving, fitting those that can
-	// take a model of the engine pool.
-	usable  int
-	fitting map[string]int
-	leaving map[cluster.MachineID]bool
-	// alive counts the record's machines that have not gone.
-	alive   int
-	current map[cluster.ModelID]*cluster.ModelAllotment
-	// confirmed reports are evidence of what the zone holds under its record.
-	confirmed bool
-	// fresh reports may be used for balance and demand.
-	fresh   bool
-	reports map[cluster.ModelID]wire.ZoneModelReport
-	// pools gives the engine pool of machines where it is known.
-	pools map[cluster.MachineID]string
-	// movable: the record is old enough to move counts for balance.
-	movable bool
+	// listedMachines have not gone from the machine list; sorted by ID.
+	listedMachines []cluster.Machine
+	// nextRecordMachines are the machines of the next record, sorted.
+	nextRecordMachines []cluster.MachineID
+	// usableMachines is the number of listed machines that are not leaving, fittingByPool
+	// the number of those that can take a model of an engine pool.
+	usableMachines  int
+	fittingByPool   map[string]int
+	leavingMachines map[cluster.MachineID]bool
+	// remainingMachines is the number of the stored record's machines that have not gone.
+	remainingMachines int
+	currentEntries    map[cluster.ModelID]*cluster.ModelAllotment
+	// reportIsConfirmation is true when the report is evidence of what the zone holds
+	// under its stored record.
+	reportIsConfirmation bool
+	// reportIsFresh is true when the report may be used for balance and demand.
+	reportIsFresh bool
+	modelReports  map[cluster.ModelID]wire.ZoneModelReport
+	// poolByMachine has the engine pool of each machine where it is known.
+	poolByMachine map[cluster.MachineID]string
+	// mayRebalance is true when the record is old enough to move counts for balance.
+	mayRebalance bool
 
-	next              []cluster.ModelAllotment
-	changes           []CountChange
+	nextEntries       []cluster.ModelAllotment
+	countChanges      []CountChange
 	candidatesChanged bool
 }
 
-// cell is one model in one zone during its division.
-type cell struct {
-	entry *cluster.ModelAllotment
-	// limit is the record's count, bound the most that the zone may hold
-	// before this round, capacity the machines that can hold the model.
-	limit, bound, capacity int
-	static, target, count  int
+// zoneModel is the working state of one model in one zone.
+type zoneModel struct {
+	currentEntry *cluster.ModelAllotment
+	// currentLimit is the stored record's count, upperBound the most replicas that the
+	// zone may hold before this round, capacity the number of machines that can hold the
+	// model.
+	currentLimit, upperBound, capacity int
+	staticTarget, target, nextLimit    int
 }
 
 func newDivision(state *ApportionState) *division {
@@ -73,161 +76,164 @@
 			zone = newZoneDivision(state, &ZoneView{Zone: machine.Zone})
 			byZone[machine.Zone] = zone
 		}
-		zone.listed = append(zone.listed, machine)
+		zone.listedMachines = append(zone.listedMachines, machine)
 		if machine.Leaving {
-			zone.leaving[machine.ID] = true
+			zone.leavingMachines[machine.ID] = true
 		} else {
-			zone.usable++
+			zone.usableMachines++
 		}
 	}
-	d := &division{state: state, targets: make(map[cluster.ModelID][]int)}
+	d := &division{state: state, baseTargets: make(map[cluster.ModelID][]int)}
 	for _, id := range sortedKeys(byZone) {
 		zone := byZone[id]
-		zone.nextMachines(state.Presence)
+		zone.mergeMachines(state.Presence)
 		d.zones = append(d.zones, zone)
 	}
-	d.cells = make([]cell, len(d.zones))
+	d.zoneModels = make([]zoneModel, len(d.zones))
 	return d
 }
 
 func newZoneDivision(state *ApportionState, view *ZoneView) *zoneDivision {
 	zone := &zoneDivision{
-		view:    view,
-		fitting: make(map[string]int),
-		leaving: make(map[cluster.MachineID]bool),
-		current: make(map[cluster.ModelID]*cluster.ModelAllotment, len(view.Allotment.Models)),
-		movable: state.Now.Sub(view.Allotment.WrittenAt) >= state.Config.RebalanceInterval,
+		view:            view,
+		fittingByPool:   make(map[string]int),
+		leavingMachines: make(map[cluster.MachineID]bool),
+		currentEntries:  make(map[cluster.ModelID]*cluster.ModelAllotment, len(view.Allotment.Models)),
+		mayRebalance:    state.Now.Sub(view.Allotment.WrittenAt) >= state.Config.RebalanceInterval,
 	}
 	for i := range view.Allotment.Models {
 		entry := &view.Allotment.Models[i]
-		zone.current[entry.Model] = entry
+		zone.currentEntries[entry.Model] = entry
 	}
 	if view.Report == nil {
 		return zone
 	}
-	zone.confirmed = confirms(view)
-	zone.fresh = zone.confirmed && view.ReportAge <= state.Config.ReportMaxAge
-	zone.reports = make(map[cluster.ModelID]wire.ZoneModelReport, len(view.Report.Models))
+	zone.reportIsConfirmation = reportConfirmsRecord(view)
+	zone.reportIsFresh = zone.reportIsConfirmation && view.ReportAge <= state.Config.ReportMaxAge
+	zone.modelReports = make(map[cluster.ModelID]wire.ZoneModelReport, len(view.Report.Models))
 	for _, report := range view.Report.Models {
-		zone.reports[report.Model] = report
+		zone.modelReports[report.Model] = report
 	}
-	zone.pools = make(map[cluster.MachineID]string, len(view.Report.Pools))
+	zone.poolByMachine = make(map[cluster.MachineID]string, len(view.Report.Pools))
 	for _, pool := range view.Report.Pools {
 		for _, id := range pool.Machines {
-			zone.pools[id] = pool.Pool
+			zone.poolByMachine[id] = pool.Pool
 		}
 	}
 	return zone
 }
 
-// confirms reports whether the zone's report is evidence under its record. A
-// controller uses a record only when it read it while it certainly held the
-// lease, and every later holder reads that record or a newer one first: so no
-// other controller of the zone goes by an older record unseen by the reporter,
-// which counts the machines that it has not sealed as holding the model.
-func confirms(view *ZoneView) bool {
+// reportConfirmsRecord reports whether the zone's report proves what the zone holds under
+// its stored record. A controller uses a record only if it read the record while it
+// certainly held the lease, and every later holder first reads that record or a newer one.
+// So no other controller of the zone acts on an older record. Machines that the reporting
+// controller has not sealed are counted in the report as holding the model.
+func reportConfirmsRecord(view *ZoneView) bool {
 	report := view.Report
 	return report.Token != 0 && view.Allotment.Revision != 0 && report.AllotmentRevision >= view.Allotment.Revision
 }
 
-// nextMachines adds listed machines to the record's and takes off gone ones.
-func (z *zoneDivision) nextMachines(presence *Presence) {
+// mergeMachines sets nextRecordMachines to the record's machines that have not gone and
+// the listed ones.
+func (z *zoneDivision) mergeMachines(presence *Presence) {
 	for _, id := range z.view.Allotment.Machines {
 		if !presence.Gone(id) {
-			z.machines = append(z.machines, id)
+			z.nextRecordMachines = append(z.nextRecordMachines, id)
 		}
 	}
-	z.alive = len(z.machines)
-	for _, machine := range z.listed {
-		z.machines = append(z.machines, machine.ID)
+	z.remainingMachines = len(z.nextRecordMachines)
+	for _, machine := range z.listedMachines {
+		z.nextRecordMachines = append(z.nextRecordMachines, machine.ID)
 	}
-	slices.Sort(z.machines)
-	z.machines = slices.Compact(z.machines)
+	slices.Sort(z.nextRecordMachines)
+	z.nextRecordMachines = slices.Compact(z.nextRecordMachines)
 }
 
-// divide decides all models: base models first, since an adapter's replicas
-// stand beside its base model's; then those that the settings no longer name.
+// divide decides the counts of all models. Base models come first, because an adapter
+// needs a replica of its base model on the same machine. Models that the settings no
+// longer name come last.
 func (d *division) divide() {
-	for _, adapters := range []bool{false, true} {
+	for _, adapterPass := range []bool{false, true} {
 		for i := range d.state.Settings.Models {
 			model := &d.state.Settings.Models[i]
-			if (model.Base != "") == adapters {
-				d.model(model)
+			if (model.Base != "") == adapterPass {
+				d.divideModel(model)
 			}
 		}
 	}
 	removed := make(map[cluster.ModelID]bool)
 	for _, zone := range d.zones {
-		for id := range zone.current {
+		for id := range zone.currentEntries {
 			if d.state.Settings.Model(id) == nil {
 				removed[id] = true
 			}
 		}
 	}
 	for _, id := range sortedKeys(removed) {
-		d.model(&settings.Model{ID: id})
+		d.divideModel(&settings.Model{ID: id})
 	}
 }
 
-// model divides one model's count.
-func (d *division) model(model *settings.Model) {
+// divideModel divides one model's decided count over the zones.
+func (d *division) divideModel(model *settings.Model) {
 	decided := max(0, model.Policy.MaxReplicas)
 	for i, zone := range d.zones {
-		d.cells[i] = d.newCell(zone, model)
+		d.zoneModels[i] = d.newZoneModel(zone, model)
 	}
-	d.rank(model)
-	d.target(decided)
+	d.rankZones(model)
+	d.chooseTargets(decided)
 	if model.Base == "" {
-		targets := make([]int, len(d.cells))
-		for i := range d.cells {
-			targets[i] = d.cells[i].target
+		targets := make([]int, len(d.zoneModels))
+		for i := range d.zoneModels {
+			targets[i] = d.zoneModels[i].target
 		}
-		d.targets[model.ID] = targets
+		d.baseTargets[model.ID] = targets
 	}
-	d.escrow(decided)
+	d.limitByUpperBounds(decided)
 	for i, zone := range d.zones {
-		d.record(zone, model, &d.cells[i])
+		d.addToNextRecord(zone, model, &d.zoneModels[i])
 	}
 }
 
-// newCell finds the model's present state in the zone.
-func (d *division) newCell(zone *zoneDivision, model *settings.Model) cell {
-	c := cell{entry: zone.current[model.ID]}
-	if c.entry != nil {
-		c.limit = c.entry.MaxReplicas
-		c.bound = zone.bound(c.entry, d.state.Presence)
+// newZoneModel returns the model's current state in the zone.
+func (d *division) newZoneModel(zone *zoneDivision, model *settings.Model) zoneModel {
+	c := zoneModel{currentEntry: zone.currentEntries[model.ID]}
+	if c.currentEntry != nil {
+		c.currentLimit = c.currentEntry.MaxReplicas
+		c.upperBound = zone.upperBound(c.currentEntry, d.state.Presence)
 	}
 	policy := &model.Policy
 	if policy.MaxReplicas <= 0 || (len(policy.Zones) > 0 && !slices.Contains(policy.Zones, zone.view.Zone)) {
 		return c
 	}
-	c.capacity = min(d.candidateCount(zone, model), zone.fittingCount(policy.EnginePool))
+	c.capacity = min(d.wantedCandidates(zone, model), zone.countFittingMachines(policy.EnginePool))
 	if model.Base != "" {
-		c.capacity = min(c.capacity, d.baseTarget(zone, model.Base))
+		c.capacity = min(c.capacity, d.baseModelTarget(zone, model.Base))
 	}
 	return c
 }
 
-// baseTarget is the count of the base model in the zone.
-func (d *division) baseTarget(zone *zoneDivision, base cluster.ModelID) int {
-	targets := d.targets[base]
+// baseModelTarget returns the target of the base model in the zone.
+func (d *division) baseModelTarget(zone *zoneDivision, base cluster.ModelID) int {
+	targets := d.baseTargets[base]
 	if targets == nil {
 		return 0
 	}
 	return targets[slices.Index(d.zones, zone)]
 }
 
-// bound is the most replicas the zone can hold under its record: what it was
-// granted before counts until confirmed, and a machine holds at most one.
-func (z *zoneDivision) bound(entry *cluster.ModelAllotment, presence *Presence) int {
+// upperBound returns the largest number of replicas that the zone can hold under its
+// record. A count granted earlier is included until a report confirms the lower one, and a
+// machine holds at most one replica of a model.
+func (z *zoneDivision) upperBound(entry *cluster.ModelAllotment, presence *Presence) int {
 	bound := max(entry.MaxReplicas, entry.Ceiling)
-	if z.confirmed {
-		bound = min(bound, max(entry.MaxReplicas, z.reports[entry.Model].Held))
+	if z.reportIsConfirmation {
+		bound = min(bound, max(entry.MaxReplicas, z.modelReports[entry.Model].Held))
 	}
 	if len(entry.Candidates) == 0 {
-		return min(bound, z.alive)
+		return min(bound, z.remainingMachines)
 	}
-	if z.allAlive() {
+	if z.allMachinesRemain() {
 		return min(bound, len(entry.Candidates))
 	}
 	alive := 0
@@ -239,25 +245,28 @@
 	return min(bound, alive)
 }
 
-// allAlive reports whether no machine of the record has gone.
-func (z *zoneDivision) allAlive() bool { return z.alive == len(z.view.Allotment.Machines) }
+// allMachinesRemain reports whether no machine of the record has gone.
+func (z *zoneDivision) allMachinesRemain() bool {
+	return z.remainingMachines == len(z.view.Allotment.Machines)
+}
 
-// rank orders the zones by weighted rendezvous hashing of the model, or of the
-// base for an adapter: adding or losing a zone moves few models.
-func (d *division) rank(model *settings.Model) {
+// rankZones orders the zones by weighted rendezvous hashing of the model, or of the base
+// model for an adapter, so that adding or removing a zone moves few models. A zone's
+// weight is its number of usable machines.
+func (d *division) rankZones(model *settings.Model) {
 	name := model.ID
 	if model.Base != "" {
 		name = model.Base
 	}
 	scores := make([]float64, len(d.zones))
-	d.ranked = d.ranked[:0]
+	d.rankedZones = d.rankedZones[:0]
 	for i, zone := range d.zones {
-		d.ranked = append(d.ranked, i)
+		d.rankedZones = append(d.rankedZones, i)
 		hash := hashPair(string(name), string(zone.view.Zone))
-		unit := (float64(hash>>11) + 0.5) / (1 << 53)
-		scores[i] = -float64(zone.usable) / math.Log(unit)
+		uniform := (float64(hash>>11) + 0.5) / (1 << 53)
+		scores[i] = -float64(zone.usableMachines) / math.Log(uniform)
 	}
-	slices.SortStableFunc(d.ranked, func(a, b int) int {
+	slices.SortStableFunc(d.rankedZones, func(a, b int) int {
 		switch {
 		case scores[a] > scores[b]:
 			return -1
@@ -268,7 +277,7 @@
 	})
 }
 
-// hashPair hashes two names; the separator keeps pairs apart.
+// hashPair hashes two names. The zero byte between them keeps different pairs apart.
 func hashPair(a, b string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -278,43 +287,44 @@
 	return digest.Sum64()
 }
 
-// escrow turns targets into counts. Lowering is free; raising beyond a zone's
-// bound takes from what all bounds together leave of the decided count.
-func (d *division) escrow(decided int) {
+// limitByUpperBounds turns the targets into the next counts. A count can always be
+// lowered. A count is raised beyond the zone's upper bound only by what the upper bounds
+// of all zones leave of the decided count.
+func (d *division) limitByUpperBounds(decided int) {
 	room := decided
-	for i := range d.cells {
-		d.cells[i].count = min(d.cells[i].target, d.cells[i].bound)
-		room -= d.cells[i].bound
-	}
-	for _, i := range d.ranked {
-		c := &d.cells[i]
-		if raise := min(c.target-c.count, room); raise > 0 {
-			c.count += raise
+	for i := range d.zoneModels {
+		d.zoneModels[i].nextLimit = min(d.zoneModels[i].target, d.zoneModels[i].upperBound)
+		room -= d.zoneModels[i].upperBound
+	}
+	for _, i := range d.rankedZones {
+		c := &d.zoneModels[i]
+		if raise := min(c.target-c.nextLimit, room); raise > 0 {
+			c.nextLimit += raise
 			room -= raise
 		}
 	}
 }
 
-// record adds the model's entry to the zone's next record.
-func (d *division) record(zone *zoneDivision, model *settings.Model, c *cell) {
-	if c.count != c.limit {
-		zone.changes = append(zone.changes, CountChange{
-			Zone: zone.view.Zone, Model: model.ID, From: c.limit, To: c.count, Wanted: c.target,
+// addToNextRecord adds the model's entry to the zone's next record.
+func (d *division) addToNextRecord(zone *zoneDivision, model *settings.Model, c *zoneModel) {
+	if c.nextLimit != c.currentLimit {
+		zone.countChanges = append(zone.countChanges, CountChange{
+			Zone: zone.view.Zone, Model: model.ID, From: c.currentLimit, To: c.nextLimit, Wanted: c.target,
 		})
 	}
-	if c.count == 0 && c.bound == 0 {
+	if c.nextLimit == 0 && c.upperBound == 0 {
 		return
 	}
-	entry := cluster.ModelAllotment{Model: model.ID, MaxReplicas: c.count}
-	if c.count > 0 {
-		entry.Candidates = d.candidates(zone, model, c)
+	entry := cluster.ModelAllotment{Model: model.ID, MaxReplicas: c.nextLimit}
+	if c.nextLimit > 0 {
+		entry.Candidates = d.chooseCandidates(zone, model, c)
 		zone.candidatesChanged = zone.candidatesChanged ||
-			c.entry != nil && !slices.Equal(entry.Candidates, c.entry.Candidates)
+			c.currentEntry != nil && !slices.Equal(entry.Candidates, c.currentEntry.Candidates)
 	} else {
-		entry.Candidates = zone.remaining(c.entry, d.state.Presence)
+		entry.Candidates = zone.remainingCandidates(c.currentEntry, d.state.Presence)
 	}
-	if c.bound > c.count {
-		entry.Ceiling = c.bound
+	if c.upperBound > c.nextLimit {
+		entry.Ceiling = c.upperBound
 	}
-	zone.next = append(zone.next, entry)
+	zone.nextEntries = append(zone.nextEntries, entry)
 }
--- a/authority/engines.go
+++ b/authority/engines.go
@@ -10,9 +10,10 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// listed follows the machine list: new machines are to be sealed, machines that
-// have been missing for longer than the lag are forgotten with their replicas.
-func (c *Controller) listed(now time.Time, list []cluster.Machine) []Effect {
+// handleMachinesListed updates the ledgers from the machine list. New machines will be
+// sealed; machines that have been missing for longer than the lag are dropped with their
+// replicas.
+func (c *Controller) handleMachinesListed(now time.Time, list []cluster.Machine) []Effect {
 	zone := make([]cluster.Machine, 0, len(list))
 	for _, machine := range list {
 		if machine.Zone == c.config.Zone {
@@ -21,188 +22,189 @@
 	}
 	c.presence.Listed(now, zone)
 	for _, machine := range zone {
-		if entry := c.machine(machine.ID); entry != nil {
-			entry.machine = machine
+		if ledger := c.ledgerOf(machine.ID); ledger != nil {
+			ledger.machine = machine
 			continue
 		}
-		position, _ := c.find(machine.ID)
-		c.machines = slices.Insert(c.machines, position, newMachineLedger(machine))
+		index, _ := c.findLedger(machine.ID)
+		c.ledgers = slices.Insert(c.ledgers, index, newMachineLedger(machine))
 	}
-	c.machines = slices.DeleteFunc(c.machines, func(entry *machineLedger) bool {
-		return c.presence.Gone(entry.machine.ID)
+	c.ledgers = slices.DeleteFunc(c.ledgers, func(ledger *machineLedger) bool {
+		return c.presence.Gone(ledger.machine.ID)
 	})
 	return c.callEngines(now)
 }
 
-// find returns where the machine is, or belongs, among the sorted ones.
-func (c *Controller) find(id cluster.MachineID) (int, bool) {
-	return slices.BinarySearchFunc(c.machines, id, func(entry *machineLedger, id cluster.MachineID) int {
-		return compareStrings(entry.machine.ID, id)
+// findLedger returns the machine's index in the sorted ledgers, or where to insert it.
+func (c *Controller) findLedger(id cluster.MachineID) (int, bool) {
+	return slices.BinarySearchFunc(c.ledgers, id, func(ledger *machineLedger, id cluster.MachineID) int {
+		return compareStrings(ledger.machine.ID, id)
 	})
 }
 
-// machine returns the ledger of a machine, nil when it is not listed.
-func (c *Controller) machine(id cluster.MachineID) *machineLedger {
-	if position, found := c.find(id); found {
-		return c.machines[position]
+// ledgerOf returns the ledger of a machine, nil when there is none.
+func (c *Controller) ledgerOf(id cluster.MachineID) *machineLedger {
+	if index, found := c.findLedger(id); found {
+		return c.ledgers[index]
 	}
 	return nil
 }
 
-// callEngines seals the machines that are not sealed and refreshes inventories.
+// callEngines seals the machines that are not sealed and refreshes inventories that are
+// due.
 func (c *Controller) callEngines(now time.Time) []Effect {
 	if !c.Holding() {
 		return nil
 	}
 	var effects []Effect
-	for _, entry := range c.machines {
-		if entry.calling && now.Sub(entry.calledAt) >= c.config.CallTimeout {
-			c.callFailed(now, entry)
+	for _, ledger := range c.ledgers {
+		if ledger.callInFlight && now.Sub(ledger.callStarted) >= c.config.CallTimeout {
+			c.scheduleRetry(now, ledger)
 		}
-		if entry.calling || now.Before(entry.nextCall) {
+		if ledger.callInFlight || now.Before(ledger.nextCallAt) {
 			continue
 		}
-		effect := c.nextCall(now, entry)
+		effect := c.chooseCall(now, ledger)
 		if effect == nil {
 			continue
 		}
-		entry.calling, entry.calledAt = true, now
+		ledger.callInFlight, ledger.callStarted = true, now
 		effects = append(effects, effect)
 	}
 	return effects
 }
 
-// nextCall chooses between a seal and an inventory. A seal is not sent when the
-// lease may have ended: its answer would not count.
-func (c *Controller) nextCall(now time.Time, entry *machineLedger) Effect {
-	if !entry.sealed && c.leaseCertain(now) {
-		return SealMachine{Machine: entry.machine, Token: c.token}
+// chooseCall returns the next call to an engine: a seal, an inventory read or none. A seal
+// is not sent when the lease may have ended, because its answer would not count.
+func (c *Controller) chooseCall(now time.Time, ledger *machineLedger) Effect {
+	if !ledger.sealed && c.leaseIsCertain(now) {
+		return SealMachine{Machine: ledger.machine, Token: c.token}
 	}
-	if entry.known {
-		return ReadInventory{Machine: entry.machine}
+	if ledger.hasEvidence {
+		return ReadInventory{Machine: ledger.machine}
 	}
 	return nil
 }
 
-// machineSealed takes a seal's answer. It counts only while the lease is
-// certain at its receipt: the engine then followed this controller before any
-// other could acquire the lease.
-func (c *Controller) machineSealed(now time.Time, inventory cluster.Inventory) []Effect {
-	entry := c.machine(inventory.Machine)
-	if entry == nil || !c.Holding() {
+// handleSealed processes the answer to a seal. The answer counts only if the lease is
+// still certain on receipt: the engine then stored this controller's token before any
+// other controller could acquire the lease.
+func (c *Controller) handleSealed(now time.Time, inventory cluster.Inventory) []Effect {
+	ledger := c.ledgerOf(inventory.Machine)
+	if ledger == nil || !c.Holding() {
 		return nil
 	}
 	if inventory.Token > c.token {
-		return c.staleToken(now, StaleToken{Machine: inventory.Machine, Held: inventory.Token})
+		return c.handleStaleToken(now, StaleToken{Machine: inventory.Machine, Held: inventory.Token})
 	}
 	if inventory.Token < c.token {
 		return nil
 	}
-	if !c.leaseCertain(now) || !entry.sealedBy(inventory) {
-		c.callFailed(now, entry)
+	if !c.leaseIsCertain(now) || !ledger.applySeal(inventory) {
+		c.scheduleRetry(now, ledger)
 		return nil
 	}
-	c.callAnswered(now, entry)
+	c.scheduleNextCall(now, ledger)
 	return nil
 }
 
-func (c *Controller) inventoryRead(now time.Time, event InventoryRead) []Effect {
-	entry := c.machine(event.Inventory.Machine)
-	if entry == nil || !c.Holding() {
+func (c *Controller) handleInventoryRead(now time.Time, event InventoryRead) []Effect {
+	ledger := c.ledgerOf(event.Inventory.Machine)
+	if ledger == nil || !c.Holding() {
 		return nil
 	}
 	if event.Inventory.Token > c.token {
-		return c.staleToken(now, StaleToken{Machine: event.Inventory.Machine, Held: event.Inventory.Token})
+		return c.handleStaleToken(now, StaleToken{Machine: event.Inventory.Machine, Held: event.Inventory.Token})
 	}
-	entry.read(event.Inventory, c.token)
+	ledger.applyInventory(event.Inventory, c.token)
 	if event.Order != "" {
-		entry.settle(event.Order)
+		ledger.settleOrder(event.Order)
 	}
-	c.callAnswered(now, entry)
-	return c.sendWaiting(now, entry)
+	c.scheduleNextCall(now, ledger)
+	return c.sendDeferredOrders(now, ledger)
 }
 
-// callAnswered schedules the next inventory. The machine's own part spreads the
-// calls of a zone over the interval.
-func (c *Controller) callAnswered(now time.Time, entry *machineLedger) {
-	entry.calling = false
-	entry.failures = 0
+// scheduleNextCall schedules the next call after an answer. An offset derived from the
+// machine's ID spreads the inventory reads of a zone over time.
+func (c *Controller) scheduleNextCall(now time.Time, ledger *machineLedger) {
+	ledger.callInFlight = false
+	ledger.unansweredCalls = 0
 	switch {
-	case !entry.sealed && c.leaseCertain(now):
-		entry.nextCall = now
-	case !entry.sealed || entry.busy():
-		entry.nextCall = now.Add(c.config.BusyInventoryInterval)
+	case !ledger.sealed && c.leaseIsCertain(now):
+		ledger.nextCallAt = now
+	case !ledger.sealed || ledger.expectsChange():
+		ledger.nextCallAt = now.Add(c.config.BusyInventoryInterval)
 	default:
 		spread := uint64(c.config.InventoryInterval / 4)
-		own := xxhash.Sum64String(string(entry.machine.ID)) % (spread + 1)
-		entry.nextCall = now.Add(c.config.InventoryInterval - time.Duration(own))
+		machineOffset := xxhash.Sum64String(string(ledger.machine.ID)) % (spread + 1)
+		ledger.nextCallAt = now.Add(c.config.InventoryInterval - time.Duration(machineOffset))
 	}
 }
 
-func (c *Controller) callFailed(now time.Time, entry *machineLedger) {
-	entry.calling = false
-	entry.failures++
-	entry.nextCall = now.Add(c.config.retryDelay(entry.failures))
+func (c *Controller) scheduleRetry(now time.Time, ledger *machineLedger) {
+	ledger.callInFlight = false
+	ledger.unansweredCalls++
+	ledger.nextCallAt = now.Add(c.config.retryDelay(ledger.unansweredCalls))
 }
 
-// engineUnreachable makes every order that the machine has not answered
+// handleEngineUnreachable marks the outcome of every unanswered order of the machine as
 // unknown.
-func (c *Controller) engineUnreachable(now time.Time, id cluster.MachineID) {
-	entry := c.machine(id)
-	if entry == nil {
+func (c *Controller) handleEngineUnreachable(now time.Time, id cluster.MachineID) {
+	ledger := c.ledgerOf(id)
+	if ledger == nil {
 		return
 	}
-	c.callFailed(now, entry)
-	for _, pending := range entry.pending {
-		if pending.waiting {
+	c.scheduleRetry(now, ledger)
+	for _, pending := range ledger.pending {
+		if pending.waitsForBase {
 			continue
 		}
-		pending.unknown = true
-		pending.resendAt = now.Add(c.config.retryDelay(entry.failures))
+		pending.outcomeUnknown = true
+		pending.resendAt = now.Add(c.config.retryDelay(ledger.unansweredCalls))
 	}
 }
 
-func (c *Controller) orderRefused(now time.Time, event OrderRefused) {
-	entry := c.machine(event.Machine)
-	if entry == nil {
+func (c *Controller) handleOrderRefused(now time.Time, event OrderRefused) {
+	ledger := c.ledgerOf(event.Machine)
+	if ledger == nil {
 		return
 	}
-	entry.settle(event.Order)
-	entry.dropStranded()
-	c.readSoon(now, event.Machine)
+	ledger.settleOrder(event.Order)
+	ledger.dropOrdersWithoutBase()
+	c.scheduleInventoryNow(now, event.Machine)
 }
 
-// readSoon has the machine's inventory read at the next Tick: its engine
-// refused what a sealed one accepts, so it may have restarted.
-func (c *Controller) readSoon(now time.Time, id cluster.MachineID) {
-	if entry := c.machine(id); entry != nil && !entry.calling {
-		entry.nextCall = now
+// scheduleInventoryNow schedules an inventory read for the next Tick. It follows a refusal
+// that a sealed engine would not give, so the engine may have restarted.
+func (c *Controller) scheduleInventoryNow(now time.Time, id cluster.MachineID) {
+	if ledger := c.ledgerOf(id); ledger != nil && !ledger.callInFlight {
+		ledger.nextCallAt = now
 	}
 }
 
-// resendOrders gives unanswered orders again under their ID.
+// resendOrders sends unanswered orders again under the same ID.
 func (c *Controller) resendOrders(now time.Time) []Effect {
 	var effects []Effect
-	for _, entry := range c.machines {
-		for _, pending := range entry.pending {
-			if pending.waiting {
+	for _, ledger := range c.ledgers {
+		for _, pending := range ledger.pending {
+			if pending.waitsForBase {
 				continue
 			}
-			if !pending.unknown && now.Sub(pending.sentAt) >= c.config.CallTimeout {
-				pending.unknown, pending.resendAt = true, now
+			if !pending.outcomeUnknown && now.Sub(pending.sentAt) >= c.config.CallTimeout {
+				pending.outcomeUnknown, pending.resendAt = true, now
 			}
-			if !pending.unknown || now.Before(pending.resendAt) {
+			if !pending.outcomeUnknown || now.Before(pending.resendAt) {
 				continue
 			}
-			pending.resendAt = now.Add(max(c.config.CallTimeout, c.config.retryDelay(entry.failures)))
-			effects = append(effects, SendOrder{Machine: entry.machine, Order: pending.order})
+			pending.resendAt = now.Add(max(c.config.CallTimeout, c.config.retryDelay(ledger.unansweredCalls)))
+			effects = append(effects, SendOrder{Machine: ledger.machine, Order: pending.order})
 		}
 	}
 	return effects
 }
 
-// orderID is unique: tokens are never used twice.
-func (c *Controller) orderID() string {
-	c.orders++
-	return fmt.Sprintf("%d-%d", c.token, c.orders)
+// nextOrderID returns a unique order ID, because tokens are never reused.
+func (c *Controller) nextOrderID() string {
+	c.orderCount++
+	return fmt.Sprintf("%d-%d", c.token, c.orderCount)
 }
--- a/authority/ledger.go
+++ b/authority/ledger.go
@@ -8,154 +8,159 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// pendingOrder is an order whose outcome is not known yet. It is sent again
-// under the same ID until the engine answers it, because a later inventory
-// alone cannot rule out that a delayed order arrives after it.
+// pendingOrder is an order whose outcome is not known yet. It is sent again under the same
+// ID until the engine answers it, because a later inventory alone cannot rule out that a
+// delayed order arrives after it.
 type pendingOrder struct {
 	order cluster.Order
-	// waiting orders load an adapter whose base model is still being loaded.
-	// They are not sent yet, but their memory and count are reserved.
-	waiting bool
-	// unknown is set once a send has had no answer.
-	unknown  bool
-	sentAt   time.Time
-	resendAt time.Time
+	// waitsForBase is true for the load of an adapter whose base model is still loading.
+	// The order is not sent yet, but its memory and count are reserved.
+	waitsForBase bool
+	// outcomeUnknown is set once a send has had no answer.
+	outcomeUnknown bool
+	sentAt         time.Time
+	resendAt       time.Time
 }
 
-// machineLedger is what the controller knows of one machine.
+// machineLedger is the controller's account of one machine.
 //
-// Invariants: sealed implies known; inventory is evidence under the present
-// token only while known; every pending order names the inventory's epoch.
+// Invariants: sealed implies hasEvidence; inventory is evidence under the current token
+// only while hasEvidence is true; every pending order names the inventory's epoch. An
+// epoch is one run of the engine process.
 type machineLedger struct {
 	machine cluster.Machine
-	// sealed: this run of the engine follows this controller.
+	// sealed is true when the engine stored this controller's token in its current run.
 	sealed bool
-	// known: some run of the engine was sealed with the present token.
-	known     bool
-	inventory cluster.Inventory
-	pending   []*pendingOrder
-	// reserved memory of loads by model, until the engine shows them loaded.
-	reserved map[cluster.ModelID]int64
+	// hasEvidence is true when the engine was sealed with the current token in this run or
+	// an earlier one.
+	hasEvidence bool
+	inventory   cluster.Inventory
+	pending     []*pendingOrder
+	// reservedBytes is the memory reserved for loads, by model, until the engine shows the
+	// models as loaded.
+	reservedBytes map[cluster.ModelID]int64
 
-	// calling is set while a seal or inventory call has no answer.
-	calling  bool
-	calledAt time.Time
-	nextCall time.Time
-	failures int
+	// callInFlight is set while a seal or inventory call has no answer.
+	callInFlight    bool
+	callStarted     time.Time
+	nextCallAt      time.Time
+	unansweredCalls int
 }
 
-// unresponsiveAfter is how many calls in a row an engine leaves unanswered until
-// it counts as unresponsive.
-const unresponsiveAfter = 3
+// maxUnansweredCalls is the number of consecutive unanswered calls after which an engine
+// counts as unresponsive.
+const maxUnansweredCalls = 3
 
-// responsive reports whether the engine has lately answered. What an
-// unresponsive one holds still counts against memory and the allotment, but
-// takes no requests and no orders.
-func (m *machineLedger) responsive() bool { return m.failures < unresponsiveAfter }
+// isResponsive reports whether the engine has recently answered. The replicas of an
+// unresponsive engine still count against memory and the allotment, but the engine gets no
+// requests and no orders.
+func (m *machineLedger) isResponsive() bool { return m.unansweredCalls < maxUnansweredCalls }
 
-// newMachineLedger returns the entry of a machine of which nothing is known.
+// newMachineLedger returns the ledger of a machine without evidence.
 func newMachineLedger(machine cluster.Machine) *machineLedger {
 	return &machineLedger{machine: machine}
 }
 
-// forget drops all evidence, for a new token.
-func (m *machineLedger) forget(now time.Time) {
-	*m = machineLedger{machine: m.machine, nextCall: now}
+// reset discards all evidence, because the token has changed.
+func (m *machineLedger) reset(now time.Time) {
+	*m = machineLedger{machine: m.machine, nextCallAt: now}
 }
 
-// sealedBy takes the answer to a seal and reports whether it was evidence of
-// the newest known run of the engine.
-func (m *machineLedger) sealedBy(inventory cluster.Inventory) bool {
-	if m.known && inventory.Epoch < m.inventory.Epoch {
+// applySeal processes the answer to a seal and reports whether it came from the newest
+// known run of the engine.
+func (m *machineLedger) applySeal(inventory cluster.Inventory) bool {
+	if m.hasEvidence && inventory.Epoch < m.inventory.Epoch {
 		return false
 	}
-	if m.known && inventory.Epoch > m.inventory.Epoch {
-		m.restart()
+	if m.hasEvidence && inventory.Epoch > m.inventory.Epoch {
+		m.handleEngineRestart()
 	}
-	older := m.known && inventory.Epoch == m.inventory.Epoch && inventory.Sequence < m.inventory.Sequence
-	m.sealed, m.known = true, true
+	older := m.hasEvidence && inventory.Epoch == m.inventory.Epoch && inventory.Sequence < m.inventory.Sequence
+	m.sealed, m.hasEvidence = true, true
 	if !older {
-		m.replace(inventory)
+		m.installInventory(inventory)
 	}
 	return true
 }
 
-// read takes a plain inventory or an order's answer and reports whether it was
-// used. A run that was not sealed yet is evidence only after an earlier run was
-// sealed with the present token: no former holder's lease lasts so long that
-// it could seal the later run, so its contents are all there is.
-func (m *machineLedger) read(inventory cluster.Inventory, token cluster.FencingToken) bool {
+// applyInventory processes a plain inventory or the answer to an order and reports whether
+// it was used. The inventory of a run that was not sealed counts as evidence only if an
+// earlier run was sealed with the current token: the lease of a former holder has then
+// ended, so the former holder cannot seal the later run, and the inventory is complete.
+func (m *machineLedger) applyInventory(inventory cluster.Inventory, token cluster.FencingToken) bool {
 	switch {
-	case !m.known || inventory.Epoch < m.inventory.Epoch:
+	case !m.hasEvidence || inventory.Epoch < m.inventory.Epoch:
 		return false
 	case inventory.Epoch > m.inventory.Epoch:
-		m.restart()
-		m.replace(inventory)
-		m.sealed = keptToken(&inventory, token)
+		m.handleEngineRestart()
+		m.installInventory(inventory)
+		m.sealed = keptTokenAcrossRestart(&inventory, token)
 		return true
 	case inventory.Sequence < m.inventory.Sequence:
 		return false
 	case m.sealed && inventory.Token < token:
 		return false
 	}
-	m.replace(inventory)
+	m.installInventory(inventory)
 	return true
 }
 
-// keptToken reports whether the engine has followed the token since before its
-// restart, so it was never free to follow another in between.
-func keptToken(inventory *cluster.Inventory, token cluster.FencingToken) bool {
+// keptTokenAcrossRestart reports whether the engine has stored the token since before its
+// restart, so that it could not have accepted another one in between.
+func keptTokenAcrossRestart(inventory *cluster.Inventory, token cluster.FencingToken) bool {
 	return inventory.Token == token && inventory.TokenEpoch != 0 && inventory.TokenEpoch < inventory.Epoch
 }
 
-// restart follows an engine into its next run: orders for the former one can
-// never take effect any more.
-func (m *machineLedger) restart() {
+// handleEngineRestart discards the orders to the engine's former run, which can never take
+// effect.
+func (m *machineLedger) handleEngineRestart() {
 	m.sealed = false
-	m.pending, m.reserved = nil, nil
+	m.pending, m.reservedBytes = nil, nil
 }
 
-// replace installs a newer inventory and settles what it shows.
-func (m *machineLedger) replace(inventory cluster.Inventory) {
+// installInventory stores a newer inventory and removes the pending orders that it shows
+// as applied.
+func (m *machineLedger) installInventory(inventory cluster.Inventory) {
 	m.inventory = inventory
 	m.pending = slices.DeleteFunc(m.pending, func(pending *pendingOrder) bool {
-		return showsEffect(&m.inventory, &pending.order)
+		return showsOrderApplied(&m.inventory, &pending.order)
 	})
-	m.releaseReserved()
+	m.releaseUnneededMemory()
 }
 
-// reserve occupies memory for a load.
-func (m *machineLedger) reserve(model cluster.ModelID, bytes int64) {
-	if m.reserved == nil {
-		m.reserved = make(map[cluster.ModelID]int64, 1)
+// reserveMemory reserves memory for a load.
+func (m *machineLedger) reserveMemory(model cluster.ModelID, bytes int64) {
+	if m.reservedBytes == nil {
+		m.reservedBytes = make(map[cluster.ModelID]int64, 1)
 	}
-	m.reserved[model] = bytes
+	m.reservedBytes[model] = bytes
 }
 
-// settle removes a pending order that was answered or refused.
-func (m *machineLedger) settle(id string) {
+// settleOrder removes a pending order that was answered or refused.
+func (m *machineLedger) settleOrder(id string) {
 	m.pending = slices.DeleteFunc(m.pending, func(pending *pendingOrder) bool {
 		return pending.order.ID == id
 	})
-	m.releaseReserved()
+	m.releaseUnneededMemory()
 }
 
-// releaseReserved frees memory of loads that are neither pending nor loading.
-func (m *machineLedger) releaseReserved() {
-	for model := range m.reserved {
+// releaseUnneededMemory frees the memory of loads that are neither pending nor in
+// progress.
+func (m *machineLedger) releaseUnneededMemory() {
+	for model := range m.reservedBytes {
 		replica, found := m.inventory.Find(model)
 		loading := found && replica.State == cluster.ReplicaLoading
-		if !loading && m.pendingFor(model) == nil {
-			delete(m.reserved, model)
+		if !loading && m.pendingOrderFor(model) == nil {
+			delete(m.reservedBytes, model)
 		}
 	}
-	if len(m.reserved) == 0 {
-		m.reserved = nil
+	if len(m.reservedBytes) == 0 {
+		m.reservedBytes = nil
 	}
 }
 
-// showsEffect reports whether the inventory proves that the order was applied.
-func showsEffect(inventory *cluster.Inventory, order *cluster.Order) bool {
+// showsOrderApplied reports whether the inventory proves that the order was applied.
+func showsOrderApplied(inventory *cluster.Inventory, order *cluster.Order) bool {
 	replica, found := inventory.Find(order.Model)
 	switch order.Kind {
 	case cluster.OrderLoad:
@@ -169,8 +174,8 @@
 	}
 }
 
-// pendingFor returns the pending load or unload of model, or nil.
-func (m *machineLedger) pendingFor(model cluster.ModelID) *pendingOrder {
+// pendingOrderFor returns the pending load or unload of the model, or nil.
+func (m *machineLedger) pendingOrderFor(model cluster.ModelID) *pendingOrder {
 	for _, pending := range m.pending {
 		if pending.order.Model == model && pending.order.Kind != cluster.OrderSetPool {
 			return pending
@@ -179,8 +184,8 @@
 	return nil
 }
 
-// pendingPool returns the pending change of pool, or nil.
-func (m *machineLedger) pendingPool() *pendingOrder {
+// pendingPoolChange returns the pending change of the engine pool, or nil.
+func (m *machineLedger) pendingPoolChange() *pendingOrder {
 	for _, pending := range m.pending {
 		if pending.order.Kind == cluster.OrderSetPool {
 			return pending
@@ -189,46 +194,46 @@
 	return nil
 }
 
-// holds reports whether the model is on the machine in any state, the pending
-// ones included.
-func (m *machineLedger) holds(model cluster.ModelID) bool {
+// hasModel reports whether the model is on the machine in any state or has a pending
+// order.
+func (m *machineLedger) hasModel(model cluster.ModelID) bool {
 	if _, found := m.inventory.Find(model); found {
 		return true
 	}
-	return m.pendingFor(model) != nil
+	return m.pendingOrderFor(model) != nil
 }
 
-// ready reports whether the model is loaded and stays so; engines refuse an
-// adapter before its base model is.
-func (m *machineLedger) ready(model cluster.ModelID) bool {
+// isLoaded reports whether the model is loaded and has no pending order. Engines refuse an
+// adapter until its base model is loaded.
+func (m *machineLedger) isLoaded(model cluster.ModelID) bool {
 	replica, found := m.inventory.Find(model)
-	return found && replica.State == cluster.ReplicaLoaded && m.pendingFor(model) == nil
+	return found && replica.State == cluster.ReplicaLoaded && m.pendingOrderFor(model) == nil
 }
 
-// coming reports whether the model is ready or will be without a further order.
-func (m *machineLedger) coming(model cluster.ModelID) bool {
-	if pending := m.pendingFor(model); pending != nil {
+// willBeLoaded reports whether the model is loaded or will be without a further order.
+func (m *machineLedger) willBeLoaded(model cluster.ModelID) bool {
+	if pending := m.pendingOrderFor(model); pending != nil {
 		return pending.order.Kind == cluster.OrderLoad
 	}
 	replica, found := m.inventory.Find(model)
 	return found && replica.State != cluster.ReplicaUnloading
 }
 
-// dropStranded withdraws waiting orders whose base model is not coming.
-func (m *machineLedger) dropStranded() {
+// dropOrdersWithoutBase removes deferred orders whose base model will not be loaded.
+func (m *machineLedger) dropOrdersWithoutBase() {
 	m.pending = slices.DeleteFunc(m.pending, func(pending *pendingOrder) bool {
-		return pending.waiting && !m.coming(pending.order.Base)
+		return pending.waitsForBase && !m.willBeLoaded(pending.order.Base)
 	})
-	m.releaseReserved()
+	m.releaseUnneededMemory()
 }
 
-// usedBytes is the memory of every replica and reservation.
+// usedBytes returns the memory of all replicas and reservations.
 func (m *machineLedger) usedBytes() int64 {
 	used := int64(0)
 	for _, replica := range m.inventory.Replicas {
-		used += max(replica.Bytes, m.reserved[replica.Model])
+		used += max(replica.Bytes, m.reservedBytes[replica.Model])
 	}
-	for model, bytes := range m.reserved {
+	for model, bytes := range m.reservedBytes {
 		if _, found := m.inventory.Find(model); !found {
 			used += bytes
 		}
@@ -236,8 +241,8 @@
 	return used
 }
 
-// busy reports whether the machine's inventory is expected to change soon.
-func (m *machineLedger) busy() bool {
+// expectsChange reports whether the machine's inventory is expected to change soon.
+func (m *machineLedger) expectsChange() bool {
 	if len(m.pending) > 0 {
 		return true
 	}
@@ -249,17 +254,17 @@
 	return false
 }
 
-// slots returns the replicas and pending loads, sorted by model.
-func (m *machineLedger) slots() []placement.Slot {
+// plannerSlots returns the replicas and pending loads for the planner, sorted by model.
+func (m *machineLedger) plannerSlots() []placement.Slot {
 	slots := make([]placement.Slot, 0, len(m.inventory.Replicas)+len(m.pending))
 	for _, replica := range m.inventory.Replicas {
 		slot := placement.Slot{
 			Model: replica.Model, Version: replica.Version, State: replica.State,
-			Bytes: max(replica.Bytes, m.reserved[replica.Model]), Since: replica.Since,
+			Bytes: max(replica.Bytes, m.reservedBytes[replica.Model]), Since: replica.Since,
 		}
-		if pending := m.pendingFor(replica.Model); pending != nil {
-			slot.Unknown = pending.unknown
-			slot.State = pendingState(pending, replica.State)
+		if pending := m.pendingOrderFor(replica.Model); pending != nil {
+			slot.Unknown = pending.outcomeUnknown
+			slot.State = stateAfterOrder(pending, replica.State)
 		}
 		slots = append(slots, slot)
 	}
@@ -269,15 +274,15 @@
 		}
 		slots = append(slots, placement.Slot{
 			Model: pending.order.Model, Version: pending.order.Version, State: cluster.ReplicaLoading,
-			Unknown: pending.unknown, Bytes: m.reserved[pending.order.Model], Since: pending.sentAt,
+			Unknown: pending.outcomeUnknown, Bytes: m.reservedBytes[pending.order.Model], Since: pending.sentAt,
 		})
 	}
 	slices.SortFunc(slots, func(a, b placement.Slot) int { return compareStrings(a.Model, b.Model) })
 	return slots
 }
 
-// pendingState is the state a replica will have once the order is applied.
-func pendingState(pending *pendingOrder, state cluster.ReplicaState) cluster.ReplicaState {
+// stateAfterOrder returns the state that a replica will have once the order is applied.
+func stateAfterOrder(pending *pendingOrder, state cluster.ReplicaState) cluster.ReplicaState {
 	if pending.order.Kind == cluster.OrderUnload {
 		return cluster.ReplicaUnloading
 	}
--- a/authority/orders.go
+++ b/authority/orders.go
@@ -7,135 +7,136 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// planMade turns the actions of a plan into orders. Every action is checked
-// again, so neither a plan from an older state nor a planner's mistake can
-// exceed an allotment or a machine's memory; what does not fit is left out and
-// the next plan sees why.
-func (c *Controller) planMade(now time.Time, plan placement.Plan) []Effect {
+// handlePlanMade turns the actions of a plan into orders. Every action is checked again,
+// so neither an outdated plan nor a planner's error can exceed an allotment or a machine's
+// memory. Actions that are not allowed are left out; the next plan starts from the
+// resulting state.
+func (c *Controller) handlePlanMade(now time.Time, plan placement.Plan) []Effect {
 	if !c.Holding() || c.allotment == nil {
 		return nil
 	}
-	c.learnBases(plan.Actions)
+	c.rememberBaseModels(plan.Actions)
 	var effects []Effect
 	for i := range plan.Actions {
 		action := &plan.Actions[i]
-		entry := c.machine(action.Machine)
-		if entry == nil || !entry.sealed || !c.permits(entry, action) {
+		ledger := c.ledgerOf(action.Machine)
+		if ledger == nil || !ledger.sealed || !c.allowsAction(ledger, action) {
 			continue
 		}
-		effects = append(effects, c.give(now, entry, action)...)
+		effects = append(effects, c.issueOrder(now, ledger, action)...)
 	}
 	return effects
 }
 
-// learnBases remembers which base model each adapter needs.
-func (c *Controller) learnBases(actions []placement.Action) {
+// rememberBaseModels records the base model of each adapter in the actions.
+func (c *Controller) rememberBaseModels(actions []placement.Action) {
 	for i := range actions {
 		if actions[i].Base != "" {
-			c.bases[actions[i].Model] = actions[i].Base
+			c.baseModels[actions[i].Model] = actions[i].Base
 		}
 	}
 }
 
-// permits reports whether the ledger and the allotment allow the action.
-func (c *Controller) permits(entry *machineLedger, action *placement.Action) bool {
+// allowsAction reports whether the ledger and the allotment allow the action.
+func (c *Controller) allowsAction(ledger *machineLedger, action *placement.Action) bool {
 	switch action.Kind {
 	case cluster.OrderLoad:
-		return c.permitsLoad(entry, action)
+		return c.allowsLoad(ledger, action)
 	case cluster.OrderUnload:
-		return c.permitsUnload(entry, action.Model)
+		return c.allowsUnload(ledger, action.Model)
 	case cluster.OrderSetPool:
-		return entry.pendingPool() == nil && entry.inventory.Pool != action.Pool
+		return ledger.pendingPoolChange() == nil && ledger.inventory.Pool != action.Pool
 	default:
 		return false
 	}
 }
 
-func (c *Controller) permitsLoad(entry *machineLedger, action *placement.Action) bool {
-	allotted := c.limits[action.Model]
-	id := entry.machine.ID
+func (c *Controller) allowsLoad(ledger *machineLedger, action *placement.Action) bool {
+	allotted := c.modelAllotments[action.Model]
+	id := ledger.machine.ID
 	switch {
 	case allotted == nil || action.Bytes < 0:
 		return false
-	case !c.permitted[id] || !mayHold(allotted, id):
+	case !c.permittedMachines[id] || !mayHold(allotted, id):
 		return false
-	case entry.machine.Leaving || entry.inventory.Leaving || !c.presence.inLatest(id):
+	case ledger.machine.Leaving || ledger.inventory.Leaving || !c.presence.isInLatestList(id):
 		return false
-	case entry.holds(action.Model):
+	case ledger.hasModel(action.Model):
 		return false
-	case action.Base != "" && !entry.coming(action.Base):
+	case action.Base != "" && !ledger.willBeLoaded(action.Base):
 		return false
-	case entry.usedBytes()+action.Bytes > entry.inventory.MemoryBytes:
+	case ledger.usedBytes()+action.Bytes > ledger.inventory.MemoryBytes:
 		return false
 	}
-	return c.held(action.Model) < allotted.MaxReplicas
+	return c.maxReplicasHeld(action.Model) < allotted.MaxReplicas
 }
 
-// permitsUnload also withdraws a load that was not sent yet.
-func (c *Controller) permitsUnload(entry *machineLedger, model cluster.ModelID) bool {
-	if pending := entry.pendingFor(model); pending != nil {
-		if pending.waiting {
-			entry.settle(pending.order.ID)
+// allowsUnload reports whether the model may be unloaded. If its load was not sent yet, it
+// removes that order instead.
+func (c *Controller) allowsUnload(ledger *machineLedger, model cluster.ModelID) bool {
+	if pending := ledger.pendingOrderFor(model); pending != nil {
+		if pending.waitsForBase {
+			ledger.settleOrder(pending.order.ID)
 		}
 		return false
 	}
-	_, found := entry.inventory.Find(model)
-	return found && !c.carriesAdapter(entry, model)
+	_, found := ledger.inventory.Find(model)
+	return found && !c.hasAdapterOf(ledger, model)
 }
 
-// carriesAdapter reports whether the machine has an adapter of the base model,
-// or will have; engines refuse to unload the base before.
-func (c *Controller) carriesAdapter(entry *machineLedger, base cluster.ModelID) bool {
-	for _, pending := range entry.pending {
+// hasAdapterOf reports whether the machine has, or will have, an adapter of the base
+// model. Engines refuse to unload a base model before its adapters.
+func (c *Controller) hasAdapterOf(ledger *machineLedger, base cluster.ModelID) bool {
+	for _, pending := range ledger.pending {
 		if pending.order.Base == base && pending.order.Kind == cluster.OrderLoad {
 			return true
 		}
 	}
-	for i := range entry.inventory.Replicas {
-		if c.bases[entry.inventory.Replicas[i].Model] == base {
+	for i := range ledger.inventory.Replicas {
+		if c.baseModels[ledger.inventory.Replicas[i].Model] == base {
 			return true
 		}
 	}
 	return false
 }
 
-// give reserves memory, records the order and returns it as an effect, unless it
-// has to wait for its base model.
-func (c *Controller) give(now time.Time, entry *machineLedger, action *placement.Action) []Effect {
+// issueOrder reserves memory, records the order as pending and returns it as an effect.
+// The load of an adapter is deferred until its base model is loaded.
+func (c *Controller) issueOrder(now time.Time, ledger *machineLedger, action *placement.Action) []Effect {
 	order := cluster.Order{
-		ID: c.orderID(), Token: c.token, Epoch: entry.inventory.Epoch, Machine: entry.machine.ID,
+		ID: c.nextOrderID(), Token: c.token, Epoch: ledger.inventory.Epoch, Machine: ledger.machine.ID,
 		Kind: action.Kind, Model: action.Model, Base: action.Base, Version: action.Version,
 		Bytes: action.Bytes, Pool: action.Pool, DrainTime: action.DrainTime,
 	}
 	if action.Kind == cluster.OrderLoad {
-		entry.reserve(action.Model, action.Bytes)
+		ledger.reserveMemory(action.Model, action.Bytes)
 	}
-	waiting := action.Kind == cluster.OrderLoad && action.Base != "" && !entry.ready(action.Base)
-	entry.pending = append(entry.pending, &pendingOrder{order: order, waiting: waiting, sentAt: now})
-	if !entry.calling {
-		entry.nextCall = now.Add(c.config.BusyInventoryInterval)
+	waitsForBase := action.Kind == cluster.OrderLoad && action.Base != "" && !ledger.isLoaded(action.Base)
+	ledger.pending = append(ledger.pending, &pendingOrder{order: order, waitsForBase: waitsForBase, sentAt: now})
+	if !ledger.callInFlight {
+		ledger.nextCallAt = now.Add(c.config.BusyInventoryInterval)
 	}
-	if waiting {
+	if waitsForBase {
 		return nil
 	}
-	return []Effect{SendOrder{Machine: entry.machine, Order: order}}
+	return []Effect{SendOrder{Machine: ledger.machine, Order: order}}
 }
 
-// sendWaiting sends the orders whose base model has become ready and withdraws
-// those whose base model is not coming any more.
-func (c *Controller) sendWaiting(now time.Time, entry *machineLedger) []Effect {
-	entry.dropStranded()
+// sendDeferredOrders sends the orders whose base model is now loaded and removes those
+// whose base model will not be loaded.
+func (c *Controller) sendDeferredOrders(now time.Time, ledger *machineLedger) []Effect {
+	ledger.dropOrdersWithoutBase()
 	var effects []Effect
-	for _, pending := range entry.pending {
-		if pending.waiting && entry.ready(pending.order.Base) {
-			pending.waiting, pending.sentAt = false, now
-			effects = append(effects, SendOrder{Machine: entry.machine, Order: pending.order})
+	for _, pending := range ledger.pending {
+		if pending.waitsForBase && ledger.isLoaded(pending.order.Base) {
+			pending.waitsForBase, pending.sentAt = false, now
+			effects = append(effects, SendOrder{Machine: ledger.machine, Order: pending.order})
 		}
 	}
 	return effects
 }
 
-// mayHold reports whether the allotment names the machine for the model.
+// mayHold reports whether the allotment allows the model on the machine.
 func mayHold(allotted *cluster.ModelAllotment, id cluster.MachineID) bool {
 	if len(allotted.Candidates) == 0 {
 		return true
@@ -148,45 +149,46 @@
 	return false
 }
 
-// held is the largest number of replicas of the model that the zone can have:
-// those in the ledger in any state, and one for each machine without evidence
-// that may hold the model.
-func (c *Controller) held(model cluster.ModelID) int {
-	return c.confirmed(model) + c.unseen(model)
+// maxReplicasHeld returns the largest number of replicas of the model that the zone can
+// have: those in the ledgers in any state, and one for each machine without evidence that
+// may hold the model.
+func (c *Controller) maxReplicasHeld(model cluster.ModelID) int {
+	return c.countConfirmed(model) + c.countUnconfirmed(model)
 }
 
-// confirmed counts the ledger's replicas and pending loads of the model.
-func (c *Controller) confirmed(model cluster.ModelID) int {
+// countConfirmed returns the number of the ledgers' replicas and pending loads of the
+// model.
+func (c *Controller) countConfirmed(model cluster.ModelID) int {
 	count := 0
-	for _, entry := range c.machines {
-		if entry.known && entry.holds(model) {
+	for _, ledger := range c.ledgers {
+		if ledger.hasEvidence && ledger.hasModel(model) {
 			count++
 		}
 	}
 	return count
 }
 
-// unseen counts the record's machines without evidence that may hold the model
-// and have not gone from the machine list.
-func (c *Controller) unseen(model cluster.ModelID) int {
-	allotted := c.limits[model]
+// countUnconfirmed returns the number of the allotment's machines without evidence that
+// may hold the model and have not gone from the machine list.
+func (c *Controller) countUnconfirmed(model cluster.ModelID) int {
+	allotted := c.modelAllotments[model]
 	if allotted == nil {
 		return 0
 	}
 	count := 0
 	for _, id := range c.allotment.Machines {
-		if c.withoutEvidence(id) && mayHold(allotted, id) {
+		if c.lacksEvidence(id) && mayHold(allotted, id) {
 			count++
 		}
 	}
 	return count
 }
 
-// withoutEvidence reports whether the machine may exist without having been
-// sealed under the present token.
-func (c *Controller) withoutEvidence(id cluster.MachineID) bool {
-	if entry := c.machine(id); entry != nil {
-		return !entry.known
+// lacksEvidence reports whether the machine may exist without having been sealed under the
+// current token.
+func (c *Controller) lacksEvidence(id cluster.MachineID) bool {
+	if ledger := c.ledgerOf(id); ledger != nil {
+		return !ledger.hasEvidence
 	}
 	return !c.presence.Gone(id)
 }
--- a/authority/presence.go
+++ b/authority/presence.go
@@ -6,29 +6,29 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Presence follows the machine list and says which machines have gone from it
-// for longer than its lag. A machine that it never saw counts as last seen at
-// the first list, so a process that has just started waits as well. Time
-// advances with lists only: while the list is unavailable nothing goes.
+// Presence tracks the machine list and decides which machines have been missing from it
+// for longer than the list's lag. A machine that was never listed counts as last seen at
+// the first list, so a process that has just started waits for the lag as well. Time
+// advances only with new lists: while the list is unavailable, no machine counts as gone.
 type Presence struct {
-	lag           time.Duration
-	first, latest time.Time
-	// The maps are never changed, only replaced, so copies share them.
+	lag                       time.Duration
+	firstListAt, latestListAt time.Time
+	// The maps are replaced, never modified, so copies share them.
 	lastSeen map[cluster.MachineID]time.Time
 	machines map[cluster.MachineID]cluster.Machine
 }
 
-// NewPresence returns a Presence for a list with the given lag.
+// NewPresence returns a Presence for a machine list that is up to lag out of date.
 func NewPresence(lag time.Duration) *Presence {
 	return &Presence{lag: lag}
 }
 
-// Listed takes a list that was read at now.
+// Listed records a machine list that was read at now.
 func (p *Presence) Listed(now time.Time, list []cluster.Machine) {
-	if p.first.IsZero() {
-		p.first = now
+	if p.firstListAt.IsZero() {
+		p.firstListAt = now
 	}
-	p.latest = now
+	p.latestListAt = now
 	lastSeen := make(map[cluster.MachineID]time.Time, len(list))
 	machines := make(map[cluster.MachineID]cluster.Machine, len(list))
 	for id, seen := range p.lastSeen {
@@ -44,29 +44,29 @@
 	p.lastSeen, p.machines = lastSeen, machines
 }
 
-// Started reports whether any list was read.
-func (p *Presence) Started() bool { return !p.first.IsZero() }
+// Started reports whether any list was recorded.
+func (p *Presence) Started() bool { return !p.firstListAt.IsZero() }
 
 // Gone reports whether the machine has been missing for longer than the lag.
 func (p *Presence) Gone(id cluster.MachineID) bool {
-	if p.first.IsZero() {
+	if p.firstListAt.IsZero() {
 		return false
 	}
 	seen, ok := p.lastSeen[id]
 	if !ok {
-		seen = p.first
+		seen = p.firstListAt
 	}
-	return p.latest.Sub(seen) > p.lag
+	return p.latestListAt.Sub(seen) > p.lag
 }
 
-// inLatest reports whether the machine was in the latest list.
-func (p *Presence) inLatest(id cluster.MachineID) bool {
+// isInLatestList reports whether the machine was in the latest list.
+func (p *Presence) isInLatestList(id cluster.MachineID) bool {
 	seen, ok := p.lastSeen[id]
-	return ok && seen.Equal(p.latest)
+	return ok && seen.Equal(p.latestListAt)
 }
 
-// Retained returns the machines that are listed or missing for less than the
-// lag, sorted by ID.
+// Retained returns the machines that are listed or have been missing for no longer than
+// the lag, sorted by ID.
 func (p *Presence) Retained() []cluster.Machine {
 	list := make([]cluster.Machine, 0, len(p.machines))
 	for _, id := range sortedKeys(p.machines) {
--- a/authority/property_test.go
+++ b/authority/property_test.go
@@ -13,36 +13,38 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// zoneTruth is a zone whose controller obeys the record that it has read.
-type zoneTruth struct {
-	record cluster.Allotment
-	held   map[cluster.ModelID]int
+// simulatedZone is a zone whose controller follows the record that it has read.
+type simulatedZone struct {
+	readRecord cluster.Allotment
+	held       map[cluster.ModelID]int
 }
 
-// divisionTruth is a whole deployment for the property test.
-type divisionTruth struct {
-	*divisionTest
-	zones map[cluster.ZoneID]*zoneTruth
+// simulatedDeployment is the actual state of a deployment in the property test.
+type simulatedDeployment struct {
+	*divisionFixture
+	zones map[cluster.ZoneID]*simulatedZone
 }
 
 const propertyZones = 3
 
-func newDivisionTruth(t *rapid.T) *divisionTruth {
-	truth := &divisionTruth{
-		divisionTest: newDivisionTest(nil, propertyZones, rapid.IntRange(1, 12).Draw(t, "machines")),
-		zones:        make(map[cluster.ZoneID]*zoneTruth),
+func newSimulatedDeployment(t *rapid.T) *simulatedDeployment {
+	deployment := &simulatedDeployment{
+		divisionFixture: newDivisionFixture(nil, propertyZones, rapid.IntRange(1, 12).Draw(t, "machines")),
+		zones:           make(map[cluster.ZoneID]*simulatedZone),
 	}
 	for zone := range propertyZones {
-		truth.zones[truth.zoneName(zone)] = &zoneTruth{held: make(map[cluster.ModelID]int)}
+		deployment.zones[deployment.zoneName(zone)] = &simulatedZone{held: make(map[cluster.ModelID]int)}
 	}
-	return truth
+	return deployment
 }
 
-func (d *divisionTruth) zoneName(i int) cluster.ZoneID { return cluster.ZoneID(fmt.Sprintf("z%d", i)) }
+func (d *simulatedDeployment) zoneName(i int) cluster.ZoneID {
+	return cluster.ZoneID(fmt.Sprintf("z%d", i))
+}
 
-// edit draws new policies; every model keeps its decided count, so the count is
-// a bound at all times.
-func (d *divisionTruth) edit(t *rapid.T) {
+// drawSettings draws the zones of every model. A model's decided count never changes, so
+// it is an upper bound on the replicas at all times.
+func (d *simulatedDeployment) drawSettings(t *rapid.T) {
 	d.models = nil
 	for i, id := range []cluster.ModelID{"a", "b", "x"} {
 		var zones []cluster.ZoneID
@@ -59,39 +61,39 @@
 	}
 }
 
-// report sends what the zone holds under the record that it has read.
-func (d *divisionTruth) report(zone cluster.ZoneID) {
-	truth := d.zones[zone]
-	report := &wire.ZoneReport{Zone: zone, Token: 1, AllotmentRevision: truth.record.Revision}
-	for _, model := range sortedKeys(truth.held) {
-		if truth.held[model] > 0 {
-			report.Models = append(report.Models, wire.ZoneModelReport{Model: model, Held: truth.held[model], Wanted: truth.held[model]})
+// sendReport reports what the zone holds under the record that it has read.
+func (d *simulatedDeployment) sendReport(zone cluster.ZoneID) {
+	simulated := d.zones[zone]
+	report := &wire.ZoneReport{Zone: zone, Token: 1, AllotmentRevision: simulated.readRecord.Revision}
+	for _, model := range sortedKeys(simulated.held) {
+		if simulated.held[model] > 0 {
+			report.Models = append(report.Models, wire.ZoneModelReport{Model: model, Held: simulated.held[model], Wanted: simulated.held[model]})
 		}
 	}
 	d.reports[zone] = report
 }
 
-// act lets a zone's controller do one thing.
-func (d *divisionTruth) act(t *rapid.T) {
+// stepController performs one random action of a zone's controller.
+func (d *simulatedDeployment) stepController(t *rapid.T) {
 	zone := d.zoneName(rapid.IntRange(0, propertyZones-1).Draw(t, "zone"))
-	truth := d.zones[zone]
+	simulated := d.zones[zone]
 	switch rapid.SampledFrom([]string{"read", "load", "unload", "report"}).Draw(t, "act") {
 	case "read":
-		truth.record = d.records[zone]
+		simulated.readRecord = d.records[zone]
 	case "load":
-		for i := range truth.record.Models {
-			model := &truth.record.Models[i]
-			truth.held[model.Model] = max(truth.held[model.Model], model.MaxReplicas)
+		for i := range simulated.readRecord.Models {
+			model := &simulated.readRecord.Models[i]
+			simulated.held[model.Model] = max(simulated.held[model.Model], model.MaxReplicas)
 		}
 	case "unload":
 		model := rapid.SampledFrom([]cluster.ModelID{"a", "b", "x"}).Draw(t, "model")
-		truth.held[model] = max(0, truth.held[model]-1)
+		simulated.held[model] = max(0, simulated.held[model]-1)
 	case "report":
-		d.report(zone)
+		d.sendReport(zone)
 	}
 }
 
-func (d *divisionTruth) check(t *rapid.T) {
+func (d *simulatedDeployment) requireCountsWithinDecision(t *rapid.T) {
 	for _, model := range d.models {
 		held := 0
 		for _, zone := range d.zones {
@@ -103,53 +105,58 @@
 	}
 }
 
-// settle lets everyone read, unload what is no longer allowed and report.
-func (d *divisionTruth) settle() {
+// settle lets every controller read its record, unload what is no longer allowed and
+// report.
+func (d *simulatedDeployment) settle() {
 	for _, id := range sortedKeys(d.zones) {
 		zone := d.zones[id]
-		zone.record = d.records[id]
+		zone.readRecord = d.records[id]
 		for model, held := range zone.held {
-			zone.held[model] = min(held, zone.record.Limit(model))
+			zone.held[model] = min(held, zone.readRecord.Limit(model))
 		}
-		d.report(id)
+		d.sendReport(id)
 	}
 	d.now = d.now.Add(DefaultRebalanceInterval)
 	d.presence.Listed(d.now, d.machines)
 }
 
-func TestDivisionNeverExceedsTheDecidedCountAndSettles(t *testing.T) {
+// TestDivisionStaysWithinDecidedCountAndSettles checks, for random settings, reports and
+// actions of the controllers, that the replicas of a model never exceed its decided count
+// and that the records stop changing once everything is read and reported.
+func TestDivisionStaysWithinDecidedCountAndSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		truth := newDivisionTruth(t)
-		truth.edit(t)
+		deployment := newSimulatedDeployment(t)
+		deployment.drawSettings(t)
 		for range rapid.IntRange(0, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				truth.edit(t)
+				deployment.drawSettings(t)
 			case 1:
-				truth.now = truth.now.Add(time.Second)
-				truth.round()
+				deployment.now = deployment.now.Add(time.Second)
+				deployment.apportion()
 			case 2, 3:
-				truth.round()
+				deployment.apportion()
 			default:
-				truth.act(t)
+				deployment.stepController(t)
 			}
-			truth.check(t)
+			deployment.requireCountsWithinDecision(t)
 		}
 		writes := 1
 		for rounds := 0; writes > 0; rounds++ {
 			if rounds > 12 {
 				t.Fatalf("records are still written after %d settled rounds", rounds)
 			}
-			truth.settle()
-			writes = len(truth.round().Writes)
-			truth.check(t)
+			deployment.settle()
+			writes = len(deployment.apportion().Writes)
+			deployment.requireCountsWithinDecision(t)
 		}
-		truth.checkDivided(t)
+		deployment.requireFullyAllotted(t)
 	})
 }
 
-// checkDivided checks that a settled division gives out the whole count.
-func (d *divisionTruth) checkDivided(t *rapid.T) {
+// requireFullyAllotted checks that a settled division allots the whole decided count, up
+// to the capacity of the zones.
+func (d *simulatedDeployment) requireFullyAllotted(t *rapid.T) {
 	for i := range d.models {
 		model := &d.models[i]
 		if model.Base != "" {
--- a/authority/record.go
+++ b/authority/record.go
@@ -14,19 +14,19 @@
 
 // Keys of the allotments in the key-value service.
 const (
-	// AllotmentGuardKey is rewritten by every apportioning, which compares its
-	// revision: so all apportionings follow one another, whoever makes them.
+	// AllotmentGuardKey is rewritten by every transaction that stores allotments, and each
+	// transaction compares its revision. This serializes the transactions of all nodes.
 	AllotmentGuardKey = "/valveslip/division"
-	// AllotmentKeyPrefix is followed by the zone.
+	// AllotmentKeyPrefix is followed by the zone's ID.
 	AllotmentKeyPrefix = "/valveslip/allotments/"
 )
 
-// AllotmentKey returns the key of a zone's record.
+// AllotmentKey returns the key of a zone's allotment.
 func AllotmentKey(zone cluster.ZoneID) string { return AllotmentKeyPrefix + string(zone) }
 
-// recordSchema is the stored form of an allotment. Machines are named once;
-// candidates are indexes into them. The last field is always true: the codec
-// reads the missing end of a truncated record as zero values.
+// recordSchema is the Avro schema of a stored allotment. Machine IDs are stored once;
+// candidates are indexes into them. The last field is always true, because the codec reads
+// the missing end of a truncated record as zero values.
 var recordSchema = avro.MustParse(`{
   "type": "record", "name": "Allotment", "namespace": "valveslip.authority", "fields": [
     {"name": "settings_revision", "type": "long"},
@@ -57,9 +57,9 @@
 	Candidates []int  `avro:"candidates"`
 }
 
-// EncodeAllotment returns the stored form of a zone's record. Zone and Revision
-// are not part of it: the key and the key-value service give them. Every
-// candidate must be one of the record's machines; others are left out.
+// EncodeAllotment returns the stored form of a zone's allotment, without Zone and
+// Revision, which follow from the key and the key-value service. Candidates that are not
+// among the allotment's machines are left out.
 func EncodeAllotment(allotment cluster.Allotment) []byte {
 	stored := storedAllotment{
 		SettingsRevision: allotment.SettingsRevision,
@@ -85,13 +85,14 @@
 	}
 	data, err := avro.Marshal(recordSchema, stored)
 	if err != nil {
-		// The schema and the type are both fixed here, so this is a defect.
+		// The schema and the type are both fixed in this file, so an error is a bug.
 		panic(eris.Wrap(err, "encode allotment"))
 	}
 	return data
 }
 
-// DecodeAllotment reads the stored form. The error says why it is not one.
+// DecodeAllotment parses the stored form of an allotment. It fails for a truncated record
+// and for a candidate index outside the list of machines.
 func DecodeAllotment(data []byte) (cluster.Allotment, error) {
 	var stored storedAllotment
 	if err := avro.Unmarshal(recordSchema, data, &stored); err != nil {
@@ -139,9 +140,8 @@
 	return allotment, true, nil
 }
 
-// AllotmentsFromPairs picks the allotments out of pairs that were read at one
-// revision: the records sorted by zone and the guard's revision, zero when it is
-// absent.
+// AllotmentsFromPairs returns the allotments among pairs that were read at one revision,
+// sorted by zone, and the revision of the guard key, zero when the guard key is absent.
 func AllotmentsFromPairs(pairs []keyvalue.KeyValue) (records []cluster.Allotment, guard int64, err error) {
 	for _, pair := range pairs {
 		if pair.Key == AllotmentGuardKey {
--- a/authority/sorted.go
+++ b/authority/sorted.go
@@ -11,5 +11,5 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// compareStrings orders string-like identifiers.
+// compareStrings compares two string identifiers for sorting.
 func compareStrings[S ~string](a, b S) int { return cmp.Compare(a, b) }
--- a/authority/target.go
+++ b/authority/target.go
@@ -6,20 +6,20 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// target chooses how many replicas each zone should be allowed. It keeps the
-// present counts where it can, so that records are written rarely; the wake-ups
-// and sleeps of a model need no write at all.
-func (d *division) target(decided int) {
-	d.fillStatic(decided)
-	total, present := 0, 0
-	for i := range d.cells {
-		c := &d.cells[i]
-		c.target = min(c.limit, c.capacity)
-		total += c.static
-		present += c.target
+// chooseTargets computes how many replicas of the model each zone should be allowed. It
+// keeps the current counts where possible, so that records are rarely written; loading and
+// unloading a model within a zone's count needs no write.
+func (d *division) chooseTargets(decided int) {
+	d.divideEvenly(decided)
+	total, current := 0, 0
+	for i := range d.zoneModels {
+		c := &d.zoneModels[i]
+		c.target = min(c.currentLimit, c.capacity)
+		total += c.staticTarget
+		current += c.target
 	}
-	if present != total {
-		d.approach(total - present)
+	if current != total {
+		d.moveTowardsStatic(total - current)
 		return
 	}
 	if d.returnToStatic() {
@@ -28,13 +28,14 @@
 	d.followDemand()
 }
 
-// fillStatic divides the count evenly over the zones in ranked order.
-func (d *division) fillStatic(decided int) {
+// divideEvenly sets the static targets: the decided count, dealt out one by one to the
+// zones in ranked order, up to each zone's capacity.
+func (d *division) divideEvenly(decided int) {
 	for decided > 0 {
 		given := false
-		for _, i := range d.ranked {
-			if c := &d.cells[i]; decided > 0 && c.static < c.capacity {
-				c.static++
+		for _, i := range d.rankedZones {
+			if c := &d.zoneModels[i]; decided > 0 && c.staticTarget < c.capacity {
+				c.staticTarget++
 				decided--
 				given = true
 			}
@@ -45,92 +46,91 @@
 	}
 }
 
-// approach moves the targets by missing (or surplus, when negative) replicas
-// towards the static division.
-func (d *division) approach(missing int) {
+// moveTowardsStatic adds missing replicas to the targets, or removes -missing replicas
+// when it is negative, from the zones that are farthest from their static target first.
+func (d *division) moveTowardsStatic(missing int) {
 	for ; missing > 0; missing-- {
 		best := -1
-		for _, i := range d.ranked {
-			c := &d.cells[i]
-			if c.target < c.capacity && (best < 0 || c.static-c.target > d.cells[best].static-d.cells[best].target) {
+		for _, i := range d.rankedZones {
+			c := &d.zoneModels[i]
+			if c.target < c.capacity && (best < 0 || c.staticTarget-c.target > d.zoneModels[best].staticTarget-d.zoneModels[best].target) {
 				best = i
 			}
 		}
 		if best < 0 {
 			return
 		}
-		d.cells[best].target++
+		d.zoneModels[best].target++
 	}
 	for ; missing < 0; missing++ {
 		worst := -1
-		for _, i := range slices.Backward(d.ranked) {
-			c := &d.cells[i]
-			if c.target > 0 && (worst < 0 || c.target-c.static > d.cells[worst].target-d.cells[worst].static) {
+		for _, i := range slices.Backward(d.rankedZones) {
+			c := &d.zoneModels[i]
+			if c.target > 0 && (worst < 0 || c.target-c.staticTarget > d.zoneModels[worst].target-d.zoneModels[worst].staticTarget) {
 				worst = i
 			}
 		}
 		if worst < 0 {
 			return
 		}
-		d.cells[worst].target--
+		d.zoneModels[worst].target--
 	}
 }
 
-// returnToStatic adopts the static division once no replica in use would be
-// lost by it, so a zone that was added gets its part. It reports whether the
-// targets are, or become, static.
+// returnToStatic sets the targets to the static ones once no replica in use would be lost,
+// so that a zone that was added gets its share. It reports whether it changed the targets.
 func (d *division) returnToStatic() bool {
 	same := true
 	for i, zone := range d.zones {
-		c := &d.cells[i]
-		if c.target == c.static {
+		c := &d.zoneModels[i]
+		if c.target == c.staticTarget {
 			continue
 		}
 		same = false
-		report := zone.reports[d.modelOf(c)]
-		unused := zone.fresh && report.Held <= c.static && report.Wanted <= c.static
-		if !zone.movable || (c.static < c.target && !unused) {
+		report := zone.modelReports[d.modelOf(c)]
+		unused := zone.reportIsFresh && report.Held <= c.staticTarget && report.Wanted <= c.staticTarget
+		if !zone.mayRebalance || (c.staticTarget < c.target && !unused) {
 			return false
 		}
 	}
 	if same {
 		return false
 	}
-	for i := range d.cells {
-		d.cells[i].target = d.cells[i].static
+	for i := range d.zoneModels {
+		d.zoneModels[i].target = d.zoneModels[i].staticTarget
 	}
 	return true
 }
 
-// followDemand moves one replica from a zone that does not use it to one that
-// wants more than it is allowed.
+// followDemand moves one replica from a zone that doesn't use it to a zone that wants more
+// than it is allowed.
 func (d *division) followDemand() {
-	taker, donor := -1, -1
-	for _, i := range d.ranked {
-		zone, c := d.zones[i], &d.cells[i]
-		if !zone.fresh || !zone.movable || c.entry == nil {
+	receiver, donor := -1, -1
+	for _, i := range d.rankedZones {
+		zone, c := d.zones[i], &d.zoneModels[i]
+		if !zone.reportIsFresh || !zone.mayRebalance || c.currentEntry == nil {
 			continue
 		}
-		report := zone.reports[c.entry.Model]
+		report := zone.modelReports[c.currentEntry.Model]
 		switch {
 		case report.Wanted > c.target && c.target < c.capacity:
-			if taker < 0 {
-				taker = i
+			if receiver < 0 {
+				receiver = i
 			}
 		case c.target > 0 && report.Wanted < c.target && report.Held < c.target:
 			donor = i
 		}
 	}
-	if taker >= 0 && donor >= 0 {
-		d.cells[taker].target++
-		d.cells[donor].target--
+	if receiver >= 0 && donor >= 0 {
+		d.zoneModels[receiver].target++
+		d.zoneModels[donor].target--
 	}
 }
 
-// modelOf names the cell's model when the record has it.
-func (d *division) modelOf(c *cell) cluster.ModelID {
-	if c.entry == nil {
+// modelOf returns the model of the zone's current entry, empty when there is none.
+func (d *division) modelOf(c *zoneModel) cluster.ModelID {
+	if c.currentEntry == nil {
 		return ""
 	}
-	return c.entry.Model
+	return c.currentEntry.Model
 }
--- a/authority/types.go
+++ b/authority/types.go
@@ -7,81 +7,83 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// Event is an input of the controller core of one cell.
+// Event is an input of a zone's Controller.
 type Event interface{ authorityEvent() }
 
-// LeaseAcquired says that the cell's lease record was written with this token;
-// the key-value service promised it for TTL from SentAt, the time at which the
-// request was sent.
+// LeaseAcquired reports that the zone's lease record was written with this token. The
+// lease lasts for TTL from SentAt, the time at which the request was sent.
 type LeaseAcquired struct {
 	Token  cluster.FencingToken
 	SentAt time.Time
 	TTL    time.Duration
 }
 
-// LeaseRenewed extends the lease; SentAt is when the renewal was sent.
+// LeaseRenewed reports a renewal of the lease for TTL from SentAt, the time at which the
+// request was sent.
 type LeaseRenewed struct {
 	SentAt time.Time
 	TTL    time.Duration
 }
 
-// LeaseLost says that the record has gone or names another holder.
+// LeaseLost reports that the lease record was deleted or names another holder.
 type LeaseLost struct{}
 
-// LeaseUnreachable says that the service did not answer. While it is
-// unreachable the holder goes on beyond the lease's end: the engines' tokens,
-// not the clock, keep two controllers apart.
+// LeaseUnreachable reports that the key-value service did not answer. The lease holder
+// continues even past the end of the lease: the fencing tokens stored by the engines, not
+// the clock, keep two controllers apart.
 type LeaseUnreachable struct {
-	// Unknown is true when the call may have taken effect. It is repeated
-	// sooner then: the record may already keep others from the cell.
+	// Unknown is true when the call may have taken effect. The call is then repeated
+	// sooner, because the written record may already keep other nodes from acquiring the
+	// lease.
 	Unknown bool
 }
 
-// MachinesListed brings the zone's part of the machine list.
+// MachinesListed carries the zone's part of the machine list.
 type MachinesListed struct{ Machines []cluster.Machine }
 
-// AllotmentRead brings the zone's allotment record. ReadRevision is the global
-// revision at which it was read or watched; a read from before the lease was
+// AllotmentRead carries the zone's allotment. ReadRevision is the global revision of the
+// key-value service at which it was read or watched. A read from before the lease was
 // acquired is ignored, because a later record may have lowered a count.
 type AllotmentRead struct {
 	Allotment    cluster.Allotment
 	ReadRevision int64
 }
 
-// Sealed brings the answer to a seal.
+// Sealed carries an engine's answer to a seal.
 type Sealed struct{ Inventory cluster.Inventory }
 
-// InventoryRead brings a later inventory. Order is the ID of the order that it
-// answers, empty for a plain read; the answer to an order settles it.
+// InventoryRead carries an inventory read after the seal. Order is the ID of the order
+// that the inventory answers, empty for a plain read. The answer to an order settles the
+// order.
 type InventoryRead struct {
 	Inventory cluster.Inventory
 	Order     string
 }
 
-// OrderRefused says that the engine refused the order for good, for another
-// reason than a stale token: it will never take effect.
+// OrderRefused reports that the engine refused the order permanently, for a reason other
+// than a stale token: the order will never take effect.
 type OrderRefused struct {
 	Machine cluster.MachineID
 	Order   string
 }
 
-// Resign gives the cell up for a planned stop.
+// Resign asks the controller to release the lease for a planned stop.
 type Resign struct{}
 
-// EngineUnreachable says that a seal, order or inventory call had no answer;
-// whether an order took effect is unknown until an inventory is read.
+// EngineUnreachable reports that a seal, order or inventory call had no answer. Whether an
+// order took effect is unknown until an inventory is read.
 type EngineUnreachable struct{ Machine cluster.MachineID }
 
-// StaleToken says that an engine follows a later controller.
+// StaleToken reports that an engine follows a controller with a larger token.
 type StaleToken struct {
 	Machine cluster.MachineID
 	Held    cluster.FencingToken
 }
 
-// PlanMade brings a plan made from the controller's last State.
+// PlanMade carries a plan computed from the controller's last State.
 type PlanMade struct{ Plan placement.Plan }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (LeaseAcquired) authorityEvent()     {}
@@ -99,34 +101,35 @@
 func (PlanMade) authorityEvent()          {}
 func (Tick) authorityEvent()              {}
 
-// Effect is an output of the controller core.
+// Effect is an output of a zone's Controller, to be carried out by the caller.
 type Effect interface{ authorityEffect() }
 
-// AcquireLease asks the shell to write the cell's lease record if absent.
+// AcquireLease asks the caller to write the zone's lease record if it is absent.
 type AcquireLease struct{ Zone cluster.ZoneID }
 
-// RenewLease asks the shell to keep the lease alive.
+// RenewLease asks the caller to renew the lease.
 type RenewLease struct{}
 
-// ReleaseLease asks the shell to delete the record and revoke the lease.
+// ReleaseLease asks the caller to delete the lease record and revoke the lease.
 type ReleaseLease struct{}
 
-// SealMachine asks the shell to seal one machine with the token.
+// SealMachine asks the caller to seal one machine with the token.
 type SealMachine struct {
 	Machine cluster.Machine
 	Token   cluster.FencingToken
 }
 
-// ReadInventory asks the shell to read one machine's inventory.
+// ReadInventory asks the caller to read one machine's inventory.
 type ReadInventory struct{ Machine cluster.Machine }
 
-// SendOrder asks the shell to give a fenced order. Memory is already reserved.
+// SendOrder asks the caller to send a fenced order. The ledger has already reserved the
+// order's memory.
 type SendOrder struct {
 	Machine cluster.Machine
 	Order   cluster.Order
 }
 
-// SteppedDown says that the controller gave up its cell.
+// SteppedDown reports that the controller gave up its zone.
 type SteppedDown struct{ Cause string }
 
 func (AcquireLease) authorityEffect()  {}
