--- a/authority/sequence/ledger_fixture_test.go
+++ b/authority/sequence/ledger_fixture_test.go
@@ -15,39 +15,39 @@
 	adapter     = cluster.ModelID("svc/base/a1")
 )
 
-// world drives a ledger of one machine.
-type world struct {
+// ledgerFixture drives a ledger of one machine.
+type ledgerFixture struct {
 	t      *testing.T
 	ledger *Ledger
 	now    time.Time
 }
 
-// newWorld returns a ledger in a term whose machine has reported.
-func newWorld(t *testing.T, report catalog.Report) *world {
+// newLedgerFixture returns a ledger in a term whose machine has reported.
+func newLedgerFixture(t *testing.T, report catalog.Report) *ledgerFixture {
 	t.Helper()
-	w := &world{t: t, ledger: New(), now: time.Unix(1000, 0)}
-	w.step(MachineSeen{Worker: catalog.Worker{ID: testMachine, Service: "svc", Address: "a:1"}, MemoryBytes: 100, AdapterSlots: 8})
-	w.step(TermBegan{Holder: "n1", Token: 7})
-	w.pass(time.Second)
-	w.report(report)
-	return w
+	f := &ledgerFixture{t: t, ledger: New(), now: time.Unix(1000, 0)}
+	f.step(MachineSeen{Worker: catalog.Worker{ID: testMachine, Service: "svc", Address: "a:1"}, MemoryBytes: 100, AdapterSlots: 8})
+	f.step(TermBegan{Holder: "n1", Token: 7})
+	f.advance(time.Second)
+	f.report(report)
+	return f
 }
 
-func (w *world) step(event Event) []Effect { return w.ledger.Step(w.now, event) }
+func (f *ledgerFixture) step(event Event) []Effect { return f.ledger.Step(f.now, event) }
 
-func (w *world) pass(d time.Duration) { w.now = w.now.Add(d) }
+func (f *ledgerFixture) advance(d time.Duration) { f.now = f.now.Add(d) }
 
-func (w *world) report(report catalog.Report) []Effect {
-	return w.step(ReportRead{Machine: testMachine, Report: report})
+func (f *ledgerFixture) report(report catalog.Report) []Effect {
+	return f.step(ReportRead{Machine: testMachine, Report: report})
 }
 
-// order asks for an order and returns what was sent, nil when nothing was.
-func (w *world) order(kind cluster.OrderKind, model cluster.ModelID, isAdapter bool) *SendOrder {
-	w.t.Helper()
-	return sent(w.step(Ordered{Machine: testMachine, Kind: kind, Model: model, Bytes: 40, Adapter: isAdapter, ExpectedTime: time.Second}))
+// requestOrder asks for an order and returns the one sent, nil for none.
+func (f *ledgerFixture) requestOrder(kind cluster.OrderKind, model cluster.ModelID, isAdapter bool) *SendOrder {
+	f.t.Helper()
+	return sentOrder(f.step(Ordered{Machine: testMachine, Kind: kind, Model: model, Bytes: 40, Adapter: isAdapter, ExpectedTime: time.Second}))
 }
 
-func sent(effects []Effect) *SendOrder {
+func sentOrder(effects []Effect) *SendOrder {
 	for _, effect := range effects {
 		if send, ok := effect.(SendOrder); ok {
 			return &send
@@ -56,10 +56,10 @@
 	return nil
 }
 
-// states returns the machine's replicas as the planner sees them.
-func (w *world) states() map[cluster.ModelID]cluster.ReplicaState {
+// replicaStates returns the state of each replica as the planner sees it.
+func (f *ledgerFixture) replicaStates() map[cluster.ModelID]cluster.ReplicaState {
 	states := map[cluster.ModelID]cluster.ReplicaState{}
-	for _, machine := range w.ledger.Machines(func(cluster.ModelID) int64 { return 0 }) {
+	for _, machine := range f.ledger.Machines(func(cluster.ModelID) int64 { return 0 }) {
 		for _, slot := range machine.Replicas {
 			states[slot.Model] = slot.State
 		}
@@ -67,6 +67,6 @@
 	return states
 }
 
-func (w *world) sealed() bool {
-	return w.ledger.Machines(func(cluster.ModelID) int64 { return 0 })[0].Sealed
+func (f *ledgerFixture) sealed() bool {
+	return f.ledger.Machines(func(cluster.ModelID) int64 { return 0 })[0].Sealed
 }
--- a/authority/sequence/machine.go
+++ b/authority/sequence/machine.go
@@ -10,67 +10,71 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// machine is one engine.
+// machine is the state of one engine.
 type machine struct {
 	worker       catalog.Worker
-	memory       int64
+	memoryBytes  int64
 	adapterSlots int
-	// counted is set once the engine has reported in this term: until then its
-	// entry tells what it holds, and a report is read before the first order.
-	counted bool
-	// full is set while the engine is busy with an order that is not known.
-	full  bool
-	count int64
-	// pending is the order without a definite answer.
+	// hasReported is set once the engine has reported in this term. Until then the
+	// machine's registry entry says what the engine holds, and a report is read before the
+	// first order.
+	hasReported bool
+	// runsUnknownOrder is set while the engine is busy with an order that the ledger
+	// doesn't know.
+	runsUnknownOrder bool
+	orderCount       int64
+	// pending is the order whose outcome is not known yet, nil for none.
 	pending *pendingOrder
-	// conflicting is set until a report explains a refusal.
-	conflicting bool
-	// busyUntil is until when an order for a base model is expected to run; zero
-	// when none does.
+	// conflictOpen is set from a refused order until a report explains the refusal.
+	conflictOpen bool
+	// busyUntil is the expected end of the current order for a base model, zero when there
+	// is none.
 	busyUntil time.Time
-	// ordered is when the engine took an order last, unloaded when it took an unload
-	// last.
-	ordered  time.Time
-	unloaded time.Time
-	// refused is set once an engine refused an order because of that unload.
-	refused  bool
-	replicas map[cluster.ModelID]*replica
-	// reportDue is when a report is read, zero for not; asked is set while one is.
-	reportDue time.Time
-	asked     bool
-	askedAt   time.Time
-	// silent is set while the last report that was asked for did not come.
-	silent  bool
-	cached  map[cluster.ModelID]cluster.Tier
-	running int
-	waiting int
+	// lastOrderAt is when the engine last took an order, lastUnloadAt when it last took
+	// the unload of a base model.
+	lastOrderAt  time.Time
+	lastUnloadAt time.Time
+	// refusedAfterUnload is set once the engine refused an order because that unload was
+	// not done.
+	refusedAfterUnload bool
+	replicas           map[cluster.ModelID]*replica
+	// nextReportAt is when the next report is due, zero for never. reportRequested is set
+	// while a report is being read.
+	nextReportAt      time.Time
+	reportRequested   bool
+	reportRequestedAt time.Time
+	// reportFailed is set while the last attempt to read a report has failed.
+	reportFailed    bool
+	cacheTiers      map[cluster.ModelID]cluster.Tier
+	runningRequests int
+	waitingRequests int
 }
 
-// replica is one model on an engine.
+// replica is the state of one model on an engine.
 type replica struct {
 	state   cluster.ReplicaState
 	bytes   int64
 	adapter bool
-	// unknown is true while an order about it has no definite answer.
-	unknown bool
-	since   time.Time
-	readyAt time.Time
+	// outcomeUnknown is true while an order for the replica has no known outcome.
+	outcomeUnknown bool
+	stateSince     time.Time
+	expectedDoneAt time.Time
 }
 
-// pendingOrder is an order that was sent.
+// pendingOrder is an order that was sent and has no known outcome.
 type pendingOrder struct {
-	order    Ordered
-	expected int64
-	number   uint64
-	resendAt time.Time
-	// failures counts the sendings without an answer.
-	failures int
-	// waiting is true until the last sending is answered or known to have failed.
-	waiting bool
+	request       Ordered
+	expectedCount int64
+	sendNumber    uint64
+	resendAt      time.Time
+	// unansweredSends is the number of sends without an answer.
+	unansweredSends int
+	// awaitsAnswer is true until the last send is answered or has failed.
+	awaitsAnswer bool
 }
 
-// heldIDs lists what a machine holds by identifier.
-func heldIDs(service string, held []catalog.HeldModel) map[cluster.ModelID]bool {
+// heldModelIDs returns the set of IDs of the held models and adapters.
+func heldModelIDs(service string, held []catalog.HeldModel) map[cluster.ModelID]bool {
 	ids := make(map[cluster.ModelID]bool)
 	for _, model := range held {
 		ids[catalog.ModelID(service, model.Name)] = true
@@ -81,9 +85,10 @@
 	return ids
 }
 
-// reportedIDs lists what a report says is held or, of adapters, on its way.
-func reportedIDs(service string, report *catalog.Report) map[cluster.ModelID]bool {
-	ids := heldIDs(service, report.Held)
+// reportedModelIDs returns the set of IDs that a report names as held or, for adapters, as
+// being loaded.
+func reportedModelIDs(service string, report *catalog.Report) map[cluster.ModelID]bool {
+	ids := heldModelIDs(service, report.Held)
 	for _, coming := range report.Coming {
 		name, _, _ := strings.Cut(coming, "@")
 		if model, adapter, found := strings.Cut(name, "/"); found {
@@ -93,8 +98,8 @@
 	return ids
 }
 
-// models lists the machine's replicas by identifier.
-func (m *machine) models() []cluster.ModelID {
+// modelIDs returns the IDs of the machine's replicas, sorted.
+func (m *machine) modelIDs() []cluster.ModelID {
 	ids := make([]cluster.ModelID, 0, len(m.replicas))
 	for id := range m.replicas {
 		ids = append(ids, id)
@@ -103,34 +108,34 @@
 	return ids
 }
 
-// blocked reports whether the machine takes no order for a base model now, or
-// leaves the report open that must come before its first order.
-func (m *machine) blocked(now time.Time) bool {
-	unheard := m.silent || !m.counted && m.asked && now.Sub(m.askedAt) > promptReport
-	return unheard || m.pending != nil || m.conflicting || !m.busyUntil.IsZero()
+// isBlocked reports whether the machine can't take an order for a base model now, or
+// doesn't answer the request for the report that must precede its first order.
+func (m *machine) isBlocked(now time.Time) bool {
+	withoutReport := m.reportFailed || !m.hasReported && m.reportRequested && now.Sub(m.reportRequestedAt) > firstReportTimeout
+	return withoutReport || m.pending != nil || m.conflictOpen || !m.busyUntil.IsZero()
 }
 
-// busyFor is how much longer the machine is expected to carry out its order, zero
-// when it carries out none or nothing is known of it.
-func (m *machine) busyFor(now time.Time) time.Duration {
+// remainingBusyTime returns the expected time until the machine can take an order. It is
+// zero when the machine is idle or the ledger can't tell.
+func (m *machine) remainingBusyTime(now time.Time) time.Duration {
 	switch {
-	case m.silent || m.full || !m.counted:
+	case m.reportFailed || m.runsUnknownOrder || !m.hasReported:
 		return 0
 	case !m.busyUntil.IsZero():
-		return max(m.busyUntil.Sub(now), 0) + pollInterval
-	case m.pending != nil && m.pending.failures == 0:
-		return conflictPoll
+		return max(m.busyUntil.Sub(now), 0) + busyReportInterval
+	case m.pending != nil && m.pending.unansweredSends == 0:
+		return conflictReportDelay
 	}
 	return 0
 }
 
-// slots lists the replicas for the planner, sorted by model.
-func (m *machine) slots(size func(cluster.ModelID) int64) []placement.Slot {
+// plannerSlots returns the replicas for the planner, sorted by model.
+func (m *machine) plannerSlots(size func(cluster.ModelID) int64) []placement.Slot {
 	slots := make([]placement.Slot, 0, len(m.replicas))
-	for _, model := range m.models() {
-		known := m.replicas[model]
+	for _, model := range m.modelIDs() {
+		current := m.replicas[model]
 		slots = append(slots, placement.Slot{
-			Model: model, State: known.state, Unknown: known.unknown, Bytes: max(known.bytes, size(model)), Since: known.since,
+			Model: model, State: current.state, Unknown: current.outcomeUnknown, Bytes: max(current.bytes, size(model)), Since: current.stateSince,
 		})
 	}
 	return slots
--- a/authority/sequence/orders.go
+++ b/authority/sequence/orders.go
@@ -9,238 +9,241 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// give gives an order unless the machine takes none at present. Before the first
-// one a report is read, and the next plan decides by it. What a load takes is
-// reserved before it is sent.
-func (l *Ledger) give(wanted *Ordered) {
-	m := l.machines[wanted.Machine]
-	if !l.Holding() || m == nil || m.full || m.pending != nil || m.conflicting || !m.busyUntil.IsZero() {
+// handleOrdered sends the requested order unless the machine can't take one now. Before
+// the first order of a term a report is read, and the next plan uses it. The memory of a
+// load is reserved before the order is sent.
+func (l *Ledger) handleOrdered(ordered *Ordered) {
+	m := l.machines[ordered.Machine]
+	if !l.Holding() || m == nil || m.runsUnknownOrder || m.pending != nil || m.conflictOpen || !m.busyUntil.IsZero() {
 		return
 	}
-	if !m.counted {
-		if m.reportDue.IsZero() && !m.asked {
-			m.reportDue = l.now
-			l.poll(wanted.Machine, m)
+	if !m.hasReported {
+		if m.nextReportAt.IsZero() && !m.reportRequested {
+			m.nextReportAt = l.now
+			l.requestDueReport(ordered.Machine, m)
 		}
 		return
 	}
-	known := m.replicas[wanted.Model]
-	if wanted.Kind == cluster.OrderLoad {
-		if known != nil {
+	current := m.replicas[ordered.Model]
+	if ordered.Kind == cluster.OrderLoad {
+		if current != nil {
 			return
 		}
-		m.replicas[wanted.Model] = &replica{
-			state: cluster.ReplicaLoading, bytes: wanted.Bytes, adapter: wanted.Adapter, unknown: true, since: l.now,
-			readyAt: l.now.Add(wanted.ExpectedTime),
+		m.replicas[ordered.Model] = &replica{
+			state: cluster.ReplicaLoading, bytes: ordered.Bytes, adapter: ordered.Adapter, outcomeUnknown: true, stateSince: l.now,
+			expectedDoneAt: l.now.Add(ordered.ExpectedTime),
 		}
 	} else {
-		if known == nil || known.state != cluster.ReplicaLoaded {
+		if current == nil || current.state != cluster.ReplicaLoaded {
 			return
 		}
-		l.change(wanted.Machine, m, wanted.Model, cluster.ReplicaUnloading)
-		known.unknown = true
+		l.setReplicaState(ordered.Machine, m, ordered.Model, cluster.ReplicaUnloading)
+		current.outcomeUnknown = true
 	}
-	m.pending = &pendingOrder{order: *wanted, expected: m.count}
-	l.send(wanted.Machine, m)
+	m.pending = &pendingOrder{request: *ordered, expectedCount: m.orderCount}
+	l.sendPending(ordered.Machine, m)
 }
 
-// send sends the pending order, for the first time or again.
-func (l *Ledger) send(id cluster.MachineID, m *machine) {
-	l.number++
-	l.active[id] = true
+// sendPending sends the pending order, for the first time or again.
+func (l *Ledger) sendPending(id cluster.MachineID, m *machine) {
+	l.lastSendNumber++
+	l.activeMachines[id] = true
 	pending := m.pending
-	pending.number, pending.waiting = l.number, true
-	pending.resendAt = l.now.Add(resendInterval)
-	l.emit(SendOrder{Address: m.worker.Address, Number: l.number, Order: Order{
-		Machine: id, Kind: pending.order.Kind, Model: pending.order.Model,
-		Expected: pending.expected, Holder: l.holder, Token: l.token,
+	pending.sendNumber, pending.awaitsAnswer = l.lastSendNumber, true
+	pending.resendAt = l.now.Add(resendBackoff)
+	l.emit(SendOrder{Address: m.worker.Address, Number: l.lastSendNumber, Order: Order{
+		Machine: id, Kind: pending.request.Kind, Model: pending.request.Model,
+		Expected: pending.expectedCount, Holder: l.holder, Token: l.token,
 	}})
 }
 
-// answered takes the answer to an order. Only that to the last sending counts:
-// the engine takes each count once, so an earlier one shows in the later one.
-func (l *Ledger) answered(answer *Answered) {
+// handleAnswered processes the answer to an order. Only the answer to the last send
+// counts: the engine takes each count once, so the last answer shows whether an earlier
+// send was taken.
+func (l *Ledger) handleAnswered(answer *Answered) {
 	m := l.machines[answer.Machine]
-	if m == nil || m.pending == nil || m.pending.number != answer.Number {
+	if m == nil || m.pending == nil || m.pending.sendNumber != answer.Number {
 		return
 	}
-	m.pending.waiting = false
+	m.pending.awaitsAnswer = false
 	if answer.Err != nil {
-		m.pending.resendAt = l.now.Add(resendInterval << min(m.pending.failures, maxDoublings))
-		m.pending.failures++
+		m.pending.resendAt = l.now.Add(resendBackoff << min(m.pending.unansweredSends, maxResendDoublings))
+		m.pending.unansweredSends++
 		return
 	}
 	pending := m.pending
 	switch answer.Outcome {
 	case OutcomeTaken:
 		m.pending = nil
-		m.count = pending.expected + 1
-		l.taken(answer.Machine, m, &pending.order)
+		m.orderCount = pending.expectedCount + 1
+		l.handleTaken(answer.Machine, m, &pending.request)
 	case OutcomeHolds:
 		m.pending = nil
-		l.holds(answer.Machine, m, &pending.order)
+		l.handleAlreadyDone(answer.Machine, m, &pending.request)
 	case OutcomeConflict:
-		if pending.failures == 0 && l.now.Sub(m.unloaded) < unloadPatience {
-			// The own unload isn't done, and no earlier sending can have been taken.
-			pending.resendAt = l.now.Add(unloadRetry)
-			if !m.refused {
-				m.refused = true
-				l.unload = min(l.unload+unloadLonger, longestUnload)
+		if pending.unansweredSends == 0 && l.now.Sub(m.lastUnloadAt) < unloadConflictWindow {
+			// The unload before isn't done, and no earlier send can have been taken.
+			pending.resendAt = l.now.Add(unloadConflictRetry)
+			if !m.refusedAfterUnload {
+				m.refusedAfterUnload = true
+				l.unloadEstimate = min(l.unloadEstimate+unloadEstimateIncrease, maxUnloadEstimate)
 			}
 			return
 		}
-		m.conflicting = true
-		m.reportDue = l.now.Add(conflictPoll)
+		m.conflictOpen = true
+		m.nextReportAt = l.now.Add(conflictReportDelay)
 	case OutcomeStale:
 		m.pending = nil
 		l.emit(Superseded{Machine: answer.Machine})
 	case OutcomeOtherMachine:
-		l.remove(answer.Machine)
+		l.removeMachine(answer.Machine)
 	default:
 		m.pending = nil
-		l.undo(answer.Machine, m, &pending.order)
+		l.revertOrder(answer.Machine, m, &pending.request)
 	}
 }
 
-// taken notes an order that the engine carries out.
-func (l *Ledger) taken(id cluster.MachineID, m *machine, order *Ordered) {
-	known := m.replicas[order.Model]
-	if known == nil {
+// handleTaken updates the replica after the engine has taken an order.
+func (l *Ledger) handleTaken(id cluster.MachineID, m *machine, request *Ordered) {
+	current := m.replicas[request.Model]
+	if current == nil {
 		return
 	}
-	if !m.refused && l.now.Sub(m.unloaded) < unloadPatience {
-		l.unload = max(l.unload-unloadShorter, leastUnload)
+	if !m.refusedAfterUnload && l.now.Sub(m.lastUnloadAt) < unloadConflictWindow {
+		l.unloadEstimate = max(l.unloadEstimate-unloadEstimateDecrease, minUnloadEstimate)
 	}
-	m.ordered = l.now
-	known.readyAt = l.now.Add(order.ExpectedTime)
+	m.lastOrderAt = l.now
+	current.expectedDoneAt = l.now.Add(request.ExpectedTime)
 	switch {
-	case order.Kind == cluster.OrderLoad:
-		l.change(id, m, order.Model, cluster.ReplicaLoading)
-	case order.Adapter:
-		// Engines may take the next order before it is done, so that what they take says
-		// nothing of its time, and a load that comes too early would be one too many.
-		known.readyAt = l.now.Add(max(l.unload, unloadTime))
-		known.unknown = false
+	case request.Kind == cluster.OrderLoad:
+		l.setReplicaState(id, m, request.Model, cluster.ReplicaLoading)
+	case request.Adapter:
+		// Engines may take the next order before the unload of an adapter is done, so a
+		// taken order is no evidence of the unload's duration. A load that comes too early
+		// would exceed the engine's capacity.
+		current.expectedDoneAt = l.now.Add(max(l.unloadEstimate, initialUnloadEstimate))
+		current.outcomeUnknown = false
 	default:
-		m.unloaded, m.refused = l.now, false
-		known.readyAt = l.now.Add(l.unload)
-		known.unknown = false
+		m.lastUnloadAt, m.refusedAfterUnload = l.now, false
+		current.expectedDoneAt = l.now.Add(l.unloadEstimate)
+		current.outcomeUnknown = false
 	}
-	if order.Adapter {
+	if request.Adapter {
 		return
 	}
-	m.busyUntil = known.readyAt
-	m.reportDue = known.readyAt.Add(-earlyPoll)
+	m.busyUntil = current.expectedDoneAt
+	m.nextReportAt = current.expectedDoneAt.Add(-reportLeadTime)
 }
 
-// holds notes that what was ordered is so already. The unload of an adapter
-// takes no time and counts.
-func (l *Ledger) holds(id cluster.MachineID, m *machine, order *Ordered) {
+// handleAlreadyDone updates the replica after the engine answered that the ordered state
+// already holds. The unload of an adapter is done at once and counts as an order.
+func (l *Ledger) handleAlreadyDone(id cluster.MachineID, m *machine, request *Ordered) {
 	state := cluster.ReplicaLoaded
-	if order.Kind == cluster.OrderUnload {
+	if request.Kind == cluster.OrderUnload {
 		state = cluster.ReplicaAbsent
-		if order.Adapter {
-			m.count++
+		if request.Adapter {
+			m.orderCount++
 		}
 	}
-	l.change(id, m, order.Model, state)
+	l.setReplicaState(id, m, request.Model, state)
 }
 
-// undo takes back an order that the engine will never carry out.
-func (l *Ledger) undo(id cluster.MachineID, m *machine, order *Ordered) {
+// revertOrder restores the replica's state from before an order that the engine will never
+// carry out.
+func (l *Ledger) revertOrder(id cluster.MachineID, m *machine, request *Ordered) {
 	state := cluster.ReplicaAbsent
-	if order.Kind == cluster.OrderUnload {
+	if request.Kind == cluster.OrderUnload {
 		state = cluster.ReplicaLoaded
 	}
-	l.change(id, m, order.Model, state)
+	l.setReplicaState(id, m, request.Model, state)
 }
 
-// reported takes an engine's report.
-func (l *Ledger) reported(read *ReportRead) {
+// handleReportRead processes an engine's report.
+func (l *Ledger) handleReportRead(read *ReportRead) {
 	m := l.machines[read.Machine]
 	if m == nil {
 		return
 	}
-	m.asked, m.silent = false, read.Err != nil
+	m.reportRequested, m.reportFailed = false, read.Err != nil
 	if read.Err != nil {
-		m.reportDue = l.now.Add(sealRetry)
+		m.nextReportAt = l.now.Add(failedReportRetry)
 		return
 	}
-	m.running, m.waiting = read.Report.Running, read.Report.Waiting
-	m.cached = tiers(m.worker.Service, read.Report.InMemory, read.Report.OnDisk)
-	m.reportDue = time.Time{}
+	m.runningRequests, m.waitingRequests = read.Report.Running, read.Report.Waiting
+	m.cacheTiers = cacheTiersOf(m.worker.Service, read.Report.InMemory, read.Report.OnDisk)
+	m.nextReportAt = time.Time{}
 	if !l.Holding() {
 		return
 	}
-	if fromBefore := l.began.Add(reportLag); !m.counted && l.now.Before(fromBefore) {
-		m.reportDue = fromBefore
+	if reportsCountFrom := l.termBegan.Add(maxReportLag); !m.hasReported && l.now.Before(reportsCountFrom) {
+		m.nextReportAt = reportsCountFrom
 		return
 	}
-	if m.counted && read.Report.OrderCount < m.count {
+	if m.hasReported && read.Report.OrderCount < m.orderCount {
 		// The report is older than the last order.
-		m.reportDue = l.now.Add(conflictPoll)
+		m.nextReportAt = l.now.Add(conflictReportDelay)
 		return
 	}
-	if read.Report.Busy && !m.explains(&read.Report) {
-		// A load that this ledger knows nothing of takes memory that no report
-		// shows: the machine counts as full until it is done.
+	if read.Report.Busy && !m.explainsReport(&read.Report) {
+		// The engine may be loading a model that the ledger doesn't know, whose memory no
+		// report shows. The machine takes no orders until the load is done.
 		if m.pending != nil {
-			l.undo(read.Machine, m, &m.pending.order)
+			l.revertOrder(read.Machine, m, &m.pending.request)
 		}
-		m.counted, m.full, m.pending, m.conflicting = false, true, nil, false
-		m.reportDue = l.now.Add(pollInterval)
+		m.hasReported, m.runsUnknownOrder, m.pending, m.conflictOpen = false, true, nil, false
+		m.nextReportAt = l.now.Add(busyReportInterval)
 		return
 	}
-	fresh := !m.counted || l.now.Sub(m.ordered) >= reportLag
-	if !l.settlePending(read.Machine, m, &read.Report) {
-		m.conflicting = true
-		m.reportDue = l.now.Add(pollInterval)
+	mayRemove := !m.hasReported || l.now.Sub(m.lastOrderAt) >= maxReportLag
+	if !l.resolvePending(read.Machine, m, &read.Report) {
+		m.conflictOpen = true
+		m.nextReportAt = l.now.Add(busyReportInterval)
 		return
 	}
-	if read.Report.OrderCount > m.count {
-		// Orders were carried out that no answer told of.
-		m.ordered, fresh = l.now, !m.counted
+	if read.Report.OrderCount > m.orderCount {
+		// Orders were carried out whose answers were lost.
+		m.lastOrderAt, mayRemove = l.now, !m.hasReported
 	}
-	m.count, m.counted, m.full, m.conflicting = read.Report.OrderCount, true, false, false
-	l.syncHeld(read.Machine, m, &read.Report)
-	if fresh {
-		l.syncMissing(read.Machine, m, &read.Report)
+	m.orderCount, m.hasReported, m.runsUnknownOrder, m.conflictOpen = read.Report.OrderCount, true, false, false
+	l.addReportedModels(read.Machine, m, &read.Report)
+	if mayRemove {
+		l.updateUnreportedModels(read.Machine, m, &read.Report)
 	}
-	l.syncBusy(m, read.Report.Busy)
+	l.updateBusy(m, read.Report.Busy)
 	if read.Report.Busy {
-		m.reportDue = l.now.Add(pollInterval)
-	} else if !fresh {
-		m.reportDue = m.ordered.Add(reportLag)
+		m.nextReportAt = l.now.Add(busyReportInterval)
+	} else if !mayRemove {
+		m.nextReportAt = m.lastOrderAt.Add(maxReportLag)
 	}
 }
 
-// explains reports whether the orders up to the report's count are known, so that
-// what the engine is busy with is known too.
-func (m *machine) explains(report *catalog.Report) bool {
-	if !m.counted {
+// explainsReport reports whether the ledger knows every order up to the report's count,
+// and thus the order that the engine is busy with.
+func (m *machine) explainsReport(report *catalog.Report) bool {
+	if !m.hasReported {
 		return false
 	}
-	known := m.count
-	if m.pending != nil && m.pending.failures > 0 {
-		// A sending without an answer may have been taken.
-		known = m.pending.expected + 1
+	explainedCount := m.orderCount
+	if m.pending != nil && m.pending.unansweredSends > 0 {
+		// A send without an answer may have been taken.
+		explainedCount = m.pending.expectedCount + 1
 	}
-	return report.OrderCount <= known
+	return report.OrderCount <= explainedCount
 }
 
-// settlePending settles an order that met a conflict or has no answer, and reports
-// whether it is settled. Once the count has passed the order's, it was carried out
-// or another holder's was in its place: what the engine holds when it is done
-// tells which.
-func (l *Ledger) settlePending(id cluster.MachineID, m *machine, report *catalog.Report) bool {
+// resolvePending resolves a pending order that met a conflict or has no answer, and
+// reports whether no such order is left open. Once the engine's count has passed the
+// order's, the engine took either this order or another holder's in its place. What the
+// engine holds when it is done tells which.
+func (l *Ledger) resolvePending(id cluster.MachineID, m *machine, report *catalog.Report) bool {
 	pending := m.pending
-	if pending == nil || pending.waiting {
+	if pending == nil || pending.awaitsAnswer {
 		return true
 	}
-	if report.OrderCount <= pending.expected {
+	if report.OrderCount <= pending.expectedCount {
 		pending.resendAt = l.now
 		if report.Busy {
-			pending.resendAt = l.now.Add(pollInterval)
+			pending.resendAt = l.now.Add(busyReportInterval)
 		}
 		return true
 	}
@@ -248,17 +251,18 @@
 		return false
 	}
 	m.pending = nil
-	held := reportedIDs(m.worker.Service, report)[pending.order.Model]
+	held := reportedModelIDs(m.worker.Service, report)[pending.request.Model]
 	state := cluster.ReplicaAbsent
 	if held {
 		state = cluster.ReplicaLoaded
 	}
-	l.change(id, m, pending.order.Model, state)
+	l.setReplicaState(id, m, pending.request.Model, state)
 	return true
 }
 
-// tiers returns from where the engine would load its models.
-func tiers(service string, inMemory, onDisk []string) map[cluster.ModelID]cluster.Tier {
+// cacheTiersOf returns the storage tier from which the engine would load each of its
+// cached models.
+func cacheTiersOf(service string, inMemory, onDisk []string) map[cluster.ModelID]cluster.Tier {
 	cached := make(map[cluster.ModelID]cluster.Tier, len(onDisk)+len(inMemory))
 	for _, name := range onDisk {
 		cached[catalog.ModelID(service, name)] = cluster.TierDisk
@@ -269,126 +273,127 @@
 	return cached
 }
 
-// syncHeld takes over what the report says the engine holds.
-func (l *Ledger) syncHeld(id cluster.MachineID, m *machine, report *catalog.Report) {
-	held := reportedIDs(m.worker.Service, report)
+// addReportedModels adds the models that the report names as held and completes their
+// loads.
+func (l *Ledger) addReportedModels(id cluster.MachineID, m *machine, report *catalog.Report) {
+	held := reportedModelIDs(m.worker.Service, report)
 	for _, model := range slices.Sorted(maps.Keys(held)) {
-		known := m.replicas[model]
-		if known == nil {
+		current := m.replicas[model]
+		if current == nil {
 			_, _, adapter := catalog.Split(model)
-			m.replicas[model] = &replica{state: cluster.ReplicaLoaded, adapter: adapter != "", since: l.now}
+			m.replicas[model] = &replica{state: cluster.ReplicaLoaded, adapter: adapter != "", stateSince: l.now}
 			continue
 		}
-		if known.state == cluster.ReplicaLoading && !known.unknown {
-			l.change(id, m, model, cluster.ReplicaLoaded)
+		if current.state == cluster.ReplicaLoading && !current.outcomeUnknown {
+			l.setReplicaState(id, m, model, cluster.ReplicaLoaded)
 		}
 	}
 }
 
-// syncMissing takes over what the report says the engine does not hold or, of
-// what was to be unloaded, still holds.
-func (l *Ledger) syncMissing(id cluster.MachineID, m *machine, report *catalog.Report) {
-	held := reportedIDs(m.worker.Service, report)
-	for _, model := range m.models() {
-		known := m.replicas[model]
-		if known == nil || known.unknown || l.now.Sub(known.since) < reportLag {
+// updateUnreportedModels removes the replicas that the report lacks, and restores those
+// that it still names after an unload.
+func (l *Ledger) updateUnreportedModels(id cluster.MachineID, m *machine, report *catalog.Report) {
+	held := reportedModelIDs(m.worker.Service, report)
+	for _, model := range m.modelIDs() {
+		current := m.replicas[model]
+		if current == nil || current.outcomeUnknown || l.now.Sub(current.stateSince) < maxReportLag {
 			continue
 		}
 		switch {
-		case held[model] && known.state == cluster.ReplicaUnloading && !report.Busy:
-			l.change(id, m, model, cluster.ReplicaLoaded)
-		case !held[model] && (known.state != cluster.ReplicaLoading || !report.Busy):
-			l.change(id, m, model, cluster.ReplicaAbsent)
+		case held[model] && current.state == cluster.ReplicaUnloading && !report.Busy:
+			l.setReplicaState(id, m, model, cluster.ReplicaLoaded)
+		case !held[model] && (current.state != cluster.ReplicaLoading || !report.Busy):
+			l.setReplicaState(id, m, model, cluster.ReplicaAbsent)
 		}
 	}
 }
 
-// syncBusy notes whether the engine carries out an order.
-func (l *Ledger) syncBusy(m *machine, busy bool) {
+// updateBusy updates busyUntil from the report's busy flag.
+func (l *Ledger) updateBusy(m *machine, busy bool) {
 	switch {
-	case !busy && l.now.Sub(m.ordered) >= reportLag:
+	case !busy && l.now.Sub(m.lastOrderAt) >= maxReportLag:
 		m.busyUntil = time.Time{}
-	case !busy && m.loading() == nil:
+	case !busy && m.baseModelInTransition() == nil:
 		m.busyUntil = time.Time{}
 	case busy && m.busyUntil.IsZero():
-		m.busyUntil = l.now.Add(pollInterval)
+		m.busyUntil = l.now.Add(busyReportInterval)
 	}
 }
 
-// loading returns the base model that is being loaded or unloaded, or nil.
-func (m *machine) loading() *replica {
-	for _, known := range m.replicas {
-		if !known.adapter && known.state != cluster.ReplicaLoaded {
-			return known
+// baseModelInTransition returns a base model that is being loaded or unloaded, or nil.
+func (m *machine) baseModelInTransition() *replica {
+	for _, current := range m.replicas {
+		if !current.adapter && current.state != cluster.ReplicaLoaded {
+			return current
 		}
 	}
 	return nil
 }
 
-// tick sends again what was not answered, lets adapters and unloads end by their
-// expected time and reads reports that are due.
-func (l *Ledger) tick() {
+// handleTick sends unanswered orders again, completes orders that end by their expected
+// time and reads the reports that are due.
+func (l *Ledger) handleTick() {
 	if !l.Holding() {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(l.active)) {
+	for _, id := range slices.Sorted(maps.Keys(l.activeMachines)) {
 		m := l.machines[id]
-		if m.mayResend() && !l.now.Before(m.pending.resendAt) {
-			l.send(id, m)
+		if m.canResend() && !l.now.Before(m.pending.resendAt) {
+			l.sendPending(id, m)
 		}
-		l.settle(id, m)
-		l.poll(id, m)
-		if m.quiet() {
-			delete(l.active, id)
+		l.completeExpected(id, m)
+		l.requestDueReport(id, m)
+		if m.isIdle() {
+			delete(l.activeMachines, id)
 		}
 	}
 }
 
-// mayResend reports whether an order without a definite answer may be sent again.
-func (m *machine) mayResend() bool {
-	return m.pending != nil && !m.pending.waiting && !m.conflicting
+// canResend reports whether the pending order may be sent again.
+func (m *machine) canResend() bool {
+	return m.pending != nil && !m.pending.awaitsAnswer && !m.conflictOpen
 }
 
-// settle ends adapters' loads and unloads of idle models by their expected time:
-// both take milliseconds, and a report would come later.
-func (l *Ledger) settle(id cluster.MachineID, m *machine) {
-	for _, model := range m.models() {
-		known := m.replicas[model]
-		if known == nil || known.unknown || l.now.Before(known.readyAt) {
+// completeExpected completes loads of adapters and unloads of idle models at their
+// expected end: both take milliseconds, and a report would come later.
+func (l *Ledger) completeExpected(id cluster.MachineID, m *machine) {
+	for _, model := range m.modelIDs() {
+		current := m.replicas[model]
+		if current == nil || current.outcomeUnknown || l.now.Before(current.expectedDoneAt) {
 			continue
 		}
 		switch {
-		case known.state == cluster.ReplicaLoading && known.adapter:
-			l.change(id, m, model, cluster.ReplicaLoaded)
-		case known.state == cluster.ReplicaUnloading:
-			l.change(id, m, model, cluster.ReplicaAbsent)
-			m.busyUntil, m.reportDue = time.Time{}, time.Time{}
+		case current.state == cluster.ReplicaLoading && current.adapter:
+			l.setReplicaState(id, m, model, cluster.ReplicaLoaded)
+		case current.state == cluster.ReplicaUnloading:
+			l.setReplicaState(id, m, model, cluster.ReplicaAbsent)
+			m.busyUntil, m.nextReportAt = time.Time{}, time.Time{}
 		}
 	}
 }
 
-// quiet reports whether nothing is waited for.
-func (m *machine) quiet() bool {
-	if m.pending != nil || m.asked || !m.reportDue.IsZero() || !m.busyUntil.IsZero() {
+// isIdle reports whether the machine waits for nothing.
+func (m *machine) isIdle() bool {
+	if m.pending != nil || m.reportRequested || !m.nextReportAt.IsZero() || !m.busyUntil.IsZero() {
 		return false
 	}
-	for _, known := range m.replicas {
-		if known.state != cluster.ReplicaLoaded {
+	for _, current := range m.replicas {
+		if current.state != cluster.ReplicaLoaded {
 			return false
 		}
 	}
 	return true
 }
 
-// poll reads a report that is due.
-func (l *Ledger) poll(id cluster.MachineID, m *machine) {
-	if !m.reportDue.IsZero() {
-		l.active[id] = true
+// requestDueReport reads a report that is due.
+func (l *Ledger) requestDueReport(id cluster.MachineID, m *machine) {
+	if !m.nextReportAt.IsZero() {
+		l.activeMachines[id] = true
 	}
-	if m.asked || m.reportDue.IsZero() || l.now.Before(m.reportDue) {
+	if m.reportRequested || m.nextReportAt.IsZero() || l.now.Before(m.nextReportAt) {
 		return
 	}
-	m.asked, m.askedAt = true, l.now
+	m.reportRequested, m.reportRequestedAt = true, l.now
 	l.emit(ReadReport{Machine: id, Address: m.worker.Address})
 }
 
@@ -403,18 +408,18 @@
 			next = at
 		}
 	}
-	for id := range l.active {
+	for id := range l.activeMachines {
 		m := l.machines[id]
-		if !m.asked && !m.reportDue.IsZero() {
-			consider(m.reportDue)
+		if !m.reportRequested && !m.nextReportAt.IsZero() {
+			consider(m.nextReportAt)
 		}
-		if m.mayResend() {
+		if m.canResend() {
 			consider(m.pending.resendAt)
 		}
-		for _, known := range m.replicas {
-			ends := known.state == cluster.ReplicaLoading && known.adapter || known.state == cluster.ReplicaUnloading
-			if ends && !known.unknown {
-				consider(known.readyAt)
+		for _, current := range m.replicas {
+			endsByTime := current.state == cluster.ReplicaLoading && current.adapter || current.state == cluster.ReplicaUnloading
+			if endsByTime && !current.outcomeUnknown {
+				consider(current.expectedDoneAt)
 			}
 		}
 	}
--- a/authority/sequence/types.go
+++ b/authority/sequence/types.go
@@ -12,34 +12,34 @@
 	Machine cluster.MachineID
 	Kind    cluster.OrderKind
 	Model   cluster.ModelID
-	// Expected is how many orders the engine must have taken.
+	// Expected is the number of orders that the engine must have taken so far.
 	Expected int64
-	// Holder and Token of the lease under which the order is given.
+	// Holder and Token identify the lease under which the order is given.
 	Holder cluster.NodeID
 	Token  cluster.FencingToken
 }
 
-// Outcome is what an engine answered to an order.
+// Outcome is an engine's answer to an order.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an order.
 const (
-	// OutcomeInvalid orders can't be carried out as they are.
+	// OutcomeInvalid means that the engine can't carry out the order as it stands.
 	OutcomeInvalid Outcome = iota
-	// OutcomeTaken orders are being carried out.
+	// OutcomeTaken means that the engine is carrying out the order.
 	OutcomeTaken
-	// OutcomeHolds means that what was ordered holds.
+	// OutcomeHolds means that the ordered state already holds.
 	OutcomeHolds
-	// OutcomeConflict means that another order is under way or that the engine
-	// has taken another number of orders.
+	// OutcomeConflict means that the engine is carrying out another order or has taken a
+	// different number of orders.
 	OutcomeConflict
-	// OutcomeStale means that the engine has seen a larger token.
+	// OutcomeStale means that the engine has seen a larger fencing token.
 	OutcomeStale
-	// OutcomeOtherMachine means that another machine answers at the address.
+	// OutcomeOtherMachine means that a different machine answers at the address.
 	OutcomeOtherMachine
 )
 
-// String returns the name used in logs.
+// String returns the outcome's name in logs.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeTaken:
@@ -60,7 +60,7 @@
 // Event is an input of the ledger.
 type Event interface{ sequenceEvent() }
 
-// TermBegan begins a term as holder of the lease with a token.
+// TermBegan starts a term: this node holds the lease with the token.
 type TermBegan struct {
 	Holder cluster.NodeID
 	Token  cluster.FencingToken
@@ -69,32 +69,33 @@
 // TermEnded ends the term: no more orders are given.
 type TermEnded struct{}
 
-// MachineSeen brings a machine's entry, as it is new or has changed.
+// MachineSeen carries the registry entry of a machine that is new or has changed.
 type MachineSeen struct {
 	Worker catalog.Worker
-	// MemoryBytes and AdapterSlots of the machine's engine.
+	// MemoryBytes and AdapterSlots are the capacity of the machine's engine.
 	MemoryBytes  int64
 	AdapterSlots int
 }
 
-// MachineGone says that a machine's entry is gone.
+// MachineGone reports that a machine's registry entry was deleted.
 type MachineGone struct{ Machine cluster.MachineID }
 
-// Ordered asks to give an order. It is passed over when the machine takes none
-// at present; the next plan asks again.
+// Ordered asks for an order to a machine. It is dropped if the machine can't take one now;
+// the next plan asks again.
 type Ordered struct {
 	Machine cluster.MachineID
 	Kind    cluster.OrderKind
 	Model   cluster.ModelID
-	// Bytes that the model takes there.
+	// Bytes is the memory that the model takes on the machine.
 	Bytes int64
-	// Adapter is true for adapters, which engines load beside other orders.
+	// Adapter is true for adapters, which engines load without staying busy for other
+	// orders.
 	Adapter bool
-	// ExpectedTime of a load.
+	// ExpectedTime is the expected duration of a load.
 	ExpectedTime time.Duration
 }
 
-// Answered brings the answer to the SendOrder of the same number. With Err the
+// Answered carries the answer to the SendOrder with the same number. If Err is set, the
 // outcome is unknown.
 type Answered struct {
 	Machine cluster.MachineID
@@ -103,14 +104,14 @@
 	Err     error
 }
 
-// ReportRead brings the answer to a ReadReport.
+// ReportRead carries the answer to a ReadReport.
 type ReportRead struct {
 	Machine cluster.MachineID
 	Report  catalog.Report
 	Err     error
 }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (TermBegan) sequenceEvent()   {}
@@ -122,34 +123,35 @@
 func (ReportRead) sequenceEvent()  {}
 func (Tick) sequenceEvent()        {}
 
-// Effect is an output of the ledger.
+// Effect is an output of the ledger, to be carried out by the caller.
 type Effect interface{ sequenceEffect() }
 
-// SendOrder sends an order to an engine. Every sending has a number of its own.
+// SendOrder asks the caller to send an order to an engine. Each send, also of the same
+// order, has its own number.
 type SendOrder struct {
 	Address string
 	Number  uint64
 	Order   Order
 }
 
-// ReadReport reads an engine's report.
+// ReadReport asks the caller to read an engine's report.
 type ReadReport struct {
 	Machine cluster.MachineID
 	Address string
 }
 
-// ReplicaChanged says that a replica is in another state.
+// ReplicaChanged reports that a replica's state has changed.
 type ReplicaChanged struct {
 	Machine cluster.MachineID
 	Model   cluster.ModelID
 	State   cluster.ReplicaState
 	// ReadyIn is the expected time until a loading replica is loaded.
 	ReadyIn time.Duration
-	// Took is how long it was in the state before.
+	// Took is how long the replica was in its former state.
 	Took time.Duration
 }
 
-// Superseded says that an engine follows a later holder: the term is over.
+// Superseded reports that an engine follows a later lease holder, so the term is over.
 type Superseded struct{ Machine cluster.MachineID }
 
 func (SendOrder) sequenceEffect()      {}
