--- a/authority/explore/doc.go
+++ b/authority/explore/doc.go
@@ -1,9 +1,10 @@
-// Package explore searches the reachable states of the authority cores
-// exhaustively at small size: every order in which messages, lapses of leases,
-// restarts and losses can come, up to a depth. It runs the same code as a node;
-// what differs is only the world around it. After every step it checks that no
-// model has more replicas than decided and that no machine's memory is
-// overcommitted.
+// Package explore is a model checker for the controllers and the apportioner of package
+// authority. It searches breadth first through the states of a small deployment, with
+// every order in which messages, lease expiries, restarts and losses can occur, up to a
+// depth or a number of states. It runs the same code as a node; only the environment is
+// simulated.
 //
-// Deliberately broken worlds (Variant) show that the checks can fail.
+// In every state it checks that no model has more replicas than decided and that no
+// machine's memory is overcommitted. Deliberately broken environments (Variant) show that
+// the checks can fail.
 package explore
--- a/authority/explore/engine.go
+++ b/authority/explore/engine.go
@@ -8,15 +8,15 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// inventory is the engine's account of itself.
-func (e *engineState) inventory(memory int64) cluster.Inventory {
+// currentInventory returns the engine's inventory.
+func (e *engineState) currentInventory(memory int64) cluster.Inventory {
 	return cluster.Inventory{
 		Machine: e.id, Token: e.token, Sequence: e.sequence, Epoch: e.epoch, TokenEpoch: e.tokenEpoch, MemoryBytes: memory,
 		Replicas: slices.Clone(e.replicas),
 	}
 }
 
-// usedBytes is the true memory in use.
+// usedBytes returns the memory that is actually in use.
 func (e *engineState) usedBytes() int64 {
 	used := int64(0)
 	for _, replica := range e.replicas {
@@ -25,14 +25,13 @@
 	return used
 }
 
-func (e *engineState) position(model cluster.ModelID) int {
+func (e *engineState) replicaIndex(model cluster.ModelID) int {
 	return slices.IndexFunc(e.replicas, func(replica cluster.Replica) bool { return replica.Model == model })
 }
 
-// deliver lets the engine carry out a call and returns the event that answers
-// it.
-func (s *search) deliver(w *world, c *call) authority.Event {
-	engine := w.ownEngine(c.machine)
+// deliverCall lets the engine carry out a call and returns the event that answers it.
+func (s *takeoverSearch) deliverCall(state *takeoverState, c *call) authority.Event {
+	engine := state.ownEngine(c.machine)
 	if engine.gone {
 		return authority.EngineUnreachable{Machine: engine.id}
 	}
@@ -45,17 +44,17 @@
 			engine.token, engine.tokenEpoch = c.token, engine.epoch
 			engine.sequence++
 		}
-		return authority.Sealed{Inventory: engine.inventory(s.scenario.Memory)}
+		return authority.Sealed{Inventory: engine.currentInventory(s.scenario.Memory)}
 	case callInventory:
-		return authority.InventoryRead{Inventory: engine.inventory(s.scenario.Memory)}
+		return authority.InventoryRead{Inventory: engine.currentInventory(s.scenario.Memory)}
 	default:
-		return s.order(engine, &c.order)
+		return s.deliverOrder(engine, &c.order)
 	}
 }
 
-// order applies a fenced order as the engine's contract says. It trusts the
-// controller on memory, so that a mistake shows.
-func (s *search) order(engine *engineState, order *cluster.Order) authority.Event {
+// deliverOrder applies a fenced order as engines are specified to. The engine doesn't
+// check its memory, so that a controller's mistake becomes visible.
+func (s *takeoverSearch) deliverOrder(engine *engineState, order *cluster.Order) authority.Event {
 	if !s.variant.ignoresTokens() {
 		switch {
 		case order.Token < engine.token:
@@ -67,16 +66,16 @@
 	if order.Epoch != engine.epoch && s.variant != VariantFreshEngines {
 		return authority.OrderRefused{Machine: engine.id, Order: order.ID}
 	}
-	if !slices.Contains(engine.applied, order.ID) {
-		engine.applied = append(engine.applied, order.ID)
-		slices.Sort(engine.applied)
+	if !slices.Contains(engine.appliedOrders, order.ID) {
+		engine.appliedOrders = append(engine.appliedOrders, order.ID)
+		slices.Sort(engine.appliedOrders)
 		engine.apply(order)
 	}
-	return authority.InventoryRead{Inventory: engine.inventory(s.scenario.Memory), Order: order.ID}
+	return authority.InventoryRead{Inventory: engine.currentInventory(s.scenario.Memory), Order: order.ID}
 }
 
 func (e *engineState) apply(order *cluster.Order) {
-	position := e.position(order.Model)
+	position := e.replicaIndex(order.Model)
 	switch {
 	case order.Kind == cluster.OrderLoad && position < 0:
 		e.replicas = append(e.replicas, cluster.Replica{Model: order.Model, State: cluster.ReplicaLoaded, Bytes: order.Bytes})
@@ -88,12 +87,12 @@
 	}
 }
 
-// restart ends the engine process and begins its next run.
+// restart ends the engine process and starts its next run.
 func (e *engineState) restart(keepToken bool) {
 	e.epoch++
 	e.sequence = 0
 	if !keepToken {
 		e.token, e.tokenEpoch = 0, 0
 	}
-	e.replicas, e.applied = nil, nil
+	e.replicas, e.appliedOrders = nil, nil
 }
--- a/authority/explore/explore_test.go
+++ b/authority/explore/explore_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// testStates bounds each scenario in continuous integration.
-const testStates = 8_000
+// stateBound is the number of states explored of each scenario in continuous integration.
+const stateBound = 8_000
 
-// explorer explores one scenario of a kind.
-type explorer[S any] func(context.Context, S, Variant) (Result, error)
+// exploreFunc explores one scenario of a type.
+type exploreFunc[S any] func(context.Context, S, Variant) (Result, error)
 
-// requireSafe explores scenarios without a defect, none of which may break a promise, and
-// counts the states.
-func requireSafe[S any](t *testing.T, explore explorer[S], scenarios []S) int {
+// requireSafe explores scenarios in the correct environment, none of which may have a
+// violation, and returns the number of states.
+func requireSafe[S any](t *testing.T, explore exploreFunc[S], scenarios []S) int {
 	t.Helper()
 	total := 0
 	for _, scenario := range scenarios {
@@ -32,8 +32,8 @@
 	return total
 }
 
-// requireCaught explores each defect in its scenario, which must break a promise.
-func requireCaught[S any](t *testing.T, explore explorer[S], scenarios []S, name func(S) string, defects []Defect) {
+// requireViolation explores each defect in its scenario, which must cause a violation.
+func requireViolation[S any](t *testing.T, explore exploreFunc[S], scenarios []S, name func(S) string, defects []Defect) {
 	t.Helper()
 	for _, defect := range defects {
 		found := false
@@ -48,7 +48,7 @@
 			}
 			t.Log(result.String())
 			if result.Violation == "" {
-				t.Errorf("%s is not caught", defect.Variant)
+				t.Errorf("variant %q causes no violation", defect.Variant)
 			}
 		}
 		if !found {
@@ -57,18 +57,25 @@
 	}
 }
 
-func TestTakeoverIsSafe(t *testing.T) {
-	if total := requireSafe(t, Takeover, Scenarios(testStates)); total < testStates {
-		t.Errorf("only %d states were explored: the world does not move", total)
+// TestTakeoverExceedsNoLimit guards against more replicas or memory than allowed after any
+// takeover of a zone. It also fails when so few states are reachable that the exploration
+// shows nothing.
+func TestTakeoverExceedsNoLimit(t *testing.T) {
+	if total := requireSafe(t, Takeover, Scenarios(stateBound)); total < stateBound {
+		t.Errorf("only %d states were explored, want at least the bound of one scenario", total)
 	}
 }
 
-func TestBrokenTakeoversAreCaught(t *testing.T) {
-	requireCaught(t, Takeover, Scenarios(40*testStates), func(s Scenario) string { return s.Name }, Defects())
+// TestBrokenTakeoverVariantsCauseViolations guards against checks that cannot fail: each
+// broken variant of the takeover must lead to a violation.
+func TestBrokenTakeoverVariantsCauseViolations(t *testing.T) {
+	requireViolation(t, Takeover, Scenarios(40*stateBound), func(s Scenario) string { return s.Name }, Defects())
 }
 
-func TestExplorationRepeats(t *testing.T) {
-	scenario := Scenarios(testStates)[0]
+// TestExplorationIsDeterministic guards against results and traces that depend on the
+// number of processors or the order of maps.
+func TestExplorationIsDeterministic(t *testing.T) {
+	scenario := Scenarios(stateBound)[0]
 	first, err := Takeover(context.Background(), scenario, VariantNoSealing)
 	if err != nil {
 		t.Fatal(err)
@@ -82,10 +89,14 @@
 	}
 }
 
-func TestEscrowIsSafe(t *testing.T) {
-	requireSafe(t, Escrow, EscrowScenarios(testStates))
+// TestApportioningExceedsNoLimit guards against more replicas than decided over all zones,
+// with several apportioners, takeovers, restarts and zones that leave.
+func TestApportioningExceedsNoLimit(t *testing.T) {
+	requireSafe(t, Escrow, EscrowScenarios(stateBound))
 }
 
-func TestBrokenEscrowsAreCaught(t *testing.T) {
-	requireCaught(t, Escrow, EscrowScenarios(40*testStates), func(s EscrowScenario) string { return s.Name }, EscrowDefects())
+// TestBrokenApportioningVariantsCauseViolations guards against checks that cannot fail:
+// each broken variant of apportioning must lead to a violation.
+func TestBrokenApportioningVariantsCauseViolations(t *testing.T) {
+	requireViolation(t, Escrow, EscrowScenarios(40*stateBound), func(s EscrowScenario) string { return s.Name }, EscrowDefects())
 }
--- a/authority/explore/scenario.go
+++ b/authority/explore/scenario.go
@@ -2,12 +2,11 @@
 
 import "slices"
 
-// unbounded stands for more steps than any run of these scenarios has.
-const unbounded = 1000
+// unboundedDepth exceeds the number of steps of any run of these scenarios.
+const unboundedDepth = 1000
 
-// Scenarios returns the takeovers that are explored in continuous integration.
-// States bounds each: a scenario that has more is explored to the depth that
-// the bound allows.
+// Scenarios returns the takeover scenarios that continuous integration explores. Each is
+// explored breadth first until it has reached the given number of states.
 func Scenarios(states int) []Scenario {
 	scenarios := []Scenario{
 		{Name: "takeover", Controllers: 2, Machines: 2, Limits: []int{1}, Memory: 1, Lapses: 1, Faults: 1},
@@ -23,18 +22,18 @@
 		{Name: "machine leaves", Controllers: 2, Machines: 2, Limits: []int{1}, Memory: 1, Lapses: 2, Leaves: 1},
 	}
 	for i := range scenarios {
-		scenarios[i].Depth, scenarios[i].States = unbounded, states
+		scenarios[i].Depth, scenarios[i].States = unboundedDepth, states
 	}
 	return scenarios
 }
 
-// Defect is a broken world and the scenario in which it must be caught.
+// Defect is a broken variant and the scenario in which it must cause a violation.
 type Defect struct {
 	Variant  Variant
 	Scenario string
 }
 
-// Defects returns the broken worlds of the takeover.
+// Defects returns the broken variants of the takeover.
 func Defects() []Defect {
 	return []Defect{
 		{VariantNoSealing, "takeover"},
@@ -48,26 +47,26 @@
 	}
 }
 
-// EscrowScenarios returns the explorations of apportioning, each bounded to the
-// given number of states.
+// EscrowScenarios returns the scenarios of apportioning, each bounded to the given number
+// of states.
 func EscrowScenarios(states int) []EscrowScenario {
-	one := slices.Clip([]EscrowEdit{{1, []int{0}}, {1, []int{1}}})
-	two := []EscrowEdit{{2, []int{0, 1}}, {2, []int{1, 2}}, {1, []int{0, 2}}}
+	singleMaximum := slices.Clip([]EscrowEdit{{1, []int{0}}, {1, []int{1}}})
+	changingMaximum := []EscrowEdit{{2, []int{0, 1}}, {2, []int{1, 2}}, {1, []int{0, 2}}}
 	scenarios := []EscrowScenario{
-		{Name: "one apportioner", Apportioners: 1, Zones: 2, Settled: true, Edits: one, Takeovers: 1},
-		{Name: "two apportioners", Apportioners: 2, Zones: 2, Edits: one, Takeovers: 1},
-		{Name: "edited back", Apportioners: 2, Zones: 2, Settled: true, Edits: append(one, one[0])},
-		{Name: "three zones", Apportioners: 2, Zones: 3, Settled: true, Edits: two},
-		{Name: "there and back", Apportioners: 2, Zones: 2, Settled: true, Edits: append(one, one[0], one[1]), Takeovers: 1, Restarts: 1},
+		{Name: "one apportioner", Apportioners: 1, Zones: 2, Settled: true, Edits: singleMaximum, Takeovers: 1},
+		{Name: "two apportioners", Apportioners: 2, Zones: 2, Edits: singleMaximum, Takeovers: 1},
+		{Name: "edited back", Apportioners: 2, Zones: 2, Settled: true, Edits: append(singleMaximum, singleMaximum[0])},
+		{Name: "three zones", Apportioners: 2, Zones: 3, Settled: true, Edits: changingMaximum},
+		{Name: "there and back", Apportioners: 2, Zones: 2, Settled: true, Edits: append(singleMaximum, singleMaximum[0], singleMaximum[1]), Takeovers: 1, Restarts: 1},
 		{Name: "a zone goes", Apportioners: 1, Zones: 2, Settled: true, Edits: []EscrowEdit{{1, []int{0, 1}}}, Leaves: 1, Lapses: 2, Restarts: 1},
 	}
 	for i := range scenarios {
-		scenarios[i].Depth, scenarios[i].States = unbounded, states
+		scenarios[i].Depth, scenarios[i].States = unboundedDepth, states
 	}
 	return scenarios
 }
 
-// EscrowDefects returns the broken worlds of apportioning.
+// EscrowDefects returns the broken variants of apportioning.
 func EscrowDefects() []Defect {
 	return []Defect{
 		{VariantNoEscrow, "one apportioner"},
--- a/authority/explore/search.go
+++ b/authority/explore/search.go
@@ -14,27 +14,27 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Scenario is the size of a takeover exploration.
+// Scenario is the size of an exploration of takeovers.
 type Scenario struct {
 	Name        string
 	Controllers int
 	Machines    int
-	// Joining machines are not there at first.
+	// Joining is the number of machines that do not exist at first and may join.
 	Joining int
 	// Limits are the decided replica counts of the models.
 	Limits []int
-	// Memory of a machine in replicas.
+	// Memory is a machine's memory in replicas.
 	Memory int64
-	// KeepTokens: engines keep their token through restarts.
+	// KeepTokens is true when engines keep their token across restarts.
 	KeepTokens bool
-	// Depth bounds the steps of a run; States the states explored, zero for no
+	// Depth bounds the steps of a run, States the explored states; zero States means no
 	// bound.
 	Depth, States int
-	// The rest bounds what may happen in one run.
+	// How often each event may happen in one run.
 	Lapses, Faults, EngineRestarts, NodeRestarts, Outages, Leaves, Unloads int
 }
 
-// listsChange reports whether machines come and go.
+// listsChange reports whether machines join or leave.
 func (s *Scenario) listsChange() bool { return s.Joining > 0 || s.Leaves > 0 }
 
 func (s *Scenario) models() []cluster.ModelID {
@@ -49,12 +49,15 @@
 type Result struct {
 	Name    string
 	Variant Variant
-	// States that differ, and Transitions between them.
+	// States is the number of distinct states, Transitions the number of steps between
+	// states.
 	States, Transitions int
-	// Depth reached, and Complete when no state within the depth was left out.
+	// Depth is the depth reached. Complete is true when no state within that depth was
+	// left out.
 	Depth    int
 	Complete bool
-	// Violation is empty when every state is safe; Trace then leads to it.
+	// Violation is empty when every state is safe. Otherwise Trace has the steps that lead
+	// to it.
 	Violation string
 	Trace     []string
 	Elapsed   time.Duration
@@ -74,74 +77,76 @@
 		r.Name, r.Variant, r.States, r.Transitions, r.Depth, bound, verdict)
 }
 
-// search explores one scenario in one variant.
-type search struct {
+// takeoverSearch explores one scenario in one variant.
+type takeoverSearch struct {
 	scenario Scenario
 	variant  Variant
 }
 
-// Takeover explores a scenario breadth first until a violation, the depth or
-// the bound of states. The result does not depend on the number of processors.
+// Takeover explores a scenario breadth first until a violation, the depth or the bound on
+// states. The result does not depend on the number of processors.
 func Takeover(ctx context.Context, scenario Scenario, variant Variant) (Result, error) {
-	s := &search{scenario: scenario, variant: variant}
+	s := &takeoverSearch{scenario: scenario, variant: variant}
 	name := scenario.Name
-	return explore(ctx, Result{Name: name, Variant: variant}, scenario.Depth, scenario.States, s.initial(), model[*world]{
-		key:        (*world).key,
-		successors: s.successors,
-		check:      s.check,
+	return searchBreadthFirst(ctx, Result{Name: name, Variant: variant}, scenario.Depth, scenario.States, s.initialState(), stateSpace[*takeoverState]{
+		appendKey:     (*takeoverState).appendKey,
+		successors:    s.successors,
+		findViolation: s.findViolation,
 	})
 }
 
-func (s *search) newNode(i int) node {
-	return node{core: authority.NewController(authority.ControllerConfig{
-		Zone: zoneName, Node: cluster.NodeID(fmt.Sprintf("n%d", i)),
-		AcquireInterval: timerTime, AcquireRetry: timerTime, InventoryInterval: 1000 * lapseTime, BusyInventoryInterval: timerTime,
-		CallTimeout: 1000 * lapseTime, RetryMin: timerTime, RetryMax: timerTime, MachineLag: machineLag,
+func (s *takeoverSearch) newController(i int) controllerState {
+	return controllerState{core: authority.NewController(authority.ControllerConfig{
+		Zone: takeoverZone, Node: cluster.NodeID(fmt.Sprintf("n%d", i)),
+		AcquireInterval: timerDuration, AcquireRetry: timerDuration, InventoryInterval: 1000 * lapseDuration, BusyInventoryInterval: timerDuration,
+		CallTimeout: 1000 * lapseDuration, RetryMin: timerDuration, RetryMax: timerDuration, MachineLag: machineLag,
 	})}
 }
 
-// initial is a settled cell: n0 holds the lease and has sealed every machine.
-func (s *search) initial() *world {
-	w := &world{now: worldStart, kv: keyValue{holder: noNode, revision: 1}}
-	w.left = budget{
+// initialState returns a state in which controller 0 holds the lease and has sealed every
+// machine.
+func (s *takeoverSearch) initialState() *takeoverState {
+	state := &takeoverState{now: startTime, kv: keyValueState{holder: noHolder, revision: 1}}
+	state.eventsLeft = eventBudget{
 		lapses: s.scenario.Lapses, faults: s.scenario.Faults, engineRestarts: s.scenario.EngineRestarts,
 		nodeRestarts: s.scenario.NodeRestarts, outages: s.scenario.Outages, joins: s.scenario.Joining,
 		leaves: s.scenario.Leaves, unloads: s.scenario.Unloads,
 	}
-	w.kv.allotment = cluster.Allotment{Zone: zoneName, Revision: 1}
+	state.kv.allotment = cluster.Allotment{Zone: takeoverZone, Revision: 1}
 	for i := range s.scenario.Machines + s.scenario.Joining {
 		present := i < s.scenario.Machines
 		engine := engineState{id: cluster.MachineID(fmt.Sprintf("m%d", i)), gone: !present}
 		if present {
 			engine.epoch = 1
-			w.kv.allotment.Machines = append(w.kv.allotment.Machines, engine.id)
+			state.kv.allotment.Machines = append(state.kv.allotment.Machines, engine.id)
 		}
-		w.engines = append(w.engines, engine)
-		w.members = append(w.members, present)
+		state.engines = append(state.engines, engine)
+		state.isListed = append(state.isListed, present)
 	}
 	for i, model := range s.scenario.models() {
-		w.kv.allotment.Models = append(w.kv.allotment.Models,
+		state.kv.allotment.Models = append(state.kv.allotment.Models,
 			cluster.ModelAllotment{Model: model, MaxReplicas: s.scenario.Limits[i]})
 	}
 	for i := range s.scenario.Controllers {
-		w.nodes = append(w.nodes, s.newNode(i))
-		s.readList(w, i)
+		state.controllers = append(state.controllers, s.newController(i))
+		s.readMachineList(state, i)
 	}
-	s.acquire(w, 0, false)
-	for len(w.calls) > 0 {
-		sent := w.calls[0]
-		w.calls = slices.Delete(w.calls, 0, 1)
-		s.tell(w, 0, s.deliver(w, &sent))
+	s.acquireLease(state, 0, false)
+	for len(state.calls) > 0 {
+		sent := state.calls[0]
+		state.calls = slices.Delete(state.calls, 0, 1)
+		s.stepController(state, 0, s.deliverCall(state, &sent))
 	}
-	return w
+	return state
 }
 
-// check returns the violation in a state, empty when there is none.
-func (s *search) check(w *world) string {
+// findViolation returns a description of the violation in a state, empty when there is
+// none.
+func (s *takeoverSearch) findViolation(state *takeoverState) string {
 	for i, model := range s.scenario.models() {
 		count := 0
-		for e := range w.engines {
-			if w.engines[e].position(model) >= 0 {
+		for e := range state.engines {
+			if state.engines[e].replicaIndex(model) >= 0 {
 				count++
 			}
 		}
@@ -149,61 +154,61 @@
 			return fmt.Sprintf("%d replicas of %s, decided %d", count, model, s.scenario.Limits[i])
 		}
 	}
-	for e := range w.engines {
-		if used := w.engines[e].usedBytes(); used > s.scenario.Memory {
-			return fmt.Sprintf("%d of %d bytes in use on %s", used, s.scenario.Memory, w.engines[e].id)
+	for e := range state.engines {
+		if used := state.engines[e].usedBytes(); used > s.scenario.Memory {
+			return fmt.Sprintf("%d of %d bytes in use on %s", used, s.scenario.Memory, state.engines[e].id)
 		}
 	}
 	return ""
 }
 
-// model is what explore needs of a kind of state.
-type model[S any] struct {
-	key        func(S, []byte) []byte
-	successors func(S, func(label string, next S))
-	check      func(S) string
+// stateSpace has the functions that searchBreadthFirst needs for a type of state.
+type stateSpace[S any] struct {
+	appendKey     func(S, []byte) []byte
+	successors    func(S, func(label string, next S))
+	findViolation func(S) string
 }
 
-// origin says how a state was first reached.
-type origin struct {
+// arrival is the step by which a state was first reached.
+type arrival struct {
 	parent int32
-	label  string
+	step   string
 }
 
-// candidate is a successor that was not known when it was made.
-type candidate[S any] struct {
+// successor is a state that was not known when its predecessor's level was expanded.
+type successor[S any] struct {
 	hash   uint64
 	state  S
 	parent int32
-	label  string
+	step   string
 }
 
-// explore is a breadth-first search by levels. Levels are expanded in parallel
-// and merged in order. States are compared by a 64-bit hash: at n states the
-// chance that any two different ones are taken as equal is about n²/2⁶⁵.
-func explore[S any](ctx context.Context, result Result, depth, bound int, initial S, m model[S]) (Result, error) {
-	begin := time.Now()
-	seen := map[uint64]struct{}{xxhash.Sum64(m.key(initial, nil)): {}}
-	origins := []origin{{parent: -1}}
-	level := []candidate[S]{{state: initial, parent: 0}}
+// searchBreadthFirst searches level by level. The states of a level are expanded in
+// parallel and merged in order. States are compared by a 64-bit hash: with n states, the
+// probability that any two different states collide is about n²/2⁶⁵.
+func searchBreadthFirst[S any](ctx context.Context, result Result, depth, bound int, initial S, m stateSpace[S]) (Result, error) {
+	started := time.Now()
+	seen := map[uint64]struct{}{xxhash.Sum64(m.appendKey(initial, nil)): {}}
+	origins := []arrival{{parent: -1}}
+	level := []successor[S]{{state: initial, parent: 0}}
 	result.States, result.Complete = 1, true
 	for result.Depth < depth && len(level) > 0 {
 		if err := ctx.Err(); err != nil {
 			return result, err
 		}
 		result.Depth++
-		var next []candidate[S]
-		for _, part := range expand(level, seen, m, &result.Transitions) {
-			for _, found := range part {
+		var next []successor[S]
+		for _, successors := range expandLevel(level, seen, m, &result.Transitions) {
+			for _, found := range successors {
 				if _, known := seen[found.hash]; known {
 					continue
 				}
 				seen[found.hash] = struct{}{}
-				origins = append(origins, origin{parent: found.parent, label: found.label})
+				origins = append(origins, arrival{parent: found.parent, step: found.step})
 				result.States++
-				if violation := m.check(found.state); violation != "" {
-					result.Violation, result.Trace = violation, trace(origins)
-					result.Elapsed = time.Since(begin)
+				if violation := m.findViolation(found.state); violation != "" {
+					result.Violation, result.Trace = violation, traceToLast(origins)
+					result.Elapsed = time.Since(started)
 					return result, nil
 				}
 				found.parent = int32(len(origins) - 1)
@@ -216,14 +221,14 @@
 			break
 		}
 	}
-	result.Elapsed = time.Since(begin)
+	result.Elapsed = time.Since(started)
 	return result, nil
 }
 
-// expand returns the successors of each part of a level, in order.
-func expand[S any](level []candidate[S], seen map[uint64]struct{}, m model[S], transitions *int) [][]candidate[S] {
+// expandLevel returns the successors of each part of a level, in order.
+func expandLevel[S any](level []successor[S], seen map[uint64]struct{}, m stateSpace[S], transitions *int) [][]successor[S] {
 	parts := min(len(level), 4*runtime.GOMAXPROCS(0))
-	found := make([][]candidate[S], parts)
+	found := make([][]successor[S], parts)
 	counts := make([]int, parts)
 	var group sync.WaitGroup
 	for part := range parts {
@@ -232,11 +237,11 @@
 			local := make(map[uint64]struct{})
 			var buffer []byte
 			for position := range level[from:to] {
-				state := level[from+position]
+				predecessor := level[from+position]
 				level[from+position].state = *new(S) // not needed again
-				m.successors(state.state, func(label string, next S) {
+				m.successors(predecessor.state, func(step string, next S) {
 					counts[part]++
-					buffer = m.key(next, buffer[:0])
+					buffer = m.appendKey(next, buffer[:0])
 					hash := xxhash.Sum64(buffer)
 					if _, known := seen[hash]; known {
 						return
@@ -245,7 +250,7 @@
 						return
 					}
 					local[hash] = struct{}{}
-					found[part] = append(found[part], candidate[S]{hash: hash, state: next, parent: state.parent, label: label})
+					found[part] = append(found[part], successor[S]{hash: hash, state: next, parent: predecessor.parent, step: step})
 				})
 			}
 		})
@@ -257,11 +262,11 @@
 	return found
 }
 
-// trace returns the steps to the last state.
-func trace(origins []origin) []string {
+// traceToLast returns the steps that lead to the last state.
+func traceToLast(origins []arrival) []string {
 	var steps []string
 	for i := int32(len(origins) - 1); i > 0; i = origins[i].parent {
-		steps = append(steps, origins[i].label)
+		steps = append(steps, origins[i].step)
 	}
 	slices.Reverse(steps)
 	return steps
--- a/authority/explore/variant.go
+++ b/authority/explore/variant.go
@@ -7,71 +7,72 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Variant is a deliberately broken world around the unchanged cores.
+// Variant is a deliberately broken environment of the unchanged code under test.
 type Variant string
 
-// The variants. VariantNone is the world as it should be.
+// The variants. VariantNone is the correct environment.
 const (
 	VariantNone Variant = "none"
-	// VariantNoSealing: engines answer seals but follow any token.
+	// VariantNoSealing: engines answer seals but accept orders with any token.
 	VariantNoSealing Variant = "no sealing"
-	// VariantTrustLostAnswers: an order without answer is taken as not run.
+	// VariantTrustLostAnswers: the controller takes an order without an answer as refused.
 	VariantTrustLostAnswers Variant = "trusting lost answers"
-	// VariantNoReservation: an order counts as done as soon as it is sent, so
-	// its memory and count are not reserved.
+	// VariantNoReservation: an order counts as settled as soon as it is sent, so its
+	// memory and replica are not reserved.
 	VariantNoReservation Variant = "no reservation"
-	// VariantFreshEngines: a restarted engine accepts any order, whatever its
-	// token and the run it is meant for.
+	// VariantFreshEngines: a restarted engine accepts any order, whatever the order's
+	// token and the run that it is meant for.
 	VariantFreshEngines Variant = "fresh engines accept orders"
-	// VariantAssumeSealed: a controller is told that all machines are sealed
-	// and empty without asking them.
+	// VariantAssumeSealed: the controller is told that every machine is sealed and empty,
+	// without a call to the machine.
 	VariantAssumeSealed Variant = "assumed seals"
-	// VariantListedOnly: records name only the machines that their reader has
-	// listed, so others are overlooked.
+	// VariantListedOnly: the controller's allotment lacks the machines that are not in the
+	// machine list that it has read.
 	VariantListedOnly Variant = "listed machines only"
-	// VariantEndlessLease: a controller never doubts its lease, so answers to
-	// seals count and records come into use however late.
+	// VariantEndlessLease: a controller always takes its lease as certain, so answers to
+	// seals count and allotments come into use however late.
 	VariantEndlessLease Variant = "endless lease"
 	// VariantNoEscrow: the apportioner takes lowered counts as confirmed.
 	VariantNoEscrow Variant = "no escrow"
-	// VariantNoGuard: apportionings don't compare the guard record.
+	// VariantNoGuard: transactions of apportioners don't compare the guard key.
 	VariantNoGuard Variant = "no guard"
 )
 
-// ignoresTokens reports whether engines accept orders of any token.
+// ignoresTokens reports whether engines accept orders with any token.
 func (v Variant) ignoresTokens() bool { return v == VariantNoSealing }
 
-// lost returns what the controller is told of a call without answer.
-func (s *search) lost(w *world, c *call) authority.Event {
-	id := w.engines[c.machine].id
+// lostCallEvent returns the event that tells the controller of a call without an answer.
+func (s *takeoverSearch) lostCallEvent(state *takeoverState, c *call) authority.Event {
+	id := state.engines[c.machine].id
 	if s.variant == VariantTrustLostAnswers && c.kind == callOrder {
 		return authority.OrderRefused{Machine: id, Order: c.order.ID}
 	}
 	return authority.EngineUnreachable{Machine: id}
 }
 
-// afterSend lets a broken world misinform the controller once a call is sent.
-func (s *search) afterSend(w *world, c *call) {
-	core := w.own(c.controller)
-	engine := &w.engines[c.machine]
+// misinformController gives the controller the false information of a broken variant after
+// a call was sent.
+func (s *takeoverSearch) misinformController(state *takeoverState, c *call) {
+	core := state.ownCore(c.controller)
+	engine := &state.engines[c.machine]
 	switch {
 	case s.variant == VariantNoReservation && c.kind == callOrder:
-		core.Step(w.now, authority.OrderRefused{Machine: engine.id, Order: c.order.ID})
+		core.Step(state.now, authority.OrderRefused{Machine: engine.id, Order: c.order.ID})
 	case s.variant == VariantAssumeSealed && c.kind == callSeal:
 		inventory := cluster.Inventory{Machine: engine.id, Token: c.token, Epoch: engine.epoch, MemoryBytes: s.scenario.Memory}
-		core.Step(w.now, authority.Sealed{Inventory: inventory})
+		core.Step(state.now, authority.Sealed{Inventory: inventory})
 	}
 }
 
-// record is the allotment as the controller reads it.
-func (s *search) record(w *world, controller int) cluster.Allotment {
-	allotment := w.kv.allotment
+// allotmentAsRead returns the allotment as the controller reads it.
+func (s *takeoverSearch) allotmentAsRead(state *takeoverState, controller int) cluster.Allotment {
+	allotment := state.kv.allotment
 	if s.variant != VariantListedOnly {
 		return allotment
 	}
 	var listed []cluster.MachineID
 	for _, id := range allotment.Machines {
-		if _, ok := w.nodes[controller].core.Machine(id); ok {
+		if _, ok := state.controllers[controller].core.Machine(id); ok {
 			listed = append(listed, id)
 		}
 	}
@@ -79,10 +80,10 @@
 	return allotment
 }
 
-// leaseSentAt is the time from which the controller counts its lease.
-func (s *search) leaseSentAt(w *world) time.Time {
+// leaseStart returns the time from which the controller counts its lease.
+func (s *takeoverSearch) leaseStart(state *takeoverState) time.Time {
 	if s.variant == VariantEndlessLease {
-		return w.kv.sentAt.AddDate(1, 0, 0)
+		return state.kv.sentAt.AddDate(1, 0, 0)
 	}
-	return w.kv.sentAt
+	return state.kv.sentAt
 }
