--- a/eventlog/events.go
+++ b/eventlog/events.go
@@ -6,10 +6,10 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Documented is an event that says what it means.
+// Documented is an event with a description for operators.
 type Documented interface {
 	Event
-	// Meaning is one sentence for operators.
+	// Meaning returns the description, one sentence.
 	Meaning() string
 }
 
@@ -24,8 +24,9 @@
 	}
 }
 
-// PoisonJudged is written when this node learns something new of a request that was at
-// machines when they ended, from its own attempts or by adding up what nodes told.
+// PoisonJudged is written when this node's record changes for a request whose machines
+// terminated while they ran it. The change comes from the node's own attempts or from the
+// sum of the reports of all nodes.
 type PoisonJudged struct {
 	Content  string `log:"content" doc:"fingerprint of what the request asks for"`
 	Outcome  string `log:"outcome" doc:"suspected, convicted (it is refused from now on), or cleared"`
@@ -33,36 +34,37 @@
 	Machines string `log:"machines" doc:"machines that ended while they had it"`
 }
 
-// KeysJudged is written when this node begins or ends to hold that it knows callers' keys
-// well enough to serve those that need one.
+// KeysJudged is written when this node's knowledge of the tenants' API keys becomes too
+// old, or recent enough again, to serve requests that need a key.
 type KeysJudged struct {
 	Proven bool          `log:"proven" doc:"whether requests with a key are sent"`
 	Age    time.Duration `log:"age_ms" doc:"since when the configuration in force is not known to be the newest"`
 	Bound  time.Duration `log:"bound_ms" doc:"the age from which on no request with a key is sent"`
 }
 
-// KeyUndecided is written when a caller is sent back because its key is not known and this
-// node knows too little to say that there is none.
+// KeyUndecided is written when a request is rejected for a later retry because its API key
+// is unknown and this node's knowledge is too old to rule out that the key exists.
 type KeyUndecided struct {
 	Age time.Duration `log:"age_ms" doc:"since when the configuration in force is not known to be the newest"`
 }
 
-// LendingChanged is written when this node begins or ends to lend the tokens of a shard's
-// tenants.
+// LendingChanged is written when this node starts or stops to lend rate-limit tokens to
+// the tenants of a shard.
 type LendingChanged struct {
 	Shard   int           `log:"shard" doc:"number of the shard"`
 	Held    bool          `log:"held" doc:"whether this node lends from now on"`
 	Settled time.Duration `log:"settled_ms" doc:"for how long the lender had not changed before"`
 }
 
-// DispatcherChanged is written when another node is asked at which engines requests are read.
+// DispatcherChanged is written when this node starts to ask another node for the engines
+// at which prompts are read.
 type DispatcherChanged struct {
 	Dispatcher cluster.NodeID `log:"dispatcher" doc:"node that is asked from now on"`
 	Silent     bool           `log:"silent" doc:"whether that is because the one before it did not answer"`
 	InFlight   int            `log:"in_flight" doc:"requests to engines of which it was told"`
 }
 
-// NodeStarted is written once at start.
+// NodeStarted is written once at startup.
 type NodeStarted struct {
 	Zone    cluster.ZoneID `log:"zone" doc:"zone of the node"`
 	Callers string         `log:"callers" doc:"address for callers"`
@@ -70,7 +72,7 @@
 	Version string         `log:"version" doc:"version of the program"`
 }
 
-// StartStage is written when a node that has just started has come that far.
+// StartStage is written when a starting node has reached a stage.
 type StartStage struct {
 	Stage string        `log:"stage" doc:"store read (everything was read once), ready (callers are served)"`
 	After time.Duration `log:"after_ms" doc:"time since the process began to listen"`
@@ -87,19 +89,19 @@
 	Took     time.Duration `log:"took_ms" doc:"time since the stop began"`
 }
 
-// SettingsRead is written at start and at each reload.
+// SettingsRead is written at startup and at each reload of the settings file.
 type SettingsRead struct {
 	Path  string `log:"path" doc:"settings file"`
 	Error string `log:"error,omitempty" doc:"why the settings before it stay in force"`
 }
 
-// PauseNoticed is written when the process finds that it stood still.
+// PauseNoticed is written when the process detects that it was not running for a while.
 type PauseNoticed struct {
 	Pause time.Duration `log:"pause_ms" doc:"how long the process stood still"`
 }
 
 // RequestRefused is written when a request is refused before it is accepted: there is no
-// configuration or no such route, or its body did not come whole.
+// configuration or no matching route, or its body is incomplete.
 type RequestRefused struct {
 	Request cluster.RequestID `log:"request,omitempty" doc:"request id, if the caller named one"`
 	Status  int               `log:"status" doc:"status that the caller got"`
@@ -123,7 +125,7 @@
 	Longest  time.Duration     `log:"longest_pause_ms,omitempty" doc:"longest time between two events of the stream that is in time"`
 }
 
-// RequestSent is written for each dispatch.
+// RequestSent is written for each attempt, when the request is sent to a machine.
 type RequestSent struct {
 	Request    cluster.RequestID `log:"request" doc:"request id"`
 	Attempt    cluster.Attempt   `log:"attempt" doc:"number of the dispatch, from 1"`
@@ -143,8 +145,7 @@
 	After      string            `log:"after,omitempty" doc:"event after which a stream is continued"`
 }
 
-// AttemptEnded is written when a dispatch has ended otherwise than by a whole
-// answer.
+// AttemptEnded is written when an attempt has ended without a complete answer.
 type AttemptEnded struct {
 	Request cluster.RequestID `log:"request" doc:"request id"`
 	Attempt cluster.Attempt   `log:"attempt" doc:"number of the dispatch"`
@@ -158,9 +159,9 @@
 	Cause   string            `log:"cause,omitempty" doc:"the error"`
 }
 
-// AttemptSilent is written when the machine of a dispatch has sent nothing for longer than
-// is usual, once for each silence. The dispatch goes on unless an attempt_ended follows, by
-// which another machine takes the request.
+// AttemptSilent is written when the machine of an attempt has sent nothing for longer than
+// usual, once for each such period. The attempt continues unless attempt_ended follows,
+// after which the request is sent to another machine.
 type AttemptSilent struct {
 	Request cluster.RequestID `log:"request" doc:"request id"`
 	Attempt cluster.Attempt   `log:"attempt" doc:"number of the dispatch"`
@@ -168,7 +169,7 @@
 	Silent  time.Duration     `log:"silent_ms" doc:"for how long nothing came"`
 }
 
-// RequestEnded is the one end of a request.
+// RequestEnded is written exactly once for each accepted request, when it ends.
 type RequestEnded struct {
 	Request  cluster.RequestID `log:"request" doc:"request id"`
 	Status   int               `log:"status" doc:"status that the caller got, 0 without one"`
@@ -189,7 +190,7 @@
 	Leaving  bool              `log:"leaving,omitempty" doc:"whether the last machine said that it leaves"`
 }
 
-// CallerStalled is written when a caller's connection is ended because nothing more of an
+// CallerStalled is written when a caller's connection is closed because no more of an
 // answer could be written to it.
 type CallerStalled struct {
 	Caller  string        `log:"caller" doc:"address of the caller"`
@@ -199,7 +200,7 @@
 	Kept    int64         `log:"kept_bytes" doc:"bytes that the node kept for all requests and answers then"`
 }
 
-// ConfigurationInForce is written when a configuration was put in force.
+// ConfigurationInForce is written when a configuration has come into force.
 type ConfigurationInForce struct {
 	Version  int64         `log:"config" doc:"version"`
 	Routes   int           `log:"routes" doc:"number of routes"`
@@ -207,14 +208,14 @@
 	Took     time.Duration `log:"took_ms" doc:"time to compile it"`
 }
 
-// ConfigurationRejected is written when a configuration can't be put in force;
-// the one before it stays.
+// ConfigurationRejected is written when a configuration is invalid; the one before it
+// stays in force.
 type ConfigurationRejected struct {
 	Revision int64  `log:"revision" doc:"revision of the store"`
 	Cause    string `log:"cause" doc:"key and reason"`
 }
 
-// WorkerChanged is written when a worker's entry is new or says something new.
+// WorkerChanged is written when a worker's registry entry is new or has changed.
 type WorkerChanged struct {
 	Machine  cluster.MachineID `log:"machine" doc:"worker"`
 	Service  string            `log:"service" doc:"its service"`
@@ -224,7 +225,7 @@
 	Revision int64             `log:"revision" doc:"revision of the store"`
 }
 
-// WorkerUnreadable is written when a worker's entry can't be read.
+// WorkerUnreadable is written when a worker's registry entry can't be parsed.
 type WorkerUnreadable struct {
 	Machine  cluster.MachineID `log:"machine" doc:"worker"`
 	Revision int64             `log:"revision" doc:"revision of the store"`
@@ -232,22 +233,23 @@
 	Cause    string            `log:"cause" doc:"why it can't be read"`
 }
 
-// WorkerRestarted is written when a worker's entry is that of a later start under the same id.
+// WorkerRestarted is written when a worker's registry entry belongs to a later start under
+// the same ID.
 type WorkerRestarted struct {
 	Machine  cluster.MachineID `log:"machine" doc:"the later start"`
 	Before   cluster.MachineID `log:"before" doc:"the start that has ended, of which nothing known counts for the later one"`
 	Revision int64             `log:"revision" doc:"revision of the store"`
 }
 
-// WorkerGone is written when a worker's entry is gone, or another worker answers
-// at its address.
+// WorkerGone is written when a worker's registry entry was deleted, or when another worker
+// answers at its address.
 type WorkerGone struct {
 	Machine cluster.MachineID `log:"machine" doc:"worker"`
 	Cause   string            `log:"cause" doc:"how the node learned it"`
 }
 
-// WorkerLimited is written when a worker names how many requests a second it takes from all nodes
-// together, names another number, or no longer does.
+// WorkerLimited is written when a worker sets, changes or removes its limit on the
+// requests per second from all nodes together.
 type WorkerLimited struct {
 	Machine cluster.MachineID `log:"machine" doc:"worker"`
 	Limited bool              `log:"limited" doc:"whether it names a limit"`
@@ -256,22 +258,22 @@
 	Request cluster.RequestID `log:"request,omitempty" doc:"request whose answer said so, at this node"`
 }
 
-// WorkerLeaving is written when an answer is the first to say that its worker leaves.
+// WorkerLeaving is written for the first answer that says that its worker is leaving.
 type WorkerLeaving struct {
 	Machine cluster.MachineID `log:"machine" doc:"worker, which gets no new requests from now on"`
 	Request cluster.RequestID `log:"request" doc:"request whose answer said so"`
 }
 
-// WorkerRests is written when a worker that turned a request away wants nothing from this node for
-// a time.
+// WorkerRests is written when a worker that rejected a request asks this node to send
+// nothing for a time.
 type WorkerRests struct {
 	Machine cluster.MachineID `log:"machine" doc:"worker"`
 	Request cluster.RequestID `log:"request" doc:"request whose answer said so"`
 	Rest    time.Duration     `log:"rest_ms" doc:"for how long it gets nothing"`
 }
 
-// TurnDecided is written when this node was given, or not given, a turn to send a worker with a
-// limit a request.
+// TurnDecided is written when this node's request for a turn at a worker with a limit was
+// granted or denied. A turn allows one request.
 type TurnDecided struct {
 	Machine cluster.MachineID `log:"machine" doc:"worker"`
 	Granted bool              `log:"granted" doc:"whether one request may be sent"`
@@ -279,25 +281,27 @@
 	By      cluster.NodeID    `log:"by" doc:"node that decided"`
 }
 
-// NodesChanged is written when the number of live nodes changed.
+// NodesChanged is written when the number of live nodes has changed.
 type NodesChanged struct {
 	Nodes int `log:"nodes" doc:"live nodes, this one included"`
 }
 
-// FeedChanged is written when the node learns of the store's changes from elsewhere.
+// FeedChanged is written when this node switches to another source of the store's changes.
 type FeedChanged struct {
 	Source string        `log:"source" doc:"store or peer, and whether the node relays"`
 	Silent time.Duration `log:"silent_ms" doc:"how long no relay was heard of"`
 }
 
-// StarterChosen is written when a node that starts claims to read everything for its zone.
+// StarterChosen is written when a starting node claims the role of reading the whole store
+// for its zone.
 type StarterChosen struct {
 	Starter  cluster.NodeID `log:"starter" doc:"node that reads everything for those that start after it"`
 	Own      bool           `log:"own" doc:"whether it is this node"`
 	Revision int64          `log:"revision" doc:"revision of the record that says so"`
 }
 
-// SnapshotTaken is written when a node that starts has learned everything from another one.
+// SnapshotTaken is written when a starting node has received a snapshot of the store from
+// another node.
 type SnapshotTaken struct {
 	From     cluster.NodeID `log:"from" doc:"node that sent it"`
 	Revision int64          `log:"revision" doc:"revision of the store up to which the node knows everything"`
@@ -305,8 +309,8 @@
 	Took     time.Duration  `log:"took_ms" doc:"how long ago the node began to look for it"`
 }
 
-// KnowledgeOld is written when what the node knows of the store becomes old: configuration,
-// workers and nodes.
+// KnowledgeOld is written when this node's copy of the store (configuration, workers and
+// nodes) becomes out of date.
 type KnowledgeOld struct {
 	Age      time.Duration `log:"age_ms" doc:"how long ago the store was read by whoever told of it"`
 	Source   string        `log:"source" doc:"from where changes are learned"`
@@ -315,14 +319,14 @@
 	Lost     string        `log:"lost,omitempty" doc:"why the node's own calls to the store fail"`
 }
 
-// KnowledgeNew is written when it is new again.
+// KnowledgeNew is written when this node's copy of the store is up to date again.
 type KnowledgeNew struct {
 	After    time.Duration `log:"after_ms" doc:"since when no reading of the store was known"`
 	Source   string        `log:"source" doc:"from where it was learned"`
 	Revision int64         `log:"revision" doc:"the store's revision up to which the node knows everything"`
 }
 
-// StoreCalls is written for a span in which the node called the store.
+// StoreCalls is written for each period in which this node called the store.
 type StoreCalls struct {
 	Span     time.Duration `log:"span_ms" doc:"time that the counts are of"`
 	Source   string        `log:"source" doc:"from where changes are learned at its end"`
@@ -336,7 +340,8 @@
 	Failed   int           `log:"failed" doc:"those of the calls that failed"`
 }
 
-// StoreCallSlow is written when a call to the store by which a node follows it took long.
+// StoreCallSlow is written when a call by which this node follows the store's changes took
+// long.
 type StoreCallSlow struct {
 	Call   string        `log:"call" doc:"the kind of call"`
 	Took   time.Duration `log:"took_ms" doc:"from its beginning to the end of its answer"`
@@ -344,37 +349,37 @@
 	Failed bool          `log:"failed" doc:"whether it brought nothing"`
 }
 
-// CallFailed is written when a call for one of the node's records in the store, or for a
-// worker's report, failed: once for each cause until such a call succeeds.
+// CallFailed is written when a call for one of this node's records in the store, or for a
+// worker's report, has failed: once for each cause until such a call succeeds.
 type CallFailed struct {
 	Call    string            `log:"call" doc:"kind of the call"`
 	Machine cluster.MachineID `log:"machine,omitempty" doc:"worker that was called"`
 	Cause   string            `log:"cause" doc:"the error"`
 }
 
-// RecordUnreadable is written when a record of the nodes in the store can't be read and
-// is passed over.
+// RecordUnreadable is written when a record of the nodes in the store can't be parsed and
+// is ignored.
 type RecordUnreadable struct {
 	Key      string `log:"key" doc:"key in the store"`
 	Revision int64  `log:"revision" doc:"revision of its last change"`
 	Cause    string `log:"cause" doc:"the error"`
 }
 
-// DependencyLost is written when the store or the controller can't be reached, and when
-// the cause is another one than before.
+// DependencyLost is written when the store or the controller becomes unreachable, and when
+// the cause changes.
 type DependencyLost struct {
 	Name  string `log:"name" doc:"what was lost"`
 	Cause string `log:"cause" doc:"the error"`
 }
 
-// DependencyBack is written when it can be reached again.
+// DependencyBack is written when the store or the controller is reachable again.
 type DependencyBack struct {
 	Name  string        `log:"name" doc:"what is back"`
 	After time.Duration `log:"after_ms" doc:"how long it was lost"`
 }
 
-// LeaseChanged is written when the holder of the cell's lease changed, as far as
-// this node knows.
+// LeaseChanged is written when, as far as this node knows, the lease of its zone has
+// another holder.
 type LeaseChanged struct {
 	Holder cluster.NodeID       `log:"holder" doc:"node that gives orders, empty for none"`
 	Token  cluster.FencingToken `log:"token" doc:"its fencing token"`
@@ -382,7 +387,7 @@
 	Cause  string               `log:"cause" doc:"what changed"`
 }
 
-// OrderPlanned is written when the placement decided on an order.
+// OrderPlanned is written when the placement has decided on an order.
 type OrderPlanned struct {
 	Machine  cluster.MachineID `log:"machine" doc:"worker"`
 	Order    string            `log:"order" doc:"load or unload"`
@@ -396,8 +401,8 @@
 	Count    int64             `log:"orders" doc:"orders that the worker has taken, as the order expects"`
 }
 
-// LoadDelayed is written when requests wait for a model and the plan gives no
-// order for it, once for each cause.
+// LoadDelayed is written when requests wait for a model and the plan has no order for it,
+// once for each cause.
 type LoadDelayed struct {
 	Work    cluster.ModelID `log:"work" doc:"service, model and adapter"`
 	Cause   string          `log:"cause" doc:"rule that decided"`
@@ -410,14 +415,14 @@
 	Starts  float64         `log:"store_starts" doc:"how many may begin now"`
 }
 
-// StoreCapacityLearned is written when the holder of the lease changes how many loads
-// from the weight store may be under way at once.
+// StoreCapacityLearned is written when the lease holder changes the number of concurrent
+// loads that it allows from the weight store.
 type StoreCapacityLearned struct {
 	Loads  int `log:"loads" doc:"loads at once that the store is believed to bear at full speed"`
 	Before int `log:"before" doc:"the same before"`
 }
 
-// OrderAnswered is written for each answer to an order, and when there is none.
+// OrderAnswered is written for each answer to an order, and when there was no answer.
 type OrderAnswered struct {
 	Machine cluster.MachineID `log:"machine" doc:"worker"`
 	Order   string            `log:"order" doc:"load or unload"`
@@ -426,7 +431,7 @@
 	Took    time.Duration     `log:"took_ms" doc:"time since it was sent"`
 }
 
-// ReplicaChanged is written when the holder learns that a load or unload is done.
+// ReplicaChanged is written when the lease holder learns that a load or unload is done.
 type ReplicaChanged struct {
 	Machine cluster.MachineID `log:"machine" doc:"worker"`
 	Work    cluster.ModelID   `log:"work" doc:"service, model and adapter"`
--- a/eventlog/failures.go
+++ b/eventlog/failures.go
@@ -8,39 +8,39 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// maxFailures bounds what a Failures remembers: more than the 1,600 workers that a node
-// may call. With more it forgets all, which only repeats lines.
-const maxFailures = 4096
+// maxTrackedNames limits the memory of Failures. It exceeds the 1,600 workers that a node
+// may call. Beyond it all entries are discarded, which only causes repeated log lines.
+const maxTrackedNames = 4096
 
-// Failures tells failures that are new from those that go on, so that each cause has one
-// line. It is safe for concurrent use; the zero value is ready.
+// Failures distinguishes new failures from repeated ones, so that each cause is logged
+// once. It is safe for concurrent use; the zero value is ready to use.
 type Failures struct {
-	mutex  sync.Mutex
-	causes map[string]string
+	mutex      sync.Mutex
+	lastCauses map[string]string
 }
 
-// New notes how a call of some name ended and reports whether it failed by another cause
-// than the call of that name before it.
+// New records the result of the call with the given name, and reports whether it failed
+// with another cause than the previous call with that name.
 func (f *Failures) New(name string, err error) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if err == nil {
-		delete(f.causes, name)
+		delete(f.lastCauses, name)
 		return false
 	}
 	cause := CauseOf(err)
-	if known, failed := f.causes[name]; failed && known == cause {
+	if lastCause, failed := f.lastCauses[name]; failed && lastCause == cause {
 		return false
 	}
-	if f.causes == nil || len(f.causes) >= maxFailures {
-		f.causes = make(map[string]string)
+	if f.lastCauses == nil || len(f.lastCauses) >= maxTrackedNames {
+		f.lastCauses = make(map[string]string)
 	}
-	f.causes[name] = cause
+	f.lastCauses[name] = cause
 	return true
 }
 
-// CauseOf is what an error says without the parts that differ from call to call, such as
-// the port that a call was made from; empty for none.
+// CauseOf returns the error's message without the parts that differ between calls, such as
+// the local port of a connection; it is empty for a nil error.
 func CauseOf(err error) string {
 	var failure *verdict.Error
 	var operation *net.OpError
--- a/eventlog/fields.go
+++ b/eventlog/fields.go
@@ -6,27 +6,27 @@
 	"sync"
 )
 
-// The tags of an event's fields: the key, with the option omitempty, and a
-// sentence on the meaning.
+// Struct tags of an event's fields: the key with the option omitempty, and a description
+// for the reference page.
 const (
 	tagKey   = "log"
 	tagDoc   = "doc"
 	omitZero = "omitempty"
 )
 
-// field is one field of an event's struct.
+// field describes one field of an event's struct.
 type field struct {
 	index    int
 	key, doc string
 	omitZero bool
 }
 
-// known caches the fields of each kind of event.
-var known sync.Map
+// fieldCache has the fields of each event type, by reflect.Type.
+var fieldCache sync.Map
 
-// fieldsOf returns the fields of an event's type in their order.
+// fieldsOf returns the fields of an event type in declaration order.
 func fieldsOf(kind reflect.Type) []field {
-	if cached, ok := known.Load(kind); ok {
+	if cached, ok := fieldCache.Load(kind); ok {
 		return cached.([]field)
 	}
 	var fields []field
@@ -34,11 +34,11 @@
 		key, option, _ := strings.Cut(kind.Field(i).Tag.Get(tagKey), ",")
 		fields = append(fields, field{index: i, key: key, doc: kind.Field(i).Tag.Get(tagDoc), omitZero: option == omitZero})
 	}
-	known.Store(kind, fields)
+	fieldCache.Store(kind, fields)
 	return fields
 }
 
-// Reference returns the page on all events, in Markdown.
+// Reference returns the reference page of all events, in Markdown.
 func Reference() string {
 	var page strings.Builder
 	page.WriteString("# Lines of the log\n\nGenerated from package eventlog. Times are in milliseconds.\n")
--- a/eventlog/kinds.go
+++ b/eventlog/kinds.go
@@ -1,6 +1,6 @@
 package eventlog
 
-// Kinds and meanings of the events.
+// Kinds of all events and their descriptions in the reference page.
 
 // Kind implements Event.
 func (NodeStarted) Kind() string { return "node_started" }
--- a/eventlog/log.go
+++ b/eventlog/log.go
@@ -11,68 +11,69 @@
 	"time"
 )
 
-// Defaults of Options.
+// Defaults of Options and the intervals of the writer.
 const (
 	DefaultQueueLength = 2048
-	// DefaultRate is how many lines of one kind are written a second.
+	// DefaultRate is the maximum number of lines of one kind per second.
 	DefaultRate = 400
-	// announceInterval is how often dropped lines are announced.
+	// announceInterval is the interval between announcements of dropped lines.
 	announceInterval = time.Second
-	// gatherTime is for how long lines are gathered before they are written together.
-	// Waking the writer costs more than a line: a small request, which has three, took
-	// 76 us of processor time with a writer woken for each and 9 to 16 us with one woken
-	// for all that come within this time (BenchmarkLogCost). A process that is killed
-	// loses the lines of as long.
-	gatherTime = 10 * time.Millisecond
+	// batchInterval is how long lines are collected before they are written together.
+	// Waking the writer costs more than formatting a line: a small request has three lines
+	// and took 76 us of processor time with one wake-up per line, but 9 to 16 us with one
+	// wake-up per interval (BenchmarkLogCost). A process that is killed loses the lines of
+	// the last interval.
+	batchInterval = 10 * time.Millisecond
 )
 
-// Options bounds a Log; zero fields take the defaults above.
+// Options configures a Log; zero fields take the defaults above.
 type Options struct {
 	QueueLength int
 	Rate        int
-	// Node is written with every line.
+	// Node is the node's ID, written with every line; empty omits it.
 	Node string
 }
 
-// Event is one of the events declared in this package: a struct whose fields
-// carry the name of their key and a sentence on their meaning.
+// Event is one of the events declared in this package: a struct whose fields have their
+// key and their description as tags.
 type Event interface {
-	// Kind names the event; it is the line's message.
+	// Kind returns the name of the event's kind, which is the line's message.
 	Kind() string
 }
 
-// entry is an event with the time it was written.
-type entry struct {
+// queuedEvent is an event and the time at which Write was called.
+type queuedEvent struct {
 	at    time.Time
 	event Event
 }
 
-// Log writes events. It is safe for concurrent use.
+// Log writes events as lines. It is safe for concurrent use.
 type Log struct {
 	handler slog.Handler
-	// output gathers lines before they go to target.
-	output *bufio.Writer
-	target io.Writer
-	rate   int
-	length int
+	// output buffers lines before they are written to target.
+	output      *bufio.Writer
+	target      io.Writer
+	rate        int
+	queueLength int
 
 	mutex sync.Mutex
 	kinds map[string]*kindState
-	// queue holds the events that are not written; wake is told of its first one.
-	queue []entry
-	wake  *time.Timer
+	// queue has the events that are not written yet. The first one starts writeTimer.
+	queue      []queuedEvent
+	writeTimer *time.Timer
 
-	dropped atomic.Uint64
-	done    chan struct{}
-	closing chan struct{}
-	once    sync.Once
+	totalDropped atomic.Uint64
+	done         chan struct{}
+	closing      chan struct{}
+	closeOnce    sync.Once
 }
 
-// kindState counts one kind's lines in the present second.
+// kindState counts the lines of one kind in the current second, and its dropped lines that
+// are not announced yet.
 type kindState struct {
-	second  int64
-	lines   int
-	dropped uint64
+	second           int64
+	linesThisSecond  int
+	unannouncedDrops uint64
 }
 
 // New returns a log that writes to output until Close.
@@ -89,16 +90,16 @@
 		handler = handler.WithAttrs([]slog.Attr{slog.String("node", options.Node)})
 	}
 	log := &Log{
-		handler: handler, output: buffered, target: output, rate: options.Rate, length: options.QueueLength,
+		handler: handler, output: buffered, target: output, rate: options.Rate, queueLength: options.QueueLength,
 		kinds: make(map[string]*kindState), done: make(chan struct{}), closing: make(chan struct{}),
-		wake: time.NewTimer(gatherTime),
+		writeTimer: time.NewTimer(batchInterval),
 	}
-	go log.run()
+	go log.writeLoop()
 	return log
 }
 
-// Write queues an event's line, or drops it when the queue is full or the kind
-// had its lines of this second. A nil log drops everything.
+// Write queues an event's line. It drops the line if the queue is full or the kind has
+// reached its rate for this second. A nil Log drops every line.
 func (l *Log) Write(event Event) {
 	if l == nil {
 		return
@@ -106,18 +107,18 @@
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.kind(event.Kind()).allow(now, l.rate) || len(l.queue) == l.length {
-		l.lose(event.Kind(), 1)
+	if !l.kindStateOf(event.Kind()).allowLine(now, l.rate) || len(l.queue) == l.queueLength {
+		l.countDropped(event.Kind(), 1)
 		return
 	}
-	l.queue = append(l.queue, entry{at: now, event: event})
+	l.queue = append(l.queue, queuedEvent{at: now, event: event})
 	if len(l.queue) == 1 {
-		l.wake.Reset(gatherTime)
+		l.writeTimer.Reset(batchInterval)
 	}
 }
 
-// kind returns the state of a kind. The caller holds the mutex.
-func (l *Log) kind(name string) *kindState {
+// kindStateOf returns the state of a kind. The caller must hold the mutex.
+func (l *Log) kindStateOf(name string) *kindState {
 	state := l.kinds[name]
 	if state == nil {
 		state = &kindState{}
@@ -126,87 +127,89 @@
 	return state
 }
 
-// allow counts a line against its kind's rate.
-func (k *kindState) allow(now time.Time, rate int) bool {
+// allowLine reports whether the kind's rate allows another line in this second, and counts
+// the line if so.
+func (k *kindState) allowLine(now time.Time, rate int) bool {
 	if second := now.Unix(); k.second != second {
-		k.second, k.lines = second, 0
+		k.second, k.linesThisSecond = second, 0
 	}
-	if k.lines >= rate {
+	if k.linesThisSecond >= rate {
 		return false
 	}
-	k.lines++
+	k.linesThisSecond++
 	return true
 }
 
-// Dropped counts all lines dropped so far.
-func (l *Log) Dropped() uint64 { return l.dropped.Load() }
+// Dropped returns the number of all lines dropped so far.
+func (l *Log) Dropped() uint64 { return l.totalDropped.Load() }
 
-// Close writes what is queued, waiting for a bounded time, and ends the log.
+// Close writes the queued lines and stops the log. It returns after wait at the latest.
 func (l *Log) Close(wait time.Duration) {
 	if l == nil {
 		return
 	}
-	l.once.Do(func() { close(l.closing) })
+	l.closeOnce.Do(func() { close(l.closing) })
 	select {
 	case <-l.done:
 	case <-time.After(wait):
 	}
 }
 
-// run writes lines until the log is closed.
-func (l *Log) run() {
+// writeLoop writes queued lines until the log is closed.
+func (l *Log) writeLoop() {
 	defer close(l.done)
-	defer l.wake.Stop()
+	defer l.writeTimer.Stop()
 	announced := time.Now()
-	var spare []entry
+	var reusable []queuedEvent
 	for closing := false; !closing; {
 		select {
-		case <-l.wake.C:
+		case <-l.writeTimer.C:
 		case <-l.closing:
 			closing = true
 		}
-		spare = l.writeAll(spare)
+		reusable = l.writeAll(reusable)
 		if closing || time.Since(announced) >= announceInterval {
 			announced = time.Now()
-			l.announce()
+			l.announceDropped()
 		}
 	}
 }
 
-// flush hands on what was emitted and reports whether the output took it. What it doesn't
-// take, such as a file on a full disk, is lost, and lines are written anew from there: a
-// bufio.Writer refuses everything after its first error.
+// flush writes the buffered lines to the output and reports whether that succeeded. Lines
+// that the output doesn't accept, for example because the disk is full, are lost. The
+// buffer is then reset, because a bufio.Writer returns its first error from every later
+// call.
 func (l *Log) flush() bool {
 	if l.output.Flush() == nil {
 		return true
 	}
 	l.output.Reset(l.target)
-	// The last line may have been cut; the buffer has room for its end.
+	// The last line may be incomplete, so end it; the buffer is empty and has room.
 	_ = l.output.WriteByte('\n')
 	return false
 }
 
-// lose counts a line that was not written. The caller holds the mutex.
-func (l *Log) lose(kind string, count uint64) {
-	l.kind(kind).dropped += count
-	l.dropped.Add(count)
+// countDropped counts dropped lines of a kind. The caller must hold the mutex.
+func (l *Log) countDropped(kind string, count uint64) {
+	l.kindStateOf(kind).unannouncedDrops += count
+	l.totalDropped.Add(count)
 }
 
-// writeAll writes what is queued and leaves an empty queue in the place of it. It returns
-// what may be used as the next one. Of a batch that the output did not take whole all
-// lines count as dropped.
-func (l *Log) writeAll(spare []entry) []entry {
+// writeAll writes the queued events and replaces the queue by an empty one. It returns the
+// slice that can be reused for the next queue. If the output doesn't accept the whole
+// batch, all its lines count as dropped.
+func (l *Log) writeAll(reusable []queuedEvent) []queuedEvent {
 	l.mutex.Lock()
 	batch := l.queue
-	l.queue = spare[:0]
+	l.queue = reusable[:0]
 	l.mutex.Unlock()
 	for i := range batch {
-		l.emit(batch[i])
+		l.formatLine(batch[i])
 	}
 	if len(batch) > 0 && !l.flush() {
 		l.mutex.Lock()
 		for i := range batch {
-			l.lose(batch[i].event.Kind(), 1)
+			l.countDropped(batch[i].event.Kind(), 1)
 		}
 		l.mutex.Unlock()
 	}
@@ -214,49 +217,49 @@
 	return batch
 }
 
-// announce writes how many lines of each kind were dropped since the last time that the
-// output took such lines.
-func (l *Log) announce() {
+// announceDropped writes the number of dropped lines of each kind since the last
+// announcement that the output accepted.
+func (l *Log) announceDropped() {
 	l.mutex.Lock()
-	var lost []LinesDropped
+	var drops []LinesDropped
 	for kind, state := range l.kinds {
-		if state.dropped > 0 {
-			lost = append(lost, LinesDropped{Lines: kind, Count: state.dropped})
+		if state.unannouncedDrops > 0 {
+			drops = append(drops, LinesDropped{Lines: kind, Count: state.unannouncedDrops})
 		}
 	}
 	l.mutex.Unlock()
-	for _, event := range lost {
-		l.emit(entry{at: time.Now(), event: event})
+	for _, event := range drops {
+		l.formatLine(queuedEvent{at: time.Now(), event: event})
 	}
-	if len(lost) == 0 || !l.flush() {
+	if len(drops) == 0 || !l.flush() {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, event := range lost {
-		l.kind(event.Lines).dropped -= event.Count
+	for _, event := range drops {
+		l.kindStateOf(event.Lines).unannouncedDrops -= event.Count
 	}
 }
 
-// emit writes one line.
-func (l *Log) emit(next entry) {
-	record := slog.NewRecord(next.at, slog.LevelInfo, next.event.Kind(), 0)
-	value := reflect.ValueOf(next.event)
+// formatLine formats one line into the buffer.
+func (l *Log) formatLine(queued queuedEvent) {
+	record := slog.NewRecord(queued.at, slog.LevelInfo, queued.event.Kind(), 0)
+	value := reflect.ValueOf(queued.event)
 	for _, field := range fieldsOf(value.Type()) {
-		part := value.Field(field.index)
-		if field.omitZero && part.IsZero() {
+		fieldValue := value.Field(field.index)
+		if field.omitZero && fieldValue.IsZero() {
 			continue
 		}
-		record.AddAttrs(slog.Any(field.key, render(part)))
+		record.AddAttrs(slog.Any(field.key, renderValue(fieldValue)))
 	}
-	// An error of the output comes back from flush.
+	// An error of the output is returned by flush.
 	_ = l.handler.Handle(context.Background(), record)
 }
 
-// render writes durations in milliseconds and everything else as it is.
-func render(part reflect.Value) any {
-	if duration, ok := part.Interface().(time.Duration); ok {
+// renderValue converts durations to milliseconds and returns other values unchanged.
+func renderValue(value reflect.Value) any {
+	if duration, ok := value.Interface().(time.Duration); ok {
 		return float64(duration.Round(100*time.Microsecond)) / float64(time.Millisecond)
 	}
-	return part.Interface()
+	return value.Interface()
 }
--- a/eventlog/log_test.go
+++ b/eventlog/log_test.go
@@ -12,18 +12,18 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedOutput is an output whose Write blocks until it is released.
+type blockedOutput struct{ release chan struct{} }
 
-func (s *stuck) Write(data []byte) (int, error) {
+func (s *blockedOutput) Write(data []byte) (int, error) {
 	<-s.release
 	return len(data), nil
 }
 
-// TestWritingNeverBlocks: with an output that nobody reads, events are counted as
-// dropped and their writers go on.
-func TestWritingNeverBlocks(t *testing.T) {
-	output := &stuck{release: make(chan struct{})}
+// TestWriteDoesNotBlockOnBlockedOutput guards against requests that wait for the log:
+// while the output blocks, events are counted as dropped and Write returns.
+func TestWriteDoesNotBlockOnBlockedOutput(t *testing.T) {
+	output := &blockedOutput{release: make(chan struct{})}
 	log := New(output, Options{QueueLength: 8, Rate: 1 << 20})
 	const events = 5000
 	var writers sync.WaitGroup
@@ -36,15 +36,15 @@
 	}
 	writers.Wait()
 	if log.Dropped() == 0 {
-		t.Fatal("nothing was dropped though nobody reads")
+		t.Fatal("no event was dropped although the output blocks")
 	}
 	close(output.release)
 	log.Close(time.Second)
 }
 
-// TestDropsAreAnnounced: a kind that had its lines of the second loses the rest,
-// which the log says; other kinds are written.
-func TestDropsAreAnnounced(t *testing.T) {
+// TestLinesBeyondRateAreDroppedAndAnnounced guards against one frequent kind of event that
+// displaces all others, and against lines that are lost without a notice.
+func TestLinesBeyondRateAreDroppedAndAnnounced(t *testing.T) {
 	var output bytes.Buffer
 	log := New(&output, Options{Rate: 3})
 	for range 30 {
@@ -54,62 +54,63 @@
 	log.Close(10 * time.Second)
 	text := output.String()
 	if !strings.Contains(text, "msg=lines_dropped lines=request_accepted count=") {
-		t.Errorf("no line on what was dropped:\n%s", text)
+		t.Errorf("no line announces the dropped lines:\n%s", text)
 	}
 	if !strings.Contains(text, "msg=node_stopping in_flight=2") {
 		t.Errorf("another kind was dropped too:\n%s", text)
 	}
 }
 
-// fullDisk is an output that takes nothing while it is full, and half of what is written
-// when it becomes so.
-type fullDisk struct {
-	mutex   sync.Mutex
-	full    bool
-	refused chan struct{}
-	taken   bytes.Buffer
+// fullDiskOutput is an output that accepts nothing while it is full, except for half of
+// the first write.
+type fullDiskOutput struct {
+	mutex        sync.Mutex
+	full         bool
+	firstRefusal chan struct{}
+	written      bytes.Buffer
 }
 
-func (d *fullDisk) Write(data []byte) (int, error) {
+func (d *fullDiskOutput) Write(data []byte) (int, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.full {
-		return d.taken.Write(data)
+		return d.written.Write(data)
 	}
 	half := 0
-	if d.refused != nil {
-		half, _ = d.taken.Write(data[:len(data)/2])
-		close(d.refused)
-		d.refused = nil
+	if d.firstRefusal != nil {
+		half, _ = d.written.Write(data[:len(data)/2])
+		close(d.firstRefusal)
+		d.firstRefusal = nil
 	}
 	return half, syscall.ENOSPC
 }
 
-func (d *fullDisk) free() {
+func (d *fullDiskOutput) setFree() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.full = false
 }
 
-// TestLogOutlivesFullDisk: lines that the output did not take are counted by kind and
-// announced once it takes lines again; later lines are written whole.
+// TestLogOutlivesFullDisk guards against a log that stays silent after a write error.
+// Lines that the output did not accept are counted by kind and announced once it accepts
+// lines again; later lines are written whole.
 func TestLogOutlivesFullDisk(t *testing.T) {
-	refused := make(chan struct{})
-	output := &fullDisk{full: true, refused: refused}
+	firstRefusal := make(chan struct{})
+	output := &fullDiskOutput{full: true, firstRefusal: firstRefusal}
 	log := New(output, Options{})
 	log.Write(RequestAccepted{Request: "lost"})
 	log.Write(RequestAccepted{Request: "lost"})
 	log.Write(NodeStopping{InFlight: 1})
-	<-refused
-	output.free()
+	<-firstRefusal
+	output.setFree()
 	log.Write(RequestEnded{Request: "kept"})
 	log.Close(10 * time.Second)
-	lines := strings.Split(output.taken.String(), "\n")
+	lines := strings.Split(output.written.String(), "\n")
 	for _, want := range []string{
 		"msg=lines_dropped lines=request_accepted count=2", "msg=lines_dropped lines=node_stopping count=1", "msg=request_ended request=kept",
 	} {
 		if !slices.ContainsFunc(lines, func(line string) bool { return strings.HasPrefix(line, "time=") && strings.Contains(line, want) }) {
-			t.Errorf("no whole line %q in:\n%s", want, output.taken.String())
+			t.Errorf("no whole line %q in:\n%s", want, output.written.String())
 		}
 	}
 	if log.Dropped() != 3 {
@@ -117,7 +118,7 @@
 	}
 }
 
-// TestLinesAreKeyValuePairs in a form that tools read.
+// TestLinesAreKeyValuePairs guards against a line format that log tools can't parse.
 func TestLinesAreKeyValuePairs(t *testing.T) {
 	var output bytes.Buffer
 	log := New(&output, Options{Node: "n1"})
@@ -130,18 +131,19 @@
 		}
 	}
 	if strings.Contains(line, "retry_after_ms") {
-		t.Errorf("line %q has a field that is not stated", line)
+		t.Errorf("line %q has a field with a zero value", line)
 	}
 }
 
-// TestReference holds the page on all events to the events.
-func TestReference(t *testing.T) {
+// TestReferenceMatchesGeneratedPage guards against a reference page that is out of date.
+func TestReferenceMatchesGeneratedPage(t *testing.T) {
 	goldie.New(t, goldie.WithFixtureDir("../docs/operations"), goldie.WithNameSuffix(".md")).
 		Assert(t, "log-events", []byte(Reference()))
 }
 
-// TestEveryFieldIsDocumented.
-func TestEveryFieldIsDocumented(t *testing.T) {
+// TestEveryEventHasKindAndMeaning guards against events that the reference page would show
+// without a name or a description.
+func TestEveryEventHasKindAndMeaning(t *testing.T) {
 	for _, event := range All() {
 		if event.Kind() == "" || event.Meaning() == "" {
 			t.Errorf("%T has no kind or meaning", event)
