--- a/authority/apportion.go
+++ b/authority/apportion.go
@@ -68,7 +68,7 @@
 	GuardRevision int64
 }
 
-// ZoneView is what is known of one zone.
+// ZoneView is the stored record and the last report of one zone.
 type ZoneView struct {
 	Zone cluster.ZoneID
 	// Allotment is the stored record; its Revision is zero when there is none.
--- a/authority/explore/apportion_state.go
+++ b/authority/explore/apportion_state.go
@@ -30,7 +30,8 @@
 	Takeovers, Leaves, Lapses, Restarts int
 }
 
-// EscrowEdit is one revision of the settings.
+// EscrowEdit is one revision of the settings: the model's replica limit and the zones that
+// may hold it.
 type EscrowEdit struct {
 	Maximum int
 	Zones   []int
--- a/authority/record.go
+++ b/authority/record.go
@@ -124,8 +124,8 @@
 	return allotment, nil
 }
 
-// AllotmentFromPair reads one stored record. It returns false for the guard and
-// for keys that are not allotments.
+// AllotmentFromPair decodes the allotment in a stored pair. It returns false for the guard
+// key and for other keys that are not allotments.
 func AllotmentFromPair(pair keyvalue.KeyValue) (cluster.Allotment, bool, error) {
 	zone, found := strings.CutPrefix(pair.Key, AllotmentKeyPrefix)
 	if !found || zone == "" {
@@ -133,7 +133,7 @@
 	}
 	allotment, err := DecodeAllotment(pair.Value)
 	if err != nil {
-		return cluster.Allotment{}, false, eris.Wrapf(err, "record of zone %s", zone)
+		return cluster.Allotment{}, false, eris.Wrapf(err, "read allotment of zone %s", zone)
 	}
 	allotment.Zone = cluster.ZoneID(zone)
 	allotment.Revision = pair.ModRevision
