--- a/relay/body.go
+++ b/relay/body.go
@@ -9,70 +9,71 @@
 	"github.com/tidwall/gjson"
 )
 
-// bufferBytes is the size of a relay buffer; a read never waits to fill it.
+// bufferBytes is the size of a relay buffer. A read does not wait until the buffer is full.
 const bufferBytes = 8 << 10
 
-// buffers recycles relay buffers.
+// buffers is a pool of relay buffers.
 var buffers = sync.Pool{New: func() any {
 	buffer := make([]byte, bufferBytes)
 	return &buffer
 }}
 
-// streamEnd is the last event of a whole stream in OpenAI's protocol.
+// streamEnd is the last event of a complete stream in OpenAI's protocol.
 var streamEnd = []byte("data: [DONE]")
 
 // eventEnd separates server-sent events.
 var eventEnd = []byte("\n\n")
 
-// meter counts the events of a stream and remembers its last bytes. It leaves
-// the bytes as they are.
-type meter struct {
-	tokens int
-	tail   [16]byte
-	length int
+// streamTracker counts the events of a stream, each of which carries a token, and keeps
+// the stream's last bytes, by which it recognises the final event. It does not modify the
+// stream.
+type streamTracker struct {
+	tokens     int
+	tail       [16]byte
+	tailLength int
 }
 
-// count takes the next bytes of the stream.
-func (m *meter) count(data []byte) {
-	if m.length > 0 && m.tail[m.length-1] == '\n' && data[0] == '\n' {
+// count processes the next bytes of the stream.
+func (m *streamTracker) count(data []byte) {
+	if m.tailLength > 0 && m.tail[m.tailLength-1] == '\n' && data[0] == '\n' {
 		m.tokens++
 	}
 	m.tokens += bytes.Count(data, eventEnd)
 	m.remember(data)
 }
 
-// remember keeps the last bytes of the stream in tail.
-func (m *meter) remember(data []byte) {
+// remember updates tail with the next bytes of the stream.
+func (m *streamTracker) remember(data []byte) {
 	if len(data) >= len(m.tail) {
-		m.length = copy(m.tail[:], data[len(data)-len(m.tail):])
+		m.tailLength = copy(m.tail[:], data[len(data)-len(m.tail):])
 		return
 	}
-	keep := min(m.length, len(m.tail)-len(data))
-	copy(m.tail[:], m.tail[m.length-keep:m.length])
+	keep := min(m.tailLength, len(m.tail)-len(data))
+	copy(m.tail[:], m.tail[m.tailLength-keep:m.tailLength])
 	copy(m.tail[keep:], data)
-	m.length = keep + len(data)
+	m.tailLength = keep + len(data)
 }
 
-// done reports whether the stream ended with its last event. That event is not
-// a token.
-func (m *meter) done() bool {
-	if !bytes.HasSuffix(bytes.TrimRight(m.tail[:m.length], "\r\n"), streamEnd) {
+// completed reports whether the stream ended with streamEnd. It then takes that event,
+// which is not a token, off the count.
+func (m *streamTracker) completed() bool {
+	if !bytes.HasSuffix(bytes.TrimRight(m.tail[:m.tailLength], "\r\n"), streamEnd) {
 		return false
 	}
 	m.tokens = max(0, m.tokens-1)
 	return true
 }
 
-// usedTokens returns the generated tokens an answer states, and whether it is
-// JSON at all.
-func usedTokens(body []byte) (int, bool) {
+// completionTokens returns the number of generated tokens that an answer states, zero
+// when it states none, and whether the answer is valid JSON.
+func completionTokens(body []byte) (int, bool) {
 	if !json.Valid(body) {
 		return 0, false
 	}
 	return int(gjson.GetBytes(body, "usage.completion_tokens").Int()), true
 }
 
-// appendAll appends everything read to buffer.
+// appendAll reads reader to its end and returns buffer with the data appended.
 func appendAll(buffer []byte, reader io.Reader) ([]byte, error) {
 	if buffer == nil {
 		buffer = make([]byte, 0, 1024)
--- a/relay/keyed/answers.go
+++ b/relay/keyed/answers.go
@@ -9,14 +9,14 @@
 	"github.com/valveslip/valveslip/relay"
 )
 
-// Bounds of the kept answers of one node, in bytes.
+// Limits of the answers that a node keeps for repetitions, in bytes.
 const (
 	maxAnswerBytes = 256 << 10
 	maxKeptBytes   = 8 << 20
 )
 
-// answer is a whole answer that went to a caller.
-type answer struct {
+// storedAnswer is a complete answer that is kept for repetitions of its request.
+type storedAnswer struct {
 	request     cluster.RequestID
 	status      int
 	contentType string
@@ -24,7 +24,7 @@
 }
 
 // send writes the answer to a caller.
-func (a *answer) send(sink relay.Sink) error {
+func (a *storedAnswer) send(sink relay.Sink) error {
 	header := http.Header{"Content-Type": {a.contentType}}
 	if err := sink.Start(a.status, header); err != nil {
 		return err
@@ -32,16 +32,16 @@
 	return sink.Write(a.body)
 }
 
-// answers keeps the newest answers within maxKeptBytes.
-type answers struct {
+// answerCache keeps the newest answers, up to maxKeptBytes in total.
+type answerCache struct {
 	mutex sync.Mutex
 	bytes int
 	order list.List
 	byID  map[cluster.RequestID]*list.Element
 }
 
-// keep stores an answer and drops the oldest ones beyond the bound.
-func (k *answers) keep(added *answer) {
+// add stores an answer and evicts the oldest ones beyond maxKeptBytes.
+func (k *answerCache) add(added *storedAnswer) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.byID == nil {
@@ -50,52 +50,53 @@
 	k.byID[added.request] = k.order.PushBack(added)
 	k.bytes += len(added.body)
 	for k.bytes > maxKeptBytes {
-		oldest := k.order.Remove(k.order.Front()).(*answer)
+		oldest := k.order.Remove(k.order.Front()).(*storedAnswer)
 		k.bytes -= len(oldest.body)
 		delete(k.byID, oldest.request)
 	}
 }
 
-// find returns the kept answer of a request, or nil.
-func (k *answers) find(request cluster.RequestID) *answer {
+// find returns the kept answer of a request, nil if there is none.
+func (k *answerCache) find(request cluster.RequestID) *storedAnswer {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if element, kept := k.byID[request]; kept {
-		return element.Value.(*answer)
+		return element.Value.(*storedAnswer)
 	}
 	return nil
 }
 
-// recorder passes an answer on to the caller and copies it. A caller that left
-// does not end the request, because its answer is wanted by the repetition; but
-// it ends a stream that has begun, because clients don't repeat those.
-type recorder struct {
-	sink   relay.Sink
-	stream bool
-	copied answer
-	// gone is set when the caller left, large when the answer is not kept.
-	gone  error
-	large bool
+// answerRecorder passes an answer on to the caller and keeps a copy. A caller that
+// disconnects does not end the request, because its repetition will need the answer. It
+// does end a stream that has begun, because clients don't repeat those.
+type answerRecorder struct {
+	sink     relay.Sink
+	stream   bool
+	recorded storedAnswer
+	// callerErr is the error of writing to the caller, nil while it is connected.
+	// tooLarge is true when the answer exceeds maxAnswerBytes and is not kept.
+	callerErr error
+	tooLarge  bool
 }
 
 // Start implements relay.Sink.
-func (r *recorder) Start(status int, header http.Header) error {
-	r.copied.status, r.copied.contentType = status, header.Get("Content-Type")
-	r.gone = r.sink.Start(status, header)
+func (r *answerRecorder) Start(status int, header http.Header) error {
+	r.recorded.status, r.recorded.contentType = status, header.Get("Content-Type")
+	r.callerErr = r.sink.Start(status, header)
 	return nil
 }
 
 // Write implements relay.Sink.
-func (r *recorder) Write(data []byte) error {
-	r.large = r.large || len(r.copied.body)+len(data) > maxAnswerBytes
-	if !r.large {
-		r.copied.body = append(r.copied.body, data...)
+func (r *answerRecorder) Write(data []byte) error {
+	r.tooLarge = r.tooLarge || len(r.recorded.body)+len(data) > maxAnswerBytes
+	if !r.tooLarge {
+		r.recorded.body = append(r.recorded.body, data...)
 	}
-	if r.gone == nil {
-		r.gone = r.sink.Write(data)
+	if r.callerErr == nil {
+		r.callerErr = r.sink.Write(data)
 	}
 	if r.stream {
-		return r.gone
+		return r.callerErr
 	}
 	return nil
 }
--- a/relay/keyed/claims.go
+++ b/relay/keyed/claims.go
@@ -10,40 +10,41 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// claim asks for leave, of this node's table or of the key's first owner. It
+// claim claims a key for a request, in this node's table or at the key's first owner. It
 // returns the decision and the node that made it.
 func (r *Runner) claim(ctx context.Context, claim idempotency.Claim) (idempotency.Decision, cluster.NodeID) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(r.claiming, cancel)()
+	defer context.AfterFunc(r.claimsContext, cancel)()
 	self := r.peers.Self().ID
 	decision := r.decide(ctx, claim)
-	giver := self
+	decidedBy := self
 	for range maxForwards {
 		if decision.Kind != idempotency.DecisionForward || decision.Owner == self {
 			break
 		}
-		giver = decision.Owner
-		decision = r.claimAt(ctx, giver, claim)
+		decidedBy = decision.Owner
+		decision = r.claimAt(ctx, decidedBy, claim)
 	}
 	if decision.Kind == 0 || decision.Kind == idempotency.DecisionUnavailable {
-		r.abandon(claim, giver)
+		r.releaseClaim(claim, decidedBy)
 	}
-	return decision, giver
+	return decision, decidedBy
 }
 
-// abandon frees the key where a claim may have been recorded, or given leave
-// that did not arrive: the request does not run.
-func (r *Runner) abandon(claim idempotency.Claim, giver cluster.NodeID) {
+// releaseClaim frees the key of a request that will not run, at every node that may have
+// recorded the claim or may have granted it in a decision that did not arrive.
+func (r *Runner) releaseClaim(claim idempotency.Claim, decidedBy cluster.NodeID) {
 	r.mutex.Lock()
 	owners := r.table.Owners(claim.Key)
 	r.mutex.Unlock()
-	asked := append(owners[:min(2, len(owners))], giver)
+	asked := append(owners[:min(2, len(owners))], decidedBy)
 	slices.Sort(asked)
-	r.finish(claim.Key, slices.Compact(asked), idempotency.Outcome{Kind: idempotency.OutcomeNotRun, Request: claim.Request})
+	r.reportOutcome(claim.Key, slices.Compact(asked), idempotency.Outcome{Kind: idempotency.OutcomeNotRun, Request: claim.Request})
 }
 
-// decide decides on a claim here; other owners are asked where necessary.
+// decide decides on a claim by this node's table. It asks other owners where the table
+// demands it.
 func (r *Runner) decide(ctx context.Context, claim idempotency.Claim) idempotency.Decision {
 	r.mutex.Lock()
 	decision := r.table.Begin(time.Now(), claim)
@@ -57,44 +58,45 @@
 	return decision
 }
 
-// claimAt asks another node for leave. The decision is zero without an answer;
-// the leave may then have been given.
+// claimAt claims a key at another node. Without an answer it returns the zero decision;
+// the other node may have granted the claim nevertheless.
 func (r *Runner) claimAt(ctx context.Context, owner cluster.NodeID, claim idempotency.Claim) idempotency.Decision {
-	received, answered := r.call(ctx, owner, claimTimes*r.askTime, func(number uint64) wire.Message {
+	received, answered := r.call(ctx, owner, claimTimeoutFactor*r.askTimeout, func(number uint64) wire.Message {
 		return wire.KeyClaim{
 			From: claim.From, FromAddress: r.peers.Self().PeerAddress, Number: number,
 			TokenPath: claim.Key.TokenPath, Key: claim.Key.Key, Fingerprint: claim.Fingerprint, Request: claim.Request,
 		}
 	})
-	decided, ok := received.(wire.KeyDecision)
+	reply, ok := received.(wire.KeyDecision)
 	if !answered || !ok {
 		return idempotency.Decision{}
 	}
 	return idempotency.Decision{
-		Kind: idempotency.DecisionKind(decided.Kind), Owner: decided.Owner, Outcome: outcomeFrom(decided.Outcome), RetryAfter: decided.RetryAfter,
+		Kind: idempotency.DecisionKind(reply.Kind), Owner: reply.Owner, Outcome: outcomeFrom(reply.Outcome), RetryAfter: reply.RetryAfter,
 	}
 }
 
-// ask puts a question to another owner.
+// ask sends a question to another owner and returns its answer, of kind AnswerNone if none
+// arrives in time.
 func (r *Runner) ask(ctx context.Context, owner cluster.NodeID, question idempotency.Question) idempotency.Answer {
-	received, answered := r.call(ctx, owner, r.askTime, func(number uint64) wire.Message {
+	received, answered := r.call(ctx, owner, r.askTimeout, func(number uint64) wire.Message {
 		return questionMessage(question, r.peers.Self().PeerAddress, number)
 	})
-	told, ok := received.(wire.KeyAnswer)
+	reply, ok := received.(wire.KeyAnswer)
 	if !answered || !ok {
 		return idempotency.Answer{Kind: idempotency.AnswerNone, From: owner}
 	}
-	answer := answerFrom(told)
+	answer := answerFrom(reply)
 	answer.To = question.Round
 	return answer
 }
 
-// fetch returns the kept answer of a request, or nil.
-func (r *Runner) fetch(ctx context.Context, outcome idempotency.Outcome) *answer {
+// fetchAnswer returns the answer that the outcome's holder keeps, nil if it is not available.
+func (r *Runner) fetchAnswer(ctx context.Context, outcome idempotency.Outcome) *storedAnswer {
 	if outcome.Holder == r.peers.Self().ID {
-		return r.kept.find(outcome.Request)
+		return r.keptAnswers.find(outcome.Request)
 	}
-	received, _ := r.call(ctx, outcome.Holder, r.askTime, func(number uint64) wire.Message {
+	received, _ := r.call(ctx, outcome.Holder, r.askTimeout, func(number uint64) wire.Message {
 		self := r.peers.Self()
 		return wire.KeptAnswerRequest{From: self.ID, FromAddress: self.PeerAddress, Number: number, Request: outcome.Request}
 	})
@@ -102,10 +104,11 @@
 	if !ok || !kept.Found {
 		return nil
 	}
-	return &answer{request: outcome.Request, status: kept.Status, contentType: kept.ContentType, body: kept.Body}
+	return &storedAnswer{request: outcome.Request, status: kept.Status, contentType: kept.ContentType, body: kept.Body}
 }
 
-// call sends a question to a node and waits for its answer for a time.
+// call sends a question to a node and waits up to wait for its answer. It returns false
+// when the node is not known or does not answer in time.
 func (r *Runner) call(ctx context.Context, id cluster.NodeID, wait time.Duration, question func(number uint64) wire.Message) (wire.Message, bool) {
 	address, known := r.address(id)
 	if !known {
@@ -124,7 +127,7 @@
 	}
 }
 
-// address returns where a node of the region takes messages.
+// address returns the peer address of another node of the region.
 func (r *Runner) address(id cluster.NodeID) (string, bool) {
 	neighbours, _ := r.peers.Neighbours()
 	for _, neighbour := range neighbours {
@@ -135,9 +138,9 @@
 	return "", false
 }
 
-// finish tells the nodes that know of a request how it ended, the others twice,
-// because a message may be lost. The table ignores the second.
-func (r *Runner) finish(key idempotency.Key, owners []cluster.NodeID, outcome idempotency.Outcome) {
+// reportOutcome records a request's outcome at the given owners or their successors. Other
+// nodes are sent the message twice, because one may be lost; the table ignores the repetition.
+func (r *Runner) reportOutcome(key idempotency.Key, owners []cluster.NodeID, outcome idempotency.Outcome) {
 	self := r.peers.Self().ID
 	message := wire.KeyOutcome{From: self, TokenPath: key.TokenPath, Key: key.Key, Outcome: outcomeRecord(outcome)}
 	for _, owner := range owners {
@@ -149,7 +152,7 @@
 		r.mutex.Unlock()
 		if address, known := r.address(owner); known {
 			r.peers.Send(address, message)
-			time.AfterFunc(outcomeRepeat, func() { r.peers.Send(address, message) })
+			time.AfterFunc(outcomeRepeatDelay, func() { r.peers.Send(address, message) })
 		}
 	}
 }
--- a/relay/keyed/handover.go
+++ b/relay/keyed/handover.go
@@ -11,56 +11,56 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Bounds of a handover.
+// Limits of a handover.
 const (
-	// handoverRecords bounds the records of one message.
-	handoverRecords = 1000
-	// handoverAttempts bounds how often one part is sent.
+	// handoverRecordsPerMessage bounds the number of records in one message.
+	handoverRecordsPerMessage = 1000
+	// handoverAttempts bounds how often one message is sent.
 	handoverAttempts = 3
 )
 
-// Handover gives what this node knows of keys to another node, which answers for
-// it from then on, and refuses all claims. It is the last thing before a planned
-// stop. An error means that no node took everything before ctx ended: the stop
-// then counts as a loss.
+// Handover transfers this node's records of keys to a successor, which answers for this
+// node from then on. This node refuses all further claims. Handover is the last step
+// before a planned stop. An error means that no node took over all records before ctx
+// ended; the other nodes then treat the stop as a loss of this node.
 func (r *Runner) Handover(ctx context.Context) error {
 	r.mutex.Lock()
-	heirs := r.table.Heirs()
+	successors := r.table.Heirs()
 	handover := r.table.Leave(time.Now())
 	r.mutex.Unlock()
-	for _, heir := range heirs {
-		if r.handTo(ctx, heir, handover) {
-			r.announce(heir)
+	for _, successor := range successors {
+		if r.transferTo(ctx, successor, handover) {
+			r.announceSuccessor(successor)
 			return nil
 		}
 	}
-	if len(heirs) == 0 {
+	if len(successors) == 0 {
 		return nil
 	}
-	return eris.Errorf("none of %v took over %d idempotency keys", heirs, len(handover.Records))
+	return eris.Errorf("none of %v took over %d idempotency keys", successors, len(handover.Records))
 }
 
-// handTo hands everything to one node in parts. It returns whether all were
-// taken.
-func (r *Runner) handTo(ctx context.Context, heir cluster.NodeID, handover idempotency.Handover) bool {
+// transferTo sends the handover to one node in parts. It reports whether that node took
+// over all of them.
+func (r *Runner) transferTo(ctx context.Context, successor cluster.NodeID, handover idempotency.Handover) bool {
 	records := handover.Records
 	for first := true; first || len(records) > 0; first = false {
 		part := handover
-		part.Records = records[:min(handoverRecords, len(records))]
+		part.Records = records[:min(handoverRecordsPerMessage, len(records))]
 		records = records[len(part.Records):]
 		if !first {
 			part.Memberships = nil
 		}
-		if !r.handPart(ctx, heir, part) {
+		if !r.transferPart(ctx, successor, part) {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *Runner) handPart(ctx context.Context, heir cluster.NodeID, part idempotency.Handover) bool {
+func (r *Runner) transferPart(ctx context.Context, successor cluster.NodeID, part idempotency.Handover) bool {
 	for range handoverAttempts {
-		received, answered := r.call(ctx, heir, r.askTime, func(number uint64) wire.Message {
+		received, answered := r.call(ctx, successor, r.askTimeout, func(number uint64) wire.Message {
 			return handoverMessage(part, r.peers.Self().PeerAddress, number)
 		})
 		if answer, ok := received.(wire.KeyHandoverAnswer); answered && ok {
@@ -70,40 +70,42 @@
 	return false
 }
 
-// announce tells the region, the heir first, who answers for this node.
-func (r *Runner) announce(heir cluster.NodeID) {
-	message := wire.KeyHeir{From: r.peers.Self().ID, Heir: heir}
-	if address, known := r.address(heir); known {
+// announceSuccessor tells all nodes of the region, the successor first, which node answers
+// for this one.
+func (r *Runner) announceSuccessor(successor cluster.NodeID) {
+	message := wire.KeyHeir{From: r.peers.Self().ID, Heir: successor}
+	if address, known := r.address(successor); known {
 		r.mutex.Lock()
-		r.heirAddress = address
+		r.successorAddress = address
 		r.mutex.Unlock()
 		r.peers.Send(address, message)
 	}
 	neighbours, _ := r.peers.Neighbours()
 	for _, neighbour := range neighbours {
-		if neighbour.ID != heir {
+		if neighbour.ID != successor {
 			r.peers.Send(neighbour.PeerAddress, message)
 		}
 	}
 }
 
-// inherited takes a part of another node's handover.
-func (r *Runner) inherited(message wire.KeyHandover) {
+// handleHandover takes over a part of another node's records.
+func (r *Runner) handleHandover(message wire.KeyHandover) {
 	r.mutex.Lock()
 	taken := r.table.Inherit(time.Now(), handoverFrom(message))
 	r.mutex.Unlock()
 	r.peers.Send(message.FromAddress, wire.KeyHandoverAnswer{From: r.peers.Self().ID, Number: message.Number, Taken: taken})
 }
 
-// ended takes an outcome, and passes it on if this node has handed over.
-func (r *Runner) ended(message wire.KeyOutcome) {
+// handleOutcome records an outcome. If this node has handed over its records, it also
+// forwards the message to its successor.
+func (r *Runner) handleOutcome(message wire.KeyOutcome) {
 	key := idempotency.Key{TokenPath: message.TokenPath, Key: message.Key}
 	r.mutex.Lock()
 	r.table.Finish(time.Now(), key, outcomeFrom(message.Outcome))
-	heir := r.heirAddress
+	successor := r.successorAddress
 	r.mutex.Unlock()
-	if heir != "" {
-		r.peers.Send(heir, message)
+	if successor != "" {
+		r.peers.Send(successor, message)
 	}
 }
 
--- a/relay/keyed/keyed_test.go
+++ b/relay/keyed/keyed_test.go
@@ -20,27 +20,28 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// cell is a set of nodes joined by a network without loss, apart from nodes
-// that are cut off.
-type cell struct {
-	mutex   sync.Mutex
-	runners map[string]*Runner
-	nodes   []cluster.Node
-	cut     map[string]bool
-	// mute is a node whose decisions are lost.
-	mute   string
-	engine *engine
+// testRegion is a set of nodes on a network that loses no messages, except those of
+// disconnected nodes.
+type testRegion struct {
+	mutex        sync.Mutex
+	runners      map[string]*Runner
+	nodes        []cluster.Node
+	disconnected map[string]bool
+	// losesDecisions is the address of a node whose decisions are lost.
+	losesDecisions string
+	engine         *countingEngine
 }
 
-// engine counts runs. Each takes a second and answers with its number, or fails.
-type engine struct {
+// countingEngine counts the runs of requests. A run takes a second and answers with its
+// number, or fails.
+type countingEngine struct {
 	mutex sync.Mutex
 	runs  int
 	fail  *verdict.Error
 }
 
 // Run implements Inner.
-func (e *engine) Run(ctx context.Context, _ relay.Call, sink relay.Sink) relay.Result {
+func (e *countingEngine) Run(ctx context.Context, _ relay.Call, sink relay.Sink) relay.Result {
 	e.mutex.Lock()
 	e.runs++
 	number, failure := e.runs, e.fail
@@ -60,15 +61,15 @@
 	return relay.Result{Started: true, Status: http.StatusOK}
 }
 
-// member is one node's view of the cell.
-type member struct {
-	*cell
+// testPeers connects one node to the others of the region.
+type testPeers struct {
+	*testRegion
 	self cluster.Node
 }
 
-func (m member) Self() cluster.Node { return m.self }
+func (m testPeers) Self() cluster.Node { return m.self }
 
-func (m member) Neighbours() (others []cluster.Node, known bool) {
+func (m testPeers) Neighbours() (others []cluster.Node, known bool) {
 	for _, other := range m.nodes {
 		if other.ID != m.self.ID {
 			others = append(others, other)
@@ -77,79 +78,81 @@
 	return others, true
 }
 
-func (m member) Send(address string, message wire.Message) {
+func (m testPeers) Send(address string, message wire.Message) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if _, decision := message.(wire.KeyDecision); decision && m.mute == m.self.PeerAddress {
+	if _, isDecision := message.(wire.KeyDecision); isDecision && m.losesDecisions == m.self.PeerAddress {
 		return
 	}
-	if receiver := m.runners[address]; receiver != nil && !m.cut[address] && !m.cut[m.self.PeerAddress] {
+	if receiver := m.runners[address]; receiver != nil && !m.disconnected[address] && !m.disconnected[m.self.PeerAddress] {
 		go receiver.Handle(message)
 	}
 }
 
-// newCell returns a cell of joined nodes.
-func newCell(count int) *cell {
-	c := &cell{runners: map[string]*Runner{}, cut: map[string]bool{}, engine: &engine{}}
+// newTestRegion returns a region of count nodes that know each other.
+func newTestRegion(count int) *testRegion {
+	c := &testRegion{runners: map[string]*Runner{}, disconnected: map[string]bool{}, engine: &countingEngine{}}
 	for i := range count {
 		name := fmt.Sprint("node-", i)
 		c.nodes = append(c.nodes, cluster.Node{ID: cluster.NodeID(name), PeerAddress: name})
 	}
 	for _, node := range c.nodes {
-		c.runners[node.PeerAddress] = NewRunner(c.engine, member{c, node}, idempotency.Config{}, 0)
+		c.runners[node.PeerAddress] = NewRunner(c.engine, testPeers{c, node}, idempotency.Config{}, 0)
 	}
 	for _, runner := range c.runners {
-		// A cell that starts has no former members to ask.
+		// The former membership, of each node alone, ended so long ago that it is not asked.
 		runner.table.SetMembers(time.Now().Add(-time.Hour), []idempotency.Member{memberOf(runner.peers.Self())})
 		runner.SetMembers(time.Now().Add(-41 * time.Minute))
 	}
 	return c
 }
 
-// caller collects an answer.
-type caller struct {
-	body strings.Builder
-	gone bool
+// fakeCaller records the answer that it receives.
+type fakeCaller struct {
+	body       strings.Builder
+	failWrites bool
 }
 
-func (c *caller) Start(int, http.Header) error { return nil }
+func (c *fakeCaller) Start(int, http.Header) error { return nil }
 
-func (c *caller) Write(data []byte) error {
-	if c.gone {
+func (c *fakeCaller) Write(data []byte) error {
+	if c.failWrites {
 		return errors.New("connection reset")
 	}
 	c.body.Write(data)
 	return nil
 }
 
-// requests numbers the requests of a test.
-var requests struct {
+// requestCounter numbers the requests of all tests.
+var requestCounter struct {
 	sync.Mutex
 	count int
 }
 
-// ask sends a request with a key through a node.
-func (c *cell) ask(t *testing.T, node int, key, body string) (string, *verdict.Error) {
-	return c.askAs(t.Context(), node, key, body, &caller{})
+// ask runs a request with a key on a node and returns its answer or failure.
+func (c *testRegion) ask(t *testing.T, node int, key, body string) (string, *verdict.Error) {
+	return c.askAs(t.Context(), node, key, body, &fakeCaller{})
 }
 
-func (c *cell) askAs(ctx context.Context, node int, key, body string, sink *caller) (string, *verdict.Error) {
-	requests.Lock()
-	requests.count++
-	id := cluster.RequestID(fmt.Sprint("r", requests.count))
-	requests.Unlock()
+func (c *testRegion) askAs(ctx context.Context, node int, key, body string, sink *fakeCaller) (string, *verdict.Error) {
+	requestCounter.Lock()
+	requestCounter.count++
+	id := cluster.RequestID(fmt.Sprint("r", requestCounter.count))
+	requestCounter.Unlock()
 	call := relay.Call{Request: routing.Request{ID: id, TokenPath: "/dental"}, Body: []byte(body), Key: key}
 	result := c.runners[c.nodes[node].PeerAddress].Run(ctx, call, sink)
 	return sink.body.String(), result.Failure
 }
 
-func TestRepetitionsOnAnyNodeRunOnce(t *testing.T) {
+// TestRepeatedKeyOnAnyNodeRunsOnce guards against a request that runs twice because its
+// repetitions reach several nodes at the same time or later.
+func TestRepeatedKeyOnAnyNodeRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(5)
-		var together sync.WaitGroup
+		c := newTestRegion(5)
+		var group sync.WaitGroup
 		answered := make(chan string, 20)
 		for i := range 20 {
-			together.Go(func() {
+			group.Go(func() {
 				body, failure := c.ask(t, i%5, "k", "confirm")
 				if failure == nil {
 					answered <- body
@@ -158,8 +161,8 @@
 				}
 			})
 		}
-		together.Wait()
-		synctest.Wait() // The outcome is on its way to the owner.
+		group.Wait()
+		synctest.Wait() // The outcome arrives at the owner.
 		close(answered)
 		if len(answered) != 1 || c.engine.runs != 1 {
 			t.Fatalf("%d answers, %d runs", len(answered), c.engine.runs)
@@ -172,9 +175,11 @@
 	})
 }
 
-func TestKeyWithAnotherRequestIsRefused(t *testing.T) {
+// TestKeyReusedForDifferentRequestIsRefused guards against the answer of one request being
+// replayed for another one that has the same key and a different body.
+func TestKeyReusedForDifferentRequestIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
+		c := newTestRegion(3)
 		_, _ = c.ask(t, 0, "k", "confirm")
 		_, failure := c.ask(t, 1, "k", "cancel")
 		if failure == nil || failure.Code != verdict.CodeConflict || failure.Verdict != verdict.NotRun || c.engine.runs != 1 {
@@ -183,9 +188,11 @@
 	})
 }
 
-func TestRequestThatDidNotRunFreesItsKey(t *testing.T) {
+// TestRequestThatDidNotRunReleasesItsKey guards against a key that stays blocked after its
+// request was refused without running.
+func TestRequestThatDidNotRunReleasesItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
+		c := newTestRegion(3)
 		c.engine.fail = verdict.New(verdict.NotRun, verdict.CodeQueueFull, "full")
 		_, _ = c.ask(t, 0, "k", "confirm")
 		time.Sleep(time.Second)
@@ -196,9 +203,11 @@
 	})
 }
 
+// TestRequestThatMayHaveRunKeepsItsKey guards against a second run after a failure that leaves
+// open whether the request ran.
 func TestRequestThatMayHaveRunKeepsItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
+		c := newTestRegion(3)
 		c.engine.fail = verdict.New(verdict.MayHaveRun, verdict.CodeEngineFailed, "lost")
 		_, _ = c.ask(t, 0, "k", "confirm")
 		time.Sleep(time.Second)
@@ -210,12 +219,14 @@
 	})
 }
 
-func TestAnswerIsKeptForACallerWhoLeft(t *testing.T) {
+// TestAnswerIsKeptAfterCallerDisconnects guards against an answer that is lost because its
+// caller disconnected before it came: the repetition gets it.
+func TestAnswerIsKeptAfterCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
+		c := newTestRegion(3)
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, leave)
-		_, failure := c.askAs(ctx, 0, "k", "confirm", &caller{gone: true})
+		_, failure := c.askAs(ctx, 0, "k", "confirm", &fakeCaller{failWrites: true})
 		if failure == nil || failure.Code != verdict.CodeCallerGone {
 			t.Fatalf("first: %v", failure)
 		}
@@ -226,11 +237,13 @@
 	})
 }
 
-func TestCallerWhoLeavesAStreamEndsIt(t *testing.T) {
+// TestCallerDisconnectEndsStream guards against a stream that an engine generates for nobody:
+// clients don't repeat streams, so a disconnected caller ends it.
+func TestCallerDisconnectEndsStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
+		c := newTestRegion(3)
 		call := relay.Call{Request: routing.Request{ID: "stream", TokenPath: "/dental"}, Key: "k", Stream: true}
-		result := c.runners["node-0"].Run(t.Context(), call, &caller{gone: true})
+		result := c.runners["node-0"].Run(t.Context(), call, &fakeCaller{failWrites: true})
 		if result.Failure == nil || result.Failure.Code != verdict.CodeCallerGone {
 			t.Fatalf("stream: %v", result.Failure)
 		}
@@ -242,8 +255,8 @@
 	})
 }
 
-// kill ends a node at once, of which the others learn.
-func (c *cell) kill(name string) {
+// kill ends a node without a handover and updates the membership of the others.
+func (c *testRegion) kill(name string) {
 	c.mutex.Lock()
 	delete(c.runners, name)
 	c.nodes = slices.DeleteFunc(c.nodes, func(n cluster.Node) bool { return n.PeerAddress == name })
@@ -253,21 +266,21 @@
 	}
 }
 
-// join starts a node, of which all learn.
-func (c *cell) join(name string) {
+// join starts a node and updates the membership of all.
+func (c *testRegion) join(name string) {
 	node := cluster.Node{ID: cluster.NodeID(name), PeerAddress: name}
 	c.mutex.Lock()
 	c.nodes = append(c.nodes, node)
-	c.runners[name] = NewRunner(c.engine, member{c, node}, idempotency.Config{}, 0)
+	c.runners[name] = NewRunner(c.engine, testPeers{c, node}, idempotency.Config{}, 0)
 	c.mutex.Unlock()
 	for _, runner := range c.runners {
 		runner.SetMembers(time.Now())
 	}
 }
 
-// askAll sends new keys through all nodes in turn. It returns how many ran and
-// how many were refused as unknown.
-func (c *cell) askAll(t *testing.T, prefix string) (ran, unknown int) {
+// askAll sends requests with 40 new keys, one after the other, to all nodes in turn. It
+// returns how many ran and how many were refused because their outcome is unknown.
+func (c *testRegion) askAll(t *testing.T, prefix string) (ran, unknown int) {
 	for i := range 40 {
 		_, failure := c.ask(t, i%len(c.nodes), fmt.Sprint(prefix, i), "confirm")
 		switch {
@@ -282,16 +295,17 @@
 	return ran, unknown
 }
 
-// TestLossOfNodes kills two of three nodes one after the other. After the first
-// all new keys run and the old ones don't again; after the second, new keys are
-// unknown until the first loss is forgotten, and then run.
-func TestLossOfNodes(t *testing.T) {
+// TestNewKeysAfterNodeLosses guards against keys that run twice because the nodes that knew
+// them died. Two of three nodes die one after the other. After the first loss new keys run
+// and old ones do not run again; after the second, new keys are refused as unknown until the
+// losses have expired.
+func TestNewKeysAfterNodeLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
+		c := newTestRegion(3)
 		if ran, _ := c.askAll(t, "old-"); ran != 40 {
 			t.Fatalf("%d of 40 ran", ran)
 		}
-		time.Sleep(2 * time.Second) // The outcomes have arrived.
+		time.Sleep(2 * time.Second) // The outcomes arrive.
 		c.kill("node-1")
 		if ran, unknown := c.askAll(t, "new-"); ran != 40 || unknown != 0 {
 			t.Fatalf("%d of 40 ran after one loss, %d unknown", ran, unknown)
@@ -310,17 +324,17 @@
 		}
 		time.Sleep(41 * time.Minute)
 		if ran, _ := c.askAll(t, "later-"); ran != 40 {
-			t.Fatalf("%d of 40 ran when the losses were forgotten", ran)
+			t.Fatalf("%d of 40 ran after the losses had expired", ran)
 		}
 	})
 }
 
-// TestPlannedStopsLoseNoKeys stops nodes of three one after the other, each
-// replaced. What ran before is known and new keys run, also when one more node
-// dies.
-func TestPlannedStopsLoseNoKeys(t *testing.T) {
+// TestPlannedStopHandsOverAllKeys guards against keys that run twice or are refused because a
+// planned stop lost their records. Two of three nodes are stopped and replaced one after the
+// other; old keys stay known and new keys run, also after the loss of another node.
+func TestPlannedStopHandsOverAllKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
+		c := newTestRegion(3)
 		c.askAll(t, "old-")
 		time.Sleep(2 * time.Second)
 		for _, stopped := range []string{"node-0", "node-1"} {
@@ -345,16 +359,17 @@
 		}
 		c.kill("new-node-1")
 		if ran, unknown := c.askAll(t, "last-"); ran != 40 {
-			t.Fatalf("%d of 40 ran after a loss besides, %d unknown", ran, unknown)
+			t.Fatalf("%d of 40 ran after another loss, %d unknown", ran, unknown)
 		}
 	})
 }
 
-// TestHandoverThatNobodyTakes ends in time.
-func TestHandoverThatNobodyTakes(t *testing.T) {
+// TestHandoverWithoutConnectionEndsInTime guards against a stop that hangs because no node
+// takes over the records: Handover ends with its context, and later claims are refused.
+func TestHandoverWithoutConnectionEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
-		c.cut["node-0"] = true
+		c := newTestRegion(3)
+		c.disconnected["node-0"] = true
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		if err := c.runners["node-0"].Handover(ctx); err == nil {
@@ -366,8 +381,8 @@
 	})
 }
 
-// keyOfAnother returns a key that node-0 must ask another node for, and that node.
-func (c *cell) keyOfAnother() (key, owner string) {
+// keyOwnedByOther returns a key whose first owner is not node-0, and that owner.
+func (c *testRegion) keyOwnedByOther() (key, owner string) {
 	for i := 0; owner == "" || owner == "node-0"; i++ {
 		key = fmt.Sprint("k", i)
 		owner = string(c.runners["node-0"].table.Owners(idempotency.Key{TokenPath: "/dental", Key: key})[0])
@@ -375,13 +390,14 @@
 	return key, owner
 }
 
-// TestFirstOwnerDiesWithTheClaim kills the first owner after it recorded the
-// claim and before its leave arrives: the repetition runs, since nothing did.
-func TestFirstOwnerDiesWithTheClaim(t *testing.T) {
+// TestRepetitionRunsAfterFirstOwnerDiesWithClaim guards against a key that stays blocked by a
+// request that never ran: the first owner records the claim and dies before its decision
+// arrives.
+func TestRepetitionRunsAfterFirstOwnerDiesWithClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
-		key, owner := c.keyOfAnother()
-		c.mute = owner
+		c := newTestRegion(3)
+		key, owner := c.keyOwnedByOther()
+		c.losesDecisions = owner
 		_, failure := c.ask(t, 0, key, "confirm")
 		if failure == nil || failure.Verdict != verdict.NotRun || c.engine.runs != 0 {
 			t.Fatalf("%v after %d runs", failure, c.engine.runs)
@@ -394,10 +410,12 @@
 	})
 }
 
-func TestOwnerThatCannotBeAskedMeansNotRun(t *testing.T) {
+// TestUnreachableOwnerMeansNotRun guards against a request that runs, or is reported as possibly
+// run, although the owner of its key cannot be asked.
+func TestUnreachableOwnerMeansNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(2)
-		c.cut["node-1"] = true
+		c := newTestRegion(2)
+		c.disconnected["node-1"] = true
 		refused := 0
 		for i := range 20 {
 			_, failure := c.ask(t, 0, fmt.Sprint("key-", i), "confirm")
@@ -415,13 +433,14 @@
 	})
 }
 
-// TestEndOfClaimsRefusesThoseUnderWay guards against a caller whose connection is cut by the end
-// of its node while that waits for another node's word on the key.
-func TestEndOfClaimsRefusesThoseUnderWay(t *testing.T) {
+// TestEndClaimsRefusesPendingClaims guards against a caller whose connection breaks when its
+// node stops: the node was waiting for another node's decision on the key and did not count
+// the request as in flight.
+func TestEndClaimsRefusesPendingClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(3)
-		key, owner := c.keyOfAnother()
-		c.cut[owner] = true
+		c := newTestRegion(3)
+		key, owner := c.keyOwnedByOther()
+		c.disconnected[owner] = true
 		began := time.Now()
 		time.AfterFunc(100*time.Millisecond, c.runners["node-0"].EndClaims)
 		_, failure := c.ask(t, 0, key, "confirm")
--- a/relay/keyed/messages.go
+++ b/relay/keyed/messages.go
@@ -8,17 +8,17 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Handle takes the messages that concern keys. It returns false for all others.
+// Handle processes a message about keys. It returns false for all other messages.
 func (r *Runner) Handle(message wire.Message) bool {
 	switch message := message.(type) {
 	case wire.KeyClaim:
-		go r.claimed(message)
+		go r.handleClaim(message)
 	case wire.KeyQuestion:
-		r.asked(message)
+		r.handleQuestion(message)
 	case wire.KeyOutcome:
-		r.ended(message)
+		r.handleOutcome(message)
 	case wire.KeyHandover:
-		r.inherited(message)
+		r.handleHandover(message)
 	case wire.KeyHeir:
 		r.mutex.Lock()
 		r.table.Succeed(time.Now(), message.From, message.Heir)
@@ -26,7 +26,7 @@
 	case wire.KeyHandoverAnswer:
 		r.exchange.Deliver(message.Number, message)
 	case wire.KeptAnswerRequest:
-		r.answerWanted(message)
+		r.handleAnswerRequest(message)
 	case wire.KeyDecision:
 		r.exchange.Deliver(message.Number, message)
 	case wire.KeyAnswer:
@@ -39,10 +39,10 @@
 	return true
 }
 
-// claimed decides on another node's claim. Other owners have to be asked,
-// so it does not hold up the messages behind it.
-func (r *Runner) claimed(message wire.KeyClaim) {
-	ctx, cancel := context.WithTimeout(context.Background(), claimTimes*r.askTime)
+// handleClaim decides on another node's claim and answers it. It may wait for other owners,
+// so it runs in its own goroutine and does not block the messages that follow.
+func (r *Runner) handleClaim(message wire.KeyClaim) {
+	ctx, cancel := context.WithTimeout(context.Background(), claimTimeoutFactor*r.askTimeout)
 	defer cancel()
 	decision := r.decide(ctx, idempotency.Claim{
 		Key:         idempotency.Key{TokenPath: message.TokenPath, Key: message.Key},
@@ -54,18 +54,18 @@
 	})
 }
 
-// asked answers another node's question.
-func (r *Runner) asked(message wire.KeyQuestion) {
+// handleQuestion answers another owner's question about a key.
+func (r *Runner) handleQuestion(message wire.KeyQuestion) {
 	r.mutex.Lock()
 	answer := r.table.Asked(time.Now(), questionFrom(message))
 	r.mutex.Unlock()
 	r.peers.Send(message.FromAddress, answerMessage(answer, message.Number))
 }
 
-// answerWanted sends a kept answer to the node that replays it.
-func (r *Runner) answerWanted(message wire.KeptAnswerRequest) {
+// handleAnswerRequest sends a kept answer to the node that replays it to a caller.
+func (r *Runner) handleAnswerRequest(message wire.KeptAnswerRequest) {
 	sent := wire.KeptAnswer{From: r.peers.Self().ID, Number: message.Number}
-	if kept := r.kept.find(message.Request); kept != nil {
+	if kept := r.keptAnswers.find(message.Request); kept != nil {
 		sent.Found, sent.Status, sent.ContentType, sent.Body = true, kept.status, kept.contentType, kept.body
 	}
 	r.peers.Send(message.FromAddress, sent)
--- a/relay/keyed/records.go
+++ b/relay/keyed/records.go
@@ -8,7 +8,8 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// The functions of this file convert between the messages and the table's types.
+// The functions in this file convert between the messages of package wire and the types of
+// package idempotency.
 
 func outcomeFrom(record wire.KeyOutcomeRecord) idempotency.Outcome {
 	return idempotency.Outcome{Kind: idempotency.OutcomeKind(record.Kind), Request: record.Request, Holder: record.Holder}
@@ -40,7 +41,8 @@
 		From: message.From, Round: message.Round, Owners: message.Owners, Record: message.Record,
 	}
 	if len(message.Owners) == 0 {
-		// A node of the previous version is its key's only owner.
+		// A node of the previous version sends no owners: it takes itself for the
+		// key's only one.
 		question.Owners = idempotency.Owners{message.From}
 	}
 	for _, owners := range message.Known {
@@ -85,7 +87,7 @@
 	return past
 }
 
-// memberOf returns a node as the table knows it.
+// memberOf returns a node in the form of package idempotency.
 func memberOf(node cluster.Node) idempotency.Member {
 	return idempotency.Member{ID: node.ID, Zone: node.Zone}
 }
--- a/relay/keyed/runner.go
+++ b/relay/keyed/runner.go
@@ -16,67 +16,70 @@
 	"github.com/valveslip/valveslip/wire/exchange"
 )
 
-// Inner runs a request without regard to keys; *relay.Runner implements it.
+// Inner runs a request regardless of its key; *relay.Runner implements it.
 type Inner interface {
 	Run(ctx context.Context, call relay.Call, sink relay.Sink) relay.Result
 }
 
-// Peers reaches the other nodes.
+// Peers gives access to the other nodes of the region.
 type Peers interface {
 	Self() cluster.Node
-	// Neighbours returns the other running nodes of the region. It returns false
-	// while the node has not yet learned who they are.
+	// Neighbours returns the other running nodes of the region. It returns false while
+	// this node does not know them yet.
 	Neighbours() ([]cluster.Node, bool)
 	Send(address string, message wire.Message)
 }
 
-// Times of the exchange between nodes.
+// Timeouts and limits of the exchange between nodes.
 const (
-	// DefaultAskTime bounds the wait for one node's answer.
+	// DefaultAskTime is the default time to wait for another node's answer.
 	DefaultAskTime = 2 * time.Second
-	// outcomeRepeat is when an outcome is sent a second time, because the first
-	// message may be lost.
-	outcomeRepeat = time.Second
-	// claimTimes is how many times of asking one claim may take, because its
-	// first owner has to ask others.
-	claimTimes = 2
-	// maxForwards bounds how often a claim follows a change of owner.
+	// outcomeRepeatDelay is the delay after which an outcome is sent a second time,
+	// because the first message may be lost.
+	outcomeRepeatDelay = time.Second
+	// claimTimeoutFactor is the timeout of a claim at another node in multiples of the
+	// ask timeout: that node may have to ask other owners first.
+	claimTimeoutFactor = 2
+	// maxForwards bounds how often a claim is forwarded to another first owner.
 	maxForwards = 3
 )
 
-// Runner runs requests, those with a key at most once. It is safe for
-// concurrent use.
+// Runner runs requests, those with the same key at most once. It is safe for concurrent
+// use.
 type Runner struct {
-	inner    Inner
-	peers    Peers
-	askTime  time.Duration
-	kept     answers
-	exchange exchange.Table
-	// claiming ends when no more leave is asked for.
-	claiming  context.Context
-	endClaims context.CancelFunc
+	inner       Inner
+	peers       Peers
+	askTimeout  time.Duration
+	keptAnswers answerCache
+	exchange    exchange.Table
+	// claimsContext is cancelled by EndClaims.
+	claimsContext context.Context
+	cancelClaims  context.CancelFunc
 
 	mutex sync.Mutex
 	table *idempotency.Table
-	// heirAddress is set when this node has handed over.
-	heirAddress string
+	// successorAddress is the peer address of the node that took over this node's
+	// records, empty before a handover.
+	successorAddress string
 }
 
-// NewRunner returns a Runner around inner. A zero askTime means DefaultAskTime.
-func NewRunner(inner Inner, peers Peers, config idempotency.Config, askTime time.Duration) *Runner {
-	if askTime == 0 {
-		askTime = DefaultAskTime
+// NewRunner returns a Runner that runs requests by inner. A zero askTimeout means
+// DefaultAskTime.
+func NewRunner(inner Inner, peers Peers, config idempotency.Config, askTimeout time.Duration) *Runner {
+	if askTimeout == 0 {
+		askTimeout = DefaultAskTime
 	}
-	r := &Runner{inner: inner, peers: peers, askTime: askTime, table: idempotency.New(peers.Self().ID, config)}
-	r.claiming, r.endClaims = context.WithCancel(context.Background())
+	r := &Runner{inner: inner, peers: peers, askTimeout: askTimeout, table: idempotency.New(peers.Self().ID, config)}
+	r.claimsContext, r.cancelClaims = context.WithCancel(context.Background())
 	return r
 }
 
-// EndClaims refuses the requests that wait for other nodes' word on their keys, and those that
-// would. A node that stops calls it: nothing else counts them among what it has in flight.
-func (r *Runner) EndClaims() { r.endClaims() }
+// EndClaims refuses the requests that wait for another node's decision on their key, now and
+// in future. A node that stops calls it, because such requests are not counted as in flight
+// and would otherwise be cut off.
+func (r *Runner) EndClaims() { r.cancelClaims() }
 
-// Run runs a request. One with a key goes on when its caller leaves.
+// Run runs a request. A request with a key continues when its caller disconnects.
 func (r *Runner) Run(ctx context.Context, call relay.Call, sink relay.Sink) relay.Result {
 	if call.Key == "" {
 		return r.inner.Run(ctx, call, sink)
@@ -85,10 +88,10 @@
 		Key:         idempotency.Key{TokenPath: call.Request.TokenPath, Key: call.Key},
 		Fingerprint: fingerprint(&call), Request: call.Request.ID, From: r.peers.Self().ID,
 	}
-	decision, giver := r.claim(ctx, claim)
+	decision, decidedBy := r.claim(ctx, claim)
 	switch decision.Kind {
 	case idempotency.DecisionRun:
-		return r.run(ctx, call, sink, claim, []cluster.NodeID{giver, decision.Owner})
+		return r.run(ctx, call, sink, claim, []cluster.NodeID{decidedBy, decision.Owner})
 	case idempotency.DecisionReplay:
 		return r.replay(ctx, decision, sink)
 	default:
@@ -96,20 +99,20 @@
 	}
 }
 
-// refusal returns the failure of a decision. One that is no decision yet means
-// that the first owner could not be asked, and nothing ran.
+// refusal returns the failure for a decision against running the request. A decision without
+// a failure of its own means that the first owner could not be asked, and nothing ran.
 func (r *Runner) refusal(decision idempotency.Decision) *verdict.Error {
 	if failure := decision.Failure(); failure != nil {
 		return failure
 	}
-	if r.claiming.Err() != nil {
+	if r.claimsContext.Err() != nil {
 		return verdict.New(verdict.NotRun, verdict.CodeNodeDraining,
 			"this node is stopping; another one takes the request").After(routing.DefaultDrainRetryAfter)
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the node that keeps this key cannot be asked").After(time.Second)
 }
 
-// fingerprint identifies what a call asks for.
+// fingerprint returns a hash of the call's path and body.
 func fingerprint(call *relay.Call) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(call.Path)
@@ -118,23 +121,24 @@
 	return digest.Sum64()
 }
 
-// run runs a request that got leave and tells its owners how it ended.
+// run runs a request whose claim was granted and reports its outcome to the owners.
 func (r *Runner) run(ctx context.Context, call relay.Call, sink relay.Sink, claim idempotency.Claim, owners []cluster.NodeID) relay.Result {
-	record := &recorder{sink: sink, stream: call.Stream, copied: answer{request: claim.Request}}
+	record := &answerRecorder{sink: sink, stream: call.Stream, recorded: storedAnswer{request: claim.Request}}
 	result := r.inner.Run(context.WithoutCancel(ctx), call, record)
-	outcome := idempotency.Outcome{Kind: outcomeOf(result, record.large), Request: claim.Request}
+	outcome := idempotency.Outcome{Kind: outcomeOf(result, record.tooLarge), Request: claim.Request}
 	if outcome.Kind == idempotency.OutcomeAnswered {
 		outcome.Holder = claim.From
-		r.kept.keep(&record.copied)
+		r.keptAnswers.add(&record.recorded)
 	}
-	r.finish(claim.Key, owners, outcome)
-	if result.Failure == nil && record.gone != nil {
-		result.Failure = verdict.Wrap(record.gone, verdict.Ran, verdict.CodeCallerGone, "the caller left while the answer was sent")
+	r.reportOutcome(claim.Key, owners, outcome)
+	if result.Failure == nil && record.callerErr != nil {
+		result.Failure = verdict.Wrap(record.callerErr, verdict.Ran, verdict.CodeCallerGone, "the caller left while the answer was sent")
 	}
 	return result
 }
 
-// outcomeOf classifies how a request ended.
+// outcomeOf returns the kind of outcome for a request's result. An answer that was too large
+// to keep cannot be replayed and counts as OutcomeRan.
 func outcomeOf(result relay.Result, large bool) idempotency.OutcomeKind {
 	switch {
 	case result.Failure == nil && large:
@@ -150,9 +154,9 @@
 	}
 }
 
-// replay sends the kept answer of an earlier request.
+// replay sends the kept answer of the earlier request with the same key.
 func (r *Runner) replay(ctx context.Context, decision idempotency.Decision, sink relay.Sink) relay.Result {
-	kept := r.fetch(ctx, decision.Outcome)
+	kept := r.fetchAnswer(ctx, decision.Outcome)
 	if kept == nil {
 		return relay.Result{Failure: verdict.New(verdict.Ran, verdict.CodeDuplicateKey, "the request with this key ran; its answer is not kept")}
 	}
@@ -163,8 +167,8 @@
 	return result
 }
 
-// SetMembers tells the table who shares the keys. The shell calls it when time
-// passes.
+// SetMembers updates the table with the nodes that share the keys. The shell calls it
+// periodically.
 func (r *Runner) SetMembers(now time.Time) {
 	neighbours, known := r.peers.Neighbours()
 	if !known {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -19,36 +19,36 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-const whole = "data: {\"a\":1}\n\ndata: {\"a\":2}\n\ndata: [DONE]\n\n"
+const completeStream = "data: {\"a\":1}\n\ndata: {\"a\":2}\n\ndata: [DONE]\n\n"
 
-// decider dispatches once, or to the end of its list of machines while the
-// attempts may be repeated, and finishes with what the last attempt reports.
-type decider struct {
+// fakeDecider dispatches a request up to limit times while its attempts fail, then
+// finishes it with the last attempt's failure.
+type fakeDecider struct {
 	ticket   *Ticket
 	request  routing.Request
 	attempts cluster.Attempt
 	limit    cluster.Attempt
 	reports  []routing.Event
-	// silent leaves every report without an answer.
-	silent bool
+	// ignoresReports makes it decide nothing after the first dispatch.
+	ignoresReports bool
 }
 
-func (d *decider) Submit(request routing.Request) *Ticket {
+func (d *fakeDecider) Submit(request routing.Request) *Ticket {
 	d.ticket, d.request = NewTicket(nil), request
 	d.dispatch()
 	return d.ticket
 }
 
-func (d *decider) dispatch() {
+func (d *fakeDecider) dispatch() {
 	d.attempts++
 	d.ticket.Deliver(routing.Dispatch{
 		Request: d.request.ID, Attempt: d.attempts, Machine: "m1", Address: "e1", Deadline: d.request.Deadline,
 	})
 }
 
-func (d *decider) Report(event routing.Event) {
+func (d *fakeDecider) Report(event routing.Event) {
 	d.reports = append(d.reports, event)
-	if d.silent {
+	if d.ignoresReports {
 		return
 	}
 	switch event := event.(type) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// ended returns the reports on attempts.
-func (d *decider) ended() (ended []routing.AttemptEnded) {
+// attemptReports returns the reports on ended attempts.
+func (d *fakeDecider) attemptReports() (ended []routing.AttemptEnded) {
 	for _, report := range d.reports {
 		if report, ok := report.(routing.AttemptEnded); ok {
 			ended = append(ended, report)
@@ -73,49 +73,49 @@
 	return ended
 }
 
-// step is what an engine does with one call.
-type step struct {
+// engineStep scripts an engine's reaction to one call.
+type engineStep struct {
 	body string
-	// cut ends the body with an error; err fails the call itself.
+	// cut ends the body with a read error; err fails the call itself.
 	cut bool
 	err error
-	// other answers in the name of another request.
-	other  bool
-	status int
-	// hang waits for the end of the call's context.
-	hang bool
+	// wrongRequest names another request in the answer's header.
+	wrongRequest bool
+	status       int
+	// hangs blocks until the call's context ends.
+	hangs bool
 }
 
-// engines plays steps: the first for Run, the others for Resume.
-type engines struct {
-	steps     []step
-	offsets   []int64
-	cancelled []cluster.Attempt
-	cancels   chan struct{}
+// scriptedEngines answers the calls to Run and Resume by its steps in order.
+type scriptedEngines struct {
+	steps             []engineStep
+	resumeOffsets     []int64
+	cancelledAttempts []cluster.Attempt
+	cancels           chan struct{}
 }
 
-func (e *engines) Run(ctx context.Context, call engine.Call) (*engine.Answer, error) {
-	return e.play(ctx, call)
+func (e *scriptedEngines) Run(ctx context.Context, call engine.Call) (*engine.Answer, error) {
+	return e.nextAnswer(ctx, call)
 }
 
-func (e *engines) Resume(ctx context.Context, call engine.Call, offset int64) (*engine.Answer, error) {
-	e.offsets = append(e.offsets, offset)
-	return e.play(ctx, call)
+func (e *scriptedEngines) Resume(ctx context.Context, call engine.Call, offset int64) (*engine.Answer, error) {
+	e.resumeOffsets = append(e.resumeOffsets, offset)
+	return e.nextAnswer(ctx, call)
 }
 
-func (e *engines) Cancel(_ context.Context, call engine.Call) error {
-	e.cancelled = append(e.cancelled, call.Attempt)
+func (e *scriptedEngines) Cancel(_ context.Context, call engine.Call) error {
+	e.cancelledAttempts = append(e.cancelledAttempts, call.Attempt)
 	close(e.cancels)
 	return nil
 }
 
-func (e *engines) play(ctx context.Context, call engine.Call) (*engine.Answer, error) {
+func (e *scriptedEngines) nextAnswer(ctx context.Context, call engine.Call) (*engine.Answer, error) {
 	if len(e.steps) == 0 {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeStreamCut, "unknown attempt")
 	}
 	next := e.steps[0]
 	e.steps = e.steps[1:]
-	if next.hang {
+	if next.hangs {
 		<-ctx.Done()
 		return nil, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, verdict.CodeEngineFailed, "no answer")
 	}
@@ -125,7 +125,7 @@
 	header := http.Header{}
 	header.Set(engine.HeaderRequestID, string(call.Request))
 	header.Set(engine.HeaderAttempt, strconv.Itoa(int(call.Attempt)))
-	if next.other {
+	if next.wrongRequest {
 		header.Set(engine.HeaderRequestID, "another")
 	}
 	var body io.Reader = strings.NewReader(next.body)
@@ -138,173 +138,186 @@
 	return &engine.Answer{Status: next.status, Header: header, Body: io.NopCloser(body)}, nil
 }
 
-// cutReader is a connection that broke.
+// cutReader fails like a broken connection.
 type cutReader struct{}
 
 func (cutReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// recorder is a caller.
-type recorder struct {
+// recordingSink records the answer as a caller receives it.
+type recordingSink struct {
 	status int
 	body   strings.Builder
-	// gone fails every write.
-	gone bool
+	// failWrites makes every Write fail.
+	failWrites bool
 }
 
-func (r *recorder) Start(status int, _ http.Header) error {
+func (r *recordingSink) Start(status int, _ http.Header) error {
 	r.status = status
 	return nil
 }
 
-func (r *recorder) Write(data []byte) error {
-	if r.gone {
+func (r *recordingSink) Write(data []byte) error {
+	if r.failWrites {
 		return errors.New("connection reset")
 	}
 	r.body.Write(data)
 	return nil
 }
 
-func TestAnswersReachTheCallerWholeOrNotAtAll(t *testing.T) {
+// TestAnswerIsRelayedCompleteOrReportedAsFailure guards against answers that reach the
+// caller incomplete, twice or from another request when connections to the engine break,
+// and against failures with a verdict that does not match what the engine ran.
+func TestAnswerIsRelayedCompleteOrReportedAsFailure(t *testing.T) {
 	notRun := verdict.New(verdict.NotRun, verdict.CodeEngineRefused, "full")
 	notRun.Cause = engine.ErrEngineFull
 	lost := verdict.New(verdict.MayHaveRun, verdict.CodeEngineFailed, "lost")
-	forgotten := verdict.Wrap(engine.ErrAttemptUnknown, verdict.MayHaveRun, verdict.CodeStreamCut, "404")
+	unknownAttempt := verdict.Wrap(engine.ErrAttemptUnknown, verdict.MayHaveRun, verdict.CodeStreamCut, "404")
 	const object = `{"usage":{"completion_tokens":7}}`
 	tests := []struct {
 		name    string
 		stream  bool
-		steps   []step
+		steps   []engineStep
 		body    string
 		code    verdict.Code
 		verdict verdict.Verdict
 		offsets []int64
 		started bool
 	}{
-		{name: "whole stream", stream: true, steps: []step{{body: whole}}, body: whole, started: true},
-		{name: "cut stream is resumed where it broke", stream: true, steps: []step{{body: whole[:9], cut: true}, {body: whole[9:20], cut: true}, {body: whole[20:]}}, body: whole, offsets: []int64{9, 20}, started: true},
-		{name: "stream without its last event is cut", stream: true, steps: []step{{body: whole[:16]}, {body: whole[16:]}}, body: whole, offsets: []int64{16}, started: true},
-		{name: "cut for good after the first byte", stream: true, steps: []step{{body: whole[:9], cut: true}}, body: whole[:9], code: verdict.CodeStreamCut, verdict: verdict.Ran, offsets: []int64{9, 9, 9}, started: true},
-		{name: "lost answer is fetched again", steps: []step{{err: lost}, {body: object}}, body: object, offsets: []int64{0}, started: true},
-		{name: "crossed answer is dropped and the own one fetched", steps: []step{{body: `{"secret":1}`, other: true}, {body: object}}, body: object, offsets: []int64{0}, started: true},
-		{name: "crossed answer and no own one", steps: []step{{body: `{"secret":1}`, other: true}}, code: verdict.CodeEngineFailed, verdict: verdict.MayHaveRun, offsets: []int64{0, 0, 0}},
-		{name: "crossed resumption adds nothing", stream: true, steps: []step{{body: whole[:9], cut: true}, {body: "data: other\n\n", other: true}, {body: whole[9:]}}, body: whole, offsets: []int64{9, 9}, started: true},
-		{name: "engine that forgot the attempt is asked once", stream: true, steps: []step{{body: whole[:9], cut: true}, {err: forgotten}}, body: whole[:9], code: verdict.CodeStreamCut, verdict: verdict.Ran, offsets: []int64{9}, started: true},
-		{name: "refused is not run and not resumed", steps: []step{{err: notRun}}, code: verdict.CodeEngineRefused, verdict: verdict.NotRun},
-		{name: "cut object is never sent in part", steps: []step{{body: object[:9], cut: true}}, code: verdict.CodeEngineFailed, verdict: verdict.Ran, offsets: []int64{9, 9, 9}},
-		{name: "object that is not JSON", steps: []step{{body: object[:9]}}, code: verdict.CodeEngineFailed, verdict: verdict.Ran},
-		{name: "too large", steps: []step{{body: `"` + strings.Repeat("x", 100) + `"`}}, code: verdict.CodeEngineFailed, verdict: verdict.Ran},
-		{name: "engine's judgement of the request", steps: []step{{body: `{"error":{}}`, status: 400}}, body: `{"error":{}}`, started: true},
+		{name: "complete stream", stream: true, steps: []engineStep{{body: completeStream}}, body: completeStream, started: true},
+		{name: "stream cut off is resumed at its offset", stream: true, steps: []engineStep{{body: completeStream[:9], cut: true}, {body: completeStream[9:20], cut: true}, {body: completeStream[20:]}}, body: completeStream, offsets: []int64{9, 20}, started: true},
+		{name: "stream without its last event counts as cut off", stream: true, steps: []engineStep{{body: completeStream[:16]}, {body: completeStream[16:]}}, body: completeStream, offsets: []int64{16}, started: true},
+		{name: "stream cut off that cannot be resumed", stream: true, steps: []engineStep{{body: completeStream[:9], cut: true}}, body: completeStream[:9], code: verdict.CodeStreamCut, verdict: verdict.Ran, offsets: []int64{9, 9, 9}, started: true},
+		{name: "lost answer is resumed from its start", steps: []engineStep{{err: lost}, {body: object}}, body: object, offsets: []int64{0}, started: true},
+		{name: "answer of another request is dropped and the right one fetched", steps: []engineStep{{body: `{"secret":1}`, wrongRequest: true}, {body: object}}, body: object, offsets: []int64{0}, started: true},
+		{name: "answer of another request and no right one", steps: []engineStep{{body: `{"secret":1}`, wrongRequest: true}}, code: verdict.CodeEngineFailed, verdict: verdict.MayHaveRun, offsets: []int64{0, 0, 0}},
+		{name: "resumed answer of another request adds nothing", stream: true, steps: []engineStep{{body: completeStream[:9], cut: true}, {body: "data: other\n\n", wrongRequest: true}, {body: completeStream[9:]}}, body: completeStream, offsets: []int64{9, 9}, started: true},
+		{name: "engine that does not know the attempt is asked once", stream: true, steps: []engineStep{{body: completeStream[:9], cut: true}, {err: unknownAttempt}}, body: completeStream[:9], code: verdict.CodeStreamCut, verdict: verdict.Ran, offsets: []int64{9}, started: true},
+		{name: "refused request did not run and is not resumed", steps: []engineStep{{err: notRun}}, code: verdict.CodeEngineRefused, verdict: verdict.NotRun},
+		{name: "buffered answer cut off is not sent in part", steps: []engineStep{{body: object[:9], cut: true}}, code: verdict.CodeEngineFailed, verdict: verdict.Ran, offsets: []int64{9, 9, 9}},
+		{name: "buffered answer that is not JSON", steps: []engineStep{{body: object[:9]}}, code: verdict.CodeEngineFailed, verdict: verdict.Ran},
+		{name: "answer larger than the limit", steps: []engineStep{{body: `"` + strings.Repeat("x", 100) + `"`}}, code: verdict.CodeEngineFailed, verdict: verdict.Ran},
+		{name: "engine's error status is relayed", steps: []engineStep{{body: `{"error":{}}`, status: 400}}, body: `{"error":{}}`, started: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				played := &engines{steps: test.steps, cancels: make(chan struct{})}
-				caller, core := &recorder{}, &decider{limit: 1}
-				runner := NewRunner(core, played, Options{MaxAnswerBytes: 64, ResumeTries: 3})
-				result := runner.Run(t.Context(), call(test.stream), caller)
+				engines := &scriptedEngines{steps: test.steps, cancels: make(chan struct{})}
+				caller, core := &recordingSink{}, &fakeDecider{limit: 1}
+				runner := NewRunner(core, engines, Options{MaxAnswerBytes: 64, MaxResumeAttempts: 3})
+				result := runner.Run(t.Context(), newCall(test.stream), caller)
 				synctest.Wait()
 				if caller.body.String() != test.body || result.Started != test.started {
 					t.Errorf("caller got %q, started %v", caller.body.String(), result.Started)
 				}
 				checkFailure(t, result.Failure, test.code, test.verdict)
-				if !slices.Equal(played.offsets, test.offsets) {
-					t.Errorf("resumed at %v, want %v", played.offsets, test.offsets)
+				if !slices.Equal(engines.resumeOffsets, test.offsets) {
+					t.Errorf("resumed at %v, want %v", engines.resumeOffsets, test.offsets)
 				}
 			})
 		})
 	}
 }
 
-// TestFailedResumptionsAreLogged: each try to fetch the rest of an answer that failed has
-// a line with its cause; the request ends by the cause of the cut.
+// TestFailedResumptionsAreLogged guards against resume failures whose cause cannot be found
+// later: only the log has it, since a request that fails ends with the cause of the cut.
 func TestFailedResumptionsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var text strings.Builder
-		away := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "the engine is away")
-		played := &engines{steps: []step{{body: whole[:9], cut: true}, {err: away}, {err: away}, {body: whole[9:]}}, cancels: make(chan struct{})}
-		caller, core := &recorder{}, &decider{limit: 1}
-		runner := NewRunner(core, played, Options{ResumeTries: 3, Logger: slog.New(slog.NewTextHandler(&text, nil))})
-		result := runner.Run(t.Context(), call(true), caller)
-		if result.Failure != nil || caller.body.String() != whole {
+		var logged strings.Builder
+		unreachable := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "the engine is away")
+		engines := &scriptedEngines{steps: []engineStep{{body: completeStream[:9], cut: true}, {err: unreachable}, {err: unreachable}, {body: completeStream[9:]}}, cancels: make(chan struct{})}
+		caller, core := &recordingSink{}, &fakeDecider{limit: 1}
+		runner := NewRunner(core, engines, Options{MaxResumeAttempts: 3, Logger: slog.New(slog.NewTextHandler(&logged, nil))})
+		result := runner.Run(t.Context(), newCall(true), caller)
+		if result.Failure != nil || caller.body.String() != completeStream {
 			t.Errorf("caller got %q, failure %v", caller.body.String(), result.Failure)
 		}
-		if lines := strings.Count(text.String(), `msg="resume failed" request=r1 attempt=1 engine=e1 error="the engine is away`); lines != 2 {
-			t.Errorf("%d lines on two failed resumptions:\n%s", lines, text.String())
+		if lines := strings.Count(logged.String(), `msg="resuming the answer at its engine failed" request=r1 attempt=1 engine=e1 error="the engine is away`); lines != 2 {
+			t.Errorf("%d log lines for two failed resumptions:\n%s", lines, logged.String())
 		}
 	})
 }
 
-// call returns a request with a minute to live.
-func call(stream bool) Call {
+// newCall returns a request whose deadline is a minute away.
+func newCall(stream bool) Call {
 	return Call{Request: routing.Request{ID: "r1", Deadline: time.Now().Add(time.Minute)}, Path: "/v1/chat/completions", Stream: stream}
 }
 
-// checkFailure compares a failure; an empty code means none.
-func checkFailure(t *testing.T, failure *verdict.Error, code verdict.Code, judged verdict.Verdict) {
+// checkFailure checks a failure's code and verdict; an empty code means no failure.
+func checkFailure(t *testing.T, failure *verdict.Error, wantCode verdict.Code, wantVerdict verdict.Verdict) {
 	t.Helper()
 	switch {
-	case failure == nil && code != "":
-		t.Errorf("no failure, want %s", code)
-	case failure != nil && (failure.Code != code || failure.Verdict != judged):
-		t.Errorf("failure %v, want %s %s", failure, code, judged)
+	case failure == nil && wantCode != "":
+		t.Errorf("no failure, want %s", wantCode)
+	case failure != nil && (failure.Code != wantCode || failure.Verdict != wantVerdict):
+		t.Errorf("failure %v, want %s %s", failure, wantCode, wantVerdict)
 	}
 }
 
-func TestTokensAreCounted(t *testing.T) {
+// TestResultCountsGeneratedTokens guards against a wrong token count: a stream has one token
+// per event except the last, a buffered answer states its count.
+func TestResultCountsGeneratedTokens(t *testing.T) {
 	for _, stream := range []bool{true, false} {
-		body, wanted := whole, 2
+		body, want := completeStream, 2
 		if !stream {
-			body, wanted = `{"usage":{"completion_tokens":7}}`, 7
+			body, want = `{"usage":{"completion_tokens":7}}`, 7
 		}
-		core := &decider{limit: 1}
-		runner := NewRunner(core, &engines{steps: []step{{body: body}}}, Options{})
-		if result := runner.Run(t.Context(), call(stream), &recorder{}); result.Tokens != wanted {
-			t.Errorf("stream %v: %d tokens, want %d", stream, result.Tokens, wanted)
+		core := &fakeDecider{limit: 1}
+		runner := NewRunner(core, &scriptedEngines{steps: []engineStep{{body: body}}}, Options{})
+		if result := runner.Run(t.Context(), newCall(stream), &recordingSink{}); result.Tokens != want {
+			t.Errorf("stream %v: %d tokens, want %d", stream, result.Tokens, want)
 		}
 	}
 }
 
-func TestFirstByteIsReportedBeforeItGoesOut(t *testing.T) {
-	core := &decider{limit: 1}
-	caller := &recorder{}
-	NewRunner(core, &engines{steps: []step{{body: whole}}}, Options{}).Run(t.Context(), call(true), caller)
-	if _, first := core.reports[0].(routing.FirstByteSent); !first || len(core.ended()) != 1 {
+// TestFirstByteIsReportedBeforeItIsSent guards against a core that dispatches a request again
+// although its caller has received a part of the answer.
+func TestFirstByteIsReportedBeforeItIsSent(t *testing.T) {
+	core := &fakeDecider{limit: 1}
+	caller := &recordingSink{}
+	NewRunner(core, &scriptedEngines{steps: []engineStep{{body: completeStream}}}, Options{}).Run(t.Context(), newCall(true), caller)
+	if _, first := core.reports[0].(routing.FirstByteSent); !first || len(core.attemptReports()) != 1 {
 		t.Fatalf("reports %+v", core.reports)
 	}
 }
 
-func TestCallerGoneMidStreamCancelsAtTheEngine(t *testing.T) {
-	core := &decider{limit: 1}
-	played := &engines{steps: []step{{body: whole}}, cancels: make(chan struct{})}
-	result := NewRunner(core, played, Options{}).Run(t.Context(), call(true), &recorder{gone: true})
-	<-played.cancels
+// TestCallerGoneMidStreamCancelsAtEngine guards against an engine that goes on generating, and
+// an answer that is resumed, for a caller that has disconnected.
+func TestCallerGoneMidStreamCancelsAtEngine(t *testing.T) {
+	core := &fakeDecider{limit: 1}
+	engines := &scriptedEngines{steps: []engineStep{{body: completeStream}}, cancels: make(chan struct{})}
+	result := NewRunner(core, engines, Options{}).Run(t.Context(), newCall(true), &recordingSink{failWrites: true})
+	<-engines.cancels
 	checkFailure(t, result.Failure, verdict.CodeCallerGone, verdict.Ran)
-	if len(played.cancelled) != 1 || len(played.offsets) != 0 {
-		t.Fatalf("cancelled %v, resumed at %v", played.cancelled, played.offsets)
+	if len(engines.cancelledAttempts) != 1 || len(engines.resumeOffsets) != 0 {
+		t.Fatalf("cancelled %v, resumed at %v", engines.cancelledAttempts, engines.resumeOffsets)
 	}
 }
 
-func TestCallerGoneBeforeTheAnswer(t *testing.T) {
+// TestCallerGoneBeforeAnswerCancelsAtEngine guards against an engine that goes on running a
+// request whose caller disconnected before the answer began.
+func TestCallerGoneBeforeAnswerCancelsAtEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, leave := context.WithCancel(t.Context())
-		core := &decider{limit: 1}
-		played := &engines{steps: []step{{hang: true}}, cancels: make(chan struct{})}
+		core := &fakeDecider{limit: 1}
+		engines := &scriptedEngines{steps: []engineStep{{hangs: true}}, cancels: make(chan struct{})}
 		done := make(chan Result)
-		go func() { done <- NewRunner(core, played, Options{}).Run(ctx, call(false), &recorder{}) }()
+		go func() { done <- NewRunner(core, engines, Options{}).Run(ctx, newCall(false), &recordingSink{}) }()
 		synctest.Wait()
 		leave()
 		result := <-done
-		<-played.cancels
+		<-engines.cancels
 		checkFailure(t, result.Failure, verdict.CodeCallerGone, verdict.MayHaveRun)
 	})
 }
 
-func TestDeadlineEndsAHangingAttempt(t *testing.T) {
+// TestDeadlineEndsHangingAttempt guards against an attempt that outlives its deadline because
+// the engine does not answer.
+func TestDeadlineEndsHangingAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		played := &engines{steps: []step{{hang: true}}, cancels: make(chan struct{})}
-		result := NewRunner(&decider{limit: 1}, played, Options{}).Run(t.Context(), call(false), &recorder{})
-		<-played.cancels
+		engines := &scriptedEngines{steps: []engineStep{{hangs: true}}, cancels: make(chan struct{})}
+		result := NewRunner(&fakeDecider{limit: 1}, engines, Options{}).Run(t.Context(), newCall(false), &recordingSink{})
+		<-engines.cancels
 		checkFailure(t, result.Failure, verdict.CodeDeadlineExceeded, verdict.MayHaveRun)
 		if waited := time.Since(began); waited != time.Minute {
 			t.Errorf("ended after %s", waited)
@@ -312,11 +325,13 @@
 	})
 }
 
-func TestCoreThatDoesNotDecideIsNotAwaitedForever(t *testing.T) {
+// TestWaitForDecisionIsBoundedByFinishGrace guards against a request that never ends because
+// the core does not decide on it.
+func TestWaitForDecisionIsBoundedByFinishGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		core := &decider{limit: 1, silent: true}
-		result := NewRunner(core, &engines{steps: []step{{body: whole}}}, Options{}).Run(t.Context(), call(false), &recorder{})
+		core := &fakeDecider{limit: 1, ignoresReports: true}
+		result := NewRunner(core, &scriptedEngines{steps: []engineStep{{body: completeStream}}}, Options{}).Run(t.Context(), newCall(false), &recordingSink{})
 		checkFailure(t, result.Failure, verdict.CodeInternal, verdict.MayHaveRun)
 		if waited := time.Since(began); waited != time.Minute+2*DefaultFinishGrace {
 			t.Errorf("ended after %s", waited)
@@ -324,16 +339,18 @@
 	})
 }
 
-func TestFinishInterruptsTheAttempt(t *testing.T) {
+// TestFinishInterruptsRunningAttempt guards against a Finish that is not carried out until the
+// engine answers.
+func TestFinishInterruptsRunningAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core := &decider{limit: 1, silent: true}
-		played := &engines{steps: []step{{hang: true}}, cancels: make(chan struct{})}
+		core := &fakeDecider{limit: 1, ignoresReports: true}
+		engines := &scriptedEngines{steps: []engineStep{{hangs: true}}, cancels: make(chan struct{})}
 		done := make(chan Result)
-		go func() { done <- NewRunner(core, played, Options{}).Run(t.Context(), call(false), &recorder{}) }()
+		go func() { done <- NewRunner(core, engines, Options{}).Run(t.Context(), newCall(false), &recordingSink{}) }()
 		synctest.Wait()
 		core.ticket.Deliver(routing.Finish{Request: "r1", Failure: verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, "late")})
 		result := <-done
-		<-played.cancels
+		<-engines.cancels
 		checkFailure(t, result.Failure, verdict.CodeDeadlineExceeded, verdict.MayHaveRun)
 	})
 }
--- a/relay/ticket.go
+++ b/relay/ticket.go
@@ -7,18 +7,19 @@
 	"github.com/valveslip/valveslip/routing"
 )
 
-// Decider admits requests and decides what becomes of them. Its methods never
-// wait for the network.
+// Decider admits requests and decides on their attempts. Its methods never wait for the
+// network.
 type Decider interface {
-	// Submit asks to admit a request. Everything decided about it arrives on
-	// the ticket, the last effect being its only routing.Finish.
+	// Submit asks to admit a request. The decisions on it are delivered to the
+	// returned ticket; the last one is its only routing.Finish.
 	Submit(request routing.Request) *Ticket
-	// Report tells the core what happened to a request.
+	// Report informs the core of an event of a request.
 	Report(event routing.Event)
 }
 
-// Ticket is the mailbox of one request. Deliver never blocks, so a slow request
-// cannot hold up the core. Its length is bounded by the request's attempts.
+// Ticket is the queue of the effects of one request. Deliver never blocks, so that a
+// slow request cannot delay the core. The queue's length is bounded by the number of the
+// request's attempts.
 type Ticket struct {
 	mutex     sync.Mutex
 	pending   []routing.Effect
@@ -27,14 +28,14 @@
 	observe   func(routing.Effect)
 }
 
-// NewTicket returns an empty mailbox. Each effect is shown to observe when it is
-// taken out, by the request's goroutine; nil observes nothing.
+// NewTicket returns an empty queue. The goroutine of the request calls observe, unless
+// it is nil, with each effect that it takes from the queue.
 func NewTicket(observe func(routing.Effect)) *Ticket {
 	return &Ticket{ready: make(chan struct{}, 1), observe: observe}
 }
 
-// Deliver appends an effect. A CancelAttempt or Finish also interrupts the
-// attempt that runs.
+// Deliver appends an effect to the queue. A CancelAttempt or Finish also interrupts the
+// running attempt.
 func (t *Ticket) Deliver(effect routing.Effect) {
 	t.mutex.Lock()
 	t.pending = append(t.pending, effect)
@@ -53,7 +54,7 @@
 	}
 }
 
-// Next returns the oldest effect, waiting until there is one or ctx ends.
+// Next removes and returns the oldest effect. It waits until there is one or ctx ends.
 func (t *Ticket) Next(ctx context.Context) (routing.Effect, error) {
 	for {
 		if effect, ok := t.Take(); ok {
@@ -70,7 +71,7 @@
 	}
 }
 
-// Take returns the oldest effect if there is one, without waiting.
+// Take removes and returns the oldest effect, if there is one. It does not wait.
 func (t *Ticket) Take() (routing.Effect, bool) {
 	effect, found := t.pop()
 	if found && t.observe != nil {
@@ -79,7 +80,7 @@
 	return effect, found
 }
 
-// pop removes the oldest effect unseen.
+// pop removes and returns the oldest effect without calling observe.
 func (t *Ticket) pop() (routing.Effect, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -91,8 +92,8 @@
 	return effect, true
 }
 
-// OnInterrupt sets what interrupts the attempt that runs; nil removes it. When
-// an interrupting effect already waits, cancel is called at once.
+// OnInterrupt sets the function that interrupts the running attempt; nil removes it. If
+// an interrupting effect is already queued, cancel is called at once.
 func (t *Ticket) OnInterrupt(cancel context.CancelFunc) {
 	t.mutex.Lock()
 	t.interrupt = cancel
--- a/relay/tickets.go
+++ b/relay/tickets.go
@@ -5,12 +5,12 @@
 	"github.com/valveslip/valveslip/routing"
 )
 
-// Tickets holds the mailboxes of all requests that have not ended. It is not safe
-// for concurrent use: the shell that steps the core owns it.
+// Tickets holds the tickets of all requests that have not ended. It is not safe for
+// concurrent use: the shell that steps the core owns it.
 type Tickets map[cluster.RequestID]*Ticket
 
-// Deliver hands a routing effect to the request it belongs to. The last one, its
-// Finish, takes the request out.
+// Deliver appends a routing effect to the ticket of its request. Finish, the last effect
+// of a request, also removes the ticket.
 func (t Tickets) Deliver(effect routing.Effect) {
 	var id cluster.RequestID
 	switch effect := effect.(type) {
