--- a/replication/bench_test.go
+++ b/replication/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// largeTree has the size expected in two years: 62 models, 1,600 adapters.
+// largeTree returns a tree of the size expected in two years: 62 models, 1,600 adapters.
 func largeTree(b *testing.B) *settings.Tree {
 	edit := settings.Edit{ID: "tree"}
 	add := func(path string, kind settings.Kind, values map[string]settings.Value) {
@@ -34,13 +34,13 @@
 	return tree
 }
 
-// BenchmarkEntries puts batches of accepted edits in force, with 340 peers
-// known, of which four are pushed to.
-func BenchmarkEntries(b *testing.B) {
+// BenchmarkApplyEntries puts batches of accepted edits in force and pushes them to four of
+// 340 known peers.
+func BenchmarkApplyEntries(b *testing.B) {
 	tree := largeTree(b)
 	for _, batch := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("edits=%d", batch), func(b *testing.B) {
-			entries := benchEntries(b, tree, batch)
+			entries := entriesAfterFirst(b, tree, batch)
 			stamp := settings.Stamp{History: "h1", Revision: 1, Digest: tree.Digest()}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -53,7 +53,7 @@
 				}
 				b.StartTimer()
 				effects := core.Step(epoch, MessageReceived{Message: wire.ConfigurationEntries{From: "peer-000", History: "h1", After: 1, Entries: entries}})
-				if len(only[InForce](effects)) != 1 {
+				if len(effectsOf[InForce](effects)) != 1 {
 					b.Fatal("not in force")
 				}
 			}
@@ -61,8 +61,8 @@
 	}
 }
 
-// benchEntries makes edits of one key each after revision 1.
-func benchEntries(b *testing.B, tree *settings.Tree, count int) []wire.ConfigurationEntry {
+// entriesAfterFirst returns count entries after revision 1, each of which sets one key.
+func entriesAfterFirst(b *testing.B, tree *settings.Tree, count int) []wire.ConfigurationEntry {
 	var entries []wire.ConfigurationEntry
 	for i := range count {
 		edit := settings.Edit{ID: fmt.Sprintf("edit-%d", i), Changes: []settings.Change{{
@@ -78,8 +78,8 @@
 	return entries
 }
 
-// BenchmarkHeartbeatStamp takes in the stamp of a peer that has nothing newer.
-func BenchmarkHeartbeatStamp(b *testing.B) {
+// BenchmarkReceiveStamp processes the stamp of a peer that has no newer configuration.
+func BenchmarkReceiveStamp(b *testing.B) {
 	core := newCore("a")
 	h := newHistory(b, "h1", 1)
 	core.Step(epoch, h.loaded(1))
@@ -90,9 +90,9 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that a configuration in force takes: the
-// tree and the compiled snapshot.
-func BenchmarkMemory(b *testing.B) {
+// BenchmarkConfigurationHeap reports the heap that the tree and the compiled snapshot of a
+// configuration in force occupy, per model.
+func BenchmarkConfigurationHeap(b *testing.B) {
 	data := largeTree(b).Encode()
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -111,15 +111,15 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1662, "B/model")
 }
 
-// BenchmarkSnapshot puts a whole tree in force that came as a message.
-func BenchmarkSnapshot(b *testing.B) {
+// BenchmarkApplySnapshot puts a whole tree in force that arrives in a message.
+func BenchmarkApplySnapshot(b *testing.B) {
 	tree := largeTree(b)
 	message := wire.ConfigurationSnapshot{
 		From: "peer-000", Stamp: settings.Stamp{History: "h1", Revision: 1, Digest: tree.Digest()}, Data: tree.Encode(),
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(only[InForce](newCore("a").Step(epoch, MessageReceived{Message: message}))) != 1 {
+		if len(effectsOf[InForce](newCore("a").Step(epoch, MessageReceived{Message: message}))) != 1 {
 			b.Fatal("not in force")
 		}
 	}
--- a/replication/core.go
+++ b/replication/core.go
@@ -15,9 +15,9 @@
 
 // Core is the configuration state of one node.
 //
-// Invariants: stamp never gets smaller; tree and snapshot are those of stamp;
-// backlog holds consecutive edits that end at stamp's revision; peers is sorted
-// by identifier.
+// Invariants: stamp never decreases; tree and snapshot are those of stamp; backlog holds
+// consecutive edits, the last of which has the revision of stamp; peers is sorted by
+// identifier.
 type Core struct {
 	self   cluster.NodeID
 	config Config
@@ -26,25 +26,26 @@
 	stamp    settings.Stamp
 	tree     *settings.Tree
 	snapshot *settings.Snapshot
-	// encoded is the encoding of tree once a peer has asked for it.
-	encoded []byte
-	backlog backlog
+	// encodedTree is the encoding of tree, nil until a peer needs a snapshot.
+	encodedTree []byte
+	backlog     backlog
 
-	peers []Peer
-	asked request
+	peers          []Peer
+	pendingRequest configurationRequest
 
-	nextSweep time.Time
-	effects   []Effect
+	nextForget time.Time
+	effects    []Effect
 }
 
-// request is the one question that may be open at a time.
-type request struct {
-	to       cluster.NodeID
+// configurationRequest is an unanswered request to a peer. There is at most one at a time;
+// its deadline has passed if there is none.
+type configurationRequest struct {
+	target   cluster.NodeID
 	deadline time.Time
 }
 
-// New returns the core of the node self, which holds no configuration yet.
-// Equal inputs give equal outputs.
+// New returns the core of the node self, with no configuration in force. The core is
+// deterministic: equal events at equal times have equal effects.
 func New(self cluster.NodeID, config Config) *Core {
 	config = config.withDefaults()
 	return &Core{
@@ -55,52 +56,51 @@
 	}
 }
 
-// randomStream tells this core's random numbers from those of other cores that
-// are seeded alike.
+// randomStream makes this core's random numbers differ from those of other cores with the
+// same seed.
 const randomStream = 0x72657061
 
-// sweepInterval between looks for peers that were not seen for long.
-const sweepInterval = time.Minute
+// forgetInterval is the time between two searches for peers to forget.
+const forgetInterval = time.Minute
 
-// Step takes one event at the time now and returns what is to be done.
+// Step processes an event at the time now and returns its effects, which the caller must
+// carry out.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	c.effects = nil
 	switch e := event.(type) {
 	case Loaded:
-		c.load(e)
+		c.receiveLoaded(e)
 	case Accepted:
-		c.accept(now, e)
+		c.receiveAccepted(now, e)
 	case StampSeen:
-		c.see(now, e)
+		c.receiveStamp(now, e)
 	case MessageReceived:
 		c.receive(now, e)
 	case PeerGone:
-		if at, found := c.find(e.ID); found {
+		if at, found := c.findPeer(e.ID); found {
 			c.peers = slices.Delete(c.peers, at, at+1)
 		}
 	case Tick:
-		c.sweep(now)
-		c.askNewest(now)
+		c.forgetSilentPeers(now)
+		c.requestFromNewerPeer(now)
 	}
 	return c.effects
 }
 
-// Stamp returns the stamp of the configuration in force, zero when there is
-// none yet.
+// Stamp returns the stamp of the configuration in force, zero if there is none yet.
 func (c *Core) Stamp() settings.Stamp { return c.stamp }
 
-// Snapshot returns the configuration in force, nil when there is none yet.
+// Snapshot returns the compiled configuration in force, nil if there is none yet.
 func (c *Core) Snapshot() *settings.Snapshot { return c.snapshot }
 
-// Tree returns the raw tree of the configuration in force, nil when there is
-// none yet. It must not be changed.
+// Tree returns the uncompiled tree of the configuration in force, nil if there is none
+// yet. The caller must not modify it.
 func (c *Core) Tree() *settings.Tree { return c.tree }
 
-// Peers returns what is known of other nodes' configurations, sorted by
-// identifier.
+// Peers returns the known peers and their configurations' stamps, sorted by identifier.
 func (c *Core) Peers() []Peer { return slices.Clone(c.peers) }
 
-func (c *Core) find(id cluster.NodeID) (int, bool) {
+func (c *Core) findPeer(id cluster.NodeID) (int, bool) {
 	return slices.BinarySearchFunc(c.peers, id, func(p Peer, id cluster.NodeID) int { return cmp.Compare(p.ID, id) })
 }
 
--- a/replication/spread.go
+++ b/replication/spread.go
@@ -9,15 +9,16 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// see notes the stamp on a heartbeat and asks the sender when it is newer.
-func (c *Core) see(now time.Time, event StampSeen) {
+// receiveStamp records the stamp of a peer's heartbeat and, if it is newer than the one in
+// force, requests the configuration from that peer.
+func (c *Core) receiveStamp(now time.Time, event StampSeen) {
 	if event.From == c.self || event.From == "" {
 		return
 	}
 	peer := Peer{ID: event.From, Address: event.Address, Stamp: event.Stamp, Seen: now, SameZone: event.SameZone}
-	at, found := c.find(event.From)
+	at, found := c.findPeer(event.From)
 	if found {
-		// A heartbeat may have been overtaken by a later message.
+		// A message that was sent later may have arrived before this heartbeat.
 		if Compare(c.peers[at].Stamp, peer.Stamp) > 0 {
 			peer.Stamp = c.peers[at].Stamp
 		}
@@ -26,73 +27,77 @@
 		c.peers = slices.Insert(c.peers, at, peer)
 	}
 	if Compare(peer.Stamp, c.stamp) > 0 {
-		c.ask(now, peer, c.stamp)
+		c.requestConfiguration(now, peer, c.stamp)
 	}
 }
 
-// ask sends a request unless one is open.
-func (c *Core) ask(now time.Time, peer Peer, after settings.Stamp) {
-	if now.Before(c.asked.deadline) {
+// requestConfiguration requests from a peer the configuration after a stamp, unless another
+// request is unanswered.
+func (c *Core) requestConfiguration(now time.Time, peer Peer, after settings.Stamp) {
+	if now.Before(c.pendingRequest.deadline) {
 		return
 	}
-	c.asked = request{to: peer.ID, deadline: now.Add(c.config.RequestTimeout)}
+	c.pendingRequest = configurationRequest{target: peer.ID, deadline: now.Add(c.config.RequestTimeout)}
 	c.send(peer.Address, wire.ConfigurationRequest{From: c.self, FromAddress: c.config.Address, Stamp: after})
 }
 
-// askNewest asks a random one of the peers known to be ahead, once the former
-// request has gone unanswered.
-func (c *Core) askNewest(now time.Time) {
-	if now.Before(c.asked.deadline) {
+// requestFromNewerPeer sends a request to a random peer with a newer stamp, once the
+// previous request has timed out.
+func (c *Core) requestFromNewerPeer(now time.Time) {
+	if now.Before(c.pendingRequest.deadline) {
 		return
 	}
 	var ahead []Peer
 	for _, peer := range c.peers {
-		if peer.ID != c.asked.to && c.fresh(now, peer) && Compare(peer.Stamp, c.stamp) > 0 {
+		if peer.ID != c.pendingRequest.target && c.recentlySeen(now, peer) && Compare(peer.Stamp, c.stamp) > 0 {
 			ahead = append(ahead, peer)
 		}
 	}
 	if len(ahead) > 0 {
-		c.ask(now, ahead[c.random.IntN(len(ahead))], c.stamp)
+		c.requestConfiguration(now, ahead[c.random.IntN(len(ahead))], c.stamp)
 	} else {
-		// The same peer may be asked again.
-		c.asked = request{}
+		// No other peer has a newer stamp: the next request may go to the same peer.
+		c.pendingRequest = configurationRequest{}
 	}
 }
 
-func (c *Core) fresh(now time.Time, peer Peer) bool { return now.Sub(peer.Seen) < c.config.FreshTime }
+func (c *Core) recentlySeen(now time.Time, peer Peer) bool {
+	return now.Sub(peer.Seen) < c.config.MaxHeartbeatAge
+}
 
-// sweep forgets peers that were not seen for long.
-func (c *Core) sweep(now time.Time) {
-	if now.Before(c.nextSweep) {
+// forgetSilentPeers forgets peers whose last heartbeat is older than PeerTTL.
+func (c *Core) forgetSilentPeers(now time.Time) {
+	if now.Before(c.nextForget) {
 		return
 	}
-	c.nextSweep = now.Add(sweepInterval)
-	c.peers = slices.DeleteFunc(c.peers, func(p Peer) bool { return now.Sub(p.Seen) >= c.config.PeerTime })
+	c.nextForget = now.Add(forgetInterval)
+	c.peers = slices.DeleteFunc(c.peers, func(p Peer) bool { return now.Sub(p.Seen) >= c.config.PeerTTL })
 }
 
-// push sends the edits after a revision to Fanout random peers that are not
-// known to have them, half of them in the own zone as far as there are enough.
-func (c *Core) push(now time.Time, after int64) {
+// pushEntries sends the edits after a revision to Fanout random peers that are not known to
+// have them: half of them in this node's zone and half in others, or more of one kind where
+// there are too few of the other.
+func (c *Core) pushEntries(now time.Time, after int64) {
 	if c.config.Fanout <= 0 {
 		return
 	}
-	var near, far []int
+	var sameZone, otherZones []int
 	for i, peer := range c.peers {
-		if !c.fresh(now, peer) || Compare(peer.Stamp, c.stamp) >= 0 {
+		if !c.recentlySeen(now, peer) || Compare(peer.Stamp, c.stamp) >= 0 {
 			continue
 		}
 		if peer.SameZone {
-			near = append(near, i)
+			sameZone = append(sameZone, i)
 		} else {
-			far = append(far, i)
+			otherZones = append(otherZones, i)
 		}
 	}
-	c.shuffle(near)
-	c.shuffle(far)
-	half := min(len(near), max(c.config.Fanout/2, c.config.Fanout-len(far)))
-	chosen := slices.Concat(near[:half], far[:min(len(far), c.config.Fanout-half)])
+	c.shuffle(sameZone)
+	c.shuffle(otherZones)
+	sameZoneCount := min(len(sameZone), max(c.config.Fanout/2, c.config.Fanout-len(otherZones)))
+	chosen := slices.Concat(sameZone[:sameZoneCount], otherZones[:min(len(otherZones), c.config.Fanout-sameZoneCount)])
 	for _, i := range chosen {
-		c.offer(c.peers[i], after)
+		c.sendMissingEntries(c.peers[i], after)
 	}
 }
 
@@ -100,10 +105,10 @@
 	c.random.Shuffle(len(indexes), func(i, j int) { indexes[i], indexes[j] = indexes[j], indexes[i] })
 }
 
-// offer pushes the edits after a revision to a peer, as far as it is not known to
-// have them. One that lacks more, or needs a snapshot, asks for it: what was
-// last heard of its revision may be old, and several may offer at once.
-func (c *Core) offer(peer Peer, after int64) {
+// sendMissingEntries sends a peer the edits after a revision that it is not known to have. It
+// does not send earlier edits or a snapshot: the peer's known stamp may be outdated, and
+// several nodes may push to it at once. A peer that needs more requests it.
+func (c *Core) sendMissingEntries(peer Peer, after int64) {
 	if peer.Stamp.History != c.stamp.History {
 		return
 	}
@@ -120,42 +125,43 @@
 	})
 }
 
-// receive takes in a message of a peer.
+// receive processes a message of a peer.
 func (c *Core) receive(now time.Time, event MessageReceived) {
 	switch m := event.Message.(type) {
 	case wire.ConfigurationRequest:
-		c.reply(orElse(m.FromAddress, event.Address), m.Stamp)
+		c.reply(firstNonEmpty(m.FromAddress, event.Address), m.Stamp)
 	case wire.ConfigurationEntries:
-		sender := Peer{ID: orElse(m.From, event.From), Address: orElse(m.FromAddress, event.Address)}
+		sender := Peer{ID: firstNonEmpty(m.From, event.From), Address: firstNonEmpty(m.FromAddress, event.Address)}
 		c.receiveEntries(now, sender, m)
 	case wire.ConfigurationSnapshot:
-		c.receiveSnapshot(orElse(m.From, event.From), m)
+		c.receiveSnapshot(firstNonEmpty(m.From, event.From), m)
 	}
 }
 
-func orElse[T ~string](value, otherwise T) T {
+func firstNonEmpty[T ~string](value, fallback T) T {
 	if value != "" {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
-// reply answers a request with what follows the asker's stamp.
-func (c *Core) reply(address string, asker settings.Stamp) {
-	if Compare(c.stamp, asker) <= 0 {
+// reply answers a request with the edits after the requester's stamp or, where the backlog
+// does not hold them, with a snapshot. It sends nothing to a requester that is up to date.
+func (c *Core) reply(address string, requesterStamp settings.Stamp) {
+	if Compare(c.stamp, requesterStamp) <= 0 {
 		return
 	}
-	if asker.History == c.stamp.History {
-		if entries, ok := c.backlog.after(asker.Revision); ok {
-			c.sendEntries(address, asker.Revision, entries)
+	if requesterStamp.History == c.stamp.History {
+		if entries, ok := c.backlog.after(requesterStamp.Revision); ok {
+			c.sendEntries(address, requesterStamp.Revision, entries)
 			return
 		}
 	}
-	if c.encoded == nil {
-		c.encoded = c.tree.Encode()
+	if c.encodedTree == nil {
+		c.encodedTree = c.tree.Encode()
 	}
 	c.send(address, wire.ConfigurationSnapshot{
-		From: c.self, FromAddress: c.config.Address, Stamp: c.stamp, Data: c.encoded,
+		From: c.self, FromAddress: c.config.Address, Stamp: c.stamp, Data: c.encodedTree,
 	})
 }
 
@@ -165,23 +171,23 @@
 	}
 	last := message.Entries[len(message.Entries)-1]
 	stamp := settings.Stamp{History: message.History, Revision: last.Revision, Digest: last.Digest}
-	c.holds(sender.ID, stamp)
-	if sender.ID == c.asked.to {
-		c.asked = request{}
+	c.raisePeerStamp(sender.ID, stamp)
+	if sender.ID == c.pendingRequest.target {
+		c.pendingRequest = configurationRequest{}
 	}
-	switch c.follow(now, message.History, message.Entries) {
-	case detached:
-		c.ask(now, sender, c.stamp)
-	case broken:
-		// A stamp without history is answered with a snapshot.
-		c.ask(now, sender, settings.Stamp{})
+	switch c.applyEntries(now, message.History, message.Entries) {
+	case disconnected:
+		c.requestConfiguration(now, sender, c.stamp)
+	case invalid:
+		// A request with an empty stamp is answered with a snapshot.
+		c.requestConfiguration(now, sender, settings.Stamp{})
 	}
 }
 
 func (c *Core) receiveSnapshot(from cluster.NodeID, message wire.ConfigurationSnapshot) {
-	c.holds(from, message.Stamp)
-	if from == c.asked.to {
-		c.asked = request{}
+	c.raisePeerStamp(from, message.Stamp)
+	if from == c.pendingRequest.target {
+		c.pendingRequest = configurationRequest{}
 	}
 	if Compare(message.Stamp, c.stamp) <= 0 {
 		return
@@ -191,12 +197,12 @@
 		c.emit(Rejected{Stamp: message.Stamp, Err: err})
 		return
 	}
-	c.replace(tree, message.Stamp)
+	c.replaceTree(tree, message.Stamp)
 }
 
-// holds notes that a peer has a stamp at least.
-func (c *Core) holds(id cluster.NodeID, stamp settings.Stamp) {
-	if at, found := c.find(id); found && Compare(stamp, c.peers[at].Stamp) > 0 {
+// raisePeerStamp records that a peer has the given stamp or a newer one.
+func (c *Core) raisePeerStamp(id cluster.NodeID, stamp settings.Stamp) {
+	if at, found := c.findPeer(id); found && Compare(stamp, c.peers[at].Stamp) > 0 {
 		c.peers[at].Stamp = stamp
 	}
 }
--- a/replication/types.go
+++ b/replication/types.go
@@ -9,31 +9,30 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Config holds the bounds and timing. The zero value of a field means its
-// default.
+// Config holds limits and timeouts. A zero field means its default.
 type Config struct {
-	// Address is this node's peer address, where answers are sent.
+	// Address is this node's peer address, to which answers are sent.
 	Address string
-	// Fanout is to how many peers a node that moved pushes; the default is 4.
-	// Negative means none.
+	// Fanout is the number of peers that accepted edits are pushed to; the default is
+	// 4. Negative means none.
 	Fanout int
-	// BacklogEntries and BacklogBytes bound the accepted edits that are kept
-	// for peers; the defaults are 1,024 and 512 KiB. Negative means none, so
-	// that only snapshots are sent.
+	// BacklogEntries and BacklogBytes bound the number and size of the accepted edits
+	// that are kept for peers; the defaults are 1,024 and 512 KiB. Negative means that
+	// none are kept, so that only snapshots are sent.
 	BacklogEntries int
 	BacklogBytes   int
-	// RequestTimeout is how long the answer of one peer is awaited before
-	// another is asked; the default is 1 s.
+	// RequestTimeout is how long a peer's answer is awaited before another peer is
+	// asked; the default is 1 s.
 	RequestTimeout time.Duration
-	// PeerTime is how long a peer is remembered after its last heartbeat; the
-	// default is 15 min.
-	PeerTime time.Duration
-	// FreshTime is how recent a heartbeat must be for a peer to be pushed to
-	// or asked; the default is 10 min.
-	FreshTime time.Duration
-	// Compile and DecodeTree replace (*settings.Tree).Compile and
-	// settings.DecodeTree, for harnesses that run many nodes in one process
-	// and share their results. The defaults are those functions.
+	// PeerTTL is how long a peer is remembered after its last heartbeat; the default
+	// is 15 min.
+	PeerTTL time.Duration
+	// MaxHeartbeatAge is the age of a peer's last heartbeat from which on nothing is
+	// pushed to or requested from that peer; the default is 10 min.
+	MaxHeartbeatAge time.Duration
+	// Compile and DecodeTree replace (*settings.Tree).Compile and settings.DecodeTree,
+	// which are the defaults. Test harnesses that run many nodes in one process use
+	// them to share results.
 	Compile    func(*settings.Tree, settings.Stamp) (*settings.Snapshot, error)
 	DecodeTree func([]byte) (*settings.Tree, error)
 }
@@ -43,8 +42,8 @@
 	c.BacklogEntries = cmp.Or(c.BacklogEntries, 1024)
 	c.BacklogBytes = cmp.Or(c.BacklogBytes, 512<<10)
 	c.RequestTimeout = cmp.Or(c.RequestTimeout, time.Second)
-	c.PeerTime = cmp.Or(c.PeerTime, 15*time.Minute)
-	c.FreshTime = cmp.Or(c.FreshTime, 10*time.Minute)
+	c.PeerTTL = cmp.Or(c.PeerTTL, 15*time.Minute)
+	c.MaxHeartbeatAge = cmp.Or(c.MaxHeartbeatAge, 10*time.Minute)
 	if c.Compile == nil {
 		c.Compile = (*settings.Tree).Compile
 	}
@@ -57,20 +56,20 @@
 // Event is an input of the core.
 type Event interface{ replicationEvent() }
 
-// Loaded brings the whole configuration as read from the key-value service.
+// Loaded holds the whole configuration as read from the key-value service.
 type Loaded struct {
 	Tree  *settings.Tree
 	Stamp settings.Stamp
 }
 
-// Accepted brings accepted edits, in order of revision, that were seen in the
-// key-value service or committed by this node.
+// Accepted holds accepted edits, ordered by revision, that were read from the key-value
+// service or committed by this node.
 type Accepted struct {
 	History string
 	Entries []settings.Entry
 }
 
-// StampSeen brings the stamp on a peer's heartbeat.
+// StampSeen holds the stamp of a peer's heartbeat.
 type StampSeen struct {
 	From     cluster.NodeID
 	Address  string
@@ -78,19 +77,20 @@
 	SameZone bool
 }
 
-// MessageReceived brings a ConfigurationRequest, ConfigurationEntries or
-// ConfigurationSnapshot of a peer. From and Address replace those of the
-// message where it has none, as with peers of version 1 of the schemas.
+// MessageReceived holds a ConfigurationRequest, ConfigurationEntries or
+// ConfigurationSnapshot of a peer. From and Address are used where the message does not
+// state the sender, as with peers of version 1 of the schemas.
 type MessageReceived struct {
 	From    cluster.NodeID
 	Address string
 	Message wire.Message
 }
 
-// PeerGone says that a peer is dead and need not be remembered.
+// PeerGone says that a peer is dead and can be forgotten.
 type PeerGone struct{ ID cluster.NodeID }
 
-// Tick lets time pass. It should come several times a RequestTimeout.
+// Tick makes the core check its timeouts. It should occur several times per
+// RequestTimeout.
 type Tick struct{}
 
 func (Loaded) replicationEvent()          {}
@@ -103,24 +103,24 @@
 // Effect is an output of the core.
 type Effect interface{ replicationEffect() }
 
-// Send asks to send Message to the peer at Address.
+// Send asks the caller to send Message to the peer at Address.
 type Send struct {
 	Address string
 	Message wire.Message
 }
 
-// InForce says that a configuration decides from now on.
+// InForce says that a configuration is in force from now on.
 type InForce struct {
 	Snapshot *settings.Snapshot
 	Tree     *settings.Tree
 }
 
-// LoadNeeded says that accepted edits of the key-value service do not connect
-// to the configuration held here, so it should be read whole.
+// LoadNeeded says that accepted edits of the key-value service do not follow the
+// configuration of this node, so that the whole configuration must be read.
 type LoadNeeded struct{}
 
-// Rejected reports a configuration that could not be put in force. The former
-// one stays.
+// Rejected reports a configuration that could not be put in force. The previous one
+// stays in force.
 type Rejected struct {
 	Stamp settings.Stamp
 	Err   error
@@ -131,8 +131,8 @@
 func (LoadNeeded) replicationEffect() {}
 func (Rejected) replicationEffect()   {}
 
-// Compare orders stamps: by history, then by revision. A larger stamp is newer.
-// Digests do not matter.
+// Compare orders stamps by history, then by revision; the larger stamp is the newer one.
+// It ignores digests.
 func Compare(a, b settings.Stamp) int {
 	return cmp.Or(cmp.Compare(a.History, b.History), cmp.Compare(a.Revision, b.Revision))
 }
@@ -142,7 +142,7 @@
 	ID      cluster.NodeID
 	Address string
 	Stamp   settings.Stamp
-	// Seen is when the last heartbeat came.
+	// Seen is the time of the last heartbeat.
 	Seen     time.Time
 	SameZone bool
 }
