--- a/keyvalue/client.go
+++ b/keyvalue/client.go
@@ -18,44 +18,43 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// ErrLeaseNotFound is the cause of an error about a lease that the service does
-// not know, because it expired, was revoked or never was.
+// ErrLeaseNotFound is the cause of an error about a lease that the service does not know,
+// because it has expired, was revoked or never existed.
 var ErrLeaseNotFound = errors.New("lease not found")
 
 const (
-	dialTimeout     = 2 * time.Second
-	idleConnections = 16
-	idleTimeout     = 60 * time.Second
-	maxErrorBytes   = 64 << 10
+	dialTimeout               = 2 * time.Second
+	maxIdleConnectionsPerHost = 16
+	idleConnectionTimeout     = 60 * time.Second
+	maxErrorBytes             = 64 << 10
 )
 
-// probes find a peer that has gone without a word within 11 s, so that a watch
-// does not wait for it longer.
-var probes = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
+// keepAliveConfig makes the kernel detect within 11 s that the peer has vanished without
+// closing the connection. A watch would otherwise wait for it much longer.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
 
-// Client speaks the etcd v3 HTTP/JSON gateway. It is safe for concurrent use
-// and never retries: the caller knows what a lost answer means.
+// Client is a client of the etcd v3 HTTP/JSON gateway. It is safe for concurrent use. It
+// never retries, because only its user knows whether a request may be applied twice.
 type Client struct {
-	url  string
-	http *http.Client
+	url        string
+	httpClient *http.Client
 }
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client of the service at url, such as
-// http://127.0.0.1:2379.
+// NewClient returns a client of the service at url, such as http://127.0.0.1:2379.
 func NewClient(url string) *Client {
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAliveConfig: probes}).DialContext,
-		MaxIdleConnsPerHost: idleConnections,
-		IdleConnTimeout:     idleTimeout,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAliveConfig}).DialContext,
+		MaxIdleConnsPerHost: maxIdleConnectionsPerHost,
+		IdleConnTimeout:     idleConnectionTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{url: strings.TrimSuffix(url, "/"), http: &http.Client{Transport: transport}}
+	return &Client{url: strings.TrimSuffix(url, "/"), httpClient: &http.Client{Transport: transport}}
 }
 
-// Close drops idle connections.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+// Close closes idle connections.
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
 // Range implements Store.
 func (c *Client) Range(ctx context.Context, prefix string) ([]KeyValue, int64, error) {
@@ -67,7 +66,8 @@
 	return fromPairs(response.KVs), int64(response.Header.Revision), nil
 }
 
-// rangePrefix asks for every key below prefix; the empty prefix means all keys.
+// rangePrefix returns the request for all keys that begin with prefix; the empty prefix
+// means all keys.
 func rangePrefix(prefix string) gateway.RangeRequest {
 	key := []byte(prefix)
 	if prefix == "" {
@@ -102,7 +102,7 @@
 	return int64(response.ID), err
 }
 
-// KeepAlive implements Store. An expired lease is an error whose cause is
+// KeepAlive implements Store. For an expired lease it returns an error with the cause
 // ErrLeaseNotFound.
 func (c *Client) KeepAlive(ctx context.Context, lease int64) (time.Duration, error) {
 	var response gateway.LeaseKeepAliveResponse
@@ -122,7 +122,7 @@
 	return c.call(ctx, gateway.PathLeaseRevoke, gateway.LeaseRequest{ID: gateway.Int64(lease)}, &response)
 }
 
-// call posts one request and decodes the answer.
+// call sends a request and decodes the answer into response.
 func (c *Client) call(ctx context.Context, path string, request, response any) error {
 	answer, err := c.post(ctx, path, request)
 	if err != nil {
@@ -133,7 +133,7 @@
 		_ = answer.Body.Close()
 	}()
 	if answer.StatusCode != http.StatusOK {
-		return refusal(answer)
+		return answerError(answer)
 	}
 	if err := json.NewDecoder(answer.Body).Decode(response); err != nil {
 		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeUnavailable, "the key-value service's answer was cut")
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// post sends one request. An error is NotRun only when no connection was
-// obtained, so that nothing can have been written.
+// post sends a request and returns the HTTP answer. An error is NotRun only if no connection
+// was obtained, so that the service cannot have received the request.
 func (c *Client) post(ctx context.Context, path string, request any) (*http.Response, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -150,12 +150,12 @@
 	}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	call, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, c.url+path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, c.url+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, verdict.Wrap(err, verdict.NotRun, verdict.CodeInternal, "the request cannot be built")
 	}
-	call.Header.Set("Content-Type", "application/json")
-	answer, err := c.http.Do(call)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	answer, err := c.httpClient.Do(httpRequest)
 	switch {
 	case err == nil:
 		return answer, nil
@@ -166,9 +166,9 @@
 	}
 }
 
-// refusal turns an answer that is not 200 into an error. The service states
-// that it applied nothing by 4xx and 503; anything else is uncertain.
-func refusal(answer *http.Response) error {
+// answerError returns the error for an answer whose status is not 200. With a 4xx status or
+// 503 the service has applied nothing; with any other it may have applied the request.
+func answerError(answer *http.Response) error {
 	var body gateway.Error
 	_ = json.NewDecoder(io.LimitReader(answer.Body, maxErrorBytes)).Decode(&body)
 	result := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "the key-value service answered %d: %s", answer.StatusCode, body.Message)
--- a/keyvalue/convert.go
+++ b/keyvalue/convert.go
@@ -2,7 +2,7 @@
 
 import "github.com/valveslip/valveslip/keyvalue/gateway"
 
-// toTxn writes a transaction in the gateway's form.
+// toTxn converts a transaction to the gateway's request.
 func toTxn(transaction Transaction) gateway.TxnRequest {
 	var request gateway.TxnRequest
 	for _, compare := range transaction.Compares {
@@ -22,7 +22,7 @@
 	return request
 }
 
-// toOperation writes one write in the gateway's form.
+// toOperation converts a write to the gateway's operation.
 func toOperation(operation Operation) gateway.RequestOperation {
 	if operation.Delete {
 		return gateway.RequestOperation{DeleteRange: &gateway.DeleteRangeRequest{Key: []byte(operation.Key)}}
@@ -32,7 +32,7 @@
 	}}
 }
 
-// fromPairs reads pairs from the gateway's form.
+// fromPairs converts the gateway's pairs. The result is never nil.
 func fromPairs(pairs []gateway.KeyValue) []KeyValue {
 	result := make([]KeyValue, 0, len(pairs))
 	for _, pair := range pairs {
@@ -41,7 +41,7 @@
 	return result
 }
 
-// fromPair reads one pair from the gateway's form.
+// fromPair converts one of the gateway's pairs.
 func fromPair(pair gateway.KeyValue) KeyValue {
 	return KeyValue{
 		Key: string(pair.Key), Value: pair.Value,
@@ -50,7 +50,7 @@
 	}
 }
 
-// fromEvents reads changes from the gateway's form.
+// fromEvents converts the gateway's events. The result is never nil.
 func fromEvents(events []gateway.Event) []Event {
 	result := make([]Event, 0, len(events))
 	for _, event := range events {
--- a/keyvalue/doc.go
+++ b/keyvalue/doc.go
@@ -1,3 +1,4 @@
-// Package keyvalue defines what valveslip needs of the platform's key-value service
-// and a client for its published protocol, the etcd v3 HTTP/JSON gateway.
+// Package keyvalue defines the operations of the platform's key-value service that
+// valveslip uses, and a client for the service's published protocol, the etcd v3 HTTP/JSON
+// gateway.
 package keyvalue
--- a/keyvalue/gateway/doc.go
+++ b/keyvalue/gateway/doc.go
@@ -1,5 +1,4 @@
-// Package gateway holds the messages of the etcd v3 HTTP/JSON gateway that
-// valveslip uses. Keys and values are base64 text and 64-bit integers are
-// decimal text, as the gateway's published mapping says; fields with the zero
-// value are left out.
+// Package gateway defines the messages of the etcd v3 HTTP/JSON gateway that valveslip uses.
+// By the gateway's published mapping keys and values are base64 strings, 64-bit integers are
+// decimal strings, and fields with the zero value are left out.
 package gateway
--- a/keyvalue/gateway/gateway.go
+++ b/keyvalue/gateway/gateway.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Paths of the gateway; all take POST.
+// Paths of the gateway, all for POST requests.
 const (
 	PathRange       = "/v3/kv/range"
 	PathTxn         = "/v3/kv/txn"
 	PathCompaction  = "/v3/kv/compaction"
 	PathLeaseGrant  = "/v3/lease/grant"
 	PathLeaseRevoke = "/v3/lease/revoke"
-	// PathKVLeaseRevoke is the older path of PathLeaseRevoke.
+	// PathKVLeaseRevoke is an older equivalent of PathLeaseRevoke.
 	PathKVLeaseRevoke  = "/v3/kv/lease/revoke"
 	PathLeaseKeepAlive = "/v3/lease/keepalive"
 	PathWatch          = "/v3/watch"
 )
 
-// Codes of the gateway's errors, from gRPC.
+// gRPC status codes in the gateway's errors.
 const (
 	CodeInvalidArgument   = 3
 	CodeNotFound          = 5
@@ -27,8 +27,8 @@
 	CodeUnavailable       = 14
 )
 
-// Int64 is a 64-bit integer in the gateway's mapping: written as decimal text,
-// read from text or a number.
+// Int64 is a 64-bit integer in the gateway's mapping: it is written as a decimal string and
+// read from a string or a number.
 type Int64 int64
 
 // MarshalJSON implements json.Marshaler.
@@ -48,7 +48,7 @@
 	return err
 }
 
-// Error is the body of every answer that is not 200.
+// Error is the body of an answer whose status is not 200.
 type Error struct {
 	Error   string `json:"error"`
 	Code    int    `json:"code"`
@@ -60,7 +60,7 @@
 	Revision Int64 `json:"revision,omitempty"`
 }
 
-// KeyValue is one stored pair.
+// KeyValue is a stored pair.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	CreateRevision Int64  `json:"create_revision,omitempty"`
@@ -70,7 +70,7 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// RangeRequest reads Key, or every key from Key up to but not with RangeEnd.
+// RangeRequest reads Key, or with RangeEnd all keys from Key up to but not including RangeEnd.
 type RangeRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
@@ -92,13 +92,13 @@
 	Lease Int64  `json:"lease,omitempty"`
 }
 
-// DeleteRangeRequest deletes like RangeRequest reads.
+// DeleteRangeRequest deletes the keys that a RangeRequest with the same fields reads.
 type DeleteRangeRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// Targets and results of a Compare.
+// Values of Compare.Target and Compare.Result.
 const (
 	TargetVersion = "VERSION"
 	TargetCreate  = "CREATE"
@@ -110,7 +110,7 @@
 	ResultNotEqual = "NOT_EQUAL"
 )
 
-// Compare is one condition of a transaction.
+// Compare is a condition of a transaction.
 type Compare struct {
 	Result         string `json:"result,omitempty"`
 	Target         string `json:"target,omitempty"`
@@ -120,14 +120,15 @@
 	ModRevision    Int64  `json:"mod_revision,omitempty"`
 }
 
-// RequestOperation is one operation of a transaction; exactly one is set.
+// RequestOperation is an operation of a transaction; exactly one field is set.
 type RequestOperation struct {
 	Range       *RangeRequest       `json:"request_range,omitempty"`
 	Put         *PutRequest         `json:"request_put,omitempty"`
 	DeleteRange *DeleteRangeRequest `json:"request_delete_range,omitempty"`
 }
 
-// TxnRequest applies Success when every Compare holds, else Failure.
+// TxnRequest applies the operations in Success if all of Compare hold, otherwise those in
+// Failure.
 type TxnRequest struct {
 	Compare []Compare          `json:"compare,omitempty"`
 	Success []RequestOperation `json:"success,omitempty"`
@@ -145,7 +146,7 @@
 	Deleted Int64  `json:"deleted,omitempty"`
 }
 
-// ResponseOperation is the answer to one RequestOperation.
+// ResponseOperation is the answer to a RequestOperation.
 type ResponseOperation struct {
 	Range       *RangeResponse       `json:"response_range,omitempty"`
 	Put         *PutResponse         `json:"response_put,omitempty"`
@@ -159,7 +160,7 @@
 	Responses []ResponseOperation `json:"responses,omitempty"`
 }
 
-// CompactionRequest drops the history before Revision.
+// CompactionRequest discards the history before Revision.
 type CompactionRequest struct {
 	Revision Int64 `json:"revision,omitempty"`
 }
@@ -169,8 +170,7 @@
 	Header Header `json:"header"`
 }
 
-// LeaseGrantRequest asks for a lease of TTL seconds; ID zero lets the service
-// choose.
+// LeaseGrantRequest asks for a lease of TTL seconds. With a zero ID the service chooses the ID.
 type LeaseGrantRequest struct {
 	TTL Int64 `json:"TTL,omitempty"`
 	ID  Int64 `json:"ID,omitempty"`
@@ -193,8 +193,8 @@
 	Header Header `json:"header"`
 }
 
-// LeaseKeepAliveResponse is one streamed answer to a keep-alive. TTL zero
-// means that the lease has expired.
+// LeaseKeepAliveResponse is an answer to a keep-alive, one message of a stream. A zero TTL means
+// that the lease has expired.
 type LeaseKeepAliveResponse struct {
 	Result struct {
 		Header Header `json:"header"`
@@ -203,8 +203,8 @@
 	} `json:"result"`
 }
 
-// WatchCreateRequest starts a watch at StartRevision, or at the next revision
-// when that is zero.
+// WatchCreateRequest starts a watch at StartRevision, or at the next revision if StartRevision is
+// zero.
 type WatchCreateRequest struct {
 	Key            []byte `json:"key,omitempty"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
@@ -217,22 +217,22 @@
 	CreateRequest *WatchCreateRequest `json:"create_request,omitempty"`
 }
 
-// TypeDelete is the type of an event that deletes; a put has none.
+// TypeDelete is the type of a deletion event; a put event has no type.
 const TypeDelete = "DELETE"
 
-// Event is one change.
+// Event is a change of a pair.
 type Event struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
 }
 
-// WatchResponse is one streamed answer to a watch.
+// WatchResponse is an answer to a watch, one message of a stream.
 type WatchResponse struct {
 	Result WatchResult `json:"result"`
 	Error  *Error      `json:"error,omitempty"`
 }
 
-// WatchResult is the content of a WatchResponse.
+// WatchResult is the content of a WatchResponse without an error.
 type WatchResult struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -241,8 +241,8 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// PrefixEnd returns the range end that covers every key beginning with prefix;
-// "\x00" means to the end of the key space.
+// PrefixEnd returns the RangeEnd that covers all keys beginning with prefix. "\x00" stands for
+// the end of the key space.
 func PrefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/keyvalue/kv.go
+++ b/keyvalue/kv.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// KeyValue is one stored pair.
+// KeyValue is a stored pair.
 type KeyValue struct {
 	Key   string
 	Value []byte
-	// CreateRevision, ModRevision are global revisions of the service.
+	// CreateRevision and ModRevision are the global revisions of the service at which
+	// the key was created and last modified.
 	CreateRevision, ModRevision int64
-	// Version counts changes of the key from 1.
+	// Version is the number of changes of the key since it was created, including that one.
 	Version int64
-	// Lease the key is attached to, zero for none.
+	// Lease is the lease that the key is attached to, zero for none.
 	Lease int64
 }
 
-// Compare is a condition of a transaction. Exactly one field besides Key is
-// compared: ModRevision (equal), where zero means that the key is absent.
+// Compare is a condition of a transaction: the key's ModRevision must equal the given one,
+// where zero means that the key must be absent.
 type Compare struct {
 	Key         string
 	ModRevision int64
 }
 
-// Operation is one write of a transaction.
+// Operation is a write of a transaction: it puts the pair, or with Delete deletes the key.
 type Operation struct {
 	Key    string
 	Value  []byte
@@ -32,55 +33,57 @@
 	Delete bool
 }
 
-// Transaction applies Operations when all Compares hold. Reads lists keys that
-// are returned when they do not.
+// Transaction applies Operations if all Compares hold. Otherwise it reads the keys in Reads.
 type Transaction struct {
 	Compares   []Compare
 	Operations []Operation
 	Reads      []string
 }
 
-// TransactionResult is the answer to a Transaction.
+// TransactionResult is the result of a Transaction.
 type TransactionResult struct {
 	Succeeded bool
 	// Revision is the global revision after the transaction.
 	Revision int64
-	// Found holds the pairs of Reads that exist, when not Succeeded.
+	// Found holds the existing pairs of Reads if the transaction did not succeed.
 	Found []KeyValue
 }
 
-// Event is one change seen by a watch.
+// Event is a change of a pair reported by a watch.
 type Event struct {
 	KeyValue KeyValue
 	Deleted  bool
 }
 
-// WatchBatch holds the changes of one or more revisions, in order.
+// WatchBatch holds the changes of one or more revisions, in order of revision.
 type WatchBatch struct {
-	// Revision up to which the watch has seen everything.
+	// Revision is the revision up to which the watch has reported all changes.
 	Revision int64
 	Events   []Event
-	// Compacted is true when the asked start revision is gone; the watch has
-	// ended and the reader must take a fresh range.
+	// Compacted is true when the requested start revision has been compacted. The watch
+	// has ended, and the reader must read the whole range again.
 	Compacted bool
-	// TooLong is true when there were more bytes of changes than were asked for.
+	// TooLong is true when the changes had more bytes than were asked for.
 	TooLong bool
 }
 
-// Store is the key-value service. Errors are *verdict.Error: NotRun when the
-// service refused or was never reached, MayHaveRun when the answer was lost and
+// Store is the key-value service. Its errors are of type *verdict.Error: NotRun if the
+// service refused the request or was not reached, MayHaveRun if the answer was lost, so that
 // the change may have taken effect.
 type Store interface {
-	// Range returns the pairs whose keys begin with prefix, sorted by key, and
-	// the global revision they were read at.
+	// Range returns the pairs whose keys begin with prefix, sorted by key, and the global
+	// revision at which they were read.
 	Range(ctx context.Context, prefix string) ([]KeyValue, int64, error)
+	// Txn carries out a transaction.
 	Txn(ctx context.Context, transaction Transaction) (TransactionResult, error)
+	// Grant creates a lease.
 	Grant(ctx context.Context, ttl time.Duration) (lease int64, err error)
-	// KeepAlive extends a lease. When it has expired, the error's cause is
-	// ErrLeaseNotFound.
+	// KeepAlive renews a lease and returns its TTL. If the lease has expired, the error's
+	// cause is ErrLeaseNotFound.
 	KeepAlive(ctx context.Context, lease int64) (ttl time.Duration, err error)
+	// Revoke ends a lease and deletes the keys that are attached to it.
 	Revoke(ctx context.Context, lease int64) error
-	// Watch calls handle for each batch of changes below prefix from
+	// Watch calls handle with each batch of changes of keys that begin with prefix, from
 	// startRevision on, until ctx ends or the stream breaks.
 	Watch(ctx context.Context, prefix string, startRevision int64, handle func(WatchBatch)) error
 }
--- a/keyvalue/lease/doc.go
+++ b/keyvalue/lease/doc.go
@@ -1,5 +1,5 @@
-// Package lease acquires, renews and releases one record in the key-value
-// service that exists only while its lease lives. The revision at which the
-// holder wrote the record is its fencing token. The package is a pure state
-// machine: its owner makes the calls and hands the answers back.
+// Package lease acquires, renews and releases a record in the key-value service that is
+// attached to a lease and exists only until the lease expires. The revision at which the lease
+// holder wrote the record is its fencing token. The package is a state machine without I/O: its
+// user makes the calls to the service and passes the answers back.
 package lease
--- a/keyvalue/lease/lease.go
+++ b/keyvalue/lease/lease.go
@@ -13,7 +13,7 @@
 // Operation is the kind of a Call.
 type Operation uint8
 
-// The operations.
+// The operations of a Call.
 const (
 	Grant Operation = iota + 1
 	Txn
@@ -21,7 +21,7 @@
 	Revoke
 )
 
-// Call is a call to the key-value service.
+// Call describes a call to the key-value service.
 type Call struct {
 	Operation Operation
 	Txn       keyvalue.Transaction
@@ -29,8 +29,8 @@
 	TTL       time.Duration
 }
 
-// Answer is the answer to the call under way. Err is nil or a *verdict.Error:
-// MayHaveRun when the answer was lost.
+// Answer is the answer to the call in progress. Err is nil or a *verdict.Error, which is
+// MayHaveRun if the answer was lost.
 type Answer struct {
 	Txn   keyvalue.TransactionResult
 	Lease int64
@@ -38,18 +38,18 @@
 	Err   error
 }
 
-// Store takes the calls that a Call stands for.
+// Store is the part of the key-value service that the calls need.
 type Store interface {
 	Txn(ctx context.Context, transaction keyvalue.Transaction) (keyvalue.TransactionResult, error)
 	Grant(ctx context.Context, ttl time.Duration) (lease int64, err error)
-	// KeepAlive extends a lease. When it has expired, the error's cause is
+	// KeepAlive renews a lease. If the lease has expired, the error's cause is
 	// keyvalue.ErrLeaseNotFound.
 	KeepAlive(ctx context.Context, lease int64) (ttl time.Duration, err error)
 	Revoke(ctx context.Context, lease int64) error
 }
 
-// Caller makes a client's calls. The answers of Awaited calls go to
-// Client.Answered, those of others are dropped.
+// Caller makes the calls of a Client. The answer to a Call is passed to Client.Answered; that to
+// a CallUnawaited is dropped.
 type Caller interface {
 	Now() time.Time
 	Call(call Call)
@@ -59,137 +59,153 @@
 // State is the state of a Client.
 type State uint8
 
-// The states.
+// The states of a Client.
 const (
+	// Idle means that no call is in progress and the record is not the client's own.
 	Idle State = iota
+	// Granting means that the grant of a lease is in progress.
 	Granting
+	// Writing means that the write of the record is in progress.
 	Writing
+	// Held means that the record is the client's own.
 	Held
+	// Renewing means that the record is the client's own and a renewal is in progress.
 	Renewing
 )
 
-// Outcome is what a client learned from an answer.
+// Outcome is the effect of an answer on a client.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an answer.
 const (
+	// Nothing means that the lease was granted and the write of the record has begun, or that
+	// no call was in progress.
 	Nothing Outcome = iota
+	// Won means that the record was written and is the client's own.
 	Won
+	// Taken means that another holder has the record.
 	Taken
+	// Extended means that the lease was renewed.
 	Extended
+	// Gone means that the lease has expired.
 	Gone
+	// NoAnswer means that the call failed or its answer was lost.
 	NoAnswer
 )
 
-// Client acquires, renews and releases one lease record. A lost answer to the
-// write is settled by the next write, whose failed compare shows the record.
+// Client acquires, renews and releases one lease record. If the answer to the write of the
+// record is lost, the client writes again: the comparison of that write fails if the first one
+// took effect, and its answer shows the record.
 type Client struct {
 	caller Caller
 	key    string
-	// name is compared with the record's value, from which parse reads it.
+	// value is the value of the client's own record, by which it recognises that record.
 	value []byte
 	ttl   time.Duration
-	// beside is written with the record, under a condition of its own.
-	beside *Beside
-	// replaces is the token of a record that the own one takes the place of, zero
-	// when there must be none.
-	replaces cluster.FencingToken
+	// extraPair is written in the same transaction as the record, nil for none.
+	extraPair *Beside
+	// replacedToken is the token of the record that the client's own one replaces, zero
+	// if no record may exist.
+	replacedToken cluster.FencingToken
 
 	state State
 	lease int64
 	token cluster.FencingToken
-	// sentAt is when the grant or the last renewal that was answered was sent:
-	// the lease counts from then, also when its record is written later.
-	// renewedAt is when the renewal under way was sent.
-	sentAt, renewedAt time.Time
-	// promised is the TTL the service answered with.
-	promised time.Duration
-	// holder is the value of the record when another has it.
+	// leaseStart is the time at which the grant or the last answered renewal was sent. The
+	// lease counts from then, even if its record is written later. renewalSentAt is the
+	// time at which the renewal in progress was sent.
+	leaseStart, renewalSentAt time.Time
+	// grantedTTL is the TTL in the answer to the grant or the last renewal.
+	grantedTTL time.Duration
+	// holder and holderToken are the value and token of another holder's record.
 	holder      []byte
 	holderToken cluster.FencingToken
 }
 
-// New returns a client of the record at key. Value tells its holder from others.
+// New returns a client of the record at key. The value must differ between holders.
 func New(caller Caller, key string, value []byte, ttl time.Duration) *Client {
 	return &Client{caller: caller, key: key, value: value, ttl: ttl}
 }
 
-// Beside is a pair that is written in the same transaction as the record, if it
-// has not changed since it was read. It outlives the lease.
+// Beside is a pair that is written in the same transaction as the record. The transaction fails
+// if the pair has changed since it was read. The pair is not attached to the lease and outlives
+// it.
 type Beside struct {
 	Key   string
 	Value []byte
-	// Revision of the pair when it was read, zero when it was absent.
+	// Revision is the pair's ModRevision when it was read, zero if it was absent.
 	Revision int64
 }
 
-// WriteBeside has the next write of the record write a pair as well.
-func (c *Client) WriteBeside(beside Beside) { c.beside = &beside }
+// WriteBeside makes each later write of the record write a pair as well.
+func (c *Client) WriteBeside(beside Beside) { c.extraPair = &beside }
 
-// Replace has the next write take the place of the record with a token, of an
-// earlier start of the same holder. Nobody sees the record absent in between.
-func (c *Client) Replace(token cluster.FencingToken) { c.replaces = token }
+// Replace makes the next write replace the record with the given token, which an earlier process
+// of the same holder wrote. The record is never absent in between.
+func (c *Client) Replace(token cluster.FencingToken) { c.replacedToken = token }
 
-// Holding reports whether the record is the client's own, as far as it knows.
+// Holding reports whether the record is the client's own, as far as the client knows.
 func (c *Client) Holding() bool { return c.state == Held || c.state == Renewing }
 
 // State returns the client's state.
 func (c *Client) State() State { return c.state }
 
-// Token is the fencing token of a held record.
+// Token returns the fencing token of the client's own record, zero if it holds none.
 func (c *Client) Token() cluster.FencingToken { return c.token }
 
-// Lease is the lease's identifier, zero without one.
+// Lease returns the identifier of the client's lease, zero if it has none.
 func (c *Client) Lease() int64 { return c.lease }
 
-// SentAt is from when the lease counts, Promised for how long.
-func (c *Client) SentAt() time.Time { return c.sentAt }
+// SentAt returns the time from which the lease counts: when the grant or the last answered
+// renewal was sent.
+func (c *Client) SentAt() time.Time { return c.leaseStart }
 
-// Promised is for how long the lease counts.
-func (c *Client) Promised() time.Duration { return c.promised }
+// Promised returns the TTL that the service granted, counted from SentAt.
+func (c *Client) Promised() time.Duration { return c.grantedTTL }
 
-// Holder returns the value and token of the record that another has.
+// Holder returns the value and token of another holder's record, as found by the last write that
+// failed.
 func (c *Client) Holder() ([]byte, cluster.FencingToken) { return c.holder, c.holderToken }
 
-// Acquire begins to take the lease when nothing is under way.
+// Acquire begins to acquire the lease and its record. It does nothing unless the client is Idle.
 func (c *Client) Acquire() {
 	if c.state != Idle {
 		return
 	}
 	if c.lease != 0 {
-		c.write()
+		c.writeRecord()
 		return
 	}
-	c.sentAt = c.caller.Now()
+	c.leaseStart = c.caller.Now()
 	c.state = Granting
 	c.caller.Call(Call{Operation: Grant, TTL: c.ttl})
 }
 
-func (c *Client) write() {
+func (c *Client) writeRecord() {
 	c.state = Writing
 	transaction := keyvalue.Transaction{
-		Compares:   []keyvalue.Compare{{Key: c.key, ModRevision: int64(c.replaces)}},
+		Compares:   []keyvalue.Compare{{Key: c.key, ModRevision: int64(c.replacedToken)}},
 		Operations: []keyvalue.Operation{{Key: c.key, Value: c.value, Lease: c.lease}},
 		Reads:      []string{c.key},
 	}
-	if c.beside != nil {
-		transaction.Compares = append(transaction.Compares, keyvalue.Compare{Key: c.beside.Key, ModRevision: c.beside.Revision})
-		transaction.Operations = append(transaction.Operations, keyvalue.Operation{Key: c.beside.Key, Value: c.beside.Value})
+	if c.extraPair != nil {
+		transaction.Compares = append(transaction.Compares, keyvalue.Compare{Key: c.extraPair.Key, ModRevision: c.extraPair.Revision})
+		transaction.Operations = append(transaction.Operations, keyvalue.Operation{Key: c.extraPair.Key, Value: c.extraPair.Value})
 	}
 	c.caller.Call(Call{Operation: Txn, Txn: transaction})
 }
 
-// Renew keeps the held lease alive.
+// Renew begins to renew the lease. It does nothing unless the client is in state Held.
 func (c *Client) Renew() {
 	if c.state != Held {
 		return
 	}
 	c.state = Renewing
-	c.renewedAt = c.caller.Now()
+	c.renewalSentAt = c.caller.Now()
 	c.caller.Call(Call{Operation: KeepAlive, Lease: c.lease})
 }
 
-// Release deletes the record, if it is still the own one, and revokes the lease.
+// Release deletes the record, if it is still the client's own, and revokes the lease.
 func (c *Client) Release() {
 	if c.lease != 0 && c.token != 0 {
 		c.caller.CallUnawaited(Call{Operation: Txn, Txn: keyvalue.Transaction{
@@ -201,47 +217,47 @@
 	c.Reset()
 }
 
-// Reset forgets the lease; answers still under way are ignored.
+// Reset makes the client Idle without a lease. Answers to calls in progress are ignored.
 func (c *Client) Reset() { c.state, c.lease, c.token = Idle, 0, 0 }
 
-// Answered takes the answer of the call under way.
+// Answered processes the answer to the call in progress.
 func (c *Client) Answered(answer Answer) Outcome {
 	switch c.state {
 	case Granting:
-		return c.granted(answer)
+		return c.handleGrant(answer)
 	case Writing:
-		return c.written(answer)
+		return c.handleWrite(answer)
 	case Renewing:
-		return c.renewed(answer)
+		return c.handleRenewal(answer)
 	default:
 		return Nothing
 	}
 }
 
-func (c *Client) granted(answer Answer) Outcome {
+func (c *Client) handleGrant(answer Answer) Outcome {
 	if answer.Err != nil {
 		c.Reset()
 		return NoAnswer
 	}
-	c.lease, c.promised = answer.Lease, answer.TTL
-	if c.promised == 0 {
-		c.promised = c.ttl
+	c.lease, c.grantedTTL = answer.Lease, answer.TTL
+	if c.grantedTTL == 0 {
+		c.grantedTTL = c.ttl
 	}
-	c.write()
+	c.writeRecord()
 	return Nothing
 }
 
-func (c *Client) written(answer Answer) Outcome {
+func (c *Client) handleWrite(answer Answer) Outcome {
 	switch {
 	case answer.Err != nil && verdict.Of(answer.Err) == verdict.NotRun:
 		c.Reset()
 		return NoAnswer
 	case answer.Err != nil:
-		// The write may have taken effect: keep the lease and write again.
+		// The write may have taken effect, so the client keeps the lease and writes again.
 		c.state = Idle
 		return NoAnswer
 	case answer.Txn.Succeeded:
-		return c.won(cluster.FencingToken(answer.Txn.Revision))
+		return c.becomeHolder(cluster.FencingToken(answer.Txn.Revision))
 	}
 	c.holder, c.holderToken = nil, 0
 	for _, found := range answer.Txn.Found {
@@ -249,21 +265,21 @@
 			continue
 		}
 		if string(found.Value) == string(c.value) && found.Lease == c.lease {
-			return c.won(cluster.FencingToken(found.ModRevision))
+			return c.becomeHolder(cluster.FencingToken(found.ModRevision))
 		}
 		c.holder, c.holderToken = found.Value, cluster.FencingToken(found.ModRevision)
 	}
-	c.replaces = 0
+	c.replacedToken = 0
 	c.Reset()
 	return Taken
 }
 
-func (c *Client) won(token cluster.FencingToken) Outcome {
-	c.state, c.token, c.replaces = Held, token, 0
+func (c *Client) becomeHolder(token cluster.FencingToken) Outcome {
+	c.state, c.token, c.replacedToken = Held, token, 0
 	return Won
 }
 
-func (c *Client) renewed(answer Answer) Outcome {
+func (c *Client) handleRenewal(answer Answer) Outcome {
 	if answer.Err == nil && answer.TTL <= 0 || errors.Is(answer.Err, keyvalue.ErrLeaseNotFound) {
 		c.Reset()
 		return Gone
@@ -272,6 +288,6 @@
 		c.state = Held
 		return NoAnswer
 	}
-	c.state, c.promised, c.sentAt = Held, answer.TTL, c.renewedAt
+	c.state, c.grantedTTL, c.leaseStart = Held, answer.TTL, c.renewalSentAt
 	return Extended
 }
--- a/keyvalue/lease/lease_test.go
+++ b/keyvalue/lease/lease_test.go
@@ -10,21 +10,22 @@
 
 const leaseTTL = 6 * time.Second
 
-// recorder keeps the calls that a client makes.
-type recorder struct {
+// recordingCaller records the calls of a client.
+type recordingCaller struct {
 	now   time.Time
 	calls []Call
 }
 
-func (r *recorder) Now() time.Time          { return r.now }
-func (r *recorder) Call(call Call)          { r.calls = append(r.calls, call) }
-func (r *recorder) CallUnawaited(call Call) { r.calls = append(r.calls, call) }
+func (r *recordingCaller) Now() time.Time          { return r.now }
+func (r *recordingCaller) Call(call Call)          { r.calls = append(r.calls, call) }
+func (r *recordingCaller) CallUnawaited(call Call) { r.calls = append(r.calls, call) }
 
-// TestLeaseCountsFromItsGrant loses the answer to the record's first write: the
-// lease doesn't last longer because its record is written again.
-func TestLeaseCountsFromItsGrant(t *testing.T) {
+// TestLeaseStartsAtGrantWhenRecordIsWrittenAgain guards against a holder that relies on its lease
+// after it has expired: the answer to the first write of the record is lost, and the second write
+// must not count as the start of the lease.
+func TestLeaseStartsAtGrantWhenRecordIsWrittenAgain(t *testing.T) {
 	granted := time.Date(2030, time.March, 4, 0, 0, 0, 0, time.UTC)
-	caller := &recorder{now: granted}
+	caller := &recordingCaller{now: granted}
 	client := New(caller, "/valveslip/cells/z", []byte("n"), leaseTTL)
 	client.Acquire()
 	client.Answered(Answer{Lease: 7, TTL: leaseTTL})
--- a/keyvalue/lease/renewal_test.go
+++ b/keyvalue/lease/renewal_test.go
@@ -9,9 +9,9 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// TestRenewalTellsGoneFromUnreachable: a lease that the service does not know
-// any more is gone and can be acquired again; without an answer it is kept.
-func TestRenewalTellsGoneFromUnreachable(t *testing.T) {
+// TestRenewalDistinguishesExpiredFromUnreachable guards against a holder that gives its lease up
+// because one renewal was not answered, or keeps one that the service no longer knows.
+func TestRenewalDistinguishesExpiredFromUnreachable(t *testing.T) {
 	refused := func(cause error) error {
 		return verdict.Wrap(cause, verdict.NotRun, verdict.CodeConflict, "refused")
 	}
@@ -27,20 +27,20 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			session := Client{state: Renewing, lease: 7, token: 3}
-			outcome := session.Answered(test.answer)
-			if outcome != test.outcome || session.state != test.state {
-				t.Fatalf("outcome %d, state %d; want %d, %d", outcome, session.state, test.outcome, test.state)
+			client := Client{state: Renewing, lease: 7, token: 3}
+			outcome := client.Answered(test.answer)
+			if outcome != test.outcome || client.state != test.state {
+				t.Fatalf("outcome %d, state %d; want %d, %d", outcome, client.state, test.outcome, test.state)
 			}
 		})
 	}
 }
 
-// TestLostRenewalExtendsNothing: a lease counts from the last renewal that was
-// answered, however often others were tried since.
-func TestLostRenewalExtendsNothing(t *testing.T) {
+// TestUnansweredRenewalDoesNotExtendLease guards against a holder that counts its lease from a
+// renewal that the service never answered.
+func TestUnansweredRenewalDoesNotExtendLease(t *testing.T) {
 	began := time.Date(2030, time.March, 4, 0, 0, 0, 0, time.UTC)
-	caller := &recorder{now: began}
+	caller := &recordingCaller{now: began}
 	client := New(caller, "key", []byte("n"), leaseTTL)
 	client.Acquire()
 	client.Answered(Answer{Lease: 7, TTL: leaseTTL})
--- a/keyvalue/watch.go
+++ b/keyvalue/watch.go
@@ -11,13 +11,13 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Watch implements Store. It returns nil after a batch with Compacted set, the
-// context's error when ctx ends, and a NotRun error when the stream breaks: a
-// watch changes nothing, so resuming it after the last batch is always right.
+// Watch implements Store. It returns nil after a batch with Compacted set, the error of ctx
+// when ctx ends, and a NotRun error when the stream breaks: a watch changes nothing, so it can
+// always be resumed after the last batch.
 func (c *Client) Watch(ctx context.Context, prefix string, startRevision int64, handle func(WatchBatch)) error {
-	whole := rangePrefix(prefix)
+	keyRange := rangePrefix(prefix)
 	request := gateway.WatchRequest{CreateRequest: &gateway.WatchCreateRequest{
-		Key: whole.Key, RangeEnd: whole.RangeEnd,
+		Key: keyRange.Key, RangeEnd: keyRange.RangeEnd,
 		StartRevision: gateway.Int64(startRevision), ProgressNotify: true,
 	}}
 	answer, err := c.post(ctx, gateway.PathWatch, request)
@@ -26,12 +26,12 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.StatusCode != http.StatusOK {
-		return refusal(answer)
+		return answerError(answer)
 	}
 	return watchError(ctx, readWatch(json.NewDecoder(answer.Body), handle))
 }
 
-// readWatch hands on batches until the stream ends.
+// readWatch calls handle with each batch until the stream ends or has been compacted.
 func readWatch(decoder *json.Decoder, handle func(WatchBatch)) error {
 	for {
 		var response gateway.WatchResponse
@@ -47,14 +47,15 @@
 			return nil
 		}
 		if !result.Created {
-			handle(batch(result))
+			handle(toWatchBatch(result))
 		}
 	}
 }
 
-// batch reads one answer. The header of an answer with events may run ahead of
-// them, so their own revision counts; without events it reports progress.
-func batch(result gateway.WatchResult) WatchBatch {
+// toWatchBatch converts one answer of the stream. The revision in the header may be newer than
+// the events, so the batch takes the revision of the last event. An answer without events is a
+// progress notification, whose header has the revision.
+func toWatchBatch(result gateway.WatchResult) WatchBatch {
 	events := fromEvents(result.Events)
 	if len(events) == 0 {
 		return WatchBatch{Revision: int64(result.Header.Revision)}
@@ -62,7 +63,7 @@
 	return WatchBatch{Revision: events[len(events)-1].KeyValue.ModRevision, Events: events}
 }
 
-// watchError classifies the end of a watch.
+// watchError returns the error of Watch for the error that ended the stream.
 func watchError(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
