--- a/wire/aging.go
+++ b/wire/aging.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// aging is implemented by messages that state times relative to their sending.
-type aging interface {
-	// aged returns the message as it is when sent later by a time. What the message
-	// refers to is not changed, since it may go to several peers.
-	aged(by time.Duration) Message
+// agingMessage is implemented by messages with times relative to the moment of sending.
+type agingMessage interface {
+	// delayedBy returns the message with its relative times adjusted for a delay before it
+	// is sent. It does not modify slices of the message, which may be queued for several
+	// peers.
+	delayedBy(by time.Duration) Message
 }
 
-// aged returns message as it is after it waited to be sent.
-func aged(message Message, by time.Duration) Message {
-	if m, ages := message.(aging); ages {
-		return m.aged(by)
+// adjustForDelay returns message with its relative times adjusted for the time that it was
+// queued.
+func adjustForDelay(message Message, delay time.Duration) Message {
+	if m, isAging := message.(agingMessage); isAging {
+		return m.delayedBy(delay)
 	}
 	return message
 }
 
-// aged implements aging.
-func (m StoreChanges) aged(by time.Duration) Message {
+// delayedBy implements agingMessage.
+func (m StoreChanges) delayedBy(by time.Duration) Message {
 	m.Age += by
 	return m
 }
 
-// aged implements aging.
-func (m StoreSnapshot) aged(by time.Duration) Message {
+// delayedBy implements agingMessage.
+func (m StoreSnapshot) delayedBy(by time.Duration) Message {
 	m.Age += by
 	return m
 }
 
-// aged implements aging.
-func (m Demand) aged(by time.Duration) Message {
+// delayedBy implements agingMessage.
+func (m Demand) delayedBy(by time.Duration) Message {
 	m.Models = slices.Clone(m.Models)
 	for i := range m.Models {
 		if model := &m.Models[i]; model.Waiting > 0 {
@@ -44,12 +46,12 @@
 	return m
 }
 
-// aged implements aging.
-func (m CellStatus) aged(by time.Duration) Message {
+// delayedBy implements agingMessage.
+func (m CellStatus) delayedBy(by time.Duration) Message {
 	m.Replicas = slices.Clone(m.Replicas)
 	for i := range m.Replicas {
 		if replica := &m.Replicas[i]; replica.ReadyIn > 0 {
-			// Zero would say that the time is not known.
+			// Zero would mean that the time is not known.
 			replica.ReadyIn = max(replica.ReadyIn-by, time.Millisecond)
 		}
 	}
@@ -64,27 +66,27 @@
 	return m
 }
 
-// aged implements aging: a request has less time left.
-func (m EngineRequest) aged(by time.Duration) Message {
+// delayedBy implements agingMessage: the request has less time left.
+func (m EngineRequest) delayedBy(by time.Duration) Message {
 	m.Work.Objective -= by
 	m.Work.Left -= by
 	return m
 }
 
-// aged implements aging: the moment of the send stays where it is.
-func (m EngineAnswer) aged(by time.Duration) Message {
+// delayedBy implements agingMessage: the moment at which the request is to be sent stays the same.
+func (m EngineAnswer) delayedBy(by time.Duration) Message {
 	m.Delay = max(m.Delay-by, 0)
 	return m
 }
 
-// aged implements aging: the moment of the turn stays where it is.
-func (m TurnAnswer) aged(by time.Duration) Message {
+// delayedBy implements agingMessage: the moment at which the request may be sent stays the same.
+func (m TurnAnswer) delayedBy(by time.Duration) Message {
 	m.Wait = max(m.Wait-by, 0)
 	return m
 }
 
-// aged implements aging.
-func (m EngineNews) aged(by time.Duration) Message {
+// delayedBy implements agingMessage.
+func (m EngineNews) delayedBy(by time.Duration) Message {
 	m.Attempts = slices.Clone(m.Attempts)
 	for i := range m.Attempts {
 		m.Attempts[i].Sent += by
--- a/wire/bench_test.go
+++ b/wire/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// typicalHeartbeat has the claims of 18 zones and two members' news.
+// typicalHeartbeat returns a heartbeat with the claims of 18 zones and gossip about two members.
 func typicalHeartbeat() Heartbeat {
 	heartbeat := Heartbeat{From: sampleNode, Incarnation: 1 << 40, Sequence: 1 << 20, Stamp: sampleStamp, MembersDigest: 1 << 62}
 	for range 18 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkTransport sends heartbeats one by one over loopback through a relay
-// that counts the bytes of the HTTP exchange, both directions together.
+// BenchmarkTransport sends messages one by one over loopback through a proxy that counts the bytes
+// of the HTTP exchange in both directions.
 func BenchmarkTransport(b *testing.B) {
 	received := make(chan struct{}, 1)
 	open := func(handle func(Message)) *Transport {
@@ -64,7 +64,7 @@
 	to := open(func(Message) { received <- struct{}{} })
 	from := open(func(Message) {})
 	var transferred atomic.Int64
-	relay := countingRelay(b, to.Address(), &transferred)
+	relay := countingProxy(b, to.Address(), &transferred)
 	message := CellStatusRequest{Zone: cluster.ZoneID("east-1")}
 	payload, err := Encode(message)
 	if err != nil {
@@ -78,8 +78,9 @@
 	b.ReportMetric(float64(transferred.Load())/float64(b.N)-float64(len(payload)), "overhead-B/message")
 }
 
-// countingRelay copies one TCP connection to address and counts its bytes.
-func countingRelay(b *testing.B, address string, count *atomic.Int64) string {
+// countingProxy forwards one TCP connection to address, counts its bytes in both directions, and
+// returns the proxy's own address.
+func countingProxy(b *testing.B, address string, count *atomic.Int64) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -96,7 +97,7 @@
 		}
 		copyCounting := func(to, from net.Conn) {
 			defer to.Close()
-			_, _ = io.Copy(to, io.TeeReader(from, counter{count}))
+			_, _ = io.Copy(to, io.TeeReader(from, byteCounter{count}))
 		}
 		go copyCounting(server, client)
 		copyCounting(client, server)
@@ -104,9 +105,9 @@
 	return listener.Addr().String()
 }
 
-type counter struct{ count *atomic.Int64 }
+type byteCounter struct{ count *atomic.Int64 }
 
-func (c counter) Write(data []byte) (int, error) {
+func (c byteCounter) Write(data []byte) (int, error) {
 	c.count.Add(int64(len(data)))
 	return len(data), nil
 }
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -9,38 +9,40 @@
 	"github.com/rotisserie/eris"
 )
 
-// Versions of the schemas. A node reads and writes every version from VersionOldest on, so
-// that builds of any two of them share a deployment while its machines are replaced, and after
-// a rollback. A message is written in the version that its receiver is known to read; a kind
-// that this version lacks is not sent.
+// Versions of the schemas. A node reads and writes every version from VersionOldest to
+// VersionCurrent, so that builds of different versions work together while machines are
+// replaced and after a rollback. A message is written in the version that its receiver is
+// known to read. A kind of message that this version lacks is not sent.
 //
-// To change a message: copy schemas/vN.avsc to the next number, raise
-// VersionCurrent, give every new field a default, and commit the golden
-// messages of the version left behind.
+// To change a message, copy schemas/vN.avsc to the next number, increment VersionCurrent, give
+// every new field a default, and commit the golden messages of the previous version.
 const (
 	VersionCurrent  = 9
 	VersionPrevious = VersionCurrent - 1
 	VersionOldest   = 4
 )
 
-// Size bounds of the codec, in bytes.
+// Size limits of the codec, in bytes.
 const (
-	// MaxMessageBytes bounds one encoded message.
+	// MaxMessageBytes bounds the size of an encoded message.
 	MaxMessageBytes = 8 << 20
-	// maxSliceBytes bounds the memory one array of a message may take.
+	// maxSliceBytes bounds the memory of one decoded array.
 	maxSliceBytes = 16 << 20
 )
 
-// Errors of the codec; those returned wrap one of them.
+// Errors that the errors of the codec wrap.
 var (
-	ErrTooLarge    = eris.New("message is larger than the bound")
-	ErrVersion     = eris.New("schema version is not one this node reads")
+	// ErrTooLarge says that a message exceeds MaxMessageBytes.
+	ErrTooLarge = eris.New("message exceeds the size limit")
+	// ErrVersion says that the schema version is not supported or lacks the kind of message.
+	ErrVersion = eris.New("schema version is not supported")
+	// ErrUnknownKind says that the kind of message is not known to this build.
 	ErrUnknownKind = eris.New("unknown kind of message")
-	ErrMalformed   = eris.New("malformed message")
+	// ErrMalformed says that a message is not encoded by its schema.
+	ErrMalformed = eris.New("malformed message")
 )
 
-// Kind is the number of a message's type on the wire. Numbers are never used
-// again for another type.
+// Kind identifies the type of a message on the wire. The number of a removed type is not reused.
 type Kind int32
 
 // The kinds of messages.
@@ -85,13 +87,13 @@
 	KindTurnAnswer
 )
 
-// layout ties a kind to its schema name and its record.
-type layout struct {
-	name  string
-	empty func() record
+// kindLayout holds the schema name of a kind and the constructor of its record.
+type kindLayout struct {
+	name      string
+	newRecord func() record
 }
 
-var layouts = map[Kind]layout{
+var layouts = map[Kind]kindLayout{
 	KindHeartbeat:             {"Heartbeat", func() record { return new(heartbeatRecord) }},
 	KindConfigurationRequest:  {"ConfigurationRequest", func() record { return new(configurationRequestRecord) }},
 	KindConfigurationEntries:  {"ConfigurationEntries", func() record { return new(configurationEntriesRecord) }},
@@ -132,7 +134,7 @@
 	KindTurnAnswer:            {"TurnAnswer", func() record { return new(turnAnswerRecord) }},
 }
 
-// toRecord returns the kind of message and its record.
+// toRecord returns the kind of a message and its record for the codec.
 func toRecord(message Message) (Kind, record, error) {
 	switch m := message.(type) {
 	case Heartbeat:
@@ -232,7 +234,7 @@
 	}
 }
 
-// envelope and batch mirror schemas/envelope.avsc.
+// envelope and batch are the records of schemas/envelope.avsc.
 type envelope struct {
 	Version int32
 	Kind    int32
@@ -251,18 +253,19 @@
 		DisableBlockSizeHeader: true,
 	}.Freeze()
 	envelopeSchema, batchSchema = parseEnvelope()
-	// schemas of each version, by its number less VersionOldest. Those of earlier versions are
-	// parsed when the first message of one comes or goes: a start takes a fifth of the time
-	// without them, and few nodes ever meet an earlier build.
+	// schemas holds the schemas of each version, indexed by version - VersionOldest. The
+	// schemas of a version are parsed when its first message is sent or received: this
+	// shortens the start of a process to a fifth, and few nodes ever communicate with an
+	// earlier build.
 	schemas = lazySchemas()
 )
 
-// schemaPair holds the schema a version writes, and the one that reads such a
-// message into the current record.
+// schemaPair holds the schema by which a version writes a kind of message, and the schema that
+// reads such a message into the current record.
 type schemaPair struct{ write, read avro.Schema }
 
-// mustReadTypes parses a file that lists named types. The files are part of
-// the program, so a fault in one is a programming error.
+// mustReadTypes parses a schema file and returns its named types. It panics on an error, since
+// the files are part of the program.
 func mustReadTypes(file string) map[string]avro.Schema {
 	data, err := schemaFiles.ReadFile("schemas/" + file)
 	if err != nil {
@@ -288,10 +291,10 @@
 	return types["Envelope"], types["Batch"]
 }
 
-// kindSchemas are the schemas of one version.
+// kindSchemas holds the schemas of one version.
 type kindSchemas map[Kind]schemaPair
 
-// lazySchemas returns for each version what parses its schemas once.
+// lazySchemas returns, for each version, a function that parses its schemas on the first call.
 func lazySchemas() [VersionCurrent - VersionOldest + 1]func() kindSchemas {
 	current := sync.OnceValue(func() map[string]avro.Schema { return mustReadTypes(schemaFile(VersionCurrent)) })
 	var all [VersionCurrent - VersionOldest + 1]func() kindSchemas
@@ -301,7 +304,7 @@
 	return all
 }
 
-// schemasOf returns the schemas of a version, none of one that is not read.
+// schemasOf returns the schemas of a version, nil if the version is not supported.
 func schemasOf(version int32) kindSchemas {
 	if version < VersionOldest || version > VersionCurrent {
 		return nil
@@ -309,10 +312,10 @@
 	return schemas[version-VersionOldest]()
 }
 
-// schemaFile is the file of a version's schemas.
+// schemaFile returns the name of the file with a version's schemas.
 func schemaFile(version int32) string { return fmt.Sprintf("v%d.avsc", version) }
 
-// parseSchemas parses the schemas of the kinds that a version has.
+// parseSchemas parses the schemas of all kinds of a version.
 func parseSchemas(version int32, current map[string]avro.Schema) kindSchemas {
 	pairs := make(kindSchemas, len(layouts))
 	if version == VersionCurrent {
@@ -337,13 +340,13 @@
 	return pairs
 }
 
-// Encode writes message in the current version. It fails with ErrUnknownKind
-// for a type that is no message between nodes and with ErrTooLarge.
+// Encode encodes message in the current version. It fails with ErrUnknownKind for a type without
+// a kind and with ErrTooLarge.
 func Encode(message Message) ([]byte, error) { return EncodeVersion(message, VersionCurrent) }
 
-// EncodeVersion writes message in the given version of the schemas, which must be
-// one from VersionOldest to VersionCurrent. Fields that the version lacks are left
-// out; it fails with ErrVersion for a kind that the version lacks.
+// EncodeVersion encodes message in the given version of the schemas. It leaves out fields that
+// the version lacks. It fails with ErrVersion for a kind that the version lacks and for a version
+// that is not between VersionOldest and VersionCurrent.
 func EncodeVersion(message Message, version int32) ([]byte, error) {
 	kind, rec, err := toRecord(message)
 	if err != nil {
@@ -363,12 +366,12 @@
 	return codec.Marshal(envelopeSchema, envelope{Version: version, Kind: int32(kind), Payload: payload})
 }
 
-// Decode reads one message written by Encode or EncodeVersion. It fails with
-// ErrVersion, ErrUnknownKind, ErrTooLarge or ErrMalformed.
+// Decode decodes a message encoded by Encode or EncodeVersion. It fails with ErrVersion,
+// ErrUnknownKind, ErrTooLarge or ErrMalformed.
 func Decode(data []byte) (Message, error) { return decode(data, VersionCurrent) }
 
-// decode is Decode for a reader that knows no version after newest.
-func decode(data []byte, newest int32) (Message, error) {
+// decode is like Decode but refuses versions after newestVersion.
+func decode(data []byte, newestVersion int32) (Message, error) {
 	if len(data) > MaxMessageBytes+maxEnvelopeBytes {
 		return nil, eris.Wrapf(ErrTooLarge, "%d bytes", len(data))
 	}
@@ -376,7 +379,7 @@
 	if err := unmarshal(envelopeSchema, data, &header); err != nil {
 		return nil, eris.Wrapf(ErrMalformed, "envelope: %v", err)
 	}
-	if header.Version > newest || header.Version < VersionOldest {
+	if header.Version > newestVersion || header.Version < VersionOldest {
 		return nil, eris.Wrapf(ErrVersion, "version %d", header.Version)
 	}
 	kind := Kind(header.Kind)
@@ -384,15 +387,15 @@
 	if !ok {
 		return nil, eris.Wrapf(ErrUnknownKind, "kind %d", kind)
 	}
-	rec := layouts[kind].empty()
+	rec := layouts[kind].newRecord()
 	if err := unmarshal(pair.read, header.Payload, rec); err != nil {
 		return nil, eris.Wrapf(ErrMalformed, "%s: %v", layouts[kind].name, err)
 	}
-	return rec.decoded(), nil
+	return rec.toMessage(), nil
 }
 
-// unmarshal reads value from the whole of data. Unlike the library's function
-// of that name it takes data that ends too early for an error.
+// unmarshal reads value from data. Unlike the library's function of that name it returns an error
+// if data is truncated.
 func unmarshal(schema avro.Schema, data []byte, value any) error {
 	reader := avro.NewReader(nil, 0, avro.WithReaderConfig(codec))
 	reader.Reset(data)
@@ -400,5 +403,5 @@
 	return reader.Error
 }
 
-// maxEnvelopeBytes is what an envelope adds to its payload at most.
+// maxEnvelopeBytes bounds the bytes that an envelope adds to its payload.
 const maxEnvelopeBytes = 32
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -27,8 +27,8 @@
 	sampleStamp = settings.Stamp{History: "history-a", Revision: 42, Digest: 1<<63 + 5}
 )
 
-// samples holds one message a kind, with no field at its zero value.
-func samples() map[Kind]Message {
+// sampleMessages returns a message of each kind, without a field that has its zero value.
+func sampleMessages() map[Kind]Message {
 	return map[Kind]Message{
 		KindHeartbeat: Heartbeat{
 			From: sampleNode, Incarnation: 7, Sequence: 9, Ack: true, Leaving: true, Stamp: sampleStamp,
@@ -152,9 +152,9 @@
 
 var sampleOutcome = KeyOutcomeRecord{Kind: 2, Request: "node-a.1", Holder: "node-c"}
 
-// since is the version in which a kind of message first appeared, where that is later than
-// the oldest one.
-var since = map[Kind]int32{
+// introducedIn holds the version in which a kind of message was introduced, for kinds that
+// VersionOldest lacks.
+var introducedIn = map[Kind]int32{
 	KindPoisonReport: 5,
 	KindClockTold:    6, KindLenderClaim: 6, KindLenderVote: 6, KindTokensRequest: 6, KindTokensAnswer: 6,
 	KindEngineRequest: 7, KindEngineAnswer: 7, KindEngineNews: 7,
@@ -162,14 +162,14 @@
 	KindMachineLimit: 9, KindTurnRequest: 9, KindTurnAnswer: 9,
 }
 
-// asIn is a message as a version carries it.
-func asIn(message Message, version int32) Message {
+// asWrittenIn returns a message without the fields that a version lacks.
+func asWrittenIn(message Message, version int32) Message {
 	if request, ok := message.(StoreChangesRequest); ok && version < 8 {
 		request.Always = false
 		return request
 	}
 	if version < 7 {
-		message = before7(message)
+		message = asWrittenBefore7(message)
 	}
 	if changes, ok := message.(StoreChanges); ok && version < 6 {
 		changes.Proven, changes.Echo, changes.Lead = 0, 0, 0
@@ -178,9 +178,9 @@
 	return message
 }
 
-// before7 is a message without the tokens of prompts, without what nodes that have all just
-// started say of themselves, and without reservations of tokens.
-func before7(message Message) Message {
+// asWrittenBefore7 returns a message without the fields introduced in version 7: the prompt tokens of
+// demand, the claims and votes of nodes that have just started, and the reservations of tokens.
+func asWrittenBefore7(message Message) Message {
 	switch m := message.(type) {
 	case Demand:
 		m.Models = slices.Clone(m.Models)
@@ -204,8 +204,8 @@
 	return message
 }
 
-// versions lists all that are read and written.
-func versions() []int32 {
+// supportedVersions returns all versions that this build reads and writes.
+func supportedVersions() []int32 {
 	var all []int32
 	for version := int32(VersionOldest); version <= VersionCurrent; version++ {
 		all = append(all, version)
@@ -213,8 +213,10 @@
 	return all
 }
 
-func TestEveryFieldSurvives(t *testing.T) {
-	for kind, message := range samples() {
+// TestEveryFieldSurvivesEncoding guards against fields of messages that are missing from the schema
+// or from the conversion to a record.
+func TestEveryFieldSurvivesEncoding(t *testing.T) {
+	for kind, message := range sampleMessages() {
 		requireNoZeroField(t, layouts[kind].name, reflect.ValueOf(message))
 		data, err := Encode(message)
 		if err != nil {
@@ -228,13 +230,13 @@
 			t.Errorf("%s: got %+v, want %+v", layouts[kind].name, decoded, message)
 		}
 	}
-	if len(samples()) != len(layouts) {
-		t.Errorf("%d samples for %d kinds", len(samples()), len(layouts))
+	if len(sampleMessages()) != len(layouts) {
+		t.Errorf("%d samples for %d kinds", len(sampleMessages()), len(layouts))
 	}
 }
 
-// requireNoZeroField makes the round trip above cover every field: a field that
-// was added to a message but not to its sample fails here.
+// requireNoZeroField fails the test if a field of a sample is zero, such as a field that was added to
+// a message but not to its sample. The round trip of the samples therefore covers every field.
 func requireNoZeroField(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
@@ -255,15 +257,15 @@
 	}
 }
 
-// TestGoldenMessages holds the bytes of all versions: the current one must not change
-// unnoticed, the others must still be written and read.
+// TestGoldenMessages guards against an encoding that changes unnoticed within a version, and against
+// messages of earlier versions that can no longer be written or read.
 func TestGoldenMessages(t *testing.T) {
 	golden := goldie.New(t, goldie.WithFixtureDir("testdata"))
-	for kind, message := range samples() {
-		for _, version := range versions() {
+	for kind, message := range sampleMessages() {
+		for _, version := range supportedVersions() {
 			name := fmt.Sprintf("v%d-%s", version, layouts[kind].name)
 			data, err := EncodeVersion(message, version)
-			if version < since[kind] {
+			if version < introducedIn[kind] {
 				if !errors.Is(err, ErrVersion) {
 					t.Errorf("%s: %v, want %v", name, err, ErrVersion)
 				}
@@ -281,15 +283,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if want := asIn(message, version); !reflect.DeepEqual(decoded, want) {
+			if want := asWrittenIn(message, version); !reflect.DeepEqual(decoded, want) {
 				t.Errorf("%s: got %+v, want %+v", name, decoded, want)
 			}
 		}
 	}
 }
 
-// TestNewFieldsHaveDefaults holds the rule that lets a version read earlier ones and be read
-// by them.
+// TestNewFieldsHaveDefaults guards against a schema that earlier versions cannot read, or that cannot
+// read theirs, because a new field has no default.
 func TestNewFieldsHaveDefaults(t *testing.T) {
 	current := mustReadTypes(schemaFile(VersionCurrent))
 	compatibility := avro.NewSchemaCompatibility()
@@ -309,22 +311,25 @@
 	}
 }
 
-// TestCutMessages holds that no prefix of a message is taken for a message.
-func TestCutMessages(t *testing.T) {
-	for kind, message := range samples() {
+// TestTruncatedMessagesAreRefused guards against a truncated message that is accepted with zero
+// values in place of the missing fields.
+func TestTruncatedMessagesAreRefused(t *testing.T) {
+	for kind, message := range sampleMessages() {
 		data, err := Encode(message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for length := range data {
 			if _, err := Decode(data[:length]); err == nil {
-				t.Fatalf("%s: %d of %d bytes were accepted", layouts[kind].name, length, len(data))
+				t.Fatalf("%s: the first %d of %d bytes were accepted", layouts[kind].name, length, len(data))
 			}
 		}
 	}
 }
 
-func TestRefusals(t *testing.T) {
+// TestDecodeRefusesInvalidMessages guards against invalid input that is accepted or refused with the
+// wrong error, and against messages beyond the size limit.
+func TestDecodeRefusesInvalidMessages(t *testing.T) {
 	mustEnvelope := func(e envelope) []byte {
 		data, err := codec.Marshal(envelopeSchema, e)
 		if err != nil {
@@ -341,7 +346,7 @@
 		{"newer version", mustEnvelope(envelope{Version: VersionCurrent + 1, Kind: int32(KindHeartbeat)}), ErrVersion},
 		{"older version", mustEnvelope(envelope{Version: VersionOldest - 1, Kind: int32(KindHeartbeat)}), ErrVersion},
 		{"unknown kind", mustEnvelope(envelope{Version: VersionCurrent, Kind: 99}), ErrUnknownKind},
-		{"cut payload", mustEnvelope(envelope{Version: VersionCurrent, Kind: int32(KindHeartbeat), Payload: []byte{2}}), ErrMalformed},
+		{"truncated payload", mustEnvelope(envelope{Version: VersionCurrent, Kind: int32(KindHeartbeat), Payload: []byte{2}}), ErrMalformed},
 		{"too large", make([]byte, MaxMessageBytes+maxEnvelopeBytes+1), ErrTooLarge},
 	}
 	for _, c := range cases {
@@ -354,10 +359,10 @@
 	}
 }
 
-// TestUnknownKindsArePassedOver holds that a newer node may send a kind of
-// message that this one does not know: the rest of the batch is read, and no
-// fault is counted. A message that is cut still is one.
-func TestUnknownKindsArePassedOver(t *testing.T) {
+// TestUnknownKindsAreSkipped guards against a batch that is lost, or counted as malformed, because a
+// newer node sent a kind of message that this build does not know. A truncated message must still be
+// reported.
+func TestUnknownKindsAreSkipped(t *testing.T) {
 	known, err := Encode(CellStatusRequest{Zone: "east-1"})
 	if err != nil {
 		t.Fatal(err)
@@ -377,14 +382,15 @@
 		t.Errorf("read %v, %v", messages, err)
 	}
 	if messages, err := read(known[:len(known)-1], known); err == nil || len(messages) != 1 {
-		t.Errorf("with a cut message: read %v, %v", messages, err)
+		t.Errorf("with a truncated message: read %v, %v", messages, err)
 	}
 }
 
-// TestConcurrentUse makes the race detector see shared state in the codec.
-func TestConcurrentUse(t *testing.T) {
+// TestCodecIsSafeForConcurrentUse guards against shared state in the codec, which the race detector
+// reports.
+func TestCodecIsSafeForConcurrentUse(t *testing.T) {
 	var group sync.WaitGroup
-	for kind, message := range samples() {
+	for kind, message := range sampleMessages() {
 		group.Go(func() {
 			for range 50 {
 				data, err := Encode(message)
@@ -402,12 +408,12 @@
 	group.Wait()
 }
 
-// FuzzDecode holds that no input makes Decode panic, and that what it accepts
-// can be written and read again unchanged.
+// FuzzDecode checks that no input makes Decode panic, and that an accepted message can be encoded and
+// decoded again without a change.
 func FuzzDecode(f *testing.F) {
-	for kind, message := range samples() {
-		for _, version := range versions() {
-			if version < since[kind] {
+	for kind, message := range sampleMessages() {
+		for _, version := range supportedVersions() {
+			if version < introducedIn[kind] {
 				continue
 			}
 			data, err := EncodeVersion(message, version)
@@ -424,7 +430,7 @@
 		}
 		again, err := Encode(first)
 		if err != nil {
-			t.Fatalf("accepted message cannot be written: %v", err)
+			t.Fatalf("an accepted message cannot be encoded: %v", err)
 		}
 		second, err := Decode(again)
 		if err != nil {
@@ -432,7 +438,7 @@
 		}
 		third, err := Encode(second)
 		if err != nil || string(third) != string(again) {
-			t.Fatalf("not stable: %x, then %x, %v", again, third, err)
+			t.Fatalf("the encoding changed from %x to %x, %v", again, third, err)
 		}
 	})
 }
--- a/wire/compress.go
+++ b/wire/compress.go
@@ -12,8 +12,8 @@
 	encodingDeflate = "deflate"
 )
 
-// compress returns a request's body compressed. Speed counts more than size: a node may
-// have a fifth of a core and sends the same content to many.
+// compress returns data compressed. It favours speed over size: a node may have a fifth of a
+// core and sends the same content to many peers.
 func compress(data []byte) ([]byte, error) {
 	var compressed bytes.Buffer
 	w, err := flate.NewWriter(&compressed, flate.BestSpeed)
@@ -29,8 +29,9 @@
 	return compressed.Bytes(), nil
 }
 
-// bodyOf returns a reader of a request's content, whose length the caller must bound.
-func bodyOf(r *http.Request) io.Reader {
+// requestBody returns a reader of a request's decompressed body. The caller must bound the number
+// of bytes that it reads.
+func requestBody(r *http.Request) io.Reader {
 	if r.Header.Get(encodingHeader) == encodingDeflate {
 		return flate.NewReader(r.Body)
 	}
--- a/wire/compress_test.go
+++ b/wire/compress_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestLargeMessagesAreCompressed: a large message arrives whole in fewer bytes, a small
-// one as it is.
+// TestLargeMessagesAreCompressed guards against messages that are damaged by compression: a message
+// above the threshold and one below it arrive unchanged.
 func TestLargeMessagesAreCompressed(t *testing.T) {
 	received := make(chan Message, 2)
 	to := openTransport(t, func(message Message) { received <- message })
@@ -20,7 +20,7 @@
 	} {
 		from.Send(to.Address(), sent)
 		if got := <-received; !reflect.DeepEqual(got, sent) {
-			t.Fatalf("revision %d arrived as another message", sent.Revision)
+			t.Fatalf("the message of revision %d was changed on the way", sent.Revision)
 		}
 	}
 	if got := to.Statistics().BytesReceived; got < uint64(len(value)) {
@@ -28,19 +28,20 @@
 	}
 }
 
-// TestCompressedBodiesAreBounded: what a body expands to counts against the bound.
-func TestCompressedBodiesAreBounded(t *testing.T) {
+// TestDecompressedBodySizeIsLimited guards against a small body that expands beyond the limit and
+// exhausts the receiver's memory.
+func TestDecompressedBodySizeIsLimited(t *testing.T) {
 	data, err := compress(make([]byte, 2*maxBodyBytes))
 	if err != nil {
 		t.Fatal(err)
 	}
-	to := openTransport(t, func(Message) { t.Error("a message beyond the bound was handed on") })
+	to := openTransport(t, func(Message) { t.Error("a message beyond the size limit was handled") })
 	if status := postCompressed(t, to.Address(), data); status < 400 {
 		t.Errorf("answered %d", status)
 	}
 }
 
-// postCompressed sends a compressed body and returns the status of the answer.
+// postCompressed sends a compressed body and returns the status of the response.
 func postCompressed(t *testing.T, address string, data []byte) int {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+messagesPath, bytes.NewReader(data))
--- a/wire/dial.go
+++ b/wire/dial.go
@@ -7,62 +7,64 @@
 )
 
 const (
-	// dialAgain is after how long without a connection another one is begun beside it: above
-	// a round trip between regions (24 ms), and far below the second after which the kernel
-	// repeats a first packet. One that went to a machine without power is lost; when all
-	// machines come back within 0.3 s of each other, most of them lose one to some other.
-	dialAgain = 120 * time.Millisecond
-	// mostDials is how many connections are begun at most for one: after that the kernel has
-	// repeated the first packet.
-	mostDials = 8
+	// parallelDialDelay is the time without a connection after which another dial is started in
+	// parallel. It lies above a round trip between regions (24 ms) and far below the second
+	// after which the kernel retransmits a SYN packet. A SYN to a machine that has no power yet
+	// is lost. When all machines return within 0.3 s after a power failure, most of them lose a
+	// SYN to some other machine.
+	parallelDialDelay = 120 * time.Millisecond
+	// maxParallelDials bounds the dials for one connection. When the last one is started, the
+	// kernel is about to retransmit the first SYN.
+	maxParallelDials = 8
 )
 
 // dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialed is the outcome of one dial.
-type dialed struct {
+// dialResult is the result of one dial.
+type dialResult struct {
 	connection net.Conn
 	err        error
 }
 
-// repeatedly begins another dial beside one that takes long, and returns the first connection.
-// An address that refuses is not dialed again.
-func repeatedly(dial dialFunc, after time.Duration) dialFunc {
+// dialInParallel returns a dialFunc that starts another dial after each delay without a
+// connection, and returns the first connection. It fails when all dials started so far have
+// failed; an address that refuses connections is therefore dialed only once.
+func dialInParallel(dial dialFunc, delay time.Duration) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		outcomes := make(chan dialed, mostDials)
-		begin := func() {
+		results := make(chan dialResult, maxParallelDials)
+		startDial := func() {
 			connection, err := dial(ctx, network, address)
-			outcomes <- dialed{connection: connection, err: err}
+			results <- dialResult{connection: connection, err: err}
 		}
-		go begin()
-		again := time.NewTicker(after)
-		defer again.Stop()
-		for begun, ended := 1, 0; ; {
+		go startDial()
+		ticker := time.NewTicker(delay)
+		defer ticker.Stop()
+		for started, ended := 1, 0; ; {
 			select {
-			case first := <-outcomes:
+			case result := <-results:
 				ended++
-				if first.err != nil && ended < begun {
+				if result.err != nil && ended < started {
 					continue
 				}
-				go closeRest(outcomes, begun-ended)
-				return first.connection, first.err
-			case <-again.C:
-				if begun < mostDials {
-					begun++
-					go begin()
+				go closeLateConnections(results, started-ended)
+				return result.connection, result.err
+			case <-ticker.C:
+				if started < maxParallelDials {
+					started++
+					go startDial()
 				}
 			}
 		}
 	}
 }
 
-// closeRest closes connections that came too late.
-func closeRest(outcomes <-chan dialed, count int) {
+// closeLateConnections awaits the results of count dials and closes their connections.
+func closeLateConnections(results <-chan dialResult, count int) {
 	for range count {
-		if late := <-outcomes; late.err == nil {
+		if late := <-results; late.err == nil {
 			_ = late.connection.Close()
 		}
 	}
--- a/wire/dial_test.go
+++ b/wire/dial_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// TestLostDialIsRepeated: a first packet to a machine that has no power yet is lost, and the
-// kernel repeats it after a second. When all machines came back within 0.3 s, nodes did not
-// reach each other for that time, and nobody lent tokens.
-func TestLostDialIsRepeated(t *testing.T) {
+// TestLostDialIsFollowedByParallelDial guards against a power failure after which nodes cannot reach
+// each other for a second, so that no node lends tokens. When all machines return within 0.3 s, the
+// SYN to a machine without power is lost, and the kernel retransmits it only after a second.
+func TestLostDialIsFollowedByParallelDial(t *testing.T) {
 	const poweredAfter = 200 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var open atomic.Int64
-		dial := repeatedly(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		dial := dialInParallel(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			if time.Since(began) < poweredAfter {
 				select {
 				case <-time.After(time.Second):
@@ -30,32 +30,32 @@
 			_ = other.Close()
 			open.Add(1)
 			return one, nil
-		}, dialAgain)
+		}, parallelDialDelay)
 		connection, err := dial(context.Background(), "tcp", "10.0.0.1:7600")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(began); took != 2*dialAgain {
-			t.Errorf("it is reached after %v, want %v", took, 2*dialAgain)
+		if took := time.Since(began); took != 2*parallelDialDelay {
+			t.Errorf("the machine was reached after %v, want %v", took, 2*parallelDialDelay)
 		}
 		_ = connection.Close()
 		synctest.Wait()
 		if open.Load() != 1 {
-			t.Errorf("%d connections for one", open.Load())
+			t.Errorf("%d connections were opened, want 1", open.Load())
 		}
 	})
 }
 
-// TestRefusedDialIsNotRepeated: an address that refuses is given up at once, and one that
-// brings nothing at its time-out.
+// TestRefusedDialIsNotRepeated guards against dials that go on although the address refuses
+// connections or the timeout has passed.
 func TestRefusedDialIsNotRepeated(t *testing.T) {
 	refused := errors.New("refused")
 	synctest.Test(t, func(t *testing.T) {
 		dials, began := 0, time.Now()
-		_, err := repeatedly(func(context.Context, string, string) (net.Conn, error) {
+		_, err := dialInParallel(func(context.Context, string, string) (net.Conn, error) {
 			dials++
 			return nil, refused
-		}, dialAgain)(context.Background(), "tcp", "10.0.0.1:7600")
+		}, parallelDialDelay)(context.Background(), "tcp", "10.0.0.1:7600")
 		if !errors.Is(err, refused) || dials != 1 || time.Since(began) != 0 {
 			t.Errorf("%v after %d dials and %v", err, dials, time.Since(began))
 		}
@@ -64,12 +64,12 @@
 		var dials atomic.Int64
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, err := repeatedly(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		_, err := dialInParallel(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			dials.Add(1)
 			<-ctx.Done()
 			return nil, ctx.Err()
-		}, dialAgain)(ctx, "tcp", "10.0.0.1:7600")
-		if !errors.Is(err, context.DeadlineExceeded) || dials.Load() != mostDials {
+		}, parallelDialDelay)(ctx, "tcp", "10.0.0.1:7600")
+		if !errors.Is(err, context.DeadlineExceeded) || dials.Load() != maxParallelDials {
 			t.Errorf("%v after %d dials", err, dials.Load())
 		}
 	})
--- a/wire/dispatching.go
+++ b/wire/dispatching.go
@@ -6,93 +6,97 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// EngineCandidate is an engine that may take a request.
+// EngineCandidate is an engine that may run a request.
 type EngineCandidate struct {
 	Machine cluster.MachineID
-	// Penalty is what speaks against the engine besides its work, in time of waiting.
+	// Penalty is the engine's disadvantage apart from its load, expressed as waiting time.
 	Penalty time.Duration
 }
 
-// PromptPrefix is the beginning of a prompt that requests may share.
+// PromptPrefix identifies the beginning of a prompt, which several requests may share, by its hash
+// and length.
 type PromptPrefix struct {
 	Hash   uint64
 	Tokens int
 }
 
-// EngineWork is what a request asks of an engine.
+// EngineWork describes the work of a request for an engine.
 type EngineWork struct {
 	Model cluster.ModelID
-	// PromptTokens of the whole prompt, and OutputTokens that are expected.
+	// PromptTokens is the number of tokens of the whole prompt, OutputTokens the expected
+	// number of generated tokens.
 	PromptTokens, OutputTokens int
-	// Prefixes of the prompt, shortest first.
+	// Prefixes are prefixes of the prompt, shortest first.
 	Prefixes []PromptPrefix
-	// Rank of the request, 0 being the most urgent.
+	// Rank is the priority of the request, 0 being the most urgent.
 	Rank int
-	// Objective is what is left of the time in which the answer should begin, and Left of
-	// the time in which it must end.
+	// Objective is the remaining time in which the answer should begin. Left is the
+	// remaining time in which the answer must end.
 	Objective, Left time.Duration
-	// LongestPause between two events that are in time, zero where none is stated.
+	// LongestPause is the longest acceptable time between two events, zero if none is stated.
 	LongestPause time.Duration
 }
 
-// EngineRequest asks the dispatcher of engines at which of them a request is to be read, and
-// when.
+// EngineRequest asks the dispatcher of engines which engine a request is to be sent to, and when.
 type EngineRequest struct {
 	From        cluster.NodeID
 	FromAddress string
-	// Number pairs the answer, and what is told later, with the request.
+	// Number identifies the request in the answer and in later EngineNews.
 	Number     int64
 	Work       EngineWork
 	Candidates []EngineCandidate
 }
 
-// EngineAnswer answers an EngineRequest. An empty machine leaves the choice to the asking
-// node.
+// EngineAnswer answers an EngineRequest. With an empty Machine the requesting node chooses the
+// engine itself.
 type EngineAnswer struct {
 	From    cluster.NodeID
 	Number  int64
 	Machine cluster.MachineID
-	// Delay until the request is to be sent, Expected until its first event, and Backlog of
-	// reading that the engine has before it.
+	// Delay is the time until the request is to be sent, Expected the time until its first
+	// event. Backlog is the time that the engine needs for the prompts queued before it.
 	Delay, Expected, Backlog time.Duration
-	// Read is how long its own prompt is read, Kept are the tokens of it that the engine keeps,
-	// and Speed is the engine's against the usual one.
+	// Read is the time that the engine needs to process the request's own prompt. Kept is
+	// the number of prompt tokens in the engine's cache. Speed is the engine's speed relative
+	// to the usual one.
 	Read  time.Duration
 	Kept  int
 	Speed float64
-	// Background requests would be late anyway, and give way to all others at the engine.
+	// Background is set for a request that would miss its objective anyway and yields to all
+	// others at the engine.
 	Background bool
-	// Fetch names the engine from which it first takes what of the prompt it is to keep, empty
-	// for none.
+	// Fetch is the engine whose cache of the prompt is copied to the chosen engine first,
+	// empty for none.
 	Fetch cluster.MachineID
 }
 
-// EngineAttempt is an attempt that a node has under way at an engine.
+// EngineAttempt is an attempt that a node has in progress at an engine.
 type EngineAttempt struct {
 	Number  int64
 	Machine cluster.MachineID
-	// Sent is how long ago.
-	Sent  time.Duration
+	// Sent is the time since the attempt was sent.
+	Sent time.Duration
+	// Began is set when the answer has begun.
 	Began bool
 	Work  EngineWork
 }
 
-// EngineProgress is how far an attempt got.
+// EngineProgress is the progress of an attempt.
 type EngineProgress struct {
 	Number int64
-	// First is how long after the send the first event came, zero if none did.
+	// First is the time from the sending to the first event, zero if there was none.
 	First time.Duration
-	// Ended attempts take nothing of the engine any more; Read is false for those that the
-	// engine did not run.
+	// Ended is set when the attempt no longer uses the engine. Read is false for an ended
+	// attempt that the engine did not run.
 	Ended, Read bool
 }
 
-// EngineNews tells the dispatcher of engines what became of attempts, and of attempts that it
-// may not know.
+// EngineNews informs the dispatcher of engines about the progress of attempts and about attempts
+// that it may not know.
 type EngineNews struct {
 	From        cluster.NodeID
 	FromAddress string
-	// Full is set when Attempts are all that the sender has under way.
+	// Full is set when Attempts lists all attempts that the sender has in progress.
 	Full     bool
 	Progress []EngineProgress
 	Attempts []EngineAttempt
@@ -141,7 +145,7 @@
 	return engineWorkRecord{
 		Model: w.Model, PromptTokens: w.PromptTokens, OutputTokens: w.OutputTokens, Rank: w.Rank,
 		Objective: w.Objective, Left: w.Left, LongestPause: w.LongestPause,
-		Prefixes: convert(w.Prefixes, func(p PromptPrefix) promptPrefixRecord {
+		Prefixes: mapSlice(w.Prefixes, func(p PromptPrefix) promptPrefixRecord {
 			return promptPrefixRecord{Hash: int64(p.Hash), Tokens: p.Tokens}
 		}),
 	}
@@ -151,7 +155,7 @@
 	return EngineWork{
 		Model: r.Model, PromptTokens: r.PromptTokens, OutputTokens: r.OutputTokens, Rank: r.Rank,
 		Objective: r.Objective, Left: r.Left, LongestPause: r.LongestPause,
-		Prefixes: convert(r.Prefixes, func(p promptPrefixRecord) PromptPrefix {
+		Prefixes: mapSlice(r.Prefixes, func(p promptPrefixRecord) PromptPrefix {
 			return PromptPrefix{Hash: uint64(p.Hash), Tokens: p.Tokens}
 		}),
 	}
@@ -163,29 +167,29 @@
 	}
 }
 
-func (r *engineRequestRecord) decoded() Message {
+func (r *engineRequestRecord) toMessage() Message {
 	return EngineRequest{
 		From: r.From, FromAddress: r.FromAddress, Number: r.Number, Work: r.Work.work(),
-		Candidates: convert(r.Candidates, func(c EngineCandidate) EngineCandidate { return c }),
+		Candidates: mapSlice(r.Candidates, func(c EngineCandidate) EngineCandidate { return c }),
 	}
 }
 
-func (r *engineAnswerRecord) decoded() Message { return EngineAnswer(*r) }
+func (r *engineAnswerRecord) toMessage() Message { return EngineAnswer(*r) }
 
 func engineNewsToRecord(m EngineNews) *engineNewsRecord {
 	return &engineNewsRecord{
 		From: m.From, FromAddress: m.FromAddress, Full: m.Full, Progress: m.Progress,
-		Attempts: convert(m.Attempts, func(a EngineAttempt) engineAttemptRecord {
+		Attempts: mapSlice(m.Attempts, func(a EngineAttempt) engineAttemptRecord {
 			return engineAttemptRecord{Number: a.Number, Machine: a.Machine, Sent: a.Sent, Began: a.Began, Work: engineWorkToRecord(&a.Work)}
 		}),
 	}
 }
 
-func (r *engineNewsRecord) decoded() Message {
+func (r *engineNewsRecord) toMessage() Message {
 	return EngineNews{
 		From: r.From, FromAddress: r.FromAddress, Full: r.Full,
-		Progress: convert(r.Progress, func(p EngineProgress) EngineProgress { return p }),
-		Attempts: convert(r.Attempts, func(a engineAttemptRecord) EngineAttempt {
+		Progress: mapSlice(r.Progress, func(p EngineProgress) EngineProgress { return p }),
+		Attempts: mapSlice(r.Attempts, func(a engineAttemptRecord) EngineAttempt {
 			return EngineAttempt{Number: a.Number, Machine: a.Machine, Sent: a.Sent, Began: a.Began, Work: a.Work.work()}
 		}),
 	}
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire defines the messages between valveslip nodes, their Avro codec
-// and the watermill transport that carries them.
+// Package wire defines the messages between valveslip nodes, their Avro codec, and the
+// transport that carries them over HTTP with watermill.
 package wire
--- a/wire/exchange/doc.go
+++ b/wire/exchange/doc.go
@@ -1,4 +1,3 @@
-// Package exchange pairs the answers of other nodes with the questions they
-// belong to. Messages between nodes may be lost, so every wait is bounded by
-// the asker.
+// Package exchange matches the answers of other nodes to the requests that a node has sent.
+// Messages between nodes may be lost, so the sender of a request must bound its wait for the answers.
 package exchange
--- a/wire/keys.go
+++ b/wire/keys.go
@@ -6,15 +6,15 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// KeyClaim asks the owner of an idempotency key for leave to run a request.
+// KeyClaim asks the owner of an idempotency key for permission to run a request.
 type KeyClaim struct {
 	From        cluster.NodeID
 	FromAddress string
-	// Number pairs the decision with the claim.
+	// Number identifies the claim in the decision.
 	Number uint64
-	// TokenPath and Key name the key.
+	// TokenPath and Key identify the idempotency key.
 	TokenPath, Key string
-	// Fingerprint of the request's path and body.
+	// Fingerprint is a hash of the request's path and body.
 	Fingerprint uint64
 	Request     cluster.RequestID
 }
@@ -25,29 +25,29 @@
 	Number uint64
 	// Kind is an idempotency.DecisionKind.
 	Kind int
-	// Owner to ask instead.
+	// Owner is the node to ask instead, if Kind says so.
 	Owner      cluster.NodeID
 	Outcome    KeyOutcomeRecord
 	RetryAfter time.Duration
 }
 
-// KeyOutcomeRecord is how the request of a key ended.
+// KeyOutcomeRecord is the outcome of a key's request.
 type KeyOutcomeRecord struct {
 	// Kind is an idempotency.OutcomeKind.
 	Kind    int
 	Request cluster.RequestID
-	// Holder keeps the answer.
+	// Holder is the node that keeps the answer.
 	Holder cluster.NodeID
 }
 
-// KeyOutcome tells an owner that gave leave or recorded it how the request ended.
+// KeyOutcome reports the outcome of a request to an owner that granted or recorded its claim.
 type KeyOutcome struct {
 	From           cluster.NodeID
 	TokenPath, Key string
 	Outcome        KeyOutcomeRecord
 }
 
-// KeyQuestion asks another owner what it knows of a key, or to record a claim.
+// KeyQuestion asks another owner of a key for its records, or to record a claim.
 type KeyQuestion struct {
 	From           cluster.NodeID
 	FromAddress    string
@@ -59,9 +59,10 @@
 	Claimant    cluster.NodeID
 	// Round orders the questions of one node about a key.
 	Round uint64
-	// Record asks to record the claim.
+	// Record asks the receiver to record the claim.
 	Record bool
-	// Owners of the key in the asker's view, and all that it knows of.
+	// Owners are the key's owners as the sender knows them. Known are all sets of owners that
+	// the sender knows of, including former ones.
 	Owners []cluster.NodeID
 	Known  [][]cluster.NodeID
 }
@@ -75,20 +76,20 @@
 	Outcome     KeyOutcomeRecord
 	Fingerprint uint64
 	Past        []PastMembership
-	// Round that the question must pass.
+	// Round is the round that the question must exceed.
 	Round uint64
-	// Heirs answer in the stead of nodes that left.
+	// Heirs lists the nodes that answer for nodes that have left.
 	Heirs []KeyHeir
 }
 
-// PastMembership names the owners of a key until a time, in rank order.
+// PastMembership lists the owners that a key had until a time, in rank order.
 type PastMembership struct {
-	// Until is in Unix nanoseconds.
+	// Until is the end of the membership in Unix nanoseconds.
 	Until int64
 	Nodes []cluster.NodeID
 }
 
-// KeptAnswerRequest asks the holder of a request's answer for it.
+// KeptAnswerRequest asks the node that keeps a request's answer to send it.
 type KeptAnswerRequest struct {
 	From        cluster.NodeID
 	FromAddress string
@@ -100,7 +101,7 @@
 type KeptAnswer struct {
 	From   cluster.NodeID
 	Number uint64
-	// Found is false when the answer is not kept any more.
+	// Found is false if the answer is no longer kept.
 	Found       bool
 	Status      int
 	ContentType string
--- a/wire/keys_handover.go
+++ b/wire/keys_handover.go
@@ -2,16 +2,16 @@
 
 import "github.com/valveslip/valveslip/cluster"
 
-// KeyHandover hands what a node that stops knows of keys to its heir, in parts.
+// KeyHandover transfers a part of a stopping node's key records to its successor.
 type KeyHandover struct {
 	From        cluster.NodeID
 	FromAddress string
-	// Number pairs the answer with the part.
+	// Number identifies the part in the answer.
 	Number uint64
-	// Round is the highest that the node has seen.
+	// Round is the highest round that the node has seen.
 	Round uint64
-	// LostUntil, in Unix nanoseconds, is until when the node can vouch for
-	// nothing.
+	// LostUntil, in Unix nanoseconds, is the time until which the node's records may be
+	// incomplete.
 	LostUntil   int64
 	Memberships []KeyMembership
 	Records     []KeyRecord
@@ -19,7 +19,7 @@
 
 // KeyMembership is a set of nodes that shared the keys until a time.
 type KeyMembership struct {
-	// Until is in Unix nanoseconds.
+	// Until is the end of the membership in Unix nanoseconds.
 	Until   int64
 	Members []KeyMember
 }
@@ -30,36 +30,38 @@
 	Zone cluster.ZoneID
 }
 
-// KeyRecord is what a node that stops knows of one key.
+// KeyRecord is a stopping node's record of one key.
 type KeyRecord struct {
 	TokenPath, Key string
 	// Fingerprint, Request and Claimant are those of the claim, if one is known.
 	Fingerprint uint64
 	Request     cluster.RequestID
 	Claimant    cluster.NodeID
-	// First owner that the claim was recorded for, and its round.
+	// First is the first owner for which the claim was recorded, Round the round of its
+	// question.
 	First   cluster.NodeID
 	Round   uint64
 	Outcome KeyOutcomeRecord
-	// Expires is in Unix nanoseconds.
+	// Expires is the end of the record in Unix nanoseconds.
 	Expires int64
-	// Promised are the owners of those to whom the node vouched, Highest and
-	// HighestRound the last of them.
+	// Promised are the sets of owners in the questions that the node answered with the
+	// statement that it knew no claim. Highest and HighestRound are the sender and the round
+	// of the highest such question.
 	Promised     []PastMembership
 	Highest      cluster.NodeID
 	HighestRound uint64
 }
 
-// KeyHandoverAnswer tells whether the heir took a part.
+// KeyHandoverAnswer says whether the successor took over a part.
 type KeyHandoverAnswer struct {
 	From   cluster.NodeID
 	Number uint64
 	Taken  bool
 }
 
-// KeyHeir tells that a node has handed over whole.
+// KeyHeir announces that a stopping node has handed over all its key records.
 type KeyHeir struct {
-	// From is the node that stops, Heir the one that answers in its stead.
+	// From is the stopping node, Heir the successor that answers for it.
 	From, Heir cluster.NodeID
 }
 
@@ -107,7 +109,7 @@
 	return rec
 }
 
-func (r *keyHandoverRecord) decoded() Message {
+func (r *keyHandoverRecord) toMessage() Message {
 	m := KeyHandover{
 		From: r.From, FromAddress: r.FromAddress, Number: uint64(r.Number), Round: uint64(r.Round),
 		LostUntil: r.LostUntil, Memberships: r.Memberships,
@@ -128,10 +130,10 @@
 	Taken  bool
 }
 
-func (r *keyHandoverAnswerRecord) decoded() Message {
+func (r *keyHandoverAnswerRecord) toMessage() Message {
 	return KeyHandoverAnswer{From: r.From, Number: uint64(r.Number), Taken: r.Taken}
 }
 
 type keyHeirRecord KeyHeir
 
-func (r *keyHeirRecord) decoded() Message { return KeyHeir(*r) }
+func (r *keyHeirRecord) toMessage() Message { return KeyHeir(*r) }
--- a/wire/keys_records.go
+++ b/wire/keys_records.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func (r *keyClaimRecord) decoded() Message {
+func (r *keyClaimRecord) toMessage() Message {
 	return KeyClaim{
 		From: r.From, FromAddress: r.FromAddress, Number: uint64(r.Number),
 		TokenPath: r.TokenPath, Key: r.Key, Fingerprint: uint64(r.Fingerprint), Request: r.Request,
@@ -45,7 +45,7 @@
 	}
 }
 
-func (r *keyDecisionRecord) decoded() Message {
+func (r *keyDecisionRecord) toMessage() Message {
 	return KeyDecision{
 		From: r.From, Number: uint64(r.Number), Kind: r.Kind, Owner: r.Owner, Outcome: r.Outcome, RetryAfter: time.Duration(r.RetryAfter),
 	}
@@ -53,7 +53,7 @@
 
 type keyOutcomeRecord KeyOutcome
 
-func (r *keyOutcomeRecord) decoded() Message { return KeyOutcome(*r) }
+func (r *keyOutcomeRecord) toMessage() Message { return KeyOutcome(*r) }
 
 type keyQuestionRecord struct {
 	From        cluster.NodeID
@@ -78,7 +78,7 @@
 	}
 }
 
-func (r *keyQuestionRecord) decoded() Message {
+func (r *keyQuestionRecord) toMessage() Message {
 	return KeyQuestion{
 		From: r.From, FromAddress: r.FromAddress, Number: uint64(r.Number), TokenPath: r.TokenPath, Key: r.Key,
 		Fingerprint: uint64(r.Fingerprint), Request: r.Request, Claimant: r.Claimant,
@@ -104,7 +104,7 @@
 	}
 }
 
-func (r *keyAnswerRecord) decoded() Message {
+func (r *keyAnswerRecord) toMessage() Message {
 	return KeyAnswer{
 		From: r.From, Number: uint64(r.Number), Kind: r.Kind, Outcome: r.Outcome, Fingerprint: uint64(r.Fingerprint), Past: r.Past,
 		Round: uint64(r.Round), Heirs: r.Heirs,
@@ -122,7 +122,7 @@
 	return &keptAnswerRequestRecord{From: m.From, FromAddress: m.FromAddress, Number: int64(m.Number), Request: m.Request}
 }
 
-func (r *keptAnswerRequestRecord) decoded() Message {
+func (r *keptAnswerRequestRecord) toMessage() Message {
 	return KeptAnswerRequest{From: r.From, FromAddress: r.FromAddress, Number: uint64(r.Number), Request: r.Request}
 }
 
@@ -141,7 +141,7 @@
 	}
 }
 
-func (r *keptAnswerRecord) decoded() Message {
+func (r *keptAnswerRecord) toMessage() Message {
 	return KeptAnswer{
 		From: r.From, Number: uint64(r.Number), Found: r.Found, Status: r.Status, ContentType: r.ContentType, Body: r.Body,
 	}
--- a/wire/lending.go
+++ b/wire/lending.go
@@ -6,60 +6,61 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// LenderClaim asks a voter to let the sender alone lend from the limits of a shard for a
-// while, or with Release tells that it no longer does.
+// LenderClaim asks a voter for the sole right of the sender to lend tokens of a shard's limits for
+// a period. With Release it gives that right back.
 type LenderClaim struct {
 	From        cluster.NodeID
 	FromAddress string
 	Shard       int
-	// Number pairs the vote with the claim.
+	// Number identifies the claim in the vote.
 	Number  int64
 	Release bool
-	// Sets are the digests of the sets of voters of each of which the sender wants a
-	// majority.
+	// Sets are the digests of the sets of voters. The sender needs a majority of each set.
 	Sets []int64
-	// First is set where all nodes seem to have just started: the sender lends only if each
-	// of them says so and grants it.
+	// First is set if all nodes seem to have just started. The sender then lends only if
+	// each of them confirms that it has, and grants the claim.
 	First bool
-	// Lends is set when the sender lends already and asks to go on.
+	// Lends is set if the sender is the lender already and asks to continue.
 	Lends bool
 }
 
 // LenderVote answers a LenderClaim.
 type LenderVote struct {
 	From cluster.NodeID
-	// Machine that the voter runs on.
+	// Machine is the machine that the voter runs on.
 	Machine string
 	Shard   int
 	Number  int64
 	Granted bool
-	// Settled is for how long the voter has promised the shard to nobody else.
+	// Settled is the time for which the voter's promise of the shard had not changed before
+	// this vote.
 	Settled time.Duration
-	// Missing are the machines of a set of voters that counts for the voter and not for the
-	// claim; empty for none. It counts for MissingFor longer.
+	// Missing lists the machines of a set of voters that the voter regards as valid and that
+	// the claim lacks, empty for none. The set stays valid for MissingFor.
 	Missing    []string
 	MissingFor time.Duration
-	// Young is set when the voter has run for less than a promise lasts.
+	// Young is set if the voter has run for less time than a promise lasts.
 	Young bool
 }
 
-// TokensRequest asks a lender for a part of what a tenant may use, in the units of its limit,
-// or gives back what was granted to the request of the same number.
+// TokensRequest asks a lender for a part of a tenant's limit, in the units of that limit. With
+// Returned it gives back what was granted to the request of the same Number.
 type TokensRequest struct {
 	From        cluster.NodeID
 	FromAddress string
-	// Number pairs the answer with the request.
+	// Number identifies the request in the answer.
 	Number int64
 	Tenant string
 	Amount float64
-	// Rank of the request, 0 being the most urgent.
+	// Rank is the priority of the request, 0 being the most urgent.
 	Rank     int
 	Returned bool
-	// Mark tells what is asked for, the same when it is asked for again; zero for not known.
+	// Mark identifies the caller's request and is the same when the caller repeats it; zero
+	// if unknown.
 	Mark int64
-	// Heeds is the longest wait that the caller heeds when it is told when to come back.
+	// Heeds is the longest Retry-After time that the caller complies with.
 	Heeds time.Duration
-	// Again is set where what was granted to the request lapsed while it waited.
+	// Again is set if an earlier grant to the request expired while the request waited.
 	Again bool
 }
 
@@ -67,17 +68,17 @@
 type TokensAnswer struct {
 	From   cluster.NodeID
 	Number int64
-	// Lends is false when the sender does not lend for the tenant. Lender and its address are
-	// who does then, as far as the sender knows.
+	// Lends is false if the sender is not the lender for the tenant. Lender and LenderAddress
+	// then name the lender, as far as the sender knows it.
 	Lends         bool
 	Granted       bool
 	Wait          time.Duration
 	Lender        cluster.NodeID
 	LenderAddress string
-	// Reserved is set where room is kept for the caller that comes back after Wait.
+	// Reserved is set if the amount is reserved for the caller when it returns after Wait.
 	Reserved bool
-	// Used is what was lent of the limit within the window. FirstRank and FirstAmount are the
-	// request that is first in line, the amount zero without any.
+	// Used is the amount lent within the sliding window of the limit. FirstRank and
+	// FirstAmount describe the first waiting request; FirstAmount is zero if none waits.
 	Used        float64
 	FirstRank   int
 	FirstAmount float64
@@ -91,18 +92,18 @@
 	tokensAnswerRecord  TokensAnswer
 )
 
-func (r *clockToldRecord) decoded() Message { return ClockTold(*r) }
-func (r *lenderClaimRecord) decoded() Message {
+func (r *clockToldRecord) toMessage() Message { return ClockTold(*r) }
+func (r *lenderClaimRecord) toMessage() Message {
 	m := LenderClaim(*r)
-	m.Sets = convert(m.Sets, func(digest int64) int64 { return digest })
+	m.Sets = mapSlice(m.Sets, func(digest int64) int64 { return digest })
 	return m
 }
 
-func (r *lenderVoteRecord) decoded() Message {
+func (r *lenderVoteRecord) toMessage() Message {
 	m := LenderVote(*r)
-	m.Missing = convert(m.Missing, func(machine string) string { return machine })
+	m.Missing = mapSlice(m.Missing, func(machine string) string { return machine })
 	return m
 }
 
-func (r *tokensRequestRecord) decoded() Message { return TokensRequest(*r) }
-func (r *tokensAnswerRecord) decoded() Message  { return TokensAnswer(*r) }
+func (r *tokensRequestRecord) toMessage() Message { return TokensRequest(*r) }
+func (r *tokensAnswerRecord) toMessage() Message  { return TokensAnswer(*r) }
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -10,7 +10,7 @@
 // Message is implemented by every message between nodes.
 type Message interface{ message() }
 
-// MemberRecord is what a heartbeat says of one member.
+// MemberRecord is the state of a member as stated in a heartbeat.
 type MemberRecord struct {
 	Node cluster.Node
 	// Incarnation is raised by the member itself to refute a suspicion.
@@ -19,48 +19,49 @@
 	State string
 }
 
-// ControllerClaim says who holds a zone's lease, as far as the sender knows.
+// ControllerClaim names the holder of a zone's lease, as far as the sender knows.
 type ControllerClaim struct {
 	Zone  cluster.ZoneID
 	Node  cluster.NodeID
 	Token cluster.FencingToken
 }
 
-// Heartbeat carries liveness, gossip on members, the sender's configuration
-// stamp and the controller claims it knows to be newest.
+// Heartbeat shows that the sender is alive. It carries gossip about members, the stamp of the
+// sender's configuration and the newest controller claims that the sender knows.
 type Heartbeat struct {
 	From        cluster.Node
 	Incarnation uint64
 	Sequence    uint64
-	// Ack is true for the answer to another heartbeat, whose Sequence it echoes.
+	// Ack is true for the answer to a heartbeat, whose Sequence it repeats.
 	Ack     bool
 	Leaving bool
 	Stamp   settings.Stamp
 	Claims  []ControllerClaim
 	Gossip  []MemberRecord
-	// MembersDigest is over the members the sender holds to be running, for
-	// the receiver to compare with its own; zero when unknown.
+	// MembersDigest is a digest of the members that the sender regards as running, which the
+	// receiver compares with its own; zero if unknown.
 	MembersDigest uint64
 }
 
-// ConfigurationRequest asks a neighbour for what follows Stamp.
+// ConfigurationRequest asks a peer for the configuration after Stamp.
 type ConfigurationRequest struct {
-	// From and FromAddress say where the answer goes.
+	// From and FromAddress identify the node to answer.
 	From        cluster.NodeID
 	FromAddress string
 	Stamp       settings.Stamp
 }
 
-// ConfigurationEntry is one accepted edit.
+// ConfigurationEntry is an accepted edit.
 type ConfigurationEntry struct {
 	Revision int64
-	// Digest of the whole tree after the entry.
+	// Digest is the digest of the whole tree after the edit.
 	Digest uint64
-	// Data is the encoded edit, as package settings writes it.
+	// Data is the edit as encoded by package settings.
 	Data []byte
 }
 
-// ConfigurationEntries answers with the edits after the asked revision.
+// ConfigurationEntries carries the edits after revision After. It answers a ConfigurationRequest or
+// pushes newly accepted edits.
 type ConfigurationEntries struct {
 	From        cluster.NodeID
 	FromAddress string
@@ -69,66 +70,67 @@
 	Entries     []ConfigurationEntry
 }
 
-// ConfigurationSnapshot answers with the whole tree.
+// ConfigurationSnapshot answers a ConfigurationRequest with the whole tree.
 type ConfigurationSnapshot struct {
 	From        cluster.NodeID
 	FromAddress string
 	Stamp       settings.Stamp
-	// Data is the encoded tree, as package settings writes it.
+	// Data is the tree as encoded by package settings.
 	Data []byte
 }
 
 // ModelDemand is a router's demand for one model since its last report.
 type ModelDemand struct {
 	Model cluster.ModelID
-	// Waiting requests now, and running ones now.
+	// Waiting and Running are the present numbers of waiting and running requests.
 	Waiting, Running int
-	// Arrivals since the last report, and the tokens of their prompts that are to be read, at
-	// the usual speed of engines.
+	// Arrivals is the number of requests since the last report. PromptTokens is the number of
+	// their prompt tokens that engines have to process, at the usual speed of engines.
 	Arrivals, PromptTokens int
-	// OldestWait of a waiting request.
+	// OldestWait is the longest time that a waiting request has waited.
 	OldestWait time.Duration
-	// EarliestDeadline of a waiting request, as a duration from the sending.
+	// EarliestDeadline is the time from the sending of the message to the earliest deadline
+	// of a waiting request.
 	EarliestDeadline time.Duration
-	// Objective is within what time of its arrival a request's answer should begin,
-	// zero when none is stated.
+	// Objective is the time from a request's arrival within which its answer should begin,
+	// zero if none is stated.
 	Objective time.Duration
 }
 
 // ScopeDemand is a router's use of one limited scope.
 type ScopeDemand struct {
 	Path string
-	// Requests and Tokens a second wanted over the last interval, refused ones
-	// included, and requests now in flight or refused for concurrency since.
+	// Requests and Tokens are the demand per second over the last interval, including refused
+	// requests. Concurrency is the number of requests in flight and of those refused for
+	// concurrency since the last report.
 	Requests, Tokens float64
 	Concurrency      int
 }
 
-// Demand flows from routers to the controllers of the zones that hold the
-// models' allotments.
+// Demand reports a router's demand to the controllers of the zones that have the models' allotments.
 type Demand struct {
 	From     cluster.NodeID
 	Zone     cluster.ZoneID
 	Sequence uint64
-	// Full is true when models missing here have no demand; otherwise only
-	// changed ones are listed.
+	// Full is true if models that are not listed have no demand. Otherwise only models whose
+	// demand has changed are listed.
 	Full   bool
 	Models []ModelDemand
 	Scopes []ScopeDemand
 }
 
-// ReplicaRecord is one replica that routers may use.
+// ReplicaRecord describes a replica that routers may use.
 type ReplicaRecord struct {
 	Machine cluster.MachineID
 	Address string
 	Model   cluster.ModelID
 	Version string
 	State   cluster.ReplicaState
-	// Slots is the engine's concurrency.
+	// Slots is the number of requests that the engine runs at the same time.
 	Slots int
-	// Leaving machines take no new work.
+	// Leaving is set if the machine is leaving and takes no new work.
 	Leaving bool
-	// ReadyIn is the expected time until a loading replica is loaded.
+	// ReadyIn is the expected time until a loading replica is loaded, zero if unknown.
 	ReadyIn time.Duration
 }
 
@@ -139,7 +141,7 @@
 	Age             time.Duration
 }
 
-// ScopeShare grants a router a part of a limit until it expires.
+// ScopeShare grants a router a part of a scope's limit for the time ExpiresIn.
 type ScopeShare struct {
 	Path             string
 	Requests, Tokens float64
@@ -147,8 +149,8 @@
 	ExpiresIn        time.Duration
 }
 
-// CellStatus flows from a zone's controller to routers. Sequence orders the
-// messages of one token; a receiver that misses one asks for a full status.
+// CellStatus reports the state of a zone from its controller to the routers. Sequence numbers the
+// messages with the same Token; a receiver that misses one requests a full status.
 type CellStatus struct {
 	Zone   cluster.ZoneID
 	Region cluster.RegionID
@@ -157,13 +159,13 @@
 	FromAddress string
 	Token       cluster.FencingToken
 	Sequence    uint64
-	// Full replaces all that is known of the zone; otherwise Replicas holds
-	// changed records only, absent ones with ReplicaAbsent.
+	// Full is set if the message replaces the receiver's whole state of the zone. Otherwise
+	// Replicas holds changed records only; a removed replica has the state ReplicaAbsent.
 	Full     bool
 	Replicas []ReplicaRecord
 	Loads    []MachineLoad
 	Shares   []ScopeShare
-	// Allotted lists the models the zone may hold; sent when Full.
+	// Allotted lists the models that the zone may hold, in a full status only.
 	Allotted []cluster.ModelID
 }
 
@@ -174,12 +176,12 @@
 	FromAddress string
 }
 
-// ZoneReport flows from zone controllers to the apportioner: what the zone
-// wants and what it confirms to hold of each model.
+// ZoneReport reports from a zone's controller to the apportioner how many replicas of each model the
+// zone wants and holds.
 type ZoneReport struct {
 	Zone  cluster.ZoneID
 	Token cluster.FencingToken
-	// AllotmentRevision the controller acts on.
+	// AllotmentRevision is the revision of the allotment that the controller acts on.
 	AllotmentRevision int64
 	Models            []ZoneModelReport
 	Machines          int
@@ -194,20 +196,21 @@
 	Machines []cluster.MachineID
 }
 
-// ZoneModelReport is one model in a ZoneReport.
+// ZoneModelReport holds the replicas of one model in a ZoneReport.
 type ZoneModelReport struct {
 	Model cluster.ModelID
-	// Wanted replicas by demand; Held ones in any state, unknown ones counted.
+	// Wanted is the number of replicas that the demand calls for. Held is the number of
+	// replicas in any state, including unknown.
 	Wanted, Held int
 }
 
-// InspectionRequest asks a node what it holds on a subject, for operators.
+// InspectionRequest asks a node for its data on a subject, on behalf of an operator.
 type InspectionRequest struct {
 	From        cluster.NodeID
 	FromAddress string
-	// Number pairs the answer with the request.
+	// Number identifies the request in the answer.
 	Number uint64
-	// Subject and Key name what is asked for, such as "decisions" of a model.
+	// Subject and Key name the requested data, such as "decisions" and a model.
 	Subject, Key string
 }
 
@@ -215,9 +218,9 @@
 type InspectionAnswer struct {
 	From   cluster.NodeID
 	Number uint64
-	// Found is false when the node holds nothing on the subject.
+	// Found is false if the node has no data on the subject.
 	Found bool
-	// Data is the JSON form of what the administration API shows.
+	// Data is the JSON that the administration API returns.
 	Data []byte
 }
 
@@ -247,77 +250,80 @@
 func (InspectionRequest) message()     {}
 func (InspectionAnswer) message()      {}
 
-// StoreChange is one change of a pair in the store.
+// StoreChange is a change of a pair in the key-value store.
 type StoreChange struct {
 	Key   string
 	Value []byte
-	// Revision of the change.
+	// Revision is the revision of the change.
 	Revision int64
 	Deleted  bool
 }
 
-// StoreChanges passes on what a node read of the store's changes between two
-// revisions, and so that it reaches the store.
+// StoreChanges forwards the store's changes after revision After up to Revision, as the sender knows
+// them. It also shows how recently the sender, directly or through others, read the store.
 type StoreChanges struct {
 	From            cluster.NodeID
 	After, Revision int64
-	// Age of the reading when it was sent.
+	// Age is the time between the reading of the store and the sending.
 	Age time.Duration
-	// Partial is true when changes are left out, which are to be read in the store.
+	// Partial is true if changes are left out, which the receiver must read from the store.
 	Partial bool
 	Changes []StoreChange
-	// Proven is the revision of the proven key's value that the store confirmed last to be
-	// the newest, zero for none. Echo is the newest clock that the receiver told the sender,
-	// zero for none, and Lead by how much the store was asked before that came: the receiver's
-	// clock showed at least Echo less Lead when it was. Negative when it was asked later.
+	// Proven is the latest revision of the proven key's value that the store has confirmed to
+	// be the newest, zero for none.
+	//
+	// Echo and Lead date this confirmation by the receiver's clock. Echo is the newest clock
+	// reading that the sender got from the receiver, zero for none. Lead is the time from the
+	// query of the store to the arrival of that reading, negative if the store was queried
+	// later. When the store was queried, the receiver's clock showed at least Echo - Lead.
 	Proven int64
 	Echo   int64
 	Lead   time.Duration
 }
 
-// ClockTold tells a node that passes changes on the sender's clock when it was sent.
+// ClockTold sends a reading of the sender's clock to a node that forwards changes of the store.
 type ClockTold struct {
 	From cluster.NodeID
-	// Sent in nanoseconds of the sender's clock.
+	// Sent is the time of sending by the sender's clock, in nanoseconds.
 	Sent int64
 }
 
-// StoreSnapshotRequest asks a node for everything that it knows of the store.
+// StoreSnapshotRequest asks a node for its whole copy of the store.
 type StoreSnapshotRequest struct {
-	// From and FromAddress say where the answer goes.
+	// From and FromAddress identify the node to answer.
 	From        cluster.NodeID
 	FromAddress string
-	// Capacity of the asker in processor cores: those with more are served first, since they
-	// serve others.
+	// Capacity is the number of processor cores of the sender. Nodes with more cores are
+	// served first, since they then serve others.
 	Capacity float64
-	// Referred is set where another node named the receiver, which then names none that it
-	// has not served itself.
+	// Referred is set if another node referred the sender to the receiver. The receiver then
+	// refers the sender only to nodes that it has served itself.
 	Referred bool
 }
 
-// StoreSnapshot is one of the Parts of everything that a node knows of the store at a
-// revision. A revision of zero says that another node is to be asked, or that this one knows
-// nothing yet and answers when it does.
+// StoreSnapshot is a part of a node's copy of the store at a revision. A zero Revision means that
+// the node at Refer is to be asked or, if Refer is empty, that the sender has no copy yet and will
+// answer when it has one.
 type StoreSnapshot struct {
 	From cluster.NodeID
-	// Refer is the address of the node to ask, empty for none.
+	// Refer is the address of the node to ask instead, empty for none.
 	Refer    string
 	Revision int64
-	// Age of the reading when it was sent.
+	// Age is the time between the reading of the store and the sending.
 	Age time.Duration
-	// Part counts from zero.
+	// Part is the index of this part, from zero; Parts is the number of parts.
 	Part, Parts int
-	// Content is what PackChanges made of the part.
+	// Content holds the changes of the part, encoded by PackChanges.
 	Content []byte
 }
 
-// StoreChangesRequest asks a node for the changes after a revision that it keeps.
+// StoreChangesRequest asks a node for the store's changes after a revision, as far as it keeps them.
 type StoreChangesRequest struct {
-	// From and FromAddress say where the answer goes.
+	// From and FromAddress identify the node to answer.
 	From        cluster.NodeID
 	FromAddress string
 	After       int64
-	// Always asks for an answer also where there are no changes: it says that the node lives
-	// and how old what it knows is.
+	// Always asks for an answer even if there are no changes. Such an answer shows that the
+	// node is alive and how old its copy is.
 	Always bool
 }
--- a/wire/options.go
+++ b/wire/options.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Bounds of the transport.
+// Limits and timeouts of the transport.
 const (
-	// DefaultQueueLength bounds the messages waiting for one peer.
+	// DefaultQueueLength is the default number of messages that may be queued for one peer.
 	DefaultQueueLength = 256
-	// DefaultSendTimeout is how long a request to a peer may make no progress. A silent
-	// connection shows sooner, by userTimeout.
+	// DefaultSendTimeout is the default time that a request to a peer may make no progress.
+	// A connection whose peer acknowledges nothing breaks sooner, after tcpUserTimeout.
 	DefaultSendTimeout = 3 * time.Second
-	// maxBatchMessages and maxBatchBytes bound one request body. A message
-	// larger than maxBatchBytes travels alone.
+	// maxBatchMessages and maxBatchBytes bound one request body. A message larger than
+	// maxBatchBytes is sent in a request of its own.
 	maxBatchMessages = 64
 	maxBatchBytes    = 1 << 20
-	// maxBodyBytes bounds a received request body.
+	// maxBodyBytes bounds a received request body after decompression.
 	maxBodyBytes = MaxMessageBytes + maxBatchBytes
-	// idleSender is how long a sender without messages keeps its state.
-	idleSender = time.Minute
-	// dialTimeout bounds opening a connection to a peer.
+	// senderIdleTimeout is the time without messages after which a sender is removed.
+	senderIdleTimeout = time.Minute
+	// dialTimeout bounds the opening of a connection to a peer.
 	dialTimeout = 2 * time.Second
-	// readHeaderTimeout and idleConnection bound slow and silent peers.
-	readHeaderTimeout = 5 * time.Second
-	idleConnection    = 90 * time.Second
+	// readHeaderTimeout bounds the reading of a request's header, idleConnectionTimeout the
+	// time between two requests on a connection.
+	readHeaderTimeout     = 5 * time.Second
+	idleConnectionTimeout = 90 * time.Second
 	// maxHeaderBytes bounds the headers of a received request.
 	maxHeaderBytes = 8 << 10
 )
@@ -36,33 +37,33 @@
 	serverTLS, clientTLS *tls.Config
 	queueLength          int
 	sendTimeout          time.Duration
-	// compressAbove is the size in bytes from which request bodies are compressed; zero
-	// for never.
-	compressAbove int
-	// announce is the newest version this node reads, and says
-	// so.
-	announce int32
-	// dialAgain is after how long without a connection another one is begun beside it.
-	dialAgain time.Duration
-	// now is the clock by which messages age while they wait.
+	// compressionThreshold is the size in bytes above which request bodies are compressed;
+	// zero means never.
+	compressionThreshold int
+	// announcedVersion is the newest schema version that this node reads, as announced to
+	// senders.
+	announcedVersion int32
+	// parallelDialDelay is the time without a connection after which another dial is started.
+	parallelDialDelay time.Duration
+	// now is the clock that measures how long messages are queued.
 	now func() time.Time
 }
 
-// WithTLS encrypts the messages. For mutual authentication server requires and
-// verifies client certificates and client presents one. Either may reload its
-// certificates through the callbacks of tls.Config.
+// WithTLS encrypts the messages. For mutual authentication, server must require and verify client
+// certificates and client must present one. Both may reload their certificates through the
+// callbacks of tls.Config.
 func WithTLS(server, client *tls.Config) Option {
 	return func(o *options) { o.serverTLS, o.clientTLS = server, client }
 }
 
-// WithQueueLength bounds the messages that wait for one peer; the default is
+// WithQueueLength sets the number of messages that may be queued for one peer; the default is
 // DefaultQueueLength.
 func WithQueueLength(length int) Option {
 	return func(o *options) { o.queueLength = length }
 }
 
-// WithSendTimeout bounds how long a request to or from a peer may make no progress; the
-// default is DefaultSendTimeout.
+// WithSendTimeout sets the time that a request to or from a peer may make no progress; the default
+// is DefaultSendTimeout.
 func WithSendTimeout(timeout time.Duration) Option {
 	return func(o *options) { o.sendTimeout = timeout }
 }
@@ -74,8 +75,8 @@
 	return "http"
 }
 
-// WithCompression compresses request bodies larger than a number of bytes. Nodes of
-// before this option can't read them, so it is for deployments without such.
-func WithCompression(above int) Option {
-	return func(o *options) { o.compressAbove = above }
+// WithCompression compresses request bodies larger than threshold bytes. All nodes of the
+// deployment must be of a build that has this option, since earlier ones cannot read them.
+func WithCompression(threshold int) Option {
+	return func(o *options) { o.compressionThreshold = threshold }
 }
--- a/wire/pacing.go
+++ b/wire/pacing.go
@@ -6,8 +6,9 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// MachineLimit tells how many requests a second a machine said that it takes of all nodes
-// together, or, where it is not Limited, that it no longer says so.
+// MachineLimit reports the rate limit that a machine has stated: the requests per second that it
+// accepts from all nodes together. Without Limited it reports that the machine states no limit any
+// more.
 type MachineLimit struct {
 	From      cluster.NodeID
 	Machine   cluster.MachineID
@@ -15,14 +16,14 @@
 	PerSecond float64
 }
 
-// TurnRequest asks the node that paces a machine's requests whether one may be sent to it.
+// TurnRequest asks the node that paces the requests to a machine whether a request may be sent.
 type TurnRequest struct {
 	From        cluster.NodeID
 	FromAddress string
-	// Number pairs the answer with the request.
+	// Number identifies the request in the answer.
 	Number  int64
 	Machine cluster.MachineID
-	// PerSecond is the machine's limit as far as the sender knows.
+	// PerSecond is the machine's limit as the sender knows it, in requests per second.
 	PerSecond float64
 }
 
@@ -31,8 +32,8 @@
 	From    cluster.NodeID
 	Number  int64
 	Granted bool
-	// Wait is after what time the request may be sent, or, where it is not Granted, may be
-	// asked for again.
+	// Wait is the time after which the request may be sent or, if it is not Granted, after
+	// which the sender may ask again.
 	Wait time.Duration
 }
 
@@ -42,6 +43,6 @@
 	turnAnswerRecord   TurnAnswer
 )
 
-func (r *machineLimitRecord) decoded() Message { return MachineLimit(*r) }
-func (r *turnRequestRecord) decoded() Message  { return TurnRequest(*r) }
-func (r *turnAnswerRecord) decoded() Message   { return TurnAnswer(*r) }
+func (r *machineLimitRecord) toMessage() Message { return MachineLimit(*r) }
+func (r *turnRequestRecord) toMessage() Message  { return TurnRequest(*r) }
+func (r *turnAnswerRecord) toMessage() Message   { return TurnAnswer(*r) }
--- a/wire/poison.go
+++ b/wire/poison.go
@@ -5,10 +5,12 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// PoisonReport tells what a node knows of requests that were at machines when they ended.
+// PoisonReport reports the requests that were running on machines when these ended, which may be
+// poison requests.
 type PoisonReport struct {
 	From cluster.NodeID
-	// FromAddress is where what the receiver knows besides goes.
+	// FromAddress is the peer address to which the receiver sends records that the sender
+	// lacks.
 	FromAddress string
 	Records     []poison.Record
 }
@@ -27,15 +29,15 @@
 }
 
 func poisonReportToRecord(m PoisonReport) *poisonReportRecord {
-	return &poisonReportRecord{From: m.From, FromAddress: m.FromAddress, Records: convert(m.Records, func(r poison.Record) poisonRecord {
+	return &poisonReportRecord{From: m.From, FromAddress: m.FromAddress, Records: mapSlice(m.Records, func(r poison.Record) poisonRecord {
 		return poisonRecord{Content: r.Content[:], Ends: r.Ends, Cleared: r.Cleared}
 	})}
 }
 
-// decoded leaves a fingerprint of another length zero, which says nothing.
-func (r *poisonReportRecord) decoded() Message {
-	return PoisonReport{From: r.From, FromAddress: r.FromAddress, Records: convert(r.Records, func(p poisonRecord) poison.Record {
-		record := poison.Record{Ends: sameMachines(p.Ends), Cleared: sameMachines(p.Cleared)}
+// toMessage leaves a record's fingerprint zero, which means unknown, if its length is wrong.
+func (r *poisonReportRecord) toMessage() Message {
+	return PoisonReport{From: r.From, FromAddress: r.FromAddress, Records: mapSlice(r.Records, func(p poisonRecord) poison.Record {
+		record := poison.Record{Ends: copyMachines(p.Ends), Cleared: copyMachines(p.Cleared)}
 		if len(p.Content) == poison.FingerprintBytes {
 			record.Content = poison.Fingerprint(p.Content)
 		}
@@ -43,7 +45,7 @@
 	})}
 }
 
-// sameMachines returns nil for an empty list.
-func sameMachines(ids []cluster.MachineID) []cluster.MachineID {
-	return convert(ids, func(id cluster.MachineID) cluster.MachineID { return id })
+// copyMachines returns a copy of ids, nil if ids is empty.
+func copyMachines(ids []cluster.MachineID) []cluster.MachineID {
+	return mapSlice(ids, func(id cluster.MachineID) cluster.MachineID { return id })
 }
--- a/wire/prefixes.go
+++ b/wire/prefixes.go
@@ -6,31 +6,30 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// PrefixGroup lists prompts that a machine's engine has read for one model.
+// PrefixGroup lists prompts that a machine's engine has processed for one model.
 type PrefixGroup struct {
 	Machine cluster.MachineID
 	Model   cluster.ModelID
-	// Hashes of the prompts' longest noted prefixes, newest first.
+	// Hashes are the hashes of the prompts' longest known prefixes, newest first.
 	Hashes []uint64
 }
 
-// SentPrefixes tells which prompts went where, so that other routers of the zone
-// find the engines that have them cached. It flows from each router to the
-// controller of its zone and, summed up, from there to the zone's routers. It is
-// a hint: losing one costs time to first token only. A node that does not know
-// the message ignores it.
+// SentPrefixes reports which prompts were sent to which engines, so that other routers of the zone
+// find the engines that have them cached. Each router sends it to the controller of its zone, which
+// sends a summary to the routers of the zone. It is a hint: the loss of one costs time to first
+// token only. A node that does not know the message ignores it.
 type SentPrefixes struct {
 	From cluster.NodeID
 	Zone cluster.ZoneID
-	// Relayed is true from the controller to the routers.
+	// Relayed is true for messages from the controller to the routers.
 	Relayed bool
 	Groups  []PrefixGroup
 }
 
 func (SentPrefixes) message() {}
 
-// CacheMoved tells a zone's routers that the cache of a model on a machine that
-// leaves is on another machine too. It is a hint like SentPrefixes.
+// CacheMoved informs a zone's routers that a model's cache on the leaving machine Machine is
+// available on machine Target too. It is a hint like SentPrefixes.
 type CacheMoved struct {
 	Zone            cluster.ZoneID
 	Model           cluster.ModelID
@@ -41,9 +40,9 @@
 
 type cacheMovedRecord CacheMoved
 
-func (r *cacheMovedRecord) decoded() Message { return CacheMoved(*r) }
+func (r *cacheMovedRecord) toMessage() Message { return CacheMoved(*r) }
 
-// prefixHash is a hash on the wire, in big-endian order.
+// prefixHash is a hash as sent on the wire, in big-endian order.
 type prefixHash [8]byte
 
 type prefixGroupRecord struct {
@@ -60,19 +59,19 @@
 }
 
 func sentPrefixesToRecord(m SentPrefixes) *sentPrefixesRecord {
-	return &sentPrefixesRecord{From: m.From, Zone: m.Zone, Relayed: m.Relayed, Groups: convert(m.Groups, prefixGroupToRecord)}
+	return &sentPrefixesRecord{From: m.From, Zone: m.Zone, Relayed: m.Relayed, Groups: mapSlice(m.Groups, prefixGroupToRecord)}
 }
 
 func prefixGroupToRecord(group PrefixGroup) prefixGroupRecord {
-	return prefixGroupRecord{Machine: group.Machine, Model: group.Model, Hashes: convert(group.Hashes, func(hash uint64) (encoded prefixHash) {
+	return prefixGroupRecord{Machine: group.Machine, Model: group.Model, Hashes: mapSlice(group.Hashes, func(hash uint64) (encoded prefixHash) {
 		binary.BigEndian.PutUint64(encoded[:], hash)
 		return encoded
 	})}
 }
 
-func (r *sentPrefixesRecord) decoded() Message {
-	return SentPrefixes{From: r.From, Zone: r.Zone, Relayed: r.Relayed, Groups: convert(r.Groups, func(group prefixGroupRecord) PrefixGroup {
-		return PrefixGroup{Machine: group.Machine, Model: group.Model, Hashes: convert(group.Hashes, func(encoded prefixHash) uint64 {
+func (r *sentPrefixesRecord) toMessage() Message {
+	return SentPrefixes{From: r.From, Zone: r.Zone, Relayed: r.Relayed, Groups: mapSlice(r.Groups, func(group prefixGroupRecord) PrefixGroup {
+		return PrefixGroup{Machine: group.Machine, Model: group.Model, Hashes: mapSlice(group.Hashes, func(encoded prefixHash) uint64 {
 			return binary.BigEndian.Uint64(encoded[:])
 		})}
 	})}
--- a/wire/records.go
+++ b/wire/records.go
@@ -7,13 +7,12 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// The records below mirror messages whose unsigned fields Avro cannot hold: an
-// Avro long is signed, so they are carried by their bit pattern. Field names
-// are those of the schemas. Nested types without unsigned fields are shared
-// with the messages.
+// The record types mirror messages with unsigned integers. An Avro long is signed, so unsigned
+// integers are converted to signed ones with the same bits. The field names of the records are those
+// of the schemas. Nested types without unsigned integers are shared with the messages.
 
-// record is the form of a message that the Avro codec reads and writes.
-type record interface{ decoded() Message }
+// record is a message in the form that the Avro codec reads and writes.
+type record interface{ toMessage() Message }
 
 type stampRecord struct {
 	History  string
@@ -58,23 +57,23 @@
 	return &heartbeatRecord{
 		From: m.From, Incarnation: int64(m.Incarnation), Sequence: int64(m.Sequence),
 		Ack: m.Ack, Leaving: m.Leaving, Stamp: stampToRecord(m.Stamp), MembersDigest: int64(m.MembersDigest),
-		Claims: convert(m.Claims, func(c ControllerClaim) claimRecord {
+		Claims: mapSlice(m.Claims, func(c ControllerClaim) claimRecord {
 			return claimRecord{Zone: c.Zone, Node: c.Node, Token: int64(c.Token)}
 		}),
-		Gossip: convert(m.Gossip, func(g MemberRecord) memberRecord {
+		Gossip: mapSlice(m.Gossip, func(g MemberRecord) memberRecord {
 			return memberRecord{Node: g.Node, Incarnation: int64(g.Incarnation), State: g.State}
 		}),
 	}
 }
 
-func (r *heartbeatRecord) decoded() Message {
+func (r *heartbeatRecord) toMessage() Message {
 	return Heartbeat{
 		From: r.From, Incarnation: uint64(r.Incarnation), Sequence: uint64(r.Sequence),
 		Ack: r.Ack, Leaving: r.Leaving, Stamp: r.Stamp.stamp(), MembersDigest: uint64(r.MembersDigest),
-		Claims: convert(r.Claims, func(c claimRecord) ControllerClaim {
+		Claims: mapSlice(r.Claims, func(c claimRecord) ControllerClaim {
 			return ControllerClaim{Zone: c.Zone, Node: c.Node, Token: cluster.FencingToken(c.Token)}
 		}),
-		Gossip: convert(r.Gossip, func(g memberRecord) MemberRecord {
+		Gossip: mapSlice(r.Gossip, func(g memberRecord) MemberRecord {
 			return MemberRecord{Node: g.Node, Incarnation: uint64(g.Incarnation), State: g.State}
 		}),
 	}
@@ -90,7 +89,7 @@
 	return &configurationRequestRecord{From: m.From, FromAddress: m.FromAddress, Stamp: stampToRecord(m.Stamp)}
 }
 
-func (r *configurationRequestRecord) decoded() Message {
+func (r *configurationRequestRecord) toMessage() Message {
 	return ConfigurationRequest{From: r.From, FromAddress: r.FromAddress, Stamp: r.Stamp.stamp()}
 }
 
@@ -111,16 +110,16 @@
 func configurationEntriesToRecord(m ConfigurationEntries) *configurationEntriesRecord {
 	return &configurationEntriesRecord{
 		From: m.From, FromAddress: m.FromAddress, History: m.History, After: m.After,
-		Entries: convert(m.Entries, func(e ConfigurationEntry) entryRecord {
+		Entries: mapSlice(m.Entries, func(e ConfigurationEntry) entryRecord {
 			return entryRecord{Revision: e.Revision, Digest: int64(e.Digest), Data: e.Data}
 		}),
 	}
 }
 
-func (r *configurationEntriesRecord) decoded() Message {
+func (r *configurationEntriesRecord) toMessage() Message {
 	return ConfigurationEntries{
 		From: r.From, FromAddress: r.FromAddress, History: r.History, After: r.After,
-		Entries: convert(r.Entries, func(e entryRecord) ConfigurationEntry {
+		Entries: mapSlice(r.Entries, func(e entryRecord) ConfigurationEntry {
 			return ConfigurationEntry{Revision: e.Revision, Digest: uint64(e.Digest), Data: e.Data}
 		}),
 	}
@@ -139,7 +138,7 @@
 	}
 }
 
-func (r *configurationSnapshotRecord) decoded() Message {
+func (r *configurationSnapshotRecord) toMessage() Message {
 	return ConfigurationSnapshot{From: r.From, FromAddress: r.FromAddress, Stamp: r.Stamp.stamp(), Data: r.Data}
 }
 
@@ -150,10 +149,11 @@
 	Full     bool
 	Models   []ModelDemand
 	Scopes   []ScopeDemand
-	// Objectives of the models, in their order. They are no field of the models' record:
-	// the codec tells two versions of a record apart by its own fields only.
+	// Objectives holds the objectives of Models, in the same order. They are not a field of
+	// the nested record because the codec tells versions of a record apart by the record's
+	// own fields only.
 	Objectives []time.Duration
-	// PromptTokens of the models' arrivals, likewise.
+	// PromptTokens holds the prompt tokens of Models, for the same reason.
 	PromptTokens []int64
 }
 
@@ -169,7 +169,7 @@
 	}
 }
 
-func (r *demandRecord) decoded() Message {
+func (r *demandRecord) toMessage() Message {
 	for i := range min(len(r.Models), len(r.Objectives)) {
 		r.Models[i].Objective = r.Objectives[i]
 	}
@@ -204,7 +204,7 @@
 	}
 }
 
-func (r *cellStatusRecord) decoded() Message {
+func (r *cellStatusRecord) toMessage() Message {
 	return CellStatus{
 		Zone: r.Zone, Region: r.Region, From: r.From, FromAddress: r.FromAddress,
 		Token: cluster.FencingToken(r.Token), Sequence: uint64(r.Sequence), Full: r.Full,
@@ -222,7 +222,7 @@
 	return &cellStatusRequestRecord{Zone: m.Zone, From: m.From, FromAddress: m.FromAddress}
 }
 
-func (r *cellStatusRequestRecord) decoded() Message {
+func (r *cellStatusRequestRecord) toMessage() Message {
 	return CellStatusRequest{Zone: r.Zone, From: r.From, FromAddress: r.FromAddress}
 }
 
@@ -243,42 +243,42 @@
 	}
 }
 
-func (r *zoneReportRecord) decoded() Message {
+func (r *zoneReportRecord) toMessage() Message {
 	return ZoneReport{
 		Zone: r.Zone, Token: cluster.FencingToken(r.Token), AllotmentRevision: r.AllotmentRevision,
-		Models: r.Models, Machines: r.Machines, FreeBytes: r.FreeBytes, Pools: convert(r.Pools, func(p PoolReport) PoolReport { return p }),
+		Models: r.Models, Machines: r.Machines, FreeBytes: r.FreeBytes, Pools: mapSlice(r.Pools, func(p PoolReport) PoolReport { return p }),
 	}
 }
 
-// convert maps a slice; an empty one becomes nil, so that a decoded message
-// equals the sent one whether a slice was nil or empty.
-func convert[From, To any](items []From, each func(From) To) []To {
+// mapSlice returns the results of transform for items. For an empty slice it returns nil, so that a
+// decoded message does not depend on whether a slice was nil or empty when it was sent.
+func mapSlice[From, To any](items []From, transform func(From) To) []To {
 	if len(items) == 0 {
 		return nil
 	}
 	converted := make([]To, 0, len(items))
 	for _, item := range items {
-		converted = append(converted, each(item))
+		converted = append(converted, transform(item))
 	}
 	return converted
 }
 
 type storeChangesRecord StoreChanges
 
-func (r *storeChangesRecord) decoded() Message {
+func (r *storeChangesRecord) toMessage() Message {
 	m := StoreChanges(*r)
-	m.Changes = convert(m.Changes, func(c StoreChange) StoreChange { return c })
+	m.Changes = mapSlice(m.Changes, func(c StoreChange) StoreChange { return c })
 	return m
 }
 
 type storeSnapshotRequestRecord StoreSnapshotRequest
 
-func (r *storeSnapshotRequestRecord) decoded() Message { return StoreSnapshotRequest(*r) }
+func (r *storeSnapshotRequestRecord) toMessage() Message { return StoreSnapshotRequest(*r) }
 
 type storeSnapshotRecord StoreSnapshot
 
-func (r *storeSnapshotRecord) decoded() Message { return StoreSnapshot(*r) }
+func (r *storeSnapshotRecord) toMessage() Message { return StoreSnapshot(*r) }
 
 type storeChangesRequestRecord StoreChangesRequest
 
-func (r *storeChangesRequestRecord) decoded() Message { return StoreChangesRequest(*r) }
+func (r *storeChangesRequestRecord) toMessage() Message { return StoreChangesRequest(*r) }
--- a/wire/sender.go
+++ b/wire/sender.go
@@ -11,27 +11,26 @@
 	"github.com/ThreeDotsLabs/watermill/message"
 )
 
-// sender owns the queue to one peer. Its goroutine ends when the queue is
-// closed, or removes itself after idleSender without a message.
+// sender sends the messages to one peer. Its goroutine ends when the queue is closed or after
+// senderIdleTimeout without a message.
 type sender struct {
 	transport *Transport
 	address   string
-	queue     chan queued
-	// version is the schema version messages are written in: the current one
-	// until the peer announces an older.
+	queue     chan queuedMessage
+	// version is the schema version in which messages are written: VersionCurrent until the
+	// peer announces an older one.
 	version int32
 }
 
-// queued is a message that waits to be sent.
-type queued struct {
-	message Message
-	since   time.Time
+// queuedMessage is a message that waits to be sent, with the time at which it was queued.
+type queuedMessage struct {
+	message  Message
+	queuedAt time.Time
 }
 
-// Send queues message for the peer listening at address, host:port. It never
-// blocks: when the queue is full the message that has waited longest is dropped and
-// counted, and when the transport is closed the new one is. Newer messages replace most
-// older ones; an asker who gets no answer asks again.
+// Send queues message for the peer listening at address, host:port. It never blocks. If the queue is
+// full, the oldest message is dropped and counted, because newer messages supersede most older ones
+// and unanswered requests are repeated. If the transport is closed, message is dropped and counted.
 func (t *Transport) Send(address string, message Message) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -44,18 +43,18 @@
 		peer = &sender{
 			transport: t,
 			address:   address,
-			queue:     make(chan queued, max(t.options.queueLength, 1)),
+			queue:     make(chan queuedMessage, max(t.options.queueLength, 1)),
 			version:   VersionCurrent,
 		}
 		t.senders[address] = peer
 		t.running.Go(peer.run)
 	}
-	peer.push(queued{message: message, since: t.options.now()})
+	peer.enqueue(queuedMessage{message: message, queuedAt: t.options.now()})
 }
 
-// push queues message in place of the oldest one if need be. The caller holds the
-// transport's mutex, so nobody else fills the queue.
-func (s *sender) push(message queued) {
+// enqueue queues message and drops the oldest one if the queue is full. The caller holds the
+// transport's mutex, so that no other goroutine fills the queue.
+func (s *sender) enqueue(message queuedMessage) {
 	for {
 		select {
 		case s.queue <- message:
@@ -70,9 +69,9 @@
 	}
 }
 
-// run sends batches until the queue is closed or stays empty.
+// run sends batches until the queue is closed or has been empty for senderIdleTimeout.
 func (s *sender) run() {
-	idle := time.NewTimer(idleSender)
+	idle := time.NewTimer(senderIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
@@ -80,20 +79,20 @@
 			if !open {
 				return
 			}
-			s.sendAll(s.collect(first))
-			idle.Reset(idleSender)
+			s.sendAll(s.collectBatch(first))
+			idle.Reset(senderIdleTimeout)
 		case <-idle.C:
-			if s.retire() {
+			if s.removeIfIdle() {
 				return
 			}
-			idle.Reset(idleSender)
+			idle.Reset(senderIdleTimeout)
 		}
 	}
 }
 
-// retire removes the sender if nothing waits. Send holds the same mutex, so no
-// message can slip into a removed queue.
-func (s *sender) retire() bool {
+// removeIfIdle removes the sender from the transport if its queue is empty, and reports whether it
+// did. Send holds the same mutex, so that no message is added to a removed queue.
+func (s *sender) removeIfIdle() bool {
 	s.transport.mutex.Lock()
 	defer s.transport.mutex.Unlock()
 	if s.transport.closed || len(s.queue) > 0 {
@@ -103,9 +102,9 @@
 	return true
 }
 
-// collect takes what waits already, up to one batch.
-func (s *sender) collect(first queued) []queued {
-	messages := []queued{first}
+// collectBatch returns first and the messages queued after it, up to maxBatchMessages.
+func (s *sender) collectBatch(first queuedMessage) []queuedMessage {
+	messages := []queuedMessage{first}
 	for len(messages) < maxBatchMessages {
 		select {
 		case next, open := <-s.queue:
@@ -120,31 +119,31 @@
 	return messages
 }
 
-// sendAll posts messages. A peer that announces an older version has refused
-// them unread, so they are written once more in that version.
-func (s *sender) sendAll(messages []queued) {
+// sendAll sends messages. A peer that announces an older version has refused them without reading
+// them, so they are sent once more in that version.
+func (s *sender) sendAll(messages []queuedMessage) {
 	version := s.version
 	if s.write(messages); s.version < version {
 		s.write(messages)
 	}
 }
 
-// write posts messages in as few requests as the size bound allows. It stops
-// when the peer announces an older version than they are written in.
-func (s *sender) write(messages []queued) {
+// write sends messages in as few requests as maxBatchBytes allows. It stops when the peer announces
+// an older version than they are written in.
+func (s *sender) write(messages []queuedMessage) {
 	version := s.version
 	var envelopes [][]byte
 	size := 0
 	for _, waiting := range messages {
-		data, err := EncodeVersion(aged(waiting.message, s.transport.options.now().Sub(waiting.since)), version)
+		data, err := EncodeVersion(adjustForDelay(waiting.message, s.transport.options.now().Sub(waiting.queuedAt)), version)
 		if errors.Is(err, ErrVersion) {
-			// The peer's build knows no such message, so that nothing is asked of it.
+			// The peer's build does not know this kind of message.
 			s.transport.counters.unknown.Add(1)
 			continue
 		}
 		if err != nil {
 			s.transport.counters.failed.Add(1)
-			s.transport.logger.Error("peer message not encoded", "peer", s.address, "error", err)
+			s.transport.logger.Error("encoding a message to a peer failed", "peer", s.address, "error", err)
 			continue
 		}
 		if size > 0 && size+len(data) > maxBatchBytes {
@@ -161,13 +160,13 @@
 	}
 }
 
-// post publishes one batch and learns the peer's version.
+// post sends one batch and updates the peer's version from the response.
 func (s *sender) post(envelopes [][]byte) {
 	counters := &s.transport.counters
 	body, err := codec.Marshal(batchSchema, batch{Envelopes: envelopes})
 	if err != nil {
 		counters.failed.Add(uint64(len(envelopes)))
-		s.transport.logger.Error("peer messages not encoded", "peer", s.address, "error", err)
+		s.transport.logger.Error("encoding a batch of messages to a peer failed", "peer", s.address, "error", err)
 		return
 	}
 	announced := int32(VersionCurrent)
@@ -192,13 +191,13 @@
 		s.transport.logger.Warn("peer refused messages", "peer", s.address, "error", err)
 		return
 	}
-	s.transport.logger.Debug("peer not reached", "peer", s.address, "error", err)
+	s.transport.logger.Debug("sending messages to a peer failed", "peer", s.address, "error", err)
 }
 
-// versionKey is the context key of the place for the peer's version.
+// versionKey is the context key of the pointer to the variable for the peer's version.
 type versionKey struct{}
 
-// versionReader notes the version that a response names.
+// versionReader stores the version that a response announces in the variable under versionKey.
 type versionReader struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
@@ -215,26 +214,26 @@
 	return response, nil
 }
 
-// decodeBatch returns the messages of a request body that can be read, and the
-// errors of the others, which include those written after version newest. A kind
-// that this node does not know is no error: a newer node sends it as a hint.
-func decodeBatch(body []byte, newest int32) ([]Message, error) {
+// decodeBatch returns the messages of a request body that can be decoded and the joined errors of
+// the others, including messages of a version after newestVersion. Messages of an unknown kind are
+// skipped without an error: newer nodes send them as hints.
+func decodeBatch(body []byte, newestVersion int32) ([]Message, error) {
 	var received batch
 	if err := unmarshal(batchSchema, body, &received); err != nil {
 		return nil, err
 	}
 	messages := make([]Message, 0, len(received.Envelopes))
-	var faults []error
+	var decodeErrors []error
 	for _, data := range received.Envelopes {
-		decoded, err := decode(data, newest)
+		decoded, err := decode(data, newestVersion)
 		switch {
 		case errors.Is(err, ErrUnknownKind):
 			continue
 		case err != nil:
-			faults = append(faults, err)
+			decodeErrors = append(decodeErrors, err)
 			continue
 		}
 		messages = append(messages, decoded)
 	}
-	return messages, errors.Join(faults...)
+	return messages, errors.Join(decodeErrors...)
 }
--- a/wire/snapshot.go
+++ b/wire/snapshot.go
@@ -8,11 +8,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// packedVersion is the version that packed changes are written in: the first that has snapshots,
-// so that every build that knows them reads what any other packed.
+// packedVersion is the schema version of packed changes. It is the first version with snapshots, so
+// that every build that supports snapshots can read it.
 const packedVersion = 8
 
-// PackChanges encodes and compresses changes, once for all nodes that they are sent to.
+// PackChanges encodes and compresses changes. The result does not depend on the receiver and can be
+// sent to several nodes.
 func PackChanges(changes []StoreChange) ([]byte, error) {
 	encoded, err := EncodeVersion(StoreChanges{Changes: changes}, packedVersion)
 	if err != nil {
@@ -21,7 +22,8 @@
 	return compress(encoded)
 }
 
-// UnpackChanges reads what PackChanges made. What is packed may have MaxMessageBytes.
+// UnpackChanges returns the changes encoded by PackChanges. It fails with ErrTooLarge if they exceed
+// the size limit of a message after decompression.
 func UnpackChanges(packed []byte) ([]StoreChange, error) {
 	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxBodyBytes+1))
 	switch {
@@ -34,9 +36,9 @@
 	if err != nil {
 		return nil, err
 	}
-	changes, are := decoded.(StoreChanges)
-	if !are {
-		return nil, eris.Wrapf(ErrMalformed, "%T in place of changes", decoded)
+	changes, isChanges := decoded.(StoreChanges)
+	if !isChanges {
+		return nil, eris.Wrapf(ErrMalformed, "packed changes contain a %T", decoded)
 	}
 	return changes.Changes, nil
 }
--- a/wire/snapshot_test.go
+++ b/wire/snapshot_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestPackedChangesAreWhole: what is packed is read as it was, in a fraction of its size.
-func TestPackedChangesAreWhole(t *testing.T) {
+// TestPackedChangesRoundTrip guards against packed changes that are read differently from what was
+// packed, or that are hardly smaller.
+func TestPackedChangesRoundTrip(t *testing.T) {
 	var changes []StoreChange
 	size := 0
 	for i := range 2000 {
@@ -30,17 +31,18 @@
 	}
 }
 
-// TestUnpackRefuses what no node has packed, and what would take more memory than a message.
-func TestUnpackRefuses(t *testing.T) {
+// TestUnpackRefusesInvalidAndOversizedContent guards against content that no node has packed, and
+// against small content that expands beyond the size limit of a message.
+func TestUnpackRefusesInvalidAndOversizedContent(t *testing.T) {
 	bomb, err := compress(bytes.Repeat([]byte{0}, maxBodyBytes+2))
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := Encode(ClockTold{From: "n", Sent: 1})
+	otherMessage, err := Encode(ClockTold{From: "n", Sent: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	packedOther, err := compress(other)
+	packedOther, err := compress(otherMessage)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/wire/stall_timeout.go
@@ -0,0 +1,125 @@
+package wire
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptrace"
+	"syscall"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// tcpUserTimeout is the time without an acknowledgement of sent data after which the
+	// kernel breaks a connection. It allows for a packet that is lost twice and retransmitted
+	// after 0.2 and 0.4 s, and for half a second of packets queued at a slow link. A peer's
+	// kernel acknowledges data even while the peer's process is busy.
+	tcpUserTimeout = time.Second
+	// maxUnsentBytes bounds the unsent data in the kernel's send buffer of a connection, so
+	// that the writing of a request progresses as fast as its sending.
+	maxUnsentBytes = 64 << 10
+	// bodyChunkBytes is the size of the pieces of a request body whose writing counts as
+	// progress; it takes 13 ms at 20 Mbit/s.
+	bodyChunkBytes = 32 << 10
+)
+
+// keepAliveConfig makes the kernel break an idle connection within 2 s after the peer has gone
+// silent, the shortest time that whole seconds allow with tcpUserTimeout. No keep-alive probes are
+// sent on a connection in use.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
+
+// errStalled is the cause of the cancellation of a request that made no progress in sending its body
+// or receiving its answer.
+var errStalled = eris.New("the request to the peer made no progress within the send timeout")
+
+// setSocketOptions sets tcpUserTimeout and, where the system supports it, maxUnsentBytes on a
+// connection.
+func setSocketOptions(_, _ string, raw syscall.RawConn) error {
+	var failure error
+	err := raw.Control(func(descriptor uintptr) {
+		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, maxUnsentBytes)
+	})
+	return errors.Join(err, failure)
+}
+
+// stallTimeout cancels requests that have a connection and make no progress for timeout.
+type stallTimeout struct {
+	next    http.RoundTripper
+	timeout time.Duration
+}
+
+// RoundTrip implements http.RoundTripper. The time for opening a connection is bounded by the dialer.
+// The response's body cannot be read after RoundTrip has returned.
+func (b stallTimeout) RoundTrip(request *http.Request) (*http.Response, error) {
+	ctx, cancel := context.WithCancelCause(request.Context())
+	defer cancel(nil)
+	timer := time.AfterFunc(b.timeout, func() { cancel(errStalled) })
+	timer.Stop()
+	defer timer.Stop()
+	onProgress := func() { timer.Reset(b.timeout) }
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { onProgress() }})
+	bounded := request.WithContext(ctx)
+	bounded.Body = &progressBody{ReadCloser: request.Body, onProgress: onProgress}
+	if rewind := request.GetBody; rewind != nil {
+		bounded.GetBody = func() (io.ReadCloser, error) {
+			body, err := rewind()
+			return &progressBody{ReadCloser: body, onProgress: onProgress}, err
+		}
+	}
+	return b.next.RoundTrip(bounded)
+}
+
+// progressBody calls onProgress whenever the next piece of a body is read, since the previous piece
+// has been written by then.
+type progressBody struct {
+	io.ReadCloser
+	onProgress func()
+}
+
+// Read implements io.Reader.
+func (b *progressBody) Read(buffer []byte) (int, error) {
+	b.onProgress()
+	return b.ReadCloser.Read(buffer[:min(len(buffer), bodyChunkBytes)])
+}
+
+// withStallTimeout ends requests whose body makes no progress for timeout. It detaches the request's
+// context, so that a body that has been read is handled even if its sender has disconnected:
+// otherwise the subscriber would read the message's context while the router sets it.
+func withStallTimeout(next http.Handler, timeout time.Duration) http.Handler {
+	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		body := &deadlineBody{ReadCloser: request.Body, controller: http.NewResponseController(writer), timeout: timeout}
+		defer body.clearDeadline()
+		request = request.WithContext(context.WithoutCancel(request.Context()))
+		request.Body = body
+		next.ServeHTTP(writer, request)
+	})
+}
+
+// deadlineBody sets a read deadline for each read of a request's body.
+type deadlineBody struct {
+	io.ReadCloser
+	controller *http.ResponseController
+	timeout    time.Duration
+}
+
+// Read implements io.Reader.
+func (b *deadlineBody) Read(buffer []byte) (int, error) {
+	if err := b.controller.SetReadDeadline(time.Now().Add(b.timeout)); err != nil {
+		return 0, err
+	}
+	n, err := b.ReadCloser.Read(buffer)
+	if err != nil {
+		b.clearDeadline()
+	}
+	return n, err
+}
+
+// clearDeadline removes the read deadline, because the server detects a disconnected sender by
+// reading from the connection.
+func (b *deadlineBody) clearDeadline() { _ = b.controller.SetReadDeadline(time.Time{}) }
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// authority signs certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -46,9 +46,9 @@
 	return key
 }
 
-// mutual returns the settings of a node that has a certificate of a and trusts
-// those of trusted.
-func (a *authority) mutual(t *testing.T, trusted *authority) Option {
+// mutualTLS returns the option of a node that has a certificate of a and trusts certificates of
+// trusted.
+func (a *authority) mutualTLS(t *testing.T, trusted *authority) Option {
 	t.Helper()
 	key := newKey(t)
 	template := &x509.Certificate{
@@ -70,17 +70,19 @@
 	)
 }
 
+// TestMutualTLS guards against messages that are accepted from a sender without a certificate of the
+// deployment's authority.
 func TestMutualTLS(t *testing.T) {
 	ours, other := newAuthority(t), newAuthority(t)
 	received := make(chan Message, 1)
-	to := openTransport(t, func(message Message) { received <- message }, ours.mutual(t, ours))
+	to := openTransport(t, func(message Message) { received <- message }, ours.mutualTLS(t, ours))
 	cases := []struct {
 		name     string
 		options  []Option
 		accepted bool
 	}{
-		{"a node of the deployment", []Option{ours.mutual(t, ours)}, true},
-		{"a certificate of another authority", []Option{other.mutual(t, ours)}, false},
+		{"a node of the deployment", []Option{ours.mutualTLS(t, ours)}, true},
+		{"a certificate of another authority", []Option{other.mutualTLS(t, ours)}, false},
 		{"no TLS", nil, false},
 	}
 	for _, c := range cases {
--- a/wire/transport.go
+++ b/wire/transport.go
@@ -20,23 +20,25 @@
 )
 
 const (
-	// messagesPath is where a node takes messages.
+	// messagesPath is the path at which a node receives messages.
 	messagesPath = "/messages"
-	// versionHeader of a response names the newest schema version the
-	// receiver reads.
+	// versionHeader is the response header with the newest schema version that the receiver
+	// reads.
 	versionHeader = "Valveslip-Wire-Version"
 )
 
-// Statistics counts what a Transport did since it was made.
+// Statistics holds the counters of a Transport since it was created.
 type Statistics struct {
-	// Sent messages were acknowledged by the peer's transport; Dropped ones
-	// found their queue full; Failed ones were lost on the way.
+	// Sent counts messages acknowledged by the peer's transport, Dropped those dropped from a
+	// full queue or because the transport was closed, Failed those that were not encoded or
+	// not acknowledged.
 	Sent, Dropped, Failed uint64
-	// Unknown ones were not sent, since the peer's version lacks their kind.
+	// Unknown counts messages not sent because the peer's version lacks their kind.
 	Unknown uint64
-	// Received messages were handed on; Malformed ones could not be read.
+	// Received counts messages passed to the handler, Malformed requests with messages that
+	// could not be decoded.
 	Received, Malformed uint64
-	// BytesSent and BytesReceived count request bodies.
+	// BytesSent and BytesReceived count the bytes of uncompressed request bodies.
 	BytesSent, BytesReceived uint64
 }
 
@@ -44,8 +46,8 @@
 	sent, dropped, failed, unknown, received, malformed, bytesSent, bytesReceived atomic.Uint64
 }
 
-// Transport carries messages between nodes over HTTP. Messages to one peer
-// arrive in sending order, each at most once; any may be lost.
+// Transport carries messages between nodes over HTTP. Messages to a peer arrive in the order of
+// sending and at most once. Any message may be lost.
 type Transport struct {
 	options   options
 	logger    *slog.Logger
@@ -66,16 +68,16 @@
 	closed  bool
 }
 
-// receiver is the watermill side that takes messages.
+// receiver holds the watermill components that receive messages.
 type receiver struct {
 	subscriber *watermillhttp.Subscriber
 	router     *message.Router
 	stop       context.CancelFunc
 }
 
-// close ends the subscription. No request may be in progress. The router does
-// not always close its subscriber when its context ends, so this does, after
-// the context and before the router.
+// close ends the subscription. No request may be in progress. The router does not always close its
+// subscriber when its context ends, so close does that, after it has cancelled the context and before
+// it closes the router.
 func (r *receiver) close() error {
 	r.stop()
 	if err := r.subscriber.Close(); err != nil {
@@ -84,17 +86,17 @@
 	return r.router.Close()
 }
 
-// NewTransport listens on the address, host:port, where port 0 lets the kernel
-// choose, and hands every received message to handle. Messages of one peer are
-// handed on one after the other, those of several peers at the same time.
-func NewTransport(listen string, logger *slog.Logger, handle func(Message), settings ...Option) (*Transport, error) {
+// NewTransport returns a transport that listens on the address host:port, where port 0 lets the
+// kernel choose, and calls handle with each received message. Messages of one peer are handled one
+// after the other, those of different peers concurrently.
+func NewTransport(listen string, logger *slog.Logger, handle func(Message), opts ...Option) (*Transport, error) {
 	transport := &Transport{
-		options: options{queueLength: DefaultQueueLength, sendTimeout: DefaultSendTimeout, announce: VersionCurrent, dialAgain: dialAgain, now: time.Now},
+		options: options{queueLength: DefaultQueueLength, sendTimeout: DefaultSendTimeout, announcedVersion: VersionCurrent, parallelDialDelay: parallelDialDelay, now: time.Now},
 		logger:  logger,
 		handle:  handle,
 		senders: make(map[string]*sender),
 	}
-	for _, apply := range settings {
+	for _, apply := range opts {
 		apply(&transport.options)
 	}
 	transport.lifetime, transport.stop = context.WithCancel(context.Background())
@@ -115,34 +117,34 @@
 	return transport, nil
 }
 
-// openClient makes the publisher, whose connections are kept and reused.
+// openClient creates the publisher, which reuses its connections.
 func (t *Transport) openClient(adapter watermill.LoggerAdapter) error {
-	dialer := &net.Dialer{Timeout: dialTimeout, Control: limitSilence, KeepAliveConfig: probes}
+	dialer := &net.Dialer{Timeout: dialTimeout, Control: setSocketOptions, KeepAliveConfig: keepAliveConfig}
 	t.client = &http.Client{Transport: &http.Transport{
-		DialContext:         repeatedly(dialer.DialContext, t.options.dialAgain),
+		DialContext:         dialInParallel(dialer.DialContext, t.options.parallelDialDelay),
 		TLSClientConfig:     t.options.clientTLS,
 		TLSHandshakeTimeout: dialTimeout,
 		MaxIdleConnsPerHost: 1,
-		IdleConnTimeout:     idleConnection,
+		IdleConnTimeout:     idleConnectionTimeout,
 		DisableCompression:  true,
 	}}
 	publisher, err := watermillhttp.NewPublisher(watermillhttp.PublisherConfig{
 		MarshalMessageFunc:                t.marshalRequest,
-		Client:                            &http.Client{Transport: versionReader{stallBound{next: t.client.Transport, limit: t.options.sendTimeout}}},
+		Client:                            &http.Client{Transport: versionReader{stallTimeout{next: t.client.Transport, timeout: t.options.sendTimeout}}},
 		DoNotLogResponseBodyOnServerError: true,
 	}, adapter)
 	t.publisher = publisher
-	return eris.Wrap(err, "make publisher")
+	return eris.Wrap(err, "create the publisher of peer messages")
 }
 
-// marshalRequest carries only the payload: identifiers and metadata of the
-// bus are not needed between nodes.
+// marshalRequest returns the request for a message. It sends only the payload: nodes do not need
+// watermill's message identifiers and metadata.
 func (t *Transport) marshalRequest(url string, msg *message.Message) (*http.Request, error) {
 	header := http.Header{"User-Agent": {""}, "Content-Type": {"avro/binary"}}
-	if above := t.options.compressAbove; above > 0 && len(msg.Payload) > above {
+	if threshold := t.options.compressionThreshold; threshold > 0 && len(msg.Payload) > threshold {
 		compressed, err := compress(msg.Payload)
 		if err != nil {
-			return nil, eris.Wrap(err, "compress a request to a peer")
+			return nil, eris.Wrap(err, "compress the body of a request to a peer")
 		}
 		msg.Payload = compressed
 		header.Set(encodingHeader, encodingDeflate)
@@ -155,7 +157,7 @@
 	return request.WithContext(msg.Context()), nil
 }
 
-// subscribe connects the received requests with receive.
+// subscribe returns the HTTP handler that passes received requests to receive.
 func (t *Transport) subscribe(adapter watermill.LoggerAdapter) (http.Handler, error) {
 	mux := chi.NewRouter()
 	subscriber, err := watermillhttp.NewSubscriber("", watermillhttp.SubscriberConfig{
@@ -163,11 +165,11 @@
 		UnmarshalMessageFunc: unmarshalRequest,
 	}, adapter)
 	if err != nil {
-		return nil, eris.Wrap(err, "make subscriber")
+		return nil, eris.Wrap(err, "create the subscriber of peer messages")
 	}
 	router, err := message.NewRouter(message.RouterConfig{CloseTimeout: t.options.sendTimeout}, adapter)
 	if err != nil {
-		return nil, eris.Wrap(err, "make router")
+		return nil, eris.Wrap(err, "create the router of peer messages")
 	}
 	router.AddConsumerHandler("peers", messagesPath, subscriber, t.receive)
 	routing, stop := context.WithCancel(context.Background())
@@ -178,12 +180,12 @@
 		}
 	})
 	<-router.Running()
-	return announceVersion(mux, t.options.announce), nil
+	return announceVersion(mux, t.options.announcedVersion), nil
 }
 
-// unmarshalRequest reads a bounded body.
+// unmarshalRequest reads a request body of at most maxBodyBytes.
 func unmarshalRequest(_ string, request *http.Request) (*message.Message, error) {
-	body, err := io.ReadAll(io.LimitReader(bodyOf(request), maxBodyBytes+1))
+	body, err := io.ReadAll(io.LimitReader(requestBody(request), maxBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
@@ -193,7 +195,7 @@
 	return message.NewMessage("", body), nil
 }
 
-// announceVersion tells every sender the newest version this node reads.
+// announceVersion sets versionHeader in every response, and no Date header.
 func announceVersion(next http.Handler, version int32) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		header := writer.Header()
@@ -203,11 +205,11 @@
 	})
 }
 
-// receive hands on the messages of one request. It always acknowledges: a
-// message that cannot be read now cannot be read later.
+// receive passes the messages of a request to the handler. It always acknowledges the request, since
+// a message that cannot be decoded now cannot be decoded later.
 func (t *Transport) receive(msg *message.Message) error {
 	t.counters.bytesReceived.Add(uint64(len(msg.Payload)))
-	messages, err := decodeBatch(msg.Payload, t.options.announce)
+	messages, err := decodeBatch(msg.Payload, t.options.announcedVersion)
 	for _, received := range messages {
 		t.counters.received.Add(1)
 		t.handle(received)
@@ -219,7 +221,7 @@
 	return nil
 }
 
-// listen serves handler on address.
+// listen starts to serve handler on address.
 func (t *Transport) listen(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -227,9 +229,9 @@
 	}
 	t.listener = listener
 	t.server = &http.Server{
-		Handler:           boundStall(handler, t.options.sendTimeout),
+		Handler:           withStallTimeout(handler, t.options.sendTimeout),
 		ReadHeaderTimeout: readHeaderTimeout,
-		IdleTimeout:       idleConnection,
+		IdleTimeout:       idleConnectionTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(t.logger.Handler(), slog.LevelDebug),
 	}
@@ -244,10 +246,10 @@
 	return nil
 }
 
-// Address is where this transport takes messages, host:port.
+// Address returns the address at which this transport receives messages, host:port.
 func (t *Transport) Address() string { return t.listener.Addr().String() }
 
-// Statistics returns the counts so far.
+// Statistics returns the present values of the counters.
 func (t *Transport) Statistics() Statistics {
 	c := &t.counters
 	return Statistics{
@@ -257,8 +259,8 @@
 	}
 }
 
-// Close sends what is queued, as far as ctx allows, then stops. Later messages
-// are dropped.
+// Close sends the queued messages until ctx ends, then stops the transport. Messages sent later are
+// dropped.
 func (t *Transport) Close(ctx context.Context) error {
 	t.mutex.Lock()
 	closed := t.closed
--- a/wire/transport_test.go
+++ b/wire/transport_test.go
@@ -22,10 +22,11 @@
 	return transport
 }
 
-// stoppedClock keeps messages from aging on the way.
+// stoppedClock keeps the relative times of queued messages unchanged.
 func stoppedClock(o *options) { o.now = func() time.Time { return time.Time{} } }
 
-func TestTransportKeepsOrder(t *testing.T) {
+// TestTransportKeepsSendingOrder guards against messages to one peer that overtake each other.
+func TestTransportKeepsSendingOrder(t *testing.T) {
 	const count = 200
 	received := make(chan Message, count)
 	to := openTransport(t, func(message Message) { received <- message })
@@ -40,32 +41,34 @@
 	}
 }
 
-// TestTransportFallsBackToPreviousVersion sends to a peer of the previous
-// version, which refuses the first message unread.
+// TestTransportFallsBackToPreviousVersion guards against messages lost to a peer of the previous
+// version: it refuses the first message unread, which must be sent again in its version.
 func TestTransportFallsBackToPreviousVersion(t *testing.T) {
 	received := make(chan Message, 4)
-	old := func(o *options) { o.announce = VersionPrevious }
+	old := func(o *options) { o.announcedVersion = VersionPrevious }
 	to := openTransport(t, func(message Message) { received <- message }, old)
 	from := openTransport(t, func(Message) {}, stoppedClock)
-	request := samples()[KindDemand]
+	request := sampleMessages()[KindDemand]
 	for i := range 2 {
-		// A sender keeps only the latest demand, so each one is awaited.
+		// Each message must arrive before the next is sent.
 		from.Send(to.Address(), request)
-		if got := <-received; !reflect.DeepEqual(got, asIn(request, VersionPrevious)) {
+		if got := <-received; !reflect.DeepEqual(got, asWrittenIn(request, VersionPrevious)) {
 			t.Fatalf("message %d: got %+v", i, got)
 		}
 	}
 }
 
-func TestTransportDropsWhatDoesNotFit(t *testing.T) {
+// TestTransportDropsMessagesBeyondQueueLength guards against a queue to a blocked peer that grows
+// beyond its length, or drops messages without counting them.
+func TestTransportDropsMessagesBeyondQueueLength(t *testing.T) {
 	release := make(chan struct{})
 	entered := make(chan struct{}, 1)
 	to := openTransport(t, func(Message) { entered <- struct{}{}; <-release })
 	from := openTransport(t, func(Message) {}, WithQueueLength(2))
 	from.Send(to.Address(), CellStatusRequest{Zone: "east-1"})
 	<-entered
-	// The sender waits for the answer to the first message, so the queue
-	// holds two more.
+	// The sender waits for the answer to the first message, so that the queue holds two
+	// more.
 	for range 5 {
 		from.Send(to.Address(), CellStatusRequest{Zone: "east-1"})
 	}
@@ -77,8 +80,10 @@
 	<-entered
 }
 
-func TestTransportSurvivesAbsentPeer(t *testing.T) {
-	const address = "127.0.0.1:1" // a port that nothing gives out
+// TestMessageToAbsentPeerIsCountedAsFailed guards against a transport that blocks or fails as a whole
+// because a peer is absent, and against lost messages that are not counted.
+func TestMessageToAbsentPeerIsCountedAsFailed(t *testing.T) {
+	const address = "127.0.0.1:1" // a port on which nothing listens
 	from := openTransport(t, func(Message) {})
 	from.Send(address, CellStatusRequest{Zone: "east-1"})
 	if err := from.Close(context.Background()); err != nil {
@@ -93,28 +98,28 @@
 	}
 }
 
-// TestEachPairOfVersionsExchanges what both know, in both directions: a build of one version
-// runs beside one of any other while machines are replaced. What the older one lacks is not
-// sent, and does not keep back what follows.
-func TestEachPairOfVersionsExchanges(t *testing.T) {
-	speaks := func(version int32) Option { return func(o *options) { o.announce = version } }
-	for _, older := range versions() {
+// TestAllVersionsExchangeMessages guards against messages lost between builds of different versions,
+// which run together while machines are replaced. A kind of message that the older version lacks is
+// not sent and must not block the messages that follow.
+func TestAllVersionsExchangeMessages(t *testing.T) {
+	speaks := func(version int32) Option { return func(o *options) { o.announcedVersion = version } }
+	for _, older := range supportedVersions() {
 		received := make(chan Message, len(layouts))
 		to := openTransport(t, func(message Message) { received <- message }, speaks(older))
 		from := openTransport(t, func(Message) {}, stoppedClock)
 		last := CellStatusRequest{Zone: "east-1", From: "node-a", FromAddress: "10.0.0.1:7000"}
 		from.Send(to.Address(), last)
 		<-received
-		for kind, message := range samples() {
+		for kind, message := range sampleMessages() {
 			from.Send(to.Address(), message)
-			if older < since[kind] {
+			if older < introducedIn[kind] {
 				from.Send(to.Address(), last)
 				if got := <-received; !reflect.DeepEqual(got, Message(last)) {
-					t.Fatalf("version %d has no kind %d, and got %+v", older, kind, got)
+					t.Fatalf("version %d without kind %d: got %+v", older, kind, got)
 				}
 				continue
 			}
-			if got := <-received; !reflect.DeepEqual(got, asIn(message, older)) {
+			if got := <-received; !reflect.DeepEqual(got, asWrittenIn(message, older)) {
 				t.Errorf("version %d, kind %d: got %+v", older, kind, got)
 			}
 		}
