--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -10,17 +10,18 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// benchSizes are numbers of members with their zones.
+// benchSizes lists cluster sizes as numbers of members and zones.
 var benchSizes = []struct{ members, zones int }{{20, 3}, {80, 6}, {340, 18}, {1360, 72}}
 
-// filledCore knows a number of members and has no news left.
-func filledCore(members, zones int) *Core {
+// newFilledCore returns a core that knows members-1 other members and has no
+// gossip queued.
+func newFilledCore(members, zones int) *Core {
 	core := New(benchNode(0, zones), nil, Config{}, 1)
 	core.Step(epoch, Tick{})
 	for i := 1; i < members; i++ {
 		core.merge(epoch, wire.MemberRecord{Node: benchNode(i, zones), Incarnation: 1 << 40, State: string(StateAlive)}, 0)
 	}
-	core.fresh = nil
+	core.gossipQueue = nil
 	return core
 }
 
@@ -32,11 +33,11 @@
 	}
 }
 
-// BenchmarkHeartbeat answers a heartbeat of a known member.
+// BenchmarkHeartbeat measures answering a heartbeat of a known member.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("members=%d", size.members), func(b *testing.B) {
-			core := filledCore(size.members, size.zones)
+			core := newFilledCore(size.members, size.zones)
 			heartbeat := wire.Heartbeat{From: benchNode(1, size.zones), Incarnation: 1 << 40, MembersDigest: core.membersDigest()}
 			now := epoch.Add(time.Hour)
 			b.ReportAllocs()
@@ -47,12 +48,13 @@
 	}
 }
 
-// BenchmarkTick lets a second pass, in which one member of the zone is probed
-// and every other time one elsewhere, all of which answer.
+// BenchmarkTick measures one second of ticks. In each second the core probes one
+// member of its zone, and in every other second one remote member; all probes
+// count as answered.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("members=%d", size.members), func(b *testing.B) {
-			core := filledCore(size.members, size.zones)
+			core := newFilledCore(size.members, size.zones)
 			now := epoch
 			b.ReportAllocs()
 			for b.Loop() {
@@ -66,14 +68,14 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that one known member takes.
+// BenchmarkMemory reports the heap bytes per known member.
 func BenchmarkMemory(b *testing.B) {
 	const members = 1360
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		core := filledCore(members, 72)
+		core := newFilledCore(members, 72)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		runtime.KeepAlive(core)
--- a/membership/core.go
+++ b/membership/core.go
@@ -12,10 +12,11 @@
 
 // Core is the membership state of one node.
 //
-// Invariants: members never holds self; order holds exactly the values of
-// members, sorted by identifier; byAddress maps each address to the one member
-// there that is not dead; fresh holds exactly the members with gossip left;
-// timed holds at least the members that are suspect or dead.
+// Invariants: members never contains self; sorted contains exactly the values of
+// members, ordered by identifier; byAddress maps each address to the one member
+// there that is not dead; gossipQueue contains exactly the members whose record
+// has transmissions left; expiring contains at least the members that are suspect
+// or dead.
 type Core struct {
 	self        cluster.Node
 	incarnation uint64
@@ -23,42 +24,43 @@
 	config      Config
 	random      *rand.Rand
 
-	members   map[cluster.NodeID]*entry
-	order     []*entry
-	fresh     []*entry
-	timed     []*entry
-	byAddress map[string]cluster.NodeID
-	digest    uint64
-
-	sequence    uint64
-	probes      []probe
-	failedInRow int
-	zoneTurn    []cluster.NodeID
-	rejoin      rejoin
-
-	started                       bool
-	startedAt                     time.Time
-	lastTick                      time.Time
-	nextZone, nextRemote, nextAsk time.Time
-	lastChange, nextSync          time.Time
+	members     map[cluster.NodeID]*entry
+	sorted      []*entry
+	gossipQueue []*entry
+	expiring    []*entry
+	byAddress   map[string]cluster.NodeID
+	digest      uint64
+
+	sequence            uint64
+	probes              []probe
+	consecutiveFailures int
+	zoneProbeQueue      []cluster.NodeID
+	rejoin              rejoin
+
+	started                                    bool
+	startedAt                                  time.Time
+	lastTick                                   time.Time
+	nextZoneProbe, nextRemoteProbe, nextRejoin time.Time
+	lastChange, nextSync                       time.Time
 
 	effects []Effect
 }
 
-// entry is a member with what only this node keeps on it.
+// entry is a member with the data that only this node keeps about it.
 type entry struct {
 	Member
-	// gossipLeft counts the heartbeats that should still carry the record.
-	gossipLeft int
-	// suspicionEnds is when a suspect is given up.
-	suspicionEnds time.Time
-	// isTimed is true while the entry stands in Core.timed.
-	isTimed bool
+	// transmissionsLeft is the number of heartbeats that should still carry the
+	// record.
+	transmissionsLeft int
+	// suspicionDeadline is when a suspect is declared dead.
+	suspicionDeadline time.Time
+	// inExpiring is true while the entry is in Core.expiring.
+	inExpiring bool
 }
 
-// New returns the core of the node self. Seeds are peer addresses that are
-// tried until the others are found, and again after a partition. Equal seed
-// numbers and inputs give equal outputs.
+// New returns the core of the node self. Seeds are peer addresses that are tried
+// until other members are found, and again after a partition. Equal values of
+// seed and equal inputs give equal outputs.
 func New(self cluster.Node, seeds []string, config Config, seed uint64) *Core {
 	return &Core{
 		self:      self,
@@ -70,12 +72,12 @@
 	}
 }
 
-// randomStream tells this core's random numbers from those of other cores that
-// are given the same seed.
+// randomStream selects this core's stream of the random generator, so that its
+// random numbers differ from those of other cores with the same seed.
 const randomStream = 0x6d656d62
 
-// Step takes one event at the time now, which must not go back, and returns
-// what is to be done.
+// Step processes one event at the time now, which must not decrease, and returns
+// the effects to carry out.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	c.effects = nil
 	if !c.started {
@@ -93,98 +95,100 @@
 }
 
 // start takes the first incarnation from the clock, so that a later process at
-// the same address has a larger one, and spreads the probes of nodes that
-// start together.
+// the same address has a larger one. It delays the first probes by a random time,
+// so that nodes that start together do not probe at the same moment.
 func (c *Core) start(now time.Time) {
 	c.started, c.startedAt = true, now
 	c.incarnation = uint64(now.UnixMilli())
 	c.lastTick = now
-	c.nextZone = now.Add(c.within(c.config.ZoneInterval))
-	c.nextRemote = now.Add(c.within(c.config.RemoteInterval))
-	c.nextAsk = now
+	c.nextZoneProbe = now.Add(c.randomDelay(c.config.ZoneInterval))
+	c.nextRemoteProbe = now.Add(c.randomDelay(c.config.RemoteInterval))
+	c.nextRejoin = now
 }
 
-// within returns a random part of interval.
-func (c *Core) within(interval time.Duration) time.Duration {
+// randomDelay returns a uniformly random duration below interval.
+func (c *Core) randomDelay(interval time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(interval)))
 }
 
 func (c *Core) tick(now time.Time) {
-	c.forgivePause(now)
+	c.excusePause(now)
 	c.expireProbes(now)
 	c.expireMembers(now)
-	c.probeDue(now)
-	c.askDue(now)
+	c.sendDueProbes(now)
+	c.sendDueRejoin(now)
 }
 
-// forgivePause treats a long gap between ticks as a pause of this process:
-// answers may have come and gone meanwhile, so nobody is blamed for silence.
-func (c *Core) forgivePause(now time.Time) {
+// excusePause treats a long gap between ticks as a pause of this process. Answers
+// may have arrived in the gap, so pending probes are dropped and suspicions are
+// extended.
+func (c *Core) excusePause(now time.Time) {
 	gap := now.Sub(c.lastTick)
 	c.lastTick = now
 	if gap < c.config.ProbeTimeout {
 		return
 	}
 	c.probes = nil
-	for _, member := range c.timed {
+	for _, member := range c.expiring {
 		if member.State == StateSuspect {
-			member.suspicionEnds = member.suspicionEnds.Add(gap)
+			member.suspicionDeadline = member.suspicionDeadline.Add(gap)
 		}
 	}
 }
 
-// expireMembers gives up suspects whose time is over and forgets the dead.
+// expireMembers declares suspects dead after their deadline and removes members
+// that have been dead for ForgetTime.
 func (c *Core) expireMembers(now time.Time) {
-	c.timed = slices.DeleteFunc(c.timed, func(member *entry) bool {
+	c.expiring = slices.DeleteFunc(c.expiring, func(member *entry) bool {
 		switch member.State {
 		case StateSuspect:
-			if !now.Before(member.suspicionEnds) {
-				c.change(now, member, StateDead, c.transmissions())
+			if !now.Before(member.suspicionDeadline) {
+				c.setState(now, member, StateDead, c.transmissions())
 			}
 			return false
 		case StateDead:
 			over := now.Sub(member.Since) >= c.config.ForgetTime
 			if over {
-				c.forget(member)
+				c.removeMember(member)
 			}
 			return over
 		default:
-			member.isTimed = false
+			member.inExpiring = false
 			return true
 		}
 	})
 }
 
-// leave announces the planned stop to the whole zone and to one member of each
-// other zone.
+// leave announces the planned stop to all members of the node's own zone and to
+// one member of each other zone.
 func (c *Core) leave() {
 	if c.leaving {
 		return
 	}
 	c.leaving = true
 	c.incarnation++
-	told := make(map[cluster.ZoneID]bool)
-	for _, member := range c.order {
-		near := member.Node.Zone == c.self.Zone
-		if !member.Running() || (told[member.Node.Zone] && !near) {
+	notifiedZones := make(map[cluster.ZoneID]bool)
+	for _, member := range c.sorted {
+		sameZone := member.Node.Zone == c.self.Zone
+		if !member.Running() || (notifiedZones[member.Node.Zone] && !sameZone) {
 			continue
 		}
-		told[member.Node.Zone] = true
-		c.send(member.Node.PeerAddress, c.heartbeat(member.Node.ID))
+		notifiedZones[member.Node.Zone] = true
+		c.send(member.Node.PeerAddress, c.gossipHeartbeat(member.Node.ID))
 	}
 }
 
-// Members returns all known members but the node itself, dead ones for a while
-// included, sorted by identifier.
+// Members returns all known members except the node itself, sorted by identifier.
+// Dead members are included until they are forgotten.
 func (c *Core) Members() []Member {
-	members := make([]Member, 0, len(c.order))
-	for _, member := range c.order {
+	members := make([]Member, 0, len(c.sorted))
+	for _, member := range c.sorted {
 		members = append(members, member.Member)
 	}
 	return members
 }
 
-// Member returns the member with the given identifier, or false.
+// Member returns the member with the given identifier and whether it is known.
 func (c *Core) Member(id cluster.NodeID) (Member, bool) {
 	if member := c.members[id]; member != nil {
 		return member.Member, true
@@ -192,12 +196,13 @@
 	return Member{}, false
 }
 
-// send queues a heartbeat.
+// send adds a heartbeat to the effects of the current step.
 func (c *Core) send(address string, heartbeat wire.Heartbeat) {
 	c.effects = append(c.effects, SendHeartbeat{Address: address, Heartbeat: heartbeat})
 }
 
-// position returns where id stands in order, or should stand.
-func (c *Core) position(id cluster.NodeID) (int, bool) {
-	return slices.BinarySearchFunc(c.order, id, func(e *entry, id cluster.NodeID) int { return cmp.Compare(e.Node.ID, id) })
+// sortedIndex returns the index of id in sorted, or the index at which it would
+// be inserted, and whether it is present.
+func (c *Core) sortedIndex(id cluster.NodeID) (int, bool) {
+	return slices.BinarySearchFunc(c.sorted, id, func(e *entry, id cluster.NodeID) int { return cmp.Compare(e.Node.ID, id) })
 }
--- a/membership/core_test.go
+++ b/membership/core_test.go
@@ -12,20 +12,20 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// network steps cores on virtual time; messages arrive at the next tick.
+// network runs cores on virtual time. A message arrives at the next tick.
 type network struct {
 	t     *testing.T
 	now   time.Time
 	cores map[string]*Core
 	order []string
-	// cut tells which messages are lost.
-	cut     func(from, to string) bool
+	// isLost reports whether a message between two addresses is lost.
+	isLost  func(from, to string) bool
 	paused  map[string]bool
 	pending []SendHeartbeat
-	// spoil may break a core before each tick, where the heartbeat is nil, and
-	// each heartbeat it sends.
-	spoil func(*Core, *wire.Heartbeat)
-	// deaths counts, by member, how many cores gave it up.
+	// injectDefect, if set, alters a core before each tick (with a nil
+	// heartbeat) and each heartbeat that the core sends.
+	injectDefect func(*Core, *wire.Heartbeat)
+	// deaths counts, for each member, the cores that declared it dead.
 	deaths map[cluster.NodeID]int
 }
 
@@ -34,7 +34,7 @@
 func newNetwork(t *testing.T, zones, perZone int) *network {
 	n := &network{
 		t: t, now: epoch, cores: map[string]*Core{}, paused: map[string]bool{},
-		cut: func(string, string) bool { return false }, deaths: map[cluster.NodeID]int{},
+		isLost: func(string, string) bool { return false }, deaths: map[cluster.NodeID]int{},
 	}
 	for zone := range zones {
 		for i := range perZone {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// start runs a process at an address.
+// start runs a new process at an address.
 func (n *network) start(id, address, zone string) {
 	node := cluster.Node{ID: cluster.NodeID(id), Zone: cluster.ZoneID(zone), PeerAddress: address}
 	if n.cores[address] == nil {
@@ -59,8 +59,8 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case SendHeartbeat:
-			if sender := n.cores[e.Heartbeat.From.PeerAddress]; n.spoil != nil && sender != nil {
-				n.spoil(sender, &e.Heartbeat)
+			if sender := n.cores[e.Heartbeat.From.PeerAddress]; n.injectDefect != nil && sender != nil {
+				n.injectDefect(sender, &e.Heartbeat)
 			}
 			n.pending = append(n.pending, e)
 		case Changed:
@@ -78,7 +78,7 @@
 	for _, message := range arriving {
 		core := n.cores[message.Address]
 		switch {
-		case core == nil || n.cut(message.Heartbeat.From.PeerAddress, message.Address):
+		case core == nil || n.isLost(message.Heartbeat.From.PeerAddress, message.Address):
 		case n.paused[message.Address]:
 			n.pending = append(n.pending, message)
 		default:
@@ -87,8 +87,8 @@
 	}
 	for _, address := range n.order {
 		if core := n.cores[address]; core != nil && !n.paused[address] {
-			if n.spoil != nil {
-				n.spoil(core, nil)
+			if n.injectDefect != nil {
+				n.injectDefect(core, nil)
 			}
 			n.collect(core.Step(n.now, Tick{}))
 		}
@@ -101,7 +101,8 @@
 	}
 }
 
-// requireAll holds that every core sees every other one in the state.
+// requireAll fails the test unless every running core sees every other one in the
+// given state.
 func (n *network) requireAll(state State) {
 	n.t.Helper()
 	for _, from := range n.order {
@@ -120,16 +121,20 @@
 	}
 }
 
-func TestNodesFindOneAnother(t *testing.T) {
+// Nodes that know only two seed addresses must learn of all others, and none may
+// be declared dead meanwhile.
+func TestStartedNodesDiscoverEachOther(t *testing.T) {
 	n := newNetwork(t, 3, 5)
 	n.run(20 * time.Second)
 	n.requireAll(StateAlive)
 	if len(n.deaths) != 0 {
-		t.Errorf("gave up %v", n.deaths)
+		t.Errorf("nodes declared dead: %v, want none", n.deaths)
 	}
 }
 
-func TestDeadNodeIsGivenUpAndForgotten(t *testing.T) {
+// A stopped node must be declared dead by all others, and removed after
+// ForgetTime, so that the member list does not grow without bound.
+func TestStoppedNodeIsDeclaredDeadThenForgotten(t *testing.T) {
 	n := newNetwork(t, 2, 5)
 	n.run(20 * time.Second)
 	n.stop("n1-3")
@@ -141,12 +146,14 @@
 	}
 	n.run(3 * time.Minute)
 	if _, known := n.cores["n0-0"].Member("n1-3"); known {
-		t.Error("a dead node was not forgotten")
+		t.Error("the dead node is still a member after ForgetTime")
 	}
 	n.requireAll(StateAlive)
 }
 
-func TestShortPauseIsRefuted(t *testing.T) {
+// A pause of 4 s is within the probe timeouts and the suspicion time together, so
+// the paused node must be able to refute the suspicion.
+func TestPauseWithinSuspicionTimeCausesNoDeath(t *testing.T) {
 	n := newNetwork(t, 2, 5)
 	n.run(20 * time.Second)
 	n.paused["n1-3"] = true
@@ -155,11 +162,13 @@
 	n.run(20 * time.Second)
 	n.requireAll(StateAlive)
 	if len(n.deaths) != 0 {
-		t.Errorf("gave up %v", n.deaths)
+		t.Errorf("nodes declared dead: %v, want none", n.deaths)
 	}
 }
 
-func TestLongPauseIsRefutedAfterwards(t *testing.T) {
+// A node that is declared dead during a pause of 30 s must be alive for all
+// others again after it resumes, and no other node may be declared dead.
+func TestNodeDeclaredDeadDuringPauseRejoins(t *testing.T) {
 	n := newNetwork(t, 2, 5)
 	n.run(20 * time.Second)
 	n.paused["n1-3"] = true
@@ -169,11 +178,13 @@
 	n.run(20 * time.Second)
 	n.requireAll(StateAlive)
 	if len(n.deaths) != 1 {
-		t.Errorf("gave up %v, want only the paused node", n.deaths)
+		t.Errorf("nodes declared dead: %v, want only the paused node", n.deaths)
 	}
 }
 
-func TestRestartReplacesOldProcessAtOnce(t *testing.T) {
+// When a new process starts at the address of an old one, the others must declare
+// the old one dead, because both identifiers cannot run there.
+func TestRestartAtSameAddressReplacesOldProcess(t *testing.T) {
 	n := newNetwork(t, 2, 5)
 	n.run(20 * time.Second)
 	n.start("n1-3-again", "n1-3", "zone-1")
@@ -186,7 +197,9 @@
 	}
 }
 
-func TestLeavingIsKnownBeforeTheEnd(t *testing.T) {
+// A planned stop must be known in the own zone after one message and everywhere
+// before the process stops. After it stops, the member must become dead.
+func TestLeavingStateSpreadsBeforeProcessStops(t *testing.T) {
 	n := newNetwork(t, 2, 5)
 	n.run(20 * time.Second)
 	n.collect(n.cores["n1-3"].Step(n.now, LeaveStarted{}))
@@ -201,34 +214,40 @@
 	n.requireState("n0-0", "n1-3", StateDead)
 }
 
-func TestPartitionHeals(t *testing.T) {
+// A partition of 10 min outlasts ForgetTime, so both sides forget each other.
+// They must find each other again through the seeds and the remembered addresses.
+func TestMembersRejoinAfterLongPartition(t *testing.T) {
 	n := newNetwork(t, 2, 5)
 	n.run(20 * time.Second)
-	n.cut = func(from, to string) bool { return from[:2] != to[:2] }
+	n.isLost = func(from, to string) bool { return from[:2] != to[:2] }
 	n.run(10 * time.Minute)
 	if _, known := n.cores["n0-2"].Member("n1-2"); known {
-		t.Error("the other side was not forgotten")
+		t.Error("a member on the other side of the partition is still known after ForgetTime")
 	}
 	n.requireState("n0-2", "n0-3", StateAlive)
-	n.cut = func(string, string) bool { return false }
+	n.isLost = func(string, string) bool { return false }
 	n.run(time.Minute)
 	n.requireAll(StateAlive)
 }
 
-func TestOneWayLossIsNotDeath(t *testing.T) {
+// When only the path between two nodes is broken, each suspects the other, but
+// the refutations that reach them through other nodes must prevent a death.
+func TestBrokenPathBetweenTwoNodesCausesNoDeath(t *testing.T) {
 	n := newNetwork(t, 1, 6)
 	n.run(20 * time.Second)
-	// Two nodes cannot reach each other; the others can reach both.
-	n.cut = func(from, to string) bool {
+	// The two nodes cannot reach each other; all other nodes can reach both.
+	n.isLost = func(from, to string) bool {
 		return (from == "n0-2" && to == "n0-3") || (from == "n0-3" && to == "n0-2")
 	}
 	n.run(5 * time.Minute)
 	if len(n.deaths) != 0 {
-		t.Errorf("gave up %v", n.deaths)
+		t.Errorf("nodes declared dead: %v, want none", n.deaths)
 	}
 }
 
-func TestSameInputsGiveSameOutputs(t *testing.T) {
+// New promises equal outputs for equal seeds and inputs. Map iteration order or a
+// global random source would break this.
+func TestEqualInputsGiveEqualOutputs(t *testing.T) {
 	var runs [2][]Member
 	for i := range runs {
 		n := newNetwork(t, 2, 4)
@@ -236,6 +255,6 @@
 		runs[i] = n.cores["n0-2"].Members()
 	}
 	if !reflect.DeepEqual(runs[0], runs[1]) {
-		t.Error("two runs differ")
+		t.Error("two runs with equal inputs ended with different members")
 	}
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -9,51 +9,53 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// quietTime without a change here is when differing digests are taken for lost gossip, not for
-// gossip on its way; chosen, not measured.
-const quietTime = 5 * time.Second
-
-// youngTime after its start a node does not wait for quiet: when many start
-// together, all learn of all others at once, by too much gossip to wait for.
-const youngTime = 30 * time.Second
-
-// bulkTransmissions is how many heartbeats carry a record that came with a full
-// exchange. It is old news to most.
-const bulkTransmissions = 2
-
-// heartbeat makes the next heartbeat to a member. Whoever is not held to be
-// alive is told so, to let it refute.
-func (c *Core) heartbeat(to cluster.NodeID) wire.Heartbeat {
+// stabilityPeriod is the time without a local change after which differing
+// digests indicate lost gossip: before that, the gossip may still be in transit.
+const stabilityPeriod = 5 * time.Second
+
+// startupPeriod is the time after its start in which a node does not wait for
+// stabilityPeriod: when many nodes start together, gossip changes the members here
+// for too long to wait until the changes end.
+const startupPeriod = 30 * time.Second
+
+// fullExchangeTransmissions is the number of heartbeats that carry a record
+// received in a full exchange. It is low because most members already know such a
+// record.
+const fullExchangeTransmissions = 2
+
+// gossipHeartbeat returns the next heartbeat to a member, with gossip. A receiver
+// that is not considered alive gets its own record, so that it can refute it.
+func (c *Core) gossipHeartbeat(to cluster.NodeID) wire.Heartbeat {
 	c.sequence++
-	heartbeat := c.bare()
+	heartbeat := c.baseHeartbeat()
 	heartbeat.Sequence = c.sequence
-	heartbeat.Gossip = c.news(to)
+	heartbeat.Gossip = c.selectGossip(to)
 	return heartbeat
 }
 
-// bare is a heartbeat without gossip.
-func (c *Core) bare() wire.Heartbeat {
+// baseHeartbeat returns a heartbeat without a sequence number and without gossip.
+func (c *Core) baseHeartbeat() wire.Heartbeat {
 	return wire.Heartbeat{
 		From: c.self, Incarnation: c.incarnation, Leaving: c.leaving, MembersDigest: c.membersDigest(),
 	}
 }
 
-// news picks the records that were passed on least often, after the receiver's
-// own when it has something to refute.
-func (c *Core) news(to cluster.NodeID) []wire.MemberRecord {
+// selectGossip returns the records with the most transmissions left. The
+// receiver's own record comes first if the receiver has something to refute.
+func (c *Core) selectGossip(to cluster.NodeID) []wire.MemberRecord {
 	var records []wire.MemberRecord
 	receiver := c.members[to]
 	if receiver != nil && receiver.State != StateAlive {
 		records = append(records, receiver.record())
 	}
-	slices.SortStableFunc(c.fresh, func(a, b *entry) int { return cmp.Compare(b.gossipLeft, a.gossipLeft) })
-	for _, member := range c.fresh[:min(len(c.fresh), c.config.GossipRecords)] {
+	slices.SortStableFunc(c.gossipQueue, func(a, b *entry) int { return cmp.Compare(b.transmissionsLeft, a.transmissionsLeft) })
+	for _, member := range c.gossipQueue[:min(len(c.gossipQueue), c.config.GossipRecords)] {
 		if member != receiver {
-			member.gossipLeft--
+			member.transmissionsLeft--
 			records = append(records, member.record())
 		}
 	}
-	c.fresh = slices.DeleteFunc(c.fresh, func(e *entry) bool { return e.gossipLeft == 0 })
+	c.gossipQueue = slices.DeleteFunc(c.gossipQueue, func(e *entry) bool { return e.transmissionsLeft == 0 })
 	return records
 }
 
@@ -61,16 +63,16 @@
 	return wire.MemberRecord{Node: e.Node, Incarnation: e.Incarnation, State: string(e.State)}
 }
 
-// everyone lists all members, the dead included.
-func (c *Core) everyone() []wire.MemberRecord {
-	records := make([]wire.MemberRecord, 0, len(c.order))
-	for _, member := range c.order {
+// allRecords returns the records of all members, including dead ones.
+func (c *Core) allRecords() []wire.MemberRecord {
+	records := make([]wire.MemberRecord, 0, len(c.sorted))
+	for _, member := range c.sorted {
 		records = append(records, member.record())
 	}
 	return records
 }
 
-// receive takes in a heartbeat and answers it.
+// receive merges a heartbeat and answers it.
 func (c *Core) receive(now time.Time, heartbeat wire.Heartbeat) {
 	from := heartbeat.From
 	if from.ID == c.self.ID || from.ID == "" {
@@ -80,30 +82,31 @@
 	c.merge(now, senderRecord(heartbeat), c.transmissions())
 	transmissions := c.transmissions()
 	if len(heartbeat.Gossip) > c.config.GossipRecords+1 {
-		transmissions = bulkTransmissions
+		transmissions = fullExchangeTransmissions
 		c.nextSync = now.Add(c.syncInterval(now))
 	}
 	for _, record := range heartbeat.Gossip {
 		c.merge(now, record, transmissions)
 	}
-	timely := c.heard(from.ID, heartbeat.Sequence)
-	differs := c.differs(now, heartbeat)
+	answersProbe := c.completeProbes(from.ID, heartbeat.Sequence)
+	exchangeDue := c.needsFullExchange(now, heartbeat)
 	switch {
 	case !heartbeat.Ack:
-		c.answer(now, heartbeat, differs || isAlone(heartbeat) || (isNew && heartbeat.MembersDigest == 0))
-	case differs && timely:
-		// Late answers come from a node that was paused. It asks for what it
-		// missed itself, so that not all who probed it send it the same.
-		c.sync(now, from)
+		c.acknowledge(now, heartbeat, exchangeDue || knowsNoOtherMember(heartbeat) || (isNew && heartbeat.MembersDigest == 0))
+	case exchangeDue && answersProbe:
+		// A late answer comes from a node that was paused. That node asks for the
+		// records it missed, so that the nodes that probed it do not all send them.
+		c.startFullExchange(now, from)
 	}
 }
 
-// isAlone reports whether the sender knows no other member, as after its start.
-func isAlone(heartbeat wire.Heartbeat) bool {
+// knowsNoOtherMember reports whether the sender knows no other member, as is the
+// case after its start.
+func knowsNoOtherMember(heartbeat wire.Heartbeat) bool {
 	return heartbeat.MembersDigest == max(1, nodeHash(heartbeat.From.ID, heartbeat.Incarnation))
 }
 
-// senderRecord is what a heartbeat says of its sender.
+// senderRecord returns the member record that a heartbeat implies for its sender.
 func senderRecord(heartbeat wire.Heartbeat) wire.MemberRecord {
 	state := StateAlive
 	if heartbeat.Leaving {
@@ -112,46 +115,50 @@
 	return wire.MemberRecord{Node: heartbeat.From, Incarnation: heartbeat.Incarnation, State: string(state)}
 }
 
-// answer acknowledges a heartbeat, with all members if full.
-func (c *Core) answer(now time.Time, heartbeat wire.Heartbeat, full bool) {
-	ack := c.bare()
+// acknowledge answers a heartbeat. If full is set, the answer carries the records
+// of all members.
+func (c *Core) acknowledge(now time.Time, heartbeat wire.Heartbeat, full bool) {
+	ack := c.baseHeartbeat()
 	ack.Ack = true
 	ack.Sequence = heartbeat.Sequence
 	if full {
-		ack.Gossip = c.everyone()
+		ack.Gossip = c.allRecords()
 		c.nextSync = now.Add(c.syncInterval(now))
 	} else {
-		ack.Gossip = c.news(heartbeat.From.ID)
+		ack.Gossip = c.selectGossip(heartbeat.From.ID)
 	}
 	c.send(heartbeat.From.PeerAddress, ack)
 }
 
-// differs reports whether the sender's members differ from those here, and a
-// full exchange is due: after the start soon, later only when nothing changed
-// for a while.
-func (c *Core) differs(now time.Time, heartbeat wire.Heartbeat) bool {
-	settled := c.isYoung(now) || now.Sub(c.lastChange) >= quietTime
-	return settled && !now.Before(c.nextSync) &&
+// needsFullExchange reports whether the sender's member digest differs from the
+// local one and a full exchange is allowed. Shortly after the start only
+// SyncInterval limits exchanges; later there must also have been no local change
+// for stabilityPeriod.
+func (c *Core) needsFullExchange(now time.Time, heartbeat wire.Heartbeat) bool {
+	stable := c.isStartingUp(now) || now.Sub(c.lastChange) >= stabilityPeriod
+	return stable && !now.Before(c.nextSync) &&
 		heartbeat.MembersDigest != 0 && heartbeat.MembersDigest != c.membersDigest()
 }
 
-func (c *Core) isYoung(now time.Time) bool { return now.Sub(c.startedAt) < youngTime }
+// isStartingUp reports whether the node is within startupPeriod of its start.
+func (c *Core) isStartingUp(now time.Time) bool { return now.Sub(c.startedAt) < startupPeriod }
 
-// syncInterval is shorter after the start.
+// syncInterval returns the minimum time between full exchanges, halved during
+// startupPeriod.
 func (c *Core) syncInterval(now time.Time) time.Duration {
-	if c.isYoung(now) {
+	if c.isStartingUp(now) {
 		return c.config.SyncInterval / 2
 	}
 	return c.config.SyncInterval
 }
 
-// sync sends all members to a peer, which answers with what it knows to be
-// newer by gossip.
-func (c *Core) sync(now time.Time, to cluster.Node) {
+// startFullExchange sends all member records to a peer. The peer answers with the
+// records of which it has newer versions, as gossip.
+func (c *Core) startFullExchange(now time.Time, to cluster.Node) {
 	c.nextSync = now.Add(c.syncInterval(now))
 	c.sequence++
-	heartbeat := c.bare()
+	heartbeat := c.baseHeartbeat()
 	heartbeat.Sequence = c.sequence
-	heartbeat.Gossip = c.everyone()
+	heartbeat.Gossip = c.allRecords()
 	c.send(to.PeerAddress, heartbeat)
 }
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -11,11 +11,11 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// merge takes in one record of a member and, if it is news, lets the given
-// number of heartbeats carry it on.
+// merge applies one member record. If the record is newer than what is known, the
+// given number of heartbeats will carry it.
 func (c *Core) merge(now time.Time, record wire.MemberRecord, transmissions int) {
 	state := State(record.State)
-	if state.rank() == 0 || record.Node.ID == "" {
+	if state.precedence() == 0 || record.Node.ID == "" {
 		return
 	}
 	if record.Node.ID == c.self.ID {
@@ -24,13 +24,13 @@
 	}
 	known := c.members[record.Node.ID]
 	if known == nil {
-		c.admit(now, record, state, transmissions)
+		c.addMember(now, record, state, transmissions)
 		return
 	}
 	if !supersedes(record.Incarnation, state, known) {
 		return
 	}
-	if !known.Running() && !c.claimAddress(now, record) {
+	if !known.Running() && !c.resolveAddressConflict(now, record) {
 		return
 	}
 	nodeChanged := known.Node != record.Node
@@ -38,64 +38,65 @@
 	known.Node, known.Incarnation = record.Node, record.Incarnation
 	c.digest ^= known.hash()
 	if known.State != state {
-		c.change(now, known, state, transmissions)
+		c.setState(now, known, state, transmissions)
 		return
 	}
-	c.spread(known, transmissions)
+	c.queueGossip(known, transmissions)
 	c.lastChange = now
 	if nodeChanged {
 		c.effects = append(c.effects, Changed{Member: known.Member})
 	}
 }
 
-// supersedes reports whether news at the given incarnation replaces what is
-// known of a member.
+// supersedes reports whether a record with the given incarnation and state
+// replaces the known entry.
 func supersedes(incarnation uint64, state State, known *entry) bool {
 	if incarnation != known.Incarnation {
 		return incarnation > known.Incarnation
 	}
-	return state.rank() > known.State.rank()
+	return state.precedence() > known.State.precedence()
 }
 
-// refute answers news that this node is suspect or dead with a higher
-// incarnation.
+// refute responds to a record that calls this node suspect, dead or wrongly
+// leaving by raising the node's incarnation above that of the record.
 func (c *Core) refute(incarnation uint64, state State) {
 	if incarnation < c.incarnation || state == StateAlive || (state == StateLeaving && c.leaving) {
 		return
 	}
 	c.incarnation = incarnation + 1
-	c.announce()
+	c.announceIncarnation()
 }
 
-// announce tells a few random members of a new incarnation, which pass it on.
-func (c *Core) announce() {
-	near := c.running(func(zone cluster.ZoneID) bool { return zone == c.self.Zone })
-	far := c.running(func(zone cluster.ZoneID) bool { return zone != c.self.Zone })
+// announceIncarnation sends the new incarnation to a few random members, which
+// gossip it further.
+func (c *Core) announceIncarnation() {
+	near := c.runningMembers(func(zone cluster.ZoneID) bool { return zone == c.self.Zone })
+	far := c.runningMembers(func(zone cluster.ZoneID) bool { return zone != c.self.Zone })
 	for _, members := range [][]*entry{near, far} {
-		for range min(announcements, len(members)) {
+		for range min(announcementsPerScope, len(members)) {
 			member := members[c.random.IntN(len(members))]
-			c.send(member.Node.PeerAddress, c.heartbeat(member.Node.ID))
+			c.send(member.Node.PeerAddress, c.gossipHeartbeat(member.Node.ID))
 		}
 	}
 }
 
-// admit adds a member that was not known. News of a dead one is not worth an
-// entry: it cannot contradict anything known here.
-func (c *Core) admit(now time.Time, record wire.MemberRecord, state State, transmissions int) {
-	if state == StateDead || !c.claimAddress(now, record) {
+// addMember adds a member that was not known. A record of a dead member is
+// ignored, because there is no entry that it could correct.
+func (c *Core) addMember(now time.Time, record wire.MemberRecord, state State, transmissions int) {
+	if state == StateDead || !c.resolveAddressConflict(now, record) {
 		return
 	}
-	at, _ := c.position(record.Node.ID)
+	at, _ := c.sortedIndex(record.Node.ID)
 	member := &entry{Member: Member{Node: record.Node, Incarnation: record.Incarnation, State: StateDead}}
-	c.order = slices.Insert(c.order, at, member)
+	c.sorted = slices.Insert(c.sorted, at, member)
 	c.members[record.Node.ID] = member
-	c.change(now, member, state, transmissions)
+	c.setState(now, member, state, transmissions)
 }
 
-// claimAddress settles two processes at one address: the one with the larger
-// incarnation started later and the other is dead. It reports whether the
-// record's is the later one.
-func (c *Core) claimAddress(now time.Time, record wire.MemberRecord) bool {
+// resolveAddressConflict decides between two processes at one address: the one
+// with the larger incarnation started later, and the other one is declared dead.
+// It reports whether the process of the record is the later one.
+func (c *Core) resolveAddressConflict(now time.Time, record wire.MemberRecord) bool {
 	address := record.Node.PeerAddress
 	if address == c.self.PeerAddress {
 		return false
@@ -107,28 +108,29 @@
 	if other.Incarnation > record.Incarnation {
 		return false
 	}
-	c.change(now, other, StateDead, c.transmissions())
+	c.setState(now, other, StateDead, c.transmissions())
 	return true
 }
 
-// change puts a member into a state, spreads and reports it.
-func (c *Core) change(now time.Time, member *entry, state State, transmissions int) {
+// setState sets the state of a member, queues its record for gossip and reports
+// the change.
+func (c *Core) setState(now time.Time, member *entry, state State, transmissions int) {
 	c.digest ^= member.hash()
 	member.State = state
 	c.digest ^= member.hash()
 	member.Since = now
-	c.spread(member, transmissions)
+	c.queueGossip(member, transmissions)
 	c.lastChange = now
-	if !member.isTimed && (state == StateSuspect || state == StateDead) {
-		member.isTimed = true
-		c.timed = append(c.timed, member)
+	if !member.inExpiring && (state == StateSuspect || state == StateDead) {
+		member.inExpiring = true
+		c.expiring = append(c.expiring, member)
 	}
 	address := member.Node.PeerAddress
 	switch state {
 	case StateSuspect:
-		member.suspicionEnds = now.Add(c.suspicionTime())
+		member.suspicionDeadline = now.Add(c.suspicionTime())
 		if member.Node.Zone == c.self.Zone {
-			c.zoneTurn = slices.Insert(c.zoneTurn, 0, member.Node.ID)
+			c.zoneProbeQueue = slices.Insert(c.zoneProbeQueue, 0, member.Node.ID)
 		}
 		c.byAddress[address] = member.Node.ID
 	case StateDead:
@@ -142,52 +144,58 @@
 	c.effects = append(c.effects, Changed{Member: member.Member})
 }
 
-// spread lets the next heartbeats carry the member's record.
-func (c *Core) spread(member *entry, transmissions int) {
-	if member.gossipLeft == 0 {
-		c.fresh = append(c.fresh, member)
+// queueGossip sets the number of heartbeats that carry the member's record.
+func (c *Core) queueGossip(member *entry, transmissions int) {
+	if member.transmissionsLeft == 0 {
+		c.gossipQueue = append(c.gossipQueue, member)
 	}
-	member.gossipLeft = transmissions
+	member.transmissionsLeft = transmissions
 }
 
-// forget drops a dead member.
-func (c *Core) forget(member *entry) {
+// removeMember drops a dead member from all indexes.
+func (c *Core) removeMember(member *entry) {
 	delete(c.members, member.Node.ID)
-	if at, found := c.position(member.Node.ID); found {
-		c.order = slices.Delete(c.order, at, at+1)
+	if at, found := c.sortedIndex(member.Node.ID); found {
+		c.sorted = slices.Delete(c.sorted, at, at+1)
 	}
-	member.gossipLeft = 0
-	c.fresh = slices.DeleteFunc(c.fresh, func(e *entry) bool { return e == member })
+	member.transmissionsLeft = 0
+	c.gossipQueue = slices.DeleteFunc(c.gossipQueue, func(e *entry) bool { return e == member })
 }
 
-// suspicionTime is longer while this node's own probes all fail.
+// suspicionTime returns the time a new suspect has to refute. It is longer while
+// the probes of this node all fail.
 func (c *Core) suspicionTime() time.Duration {
-	if c.failedInRow >= isolationProbes {
-		return isolationFactor * c.config.SuspicionTime
+	if c.consecutiveFailures >= isolationFailures {
+		return isolationSuspicionFactor * c.config.SuspicionTime
 	}
 	return c.config.SuspicionTime
 }
 
 const (
-	// isolationProbes that failed in a row make this node doubt itself: it suspects
-	// others for isolationFactor times as long before it declares them dead.
-	isolationProbes = 4
-	isolationFactor = 3
-	// announcements of a new incarnation in the own zone, and as many
-	// elsewhere.
-	announcements = 3
-	// transmissionFactor times the logarithm of the number of members is how
-	// often each node passes on a record.
+	// isolationFailures is the number of consecutive failed probes after which
+	// this node assumes that its own network is at fault: it then multiplies the
+	// suspicion time by isolationSuspicionFactor before it declares a member
+	// dead.
+	isolationFailures        = 4
+	isolationSuspicionFactor = 3
+	// announcementsPerScope is the number of random members that are told of a
+	// new incarnation: this many in the node's own zone and this many in other
+	// zones.
+	announcementsPerScope = 3
+	// transmissionFactor is the number of times a node sends a record per binary
+	// digit of the member count: gossip reaches all members in a number of
+	// rounds that is logarithmic in their count.
 	transmissionFactor = 2
 )
 
-// transmissions is how many heartbeats carry a new record.
+// transmissions returns the number of heartbeats that carry a new record.
 func (c *Core) transmissions() int {
-	return transmissionFactor * bits.Len(uint(len(c.order)+1))
+	return transmissionFactor * bits.Len(uint(len(c.sorted)+1))
 }
 
-// hash is the member's part of the digest: of a running member its identifier
-// and incarnation, else zero. Suspicions are left out, as they pass.
+// hash returns the member's contribution to the digest: a hash of identifier and
+// incarnation for a running member, zero for a dead one. Suspicions are left out
+// because they are temporary.
 func (e *entry) hash() uint64 {
 	if !e.Running() {
 		return 0
@@ -197,15 +205,16 @@
 
 func nodeHash(id cluster.NodeID, incarnation uint64) uint64 {
 	// The finalizer of SplitMix64 spreads the small differences between
-	// incarnations over all bits, so that sums by XOR do not cancel out.
+	// incarnations over all bits, so that hashes combined by XOR do not cancel
+	// out.
 	mixed := xxhash.Sum64String(string(id)) ^ incarnation*0x9e3779b97f4a7c15
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
 	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
 	return mixed ^ mixed>>31
 }
 
-// membersDigest is over the running members and this node. It is never zero,
-// which stands for unknown.
+// membersDigest returns the digest of the running members and this node. It is
+// never zero, because zero stands for an unknown digest.
 func (c *Core) membersDigest() uint64 {
 	return max(1, c.digest^nodeHash(c.self.ID, c.incarnation))
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -7,65 +7,68 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// probe is a heartbeat whose answer is awaited.
+// probe is a heartbeat that awaits its answer.
 type probe struct {
 	target   cluster.NodeID
 	sequence uint64
 	deadline time.Time
-	// repeated is true for the second probe after an unanswered first.
+	// repeated is true for every probe that follows an unanswered one.
 	repeated bool
 }
 
-// probeDue sends the probes whose time has come.
-func (c *Core) probeDue(now time.Time) {
-	if !now.Before(c.nextZone) {
-		c.nextZone = now.Add(c.config.ZoneInterval)
-		if id, ok := c.nextInZone(); ok {
-			c.probe(now, id, false)
+// sendDueProbes sends the zone probe and the remote probe whose interval has
+// passed.
+func (c *Core) sendDueProbes(now time.Time) {
+	if !now.Before(c.nextZoneProbe) {
+		c.nextZoneProbe = now.Add(c.config.ZoneInterval)
+		if id, ok := c.nextZoneMember(); ok {
+			c.sendProbe(now, id, false)
 		}
 	}
-	if !now.Before(c.nextRemote) {
-		c.nextRemote = now.Add(c.config.RemoteInterval)
-		if id, ok := c.randomRemote(); ok {
-			c.probe(now, id, false)
+	if !now.Before(c.nextRemoteProbe) {
+		c.nextRemoteProbe = now.Add(c.config.RemoteInterval)
+		if id, ok := c.randomRemoteMember(); ok {
+			c.sendProbe(now, id, false)
 		}
 	}
 }
 
-// nextInZone takes the members of the zone in turn, in an order drawn anew for
-// each round, so that each is probed within twice the number of members.
-func (c *Core) nextInZone() (cluster.NodeID, bool) {
+// nextZoneMember returns the next running member of the node's own zone. Each
+// round goes through all members in a new random order, so that a member is
+// probed at the latest after twice as many probes as the zone has members.
+func (c *Core) nextZoneMember() (cluster.NodeID, bool) {
 	for range 2 {
-		for len(c.zoneTurn) > 0 {
-			id := c.zoneTurn[0]
-			c.zoneTurn = c.zoneTurn[1:]
+		for len(c.zoneProbeQueue) > 0 {
+			id := c.zoneProbeQueue[0]
+			c.zoneProbeQueue = c.zoneProbeQueue[1:]
 			if member := c.members[id]; member != nil && member.Running() {
 				return id, true
 			}
 		}
-		for _, member := range c.running(func(zone cluster.ZoneID) bool { return zone == c.self.Zone }) {
-			c.zoneTurn = append(c.zoneTurn, member.Node.ID)
+		for _, member := range c.runningMembers(func(zone cluster.ZoneID) bool { return zone == c.self.Zone }) {
+			c.zoneProbeQueue = append(c.zoneProbeQueue, member.Node.ID)
 		}
-		c.random.Shuffle(len(c.zoneTurn), func(i, j int) {
-			c.zoneTurn[i], c.zoneTurn[j] = c.zoneTurn[j], c.zoneTurn[i]
+		c.random.Shuffle(len(c.zoneProbeQueue), func(i, j int) {
+			c.zoneProbeQueue[i], c.zoneProbeQueue[j] = c.zoneProbeQueue[j], c.zoneProbeQueue[i]
 		})
 	}
 	return "", false
 }
 
-// randomRemote draws a running member of another zone.
-func (c *Core) randomRemote() (cluster.NodeID, bool) {
-	remote := c.running(func(zone cluster.ZoneID) bool { return zone != c.self.Zone })
+// randomRemoteMember returns a random running member of another zone.
+func (c *Core) randomRemoteMember() (cluster.NodeID, bool) {
+	remote := c.runningMembers(func(zone cluster.ZoneID) bool { return zone != c.self.Zone })
 	if len(remote) == 0 {
 		return "", false
 	}
 	return remote[c.random.IntN(len(remote))].Node.ID, true
 }
 
-// running lists the running members of the zones that match.
-func (c *Core) running(match func(cluster.ZoneID) bool) []*entry {
+// runningMembers returns the running members whose zone matches, sorted by
+// identifier.
+func (c *Core) runningMembers(match func(cluster.ZoneID) bool) []*entry {
 	var members []*entry
-	for _, member := range c.order {
+	for _, member := range c.sorted {
 		if member.Running() && match(member.Node.Zone) {
 			members = append(members, member)
 		}
@@ -73,9 +76,9 @@
 	return members
 }
 
-// probe sends a heartbeat and awaits its answer.
-func (c *Core) probe(now time.Time, id cluster.NodeID, repeated bool) {
-	heartbeat := c.heartbeat(id)
+// sendProbe sends a heartbeat and records that its answer is awaited.
+func (c *Core) sendProbe(now time.Time, id cluster.NodeID, repeated bool) {
+	heartbeat := c.gossipHeartbeat(id)
 	c.probes = append(c.probes, probe{
 		target: id, sequence: heartbeat.Sequence,
 		deadline: now.Add(c.config.ProbeTimeout), repeated: repeated,
@@ -83,8 +86,9 @@
 	c.send(c.members[id].Node.PeerAddress, heartbeat)
 }
 
-// expireProbes repeats probes that were not answered, and acts on a second
-// failure.
+// expireProbes repeats probes that were not answered in time. After a repeated
+// probe fails, it declares a leaving member dead and makes any other member a
+// suspect.
 func (c *Core) expireProbes(now time.Time) {
 	var expired []probe
 	c.probes = slices.DeleteFunc(c.probes, func(p probe) bool {
@@ -99,38 +103,39 @@
 		if member == nil || !member.Running() {
 			continue
 		}
-		c.failedInRow++
+		c.consecutiveFailures++
 		switch {
 		case !p.repeated:
-			c.probe(now, p.target, true)
+			c.sendProbe(now, p.target, true)
 		case member.State == StateLeaving:
-			c.change(now, member, StateDead, c.transmissions())
+			c.setState(now, member, StateDead, c.transmissions())
 		default:
 			if member.State == StateAlive {
-				c.change(now, member, StateSuspect, c.transmissions())
+				c.setState(now, member, StateSuspect, c.transmissions())
 			}
-			c.probe(now, p.target, true)
-			c.consult(member)
+			c.sendProbe(now, p.target, true)
+			c.notifyZonePeer(member)
 		}
 	}
 }
 
-// consult tells another member of the suspect's zone of the suspicion. It will
-// probe the suspect next, and so hear and pass on its refutation, when only the
-// path from here is broken.
-func (c *Core) consult(suspect *entry) {
-	peers := c.running(func(zone cluster.ZoneID) bool { return zone == suspect.Node.Zone })
+// notifyZonePeer tells another member of the suspect's zone of the suspicion.
+// That member probes the suspect next. If only the path from this node is broken,
+// it receives and spreads the refutation.
+func (c *Core) notifyZonePeer(suspect *entry) {
+	peers := c.runningMembers(func(zone cluster.ZoneID) bool { return zone == suspect.Node.Zone })
 	peers = slices.DeleteFunc(peers, func(peer *entry) bool { return peer == suspect })
 	if len(peers) > 0 {
 		peer := peers[c.random.IntN(len(peers))].Node
-		c.send(peer.PeerAddress, c.heartbeat(peer.ID))
+		c.send(peer.PeerAddress, c.gossipHeartbeat(peer.ID))
 	}
 }
 
-// heard ends the probes of a member that gave a sign of life. It reports whether
-// the probe with the sequence was among them.
-func (c *Core) heard(id cluster.NodeID, sequence uint64) bool {
-	c.failedInRow = 0
+// completeProbes drops the pending probes of a member from which a heartbeat
+// arrived. It reports whether the probe with the given sequence number was among
+// them.
+func (c *Core) completeProbes(id cluster.NodeID, sequence uint64) bool {
+	c.consecutiveFailures = 0
 	answered := false
 	c.probes = slices.DeleteFunc(c.probes, func(p probe) bool {
 		answered = answered || (p.target == id && p.sequence == sequence)
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestMergeIgnoresOrderAndRepetition holds that the same news leads to the same
-// view, however it comes.
+// Gossip arrives in any order and repeatedly. The same records must lead to the
+// same members in every order.
 func TestMergeIgnoresOrderAndRepetition(t *testing.T) {
 	states := []State{StateAlive, StateSuspect, StateLeaving, StateDead}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -26,8 +26,8 @@
 			}
 		})
 		first := rapid.SliceOfN(record, 1, 12).Draw(rt, "records")
-		// Every member is known from the start: news of the death of an
-		// unknown one is not kept.
+		// Every member is known from the start, because a record of a dead unknown
+		// member is ignored.
 		for member := range 4 {
 			first = append([]wire.MemberRecord{{
 				Node:  cluster.Node{ID: cluster.NodeID(fmt.Sprint("node-", member)), Zone: "zone-1", PeerAddress: fmt.Sprint("address-", member)},
@@ -36,14 +36,15 @@
 		}
 		second := rapid.Permutation(first[4:]).Draw(rt, "order")
 		second = append(slices.Clone(first[:4]), append(second, second...)...)
-		a, b := viewAfter(first), viewAfter(second)
+		a, b := membersAfterMerging(first), membersAfterMerging(second)
 		if !slices.Equal(a, b) {
-			rt.Fatalf("%v\nagainst\n%v", a, b)
+			rt.Fatalf("members depend on the order of records: %v\nand\n%v", a, b)
 		}
 	})
 }
 
-func viewAfter(records []wire.MemberRecord) []Member {
+// membersAfterMerging returns the members of a new core that merged the records.
+func membersAfterMerging(records []wire.MemberRecord) []Member {
 	core := New(cluster.Node{ID: "self", Zone: "zone-0", PeerAddress: "self"}, nil, Config{}, 1)
 	core.Step(epoch, Tick{})
 	for _, record := range records {
@@ -52,9 +53,9 @@
 	return core.Members()
 }
 
-// disagreements lists the pairs of processes with a wrong view of each other,
-// and members that do not run.
-func (n *network) disagreements() []string {
+// wrongViews lists the pairs of running processes of which one does not see the
+// other as alive, and the members that are considered running but are not.
+func (n *network) wrongViews() []string {
 	var wrong []string
 	for _, at := range n.order {
 		core := n.cores[at]
@@ -73,19 +74,19 @@
 		for _, member := range core.Members() {
 			running := n.cores[member.Node.PeerAddress]
 			if member.Running() && (running == nil || running.self.ID != member.Node.ID) {
-				wrong = append(wrong, fmt.Sprintf("%s takes %s for %s", at, member.Node.ID, member.State))
+				wrong = append(wrong, fmt.Sprintf("%s sees %s, which does not run, as %q", at, member.Node.ID, member.State))
 			}
 		}
 	}
 	return wrong
 }
 
-// settleTime is enough for views to become right once faults end.
-const settleTime = 2 * time.Minute
+// convergenceTime is enough for all views to become correct after the last fault.
+const convergenceTime = 2 * time.Minute
 
-// TestViewsBecomeRightAfterRandomFaults crashes, restarts, pauses and cuts off
-// nodes at random, and holds that all agree some time after.
-func TestViewsBecomeRightAfterRandomFaults(t *testing.T) {
+// Random crashes, restarts, pauses and partitions leave the nodes with different
+// views. All views must be correct a while after the faults end.
+func TestViewsConvergeAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newNetwork(t, 3, 3)
 		n.run(20 * time.Second)
@@ -102,36 +103,37 @@
 			case "pause":
 				n.paused[address] = !n.paused[address]
 			case "cut zone":
-				n.cut = func(from, to string) bool { return (from[:2] == address[:2]) != (to[:2] == address[:2]) }
+				n.isLost = func(from, to string) bool { return (from[:2] == address[:2]) != (to[:2] == address[:2]) }
 			case "cut node":
-				n.cut = func(from, to string) bool { return from == address || to == address }
+				n.isLost = func(from, to string) bool { return from == address || to == address }
 			case "heal":
-				n.cut = func(string, string) bool { return false }
+				n.isLost = func(string, string) bool { return false }
 			}
 			n.run(time.Duration(rapid.IntRange(1, 30).Draw(rt, "seconds")) * time.Second)
 		}
-		n.cut = func(string, string) bool { return false }
+		n.isLost = func(string, string) bool { return false }
 		clear(n.paused)
-		n.run(settleTime)
-		if wrong := n.disagreements(); len(wrong) > 0 {
+		n.run(convergenceTime)
+		if wrong := n.wrongViews(); len(wrong) > 0 {
 			rt.Fatal(wrong)
 		}
 	})
 }
 
-// TestPlantedDefectsAreCaught runs fixed faults with cores that lack a part of
-// the protocol, and holds that the check above notices.
-func TestPlantedDefectsAreCaught(t *testing.T) {
+// Runs a fixed sequence of faults with cores that lack one part of the protocol.
+// It guards against wrongViews missing a defect: each defect must be reported,
+// and the intact protocol must pass.
+func TestProtocolDefectsAreDetected(t *testing.T) {
 	const never = 1000 * time.Hour
 	defects := map[string]func(*Core, *wire.Heartbeat){
 		"none": func(*Core, *wire.Heartbeat) {},
 		"does not probe": func(core *Core, _ *wire.Heartbeat) {
-			core.nextZone, core.nextRemote = core.lastTick.Add(never), core.lastTick.Add(never)
+			core.nextZoneProbe, core.nextRemoteProbe = core.lastTick.Add(never), core.lastTick.Add(never)
 		},
-		"does not give up suspects": func(core *Core, _ *wire.Heartbeat) {
+		"does not declare suspects dead": func(core *Core, _ *wire.Heartbeat) {
 			core.config.SuspicionTime = never
 		},
-		"does not look for lost members": func(core *Core, _ *wire.Heartbeat) {
+		"does not contact lost members": func(core *Core, _ *wire.Heartbeat) {
 			core.rejoin.seeds, core.rejoin.lost = nil, nil
 		},
 		"does not refute": func(core *Core, heartbeat *wire.Heartbeat) {
@@ -140,21 +142,21 @@
 			}
 		},
 	}
-	for name, spoil := range defects {
+	for name, defect := range defects {
 		n := newNetwork(t, 2, 4)
 		n.run(30 * time.Second)
-		n.spoil = spoil
+		n.injectDefect = defect
 		n.stop("n1-3")
 		n.paused["n1-2"] = true
 		n.run(30 * time.Second)
 		clear(n.paused)
 		n.run(30 * time.Second)
-		wrong := n.disagreements()
-		n.cut = func(from, to string) bool { return from[:2] != to[:2] }
+		wrong := n.wrongViews()
+		n.isLost = func(from, to string) bool { return from[:2] != to[:2] }
 		n.run(3 * time.Minute)
-		n.cut = func(string, string) bool { return false }
-		n.run(settleTime)
-		wrong = append(wrong, n.disagreements()...)
+		n.isLost = func(string, string) bool { return false }
+		n.run(convergenceTime)
+		wrong = append(wrong, n.wrongViews()...)
 		if (len(wrong) > 0) == (name == "none") {
 			t.Errorf("defect %q: %d wrong views: %v", name, len(wrong), wrong)
 		}
--- a/membership/rejoin.go
+++ b/membership/rejoin.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// lostAddresses bounds the addresses of dead members that are still tried.
-const lostAddresses = 32
+// maxLostAddresses is the maximum number of addresses of dead members that are
+// still tried: beyond it the oldest is dropped.
+const maxLostAddresses = 32
 
-// rejoin remembers where others may be found: the seeds, and the addresses of
-// members that were lost, for after a partition nobody else may know them.
+// rejoin holds the addresses at which other members may be found: the seeds, and
+// the addresses of dead members, because after a partition no other node may know
+// them.
 type rejoin struct {
 	seeds []string
 	lost  []lostAddress
-	turn  int
+	next  int
 }
 
 type lostAddress struct {
@@ -21,11 +23,12 @@
 	since   time.Time
 }
 
-// add remembers the address of a lost member; the oldest gives way.
+// add records the address of a dead member. If there are too many, the oldest is
+// dropped.
 func (r *rejoin) add(address string, now time.Time) {
 	r.remove(address)
 	r.lost = append(r.lost, lostAddress{address: address, since: now})
-	if len(r.lost) > lostAddresses {
+	if len(r.lost) > maxLostAddresses {
 		r.lost = slices.Delete(r.lost, 0, 1)
 	}
 }
@@ -34,12 +37,12 @@
 	r.lost = slices.DeleteFunc(r.lost, func(l lostAddress) bool { return l.address == address })
 }
 
-// candidates lists the seeds and lost addresses at which no member runs.
-func (r *rejoin) candidates(taken func(address string) bool) []string {
-	r.lost = slices.DeleteFunc(r.lost, func(l lostAddress) bool { return taken(l.address) })
+// candidates returns the seeds and lost addresses at which no member runs.
+func (r *rejoin) candidates(occupied func(address string) bool) []string {
+	r.lost = slices.DeleteFunc(r.lost, func(l lostAddress) bool { return occupied(l.address) })
 	var addresses []string
 	for _, seed := range r.seeds {
-		if !taken(seed) {
+		if !occupied(seed) {
 			addresses = append(addresses, seed)
 		}
 	}
@@ -51,16 +54,17 @@
 	return addresses
 }
 
-// askDue sends a heartbeat to one address in turn where a member may be found,
-// beginning with a random one. It does so more often after the start, as the
-// first one found may have just started too and know nobody.
-func (c *Core) askDue(now time.Time) {
-	if now.Before(c.nextAsk) {
+// sendDueRejoin sends a heartbeat to the next candidate address, starting with a
+// random one. It does so more often during startupPeriod and while no member is
+// known, because the first node it reaches may have just started too and know no
+// other.
+func (c *Core) sendDueRejoin(now time.Time) {
+	if now.Before(c.nextRejoin) {
 		return
 	}
-	c.nextAsk = now.Add(c.config.RejoinInterval)
-	if len(c.byAddress) == 0 || c.isYoung(now) {
-		c.nextAsk = now.Add(c.config.ZoneInterval / 2)
+	c.nextRejoin = now.Add(c.config.RejoinInterval)
+	if len(c.byAddress) == 0 || c.isStartingUp(now) {
+		c.nextRejoin = now.Add(c.config.ZoneInterval / 2)
 	}
 	c.rejoin.lost = slices.DeleteFunc(c.rejoin.lost, func(l lostAddress) bool {
 		return now.Sub(l.since) >= c.config.RejoinTime
@@ -69,9 +73,9 @@
 	if len(addresses) == 0 {
 		return
 	}
-	if c.rejoin.turn == 0 {
-		c.rejoin.turn = c.random.IntN(len(addresses))
+	if c.rejoin.next == 0 {
+		c.rejoin.next = c.random.IntN(len(addresses))
 	}
-	c.rejoin.turn++
-	c.send(addresses[c.rejoin.turn%len(addresses)], c.heartbeat(""))
+	c.rejoin.next++
+	c.send(addresses[c.rejoin.next%len(addresses)], c.gossipHeartbeat(""))
 }
--- a/membership/types.go
+++ b/membership/types.go
@@ -8,21 +8,22 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// State of a member as this node knows it.
+// State is the state of a member as this node knows it.
 type State string
 
-// The states. Their values are those of wire.MemberRecord.
+// The member states. Their values are those of wire.MemberRecord.State.
 const (
 	StateAlive   State = "alive"
 	StateSuspect State = "suspect"
-	// StateLeaving members still run but will stop soon.
+	// StateLeaving marks a member that still runs but will stop soon.
 	StateLeaving State = "leaving"
 	StateDead    State = "dead"
 )
 
-// rank orders the states at equal incarnation: the larger replaces the smaller.
-// Unknown states, from a newer version, rank lowest and so change nothing.
-func (s State) rank() int {
+// precedence orders the states of records with equal incarnation: the larger
+// value replaces the smaller. A state that this version does not know has the
+// lowest precedence and therefore changes nothing.
+func (s State) precedence() int {
 	switch s {
 	case StateAlive:
 		return 1
@@ -37,50 +38,51 @@
 	}
 }
 
-// Member is a node and its state. Suspected members are still to be treated as
-// running.
+// Member is a node and its state. A suspected member is still treated as running.
 type Member struct {
 	Node  cluster.Node
 	State State
-	// Incarnation grows from start to start of processes at one address, and
-	// when the member refutes a suspicion.
+	// Incarnation increases with each process start at one address and each time
+	// the member refutes a suspicion.
 	Incarnation uint64
-	// Since is when this node learned of State.
+	// Since is the time at which this node learned of State.
 	Since time.Time
 }
 
-// Running reports whether the member is not held to be dead.
+// Running reports whether the member is in any state other than StateDead.
 func (m Member) Running() bool { return m.State != StateDead }
 
-// Config holds the timing. The zero value of a field means its default.
+// Config holds intervals, timeouts and limits. The zero value of a field selects
+// its default.
 type Config struct {
-	// ZoneInterval between probes of members of the own zone, one member a
-	// probe, in turn; the default is 1 s.
+	// ZoneInterval is the interval between probes of members in the node's own
+	// zone. Each probe goes to the next member of a round. The default is 1 s.
 	ZoneInterval time.Duration
-	// RemoteInterval between probes of random members of other zones; the
-	// default is 2 s.
+	// RemoteInterval is the interval between probes of random members in other
+	// zones. The default is 2 s.
 	RemoteInterval time.Duration
-	// ProbeTimeout is how long an answer may take; the default is 1 s. It
-	// must be above the round trip between regions.
+	// ProbeTimeout is the time a member has to answer a probe. The default is
+	// 1 s. It must exceed the round-trip time between regions.
 	ProbeTimeout time.Duration
-	// SuspicionTime is how long a suspected member has to refute; the default
-	// is 4 s. It is tripled while this node's own last probes all failed, as
-	// then the fault is probably its own.
+	// SuspicionTime is the time a suspected member has to refute the suspicion.
+	// The default is 4 s. It is tripled while the latest probes of this node
+	// have all failed, because the fault is then probably its own.
 	SuspicionTime time.Duration
 	// ForgetTime is how long a dead member is remembered, so that old gossip
-	// does not bring it back; the default is 2 min.
+	// does not bring it back. The default is 2 min.
 	ForgetTime time.Duration
-	// RejoinInterval between heartbeats to seeds and lost members, to find
-	// the others again after a partition; the default is 5 s.
+	// RejoinInterval is the interval between heartbeats to seeds and to
+	// addresses of dead members, which find the other members again after a
+	// partition. The default is 5 s.
 	RejoinInterval time.Duration
-	// RejoinTime is how long the address of a lost member is tried; the
-	// default is 3 h.
+	// RejoinTime is how long the address of a dead member is tried. The default
+	// is 3 h.
 	RejoinTime time.Duration
-	// SyncInterval is the least time between two full exchanges of members
-	// that this node starts; the default is 10 s.
+	// SyncInterval is the minimum time between two full exchanges of members
+	// that this node starts. The default is 10 s.
 	SyncInterval time.Duration
-	// GossipRecords bounds the member records on one heartbeat; the default
-	// is 8. Full exchanges are not bounded.
+	// GossipRecords is the maximum number of member records in one heartbeat.
+	// The default is 8. Full exchanges are not limited.
 	GossipRecords int
 }
 
@@ -97,17 +99,18 @@
 	return c
 }
 
-// Event is an input of the core.
+// Event is an input to the core.
 type Event interface{ membershipEvent() }
 
-// HeartbeatReceived brings a heartbeat of a peer.
+// HeartbeatReceived reports a heartbeat from a peer.
 type HeartbeatReceived struct{ Heartbeat wire.Heartbeat }
 
-// Tick lets time pass. It should come several times a ProbeTimeout; a longer
-// gap is taken for a pause of this process, not for silence of the others.
+// Tick reports that time has passed. It should occur several times per
+// ProbeTimeout; a longer gap is treated as a pause of this process, not as
+// silence of the other members.
 type Tick struct{}
 
-// LeaveStarted says that this node will stop.
+// LeaveStarted reports that this node will stop.
 type LeaveStarted struct{}
 
 func (HeartbeatReceived) membershipEvent() {}
@@ -117,14 +120,14 @@
 // Effect is an output of the core.
 type Effect interface{ membershipEffect() }
 
-// SendHeartbeat asks to send Heartbeat to Address; the caller fills in Stamp
-// and Claims.
+// SendHeartbeat requests that Heartbeat be sent to Address; the caller fills in
+// Stamp and Claims.
 type SendHeartbeat struct {
 	Address   string
 	Heartbeat wire.Heartbeat
 }
 
-// Changed reports a member that is new, or whose state or data changed.
+// Changed reports a member that is new or whose state or node data changed.
 type Changed struct{ Member Member }
 
 func (SendHeartbeat) membershipEffect() {}
