--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -24,7 +24,9 @@
 	}
 }
 
-func TestLongestPrefixWins(t *testing.T) {
+// With overlapping prefixes, the longest match must win whatever the order of the
+// routes, so that a general route does not shadow a specific one.
+func TestFindReturnsRouteWithLongestPrefix(t *testing.T) {
 	compiled, err := testConfiguration().Compile()
 	if err != nil {
 		t.Fatal(err)
@@ -35,11 +37,13 @@
 		}
 	}
 	if route := compiled.Table.Find("other.example", "/a/"); route != nil {
-		t.Errorf("route %s for a host that has none", route.Name)
+		t.Errorf("Find returned route %s for a host without routes", route.Name)
 	}
 }
 
-func TestSnapshotHoldsServicesModelsAndAdapters(t *testing.T) {
+// Placement reads the snapshot alone: a service, model or adapter that is missing
+// from it would never be loaded.
+func TestSnapshotContainsServicesModelsAndAdapters(t *testing.T) {
 	compiled, err := testConfiguration().Compile()
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +51,7 @@
 	for _, id := range []string{"plain", "engine/m1", "engine/m2", "engine/m1/a1", "engine/m1/a2"} {
 		service, model, adapter := Split(AdapterID("engine", "m1", "a1"))
 		if service != "engine" || model != "m1" || adapter != "a1" {
-			t.Fatalf("split into %s, %s, %s", service, model, adapter)
+			t.Fatalf("Split returned %s, %s, %s", service, model, adapter)
 		}
 		found := false
 		for i := range compiled.Snapshot.Models {
@@ -61,11 +65,12 @@
 		t.Errorf("%d models, want 5 with adapters that name their base", len(compiled.Snapshot.Models))
 	}
 	if spec := compiled.Service("engine").Model("m1"); spec == nil || spec.LoadTime != time.Second {
-		t.Errorf("model %+v", spec)
+		t.Errorf("Model returned %+v", spec)
 	}
 }
 
-func TestSharesFollowWeights(t *testing.T) {
+// A target with a tenth of the weight must get about a tenth of the requests.
+func TestPickFollowsTargetWeights(t *testing.T) {
 	compiled, err := testConfiguration().Compile()
 	if err != nil {
 		t.Fatal(err)
@@ -80,16 +85,18 @@
 		}
 	}
 	if plain < 27 || plain > 33 {
-		t.Errorf("%d of %d requests went to the part of a tenth", plain, requests)
+		t.Errorf("%d of %d requests went to the target with a tenth of the weight", plain, requests)
 	}
 }
 
-func TestWrongConfigurationsSayWhy(t *testing.T) {
+// An invalid configuration must be rejected with an error that names the object
+// and the reason.
+func TestInvalidConfigurationIsRejectedWithReason(t *testing.T) {
 	cases := map[string]struct {
 		change func(*Configuration)
 		want   string
 	}{
-		"no service":       {func(c *Configuration) { c.Routes[0].Targets = nil }, "route all: has no service"},
+		"no service":       {func(c *Configuration) { c.Routes[0].Targets = nil }, "route all: has no target service"},
 		"unknown service":  {func(c *Configuration) { c.Routes[0].Targets[0].Service = "x" }, `route all: service "x" does not exist`},
 		"negative weight":  {func(c *Configuration) { c.Routes[0].Targets[0].Weight = -1 }, "weight of plain is negative"},
 		"nameless service": {func(c *Configuration) { c.Services[0].Name = "" }, "services[0].name: must not be empty"},
--- a/catalog/compile.go
+++ b/catalog/compile.go
@@ -12,20 +12,21 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// Policies of services that are configured outside of the settings tree.
+// Policy values for services that are configured outside the settings tree.
 const (
 	queueLength = 4096
 	queueBytes  = 96 << 20
-	// keepAlive outlasts any day: engines keep idle models until their memory is
-	// needed.
+	// keepAlive is longer than any daily traffic cycle, because engines keep idle
+	// models loaded until the memory is needed.
 	keepAlive = 7 * 24 * time.Hour
-	// coldStartWeight weighs cold starts and idle memory alike.
+	// coldStartWeight gives cold starts and idle memory equal weight.
 	coldStartWeight = 0.5
-	// maxReplicas bounds a model's replicas only by the machines there are.
+	// maxReplicas is high enough that only the number of machines limits the
+	// replicas of a model.
 	maxReplicas = 1 << 20
 )
 
-// Compiled is a configuration in the forms that decisions read. It is
+// Compiled is a configuration in the form that routing and placement read. It is
 // immutable.
 type Compiled struct {
 	Configuration
@@ -35,7 +36,7 @@
 	tenants  map[string]*Tenant
 }
 
-// Service returns the service of a name, or nil.
+// Service returns the service with the given name, or nil.
 func (c *Compiled) Service(name string) *Service {
 	if c == nil {
 		return nil
@@ -43,22 +44,22 @@
 	return c.services[name]
 }
 
-// Model returns a service's model of a name, or nil.
+// Model returns the service's model with the given name, or nil.
 func (s *Service) Model(name string) *ModelSpec {
 	if s == nil || s.Engine == nil {
 		return nil
 	}
-	at, found := slices.BinarySearchFunc(s.Engine.Models, name, func(m ModelSpec, name string) int {
+	index, found := slices.BinarySearchFunc(s.Engine.Models, name, func(m ModelSpec, name string) int {
 		return cmp.Compare(m.Name, name)
 	})
 	if !found {
 		return nil
 	}
-	return &s.Engine.Models[at]
+	return &s.Engine.Models[index]
 }
 
-// Compile checks the configuration and compiles it. The configuration must not
-// change afterwards.
+// Compile validates the configuration and compiles it. The configuration must not
+// be changed afterwards.
 func (c Configuration) Compile() (*Compiled, error) {
 	compiled := &Compiled{Configuration: c, services: make(map[string]*Service, len(c.Services))}
 	for i := range c.Services {
@@ -72,7 +73,7 @@
 		compiled.services[service.Name] = service
 	}
 	for i := range c.Routes {
-		if err := compiled.check(&c.Routes[i]); err != nil {
+		if err := compiled.validateRoute(&c.Routes[i]); err != nil {
 			return nil, err
 		}
 	}
@@ -85,10 +86,11 @@
 	return compiled, nil
 }
 
-// check reports what is wrong with a route.
-func (c *Compiled) check(route *Route) error {
+// validateRoute returns an error if the route has no target, an unknown service
+// or a negative weight.
+func (c *Compiled) validateRoute(route *Route) error {
 	if len(route.Targets) == 0 {
-		return eris.Errorf("route %s: has no service", route.Name)
+		return eris.Errorf("route %s: has no target service", route.Name)
 	}
 	for _, target := range route.Targets {
 		if c.services[target.Service] == nil {
@@ -101,7 +103,8 @@
 	return nil
 }
 
-// snapshot returns the settings of every service, model and adapter, and the tokens.
+// snapshot returns a settings snapshot with all services, models and adapters,
+// and with the given tokens.
 func (c *Compiled) snapshot(tokens []settings.Token) *settings.Snapshot {
 	var models []settings.Model
 	for i := range c.Services {
@@ -111,7 +114,8 @@
 	return settings.NewSnapshot(settings.Stamp{Revision: c.Version}, models, tokens, nil)
 }
 
-// serviceModels returns the settings of one service and its models.
+// serviceModels returns the settings of a service's models and adapters, or of
+// the service itself if it has no engine.
 func serviceModels(service *Service) []settings.Model {
 	path := "/" + service.Name
 	sources := map[string]string{"queue_time": path, "queue_length": path, "queue_bytes": path, "memory": path}
@@ -147,7 +151,8 @@
 // AdapterName returns the name of a model's n-th adapter, counted from 1.
 func AdapterName(n int) string { return "a" + strconv.Itoa(n) }
 
-// String describes the configuration in one line.
+// String returns the version of the configuration and the numbers of its routes,
+// services and models, in one line.
 func (c *Compiled) String() string {
 	return fmt.Sprintf("version %d: %d routes, %d services, %d models and adapters", c.Version, len(c.Routes), len(c.Services), len(c.Snapshot.Models))
 }
--- a/catalog/table.go
+++ b/catalog/table.go
@@ -7,20 +7,21 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is immutable.
+// Table maps a host and path to a route. It is immutable.
 type Table struct {
-	// hosts holds the routes of each host, longest prefix first.
-	hosts map[string][]*Route
+	// routesByHost holds the routes of each lower-case host name, longest path
+	// prefix first.
+	routesByHost map[string][]*Route
 }
 
-// newTable indexes routes by host.
+// newTable returns a table of the given routes.
 func newTable(routes []Route) *Table {
-	table := &Table{hosts: make(map[string][]*Route)}
+	table := &Table{routesByHost: make(map[string][]*Route)}
 	for i := range routes {
 		host := strings.ToLower(routes[i].Host)
-		table.hosts[host] = append(table.hosts[host], &routes[i])
+		table.routesByHost[host] = append(table.routesByHost[host], &routes[i])
 	}
-	for _, list := range table.hosts {
+	for _, list := range table.routesByHost {
 		slices.SortStableFunc(list, func(a, b *Route) int {
 			return cmp.Or(cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)), cmp.Compare(a.Name, b.Name))
 		})
@@ -28,13 +29,13 @@
 	return table
 }
 
-// Find returns the route of a host whose prefix begins the path and is longest,
-// or nil. A port in the host is passed over.
+// Find returns the route of the host with the longest prefix of path, or nil. A
+// port in host is ignored.
 func (t *Table) Find(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	for _, route := range t.hosts[strings.ToLower(host)] {
+	for _, route := range t.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -42,19 +43,19 @@
 	return nil
 }
 
-// Pick returns the service for a request of the route, by a number that is even
-// over [0, 1).
+// Pick returns the service for one request of the route, in proportion to the
+// target weights. The number draw must be uniformly distributed over [0, 1).
 func (r *Route) Pick(draw float64) string {
 	var sum float64
 	for _, target := range r.Targets {
 		sum += target.Weight
 	}
-	rest := draw * sum
+	remaining := draw * sum
 	for _, target := range r.Targets {
-		if rest < target.Weight {
+		if remaining < target.Weight {
 			return target.Service
 		}
-		rest -= target.Weight
+		remaining -= target.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
--- a/catalog/tenants.go
+++ b/catalog/tenants.go
@@ -10,43 +10,47 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// Unit is what a tenant's limit counts.
+// Unit is the unit of a tenant's limit.
 type Unit uint8
 
-// The units.
+// The units of a limit.
 const (
 	// UnitRequests counts each request once.
 	UnitRequests Unit = iota
-	// UnitTokens counts the tokens that a request states, of its prompt and at most
-	// generated.
+	// UnitTokens counts the tokens that a request states: those of its prompt
+	// plus the maximum to be generated.
 	UnitTokens
 )
 
-// Tenant is a customer whose callers share keys and a limit.
+// Tenant is a customer whose callers share API keys and a limit.
 type Tenant struct {
 	Name string
-	// Keys are the lower-case hexadecimal SHA-256 hashes of its keys. The keys themselves
-	// are not kept.
+	// Keys are the lower-case hexadecimal SHA-256 hashes of the tenant's API
+	// keys. The keys themselves are not stored.
 	Keys []string
-	// Ranked is set where Rank goes before that of a route; 0 is the highest.
+	// Ranked is true if Rank overrides the priority of the route; rank 0 is the
+	// highest.
 	Ranked bool
 	Rank   int
 	Limit  Limit
 }
 
-// Limit bounds what a tenant's callers send through all nodes together: Rate units a second
-// and Burst beyond that. The zero value limits nothing.
+// Limit bounds the load that a tenant's callers may send through all nodes
+// together: Rate units per second, and Burst units beyond that. The zero value
+// means no limit.
 type Limit struct {
 	Rate, Burst float64
 	Unit        Unit
-	// PlainTokens are counted for a request that states none.
+	// PlainTokens is the number of tokens charged for a request that states
+	// none.
 	PlainTokens int
 }
 
-// Unlimited reports whether nothing is limited.
+// Unlimited reports whether the limit is absent.
 func (l Limit) Unlimited() bool { return l.Rate <= 0 }
 
-// Charge is what a request with so many stated tokens counts, zero for none stated.
+// Charge returns the units that a request with the given number of stated tokens
+// consumes. Zero tokens means that the request states none.
 func (l Limit) Charge(tokens int) float64 {
 	switch {
 	case l.Unit == UnitRequests:
@@ -57,10 +61,10 @@
 	return float64(l.PlainTokens)
 }
 
-// tenantsPath is the level above the tenants'.
+// tenantsPath is the prefix of the settings paths of tenants.
 const tenantsPath = "/tenants/"
 
-// Tenant returns the tenant of a name, or nil.
+// Tenant returns the tenant with the given name, or nil.
 func (c *Compiled) Tenant(name string) *Tenant {
 	if c == nil {
 		return nil
@@ -68,10 +72,10 @@
 	return c.tenants[name]
 }
 
-// Keyed reports whether callers need a key, but for public routes.
+// Keyed reports whether callers need an API key on routes that are not public.
 func (c *Compiled) Keyed() bool { return c != nil && len(c.Tenants) > 0 }
 
-// Holder returns the tenant that holds the key of a hash, or nil.
+// Holder returns the tenant that has the API key with the given hash, or nil.
 func (c *Compiled) Holder(hash string) *Tenant {
 	if c == nil {
 		return nil
@@ -83,24 +87,25 @@
 	return c.tenants[token.Name]
 }
 
-// indexTenants checks the tenants and returns the tokens of their keys, sorted by hash.
+// indexTenants validates and indexes the tenants. It returns the tokens of their
+// API keys, sorted by hash.
 func (c *Compiled) indexTenants() ([]settings.Token, error) {
 	c.tenants = make(map[string]*Tenant, len(c.Tenants))
 	owners := make(map[string]string)
 	var tokens []settings.Token
 	for i := range c.Tenants {
 		tenant := &c.Tenants[i]
-		if err := tenant.check(i); err != nil {
+		if err := tenant.validate(i); err != nil {
 			return nil, err
 		}
 		if c.tenants[tenant.Name] != nil {
-			return nil, eris.Errorf("tenant %s: is given twice", tenant.Name)
+			return nil, eris.Errorf("tenant %s: is defined more than once", tenant.Name)
 		}
 		c.tenants[tenant.Name] = tenant
 		for _, key := range tenant.Keys {
 			owner, known := owners[key]
 			if known && owner != tenant.Name {
-				return nil, eris.Errorf("tenant %s: has a key of tenant %s", tenant.Name, owner)
+				return nil, eris.Errorf("tenant %s: has an API key that already belongs to tenant %s", tenant.Name, owner)
 			}
 			if known {
 				continue
@@ -115,17 +120,18 @@
 	return tokens, nil
 }
 
-// check reports what is wrong with the tenant at a place of the list.
-func (t *Tenant) check(at int) error {
+// validate returns an error if a field of the tenant is out of range. The index
+// is the tenant's position in the configuration.
+func (t *Tenant) validate(index int) error {
 	switch {
 	case t.Name == "":
-		return eris.Errorf("tenants[%d].name: must not be empty", at)
+		return eris.Errorf("tenants[%d].name: must not be empty", index)
 	case !(t.Limit.Rate >= 0) || math.IsInf(t.Limit.Rate, 0):
-		return eris.Errorf("tenant %s: its rate must be a number that isn't negative", t.Name)
+		return eris.Errorf("tenant %s: rate must be a non-negative finite number", t.Name)
 	case !(t.Limit.Burst >= 0) || math.IsInf(t.Limit.Burst, 0):
-		return eris.Errorf("tenant %s: its burst must be a number that isn't negative", t.Name)
+		return eris.Errorf("tenant %s: burst must be a non-negative finite number", t.Name)
 	case t.Limit.PlainTokens < 0:
-		return eris.Errorf("tenant %s: the tokens of a plain request must not be negative", t.Name)
+		return eris.Errorf("tenant %s: plain_tokens must not be negative", t.Name)
 	}
 	return nil
 }
--- a/catalog/tenants_test.go
+++ b/catalog/tenants_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-func withTenants(tenants ...Tenant) Configuration {
+func configurationWithTenants(tenants ...Tenant) Configuration {
 	c := testConfiguration()
 	c.Tenants = tenants
 	return c
 }
 
-// TestKeysFindTheirTenants: a key finds its tenant by its hash, also where a tenant names it
-// twice.
-func TestKeysFindTheirTenants(t *testing.T) {
-	compiled, err := withTenants(
+// A key hash must identify its tenant, also when the tenant lists the key twice.
+// Charges must follow the unit of the tenant's limit.
+func TestKeyHashIdentifiesTenant(t *testing.T) {
+	compiled, err := configurationWithTenants(
 		Tenant{Name: "b", Keys: []string{"h3", "h1", "h3"}, Ranked: true, Rank: 2},
 		Tenant{Name: "a", Keys: []string{"h2"}, Limit: Limit{Rate: 10, Unit: UnitTokens, PlainTokens: 200}},
 	).Compile()
@@ -31,25 +31,26 @@
 		t.Errorf("an unknown key belongs to %s", got.Name)
 	}
 	if !compiled.Keyed() || !compiled.Tenant("b").Limit.Unlimited() || compiled.Tenant("a").Limit.Unlimited() {
-		t.Error("callers need keys, and only one tenant is limited")
+		t.Error("want callers to need keys and only tenant a to be limited")
 	}
 	limit := compiled.Tenant("a").Limit
 	if limit.Charge(1540) != 1540 || limit.Charge(0) != 200 || (Limit{Rate: 1}).Charge(1540) != 1 {
-		t.Error("a request counts its tokens, without any those of a plain one, and one where requests are counted")
+		t.Error("want the stated tokens, PlainTokens without stated ones, and 1 for a limit in requests")
 	}
 }
 
-// TestWrongTenantsSayWhy: a configuration that can't be meant is refused whole.
-func TestWrongTenantsSayWhy(t *testing.T) {
+// A configuration with one invalid tenant must be rejected as a whole, with an
+// error that names the tenant and the reason.
+func TestInvalidTenantIsRejectedWithReason(t *testing.T) {
 	for want, tenants := range map[string][]Tenant{
-		"tenants[1].name: must not be empty": {{Name: "a"}, {}},
-		"tenant a: is given twice":           {{Name: "a"}, {Name: "a"}},
-		"tenant b: has a key of tenant a":    {{Name: "a", Keys: []string{"h"}}, {Name: "b", Keys: []string{"h"}}},
-		"tenant a: its rate":                 {{Name: "a", Limit: Limit{Rate: -1}}},
-		"tenant a: its burst":                {{Name: "a", Limit: Limit{Burst: math.NaN()}}},
-		"tenant a: the tokens":               {{Name: "a", Limit: Limit{PlainTokens: -1}}},
+		"tenants[1].name: must not be empty":                        {{Name: "a"}, {}},
+		"tenant a: is defined more than once":                       {{Name: "a"}, {Name: "a"}},
+		"tenant b: has an API key that already belongs to tenant a": {{Name: "a", Keys: []string{"h"}}, {Name: "b", Keys: []string{"h"}}},
+		"tenant a: rate":         {{Name: "a", Limit: Limit{Rate: -1}}},
+		"tenant a: burst":        {{Name: "a", Limit: Limit{Burst: math.NaN()}}},
+		"tenant a: plain_tokens": {{Name: "a", Limit: Limit{PlainTokens: -1}}},
 	} {
-		if _, err := withTenants(tenants...).Compile(); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := configurationWithTenants(tenants...).Compile(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want %q", err, want)
 		}
 	}
--- a/catalog/types.go
+++ b/catalog/types.go
@@ -7,17 +7,17 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// RouteKind says what may be repeated of a route's requests.
+// RouteKind says whether the requests of a route may be repeated.
 type RouteKind uint8
 
-// The kinds of routes.
+// The route kinds.
 const (
-	// KindUnrepeatable requests run at most once.
+	// KindUnrepeatable marks requests that run at most once.
 	KindUnrepeatable RouteKind = iota
-	// KindIdempotent requests may run more than once.
+	// KindIdempotent marks requests that may run more than once.
 	KindIdempotent
-	// KindStream requests are answered by a series of events; they run at most
-	// once unless the route is resumable.
+	// KindStream marks requests that are answered by a stream of events. They
+	// run at most once unless the route is resumable.
 	KindStream
 )
 
@@ -33,43 +33,45 @@
 	}
 }
 
-// Target is a service that gets a part of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the service's share in proportion to the other weights.
+	// Weight is the service's share relative to the weights of the other
+	// targets.
 	Weight float64
 }
 
-// Route sends the requests of a host whose path begins with a prefix to one or
-// more services.
+// Route sends the requests for one host and path prefix to one or more services.
 type Route struct {
 	Name string
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       RouteKind
-	// Resumable streams may be continued at another machine after their last
-	// event.
+	// Resumable is true if a stream may be continued on another machine after
+	// its last event.
 	Resumable bool
-	// Targets is never empty.
+	// Targets has at least one element.
 	Targets []Target
-	// Attempts is the most machines that one request may be sent to.
+	// Attempts is the maximum number of machines to which one request may be
+	// sent.
 	Attempts int
 	// Timeout bounds the whole request; zero means no bound.
 	Timeout time.Duration
-	// Objective is the time in which an answer, or a stream's first event, is
-	// in time.
+	// Objective is the latency objective of a whole answer, or of the first
+	// event of a stream.
 	Objective time.Duration
-	// LongestPause between two events that are in time; zero when unstated.
+	// LongestPause is the latency objective of the time between two events of a
+	// stream; zero means unstated.
 	LongestPause time.Duration
-	// Patience is how long callers wait for the first event of a stream; zero when they
-	// wait as long as they have.
+	// Patience is how long callers wait for the first event of a stream; zero
+	// means until the request's own time limit.
 	Patience time.Duration
-	// Priority is the rank, 0 being the highest.
+	// Priority is the rank of the requests; 0 is the highest.
 	Priority int
-	// Sticky routes state the parts of their prompts.
+	// Sticky is true if requests state the parts of their prompts.
 	Sticky bool
-	// Public routes take callers without a key.
+	// Public is true if callers need no API key.
 	Public bool
 }
 
@@ -79,87 +81,95 @@
 // ModelSpec is a model that the engines of a service can load.
 type ModelSpec struct {
 	Name string
-	// Bytes of memory that the weights take.
+	// Bytes is the memory that the weights occupy.
 	Bytes int64
-	// LoadTime from the weight store, DiskTime and MemoryTime from a machine's
-	// own copies.
+	// LoadTime is the load time from the weight store, DiskTime from the
+	// machine's disk and MemoryTime from a copy in its memory.
 	LoadTime, DiskTime, MemoryTime time.Duration
-	// Adapters is how many adapters the model has, AdapterBytes what each takes.
+	// Adapters is the number of adapters of the model, AdapterBytes the memory
+	// that each occupies.
 	Adapters     int
 	AdapterBytes int64
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// CacheTokens is the memory for running requests and cached prompts.
+	// CacheTokens is the capacity, in tokens, for running requests and cached
+	// prompts.
 	CacheTokens int
-	// MemoryBytes holds weights and adapters together.
+	// MemoryBytes is the memory for weights and adapters together.
 	MemoryBytes int64
-	// AdapterSlots bounds the adapters that are loaded at once.
+	// AdapterSlots is the maximum number of adapters loaded at the same time.
 	AdapterSlots int
-	// LoadsPerSecond that the weight store allows over all engines.
+	// LoadsPerSecond is the rate of loads that the weight store allows over all
+	// engines.
 	LoadsPerSecond float64
-	// Models sorted by name.
+	// Models is sorted by name.
 	Models []ModelSpec
 }
 
-// Service is a set of machines that do the same work.
+// Service is a set of interchangeable machines.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections that a machine accepts from all callers together.
+	// MaxConnections is the number of connections that a machine accepts from
+	// all callers together.
 	MaxConnections int
-	// Engine is nil for services without models.
+	// Engine is nil for a service without models.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send and how long a connection may rest.
+// Limits bounds the size of callers' requests and the time that a connection may
+// be idle.
 type Limits struct {
 	MaxHeaderBytes, MaxBodyBytes int64
 	HeaderTimeout, IdleTimeout   time.Duration
 }
 
-// Configuration is one version of all routes and services.
+// Configuration is one version of all routes, services and tenants.
 type Configuration struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
-	// Tenants hold the keys of callers; without any, callers need none.
+	// Tenants have the API keys of callers. If there are none, callers need no
+	// key.
 	Tenants []Tenant
 	Limits  Limits
 }
 
-// HeldModel is a model that a machine holds.
+// HeldModel is a model that is loaded on a machine, with its adapters.
 type HeldModel struct {
 	Name     string
 	Adapters []string
 }
 
-// Worker is a machine's entry in the store. Every start of a machine has an
-// identifier of its own.
+// Worker is a machine's entry in the store. Each start of a machine has its own
+// identifier.
 type Worker struct {
-	// ID names one start of the machine: what is known under it ends with that start.
+	// ID identifies one start of the machine: state recorded under it is valid
+	// for that start only.
 	ID cluster.MachineID
-	// Born is when it started, in Unix milliseconds; zero where it does not say.
+	// Born is the start time in Unix milliseconds; zero if the entry does not
+	// state it.
 	Born    int64
 	Service string
 	// Address is host:port.
 	Address string
 	Zone    cluster.ZoneID
-	// Release of the machine's software.
+	// Release is the version of the machine's software.
 	Release string
 	Slots   int
-	// Draining machines take no new requests.
+	// Draining is true if the machine takes no new requests.
 	Draining bool
-	// Held models, as of the entry's writing.
+	// Held lists the models that were loaded when the entry was written.
 	Held []HeldModel
-	// InMemory and OnDisk name the models of which copies are kept.
+	// InMemory and OnDisk name the models of which the machine keeps copies.
 	InMemory, OnDisk []string
 }
 
-// Equal reports whether two entries say the same.
+// Equal reports whether two entries have equal contents.
 func (w *Worker) Equal(o *Worker) bool {
 	return w.ID == o.ID && w.Born == o.Born && w.Service == o.Service && w.Address == o.Address && w.Zone == o.Zone &&
 		w.Release == o.Release && w.Slots == o.Slots && w.Draining == o.Draining &&
@@ -167,20 +177,21 @@
 		slices.Equal(w.InMemory, o.InMemory) && slices.Equal(w.OnDisk, o.OnDisk)
 }
 
-// Equal reports whether the same adapters of the same model are held.
+// Equal reports whether both have the same model and the same adapters.
 func (m HeldModel) Equal(o HeldModel) bool {
 	return m.Name == o.Name && slices.Equal(m.Adapters, o.Adapters)
 }
 
-// Report is what an engine says of itself, some hundred milliseconds late.
+// Report is the state that an engine reports about itself. It is some hundred
+// milliseconds old when it arrives.
 type Report struct {
 	Held []HeldModel
-	// Coming adapters are on their way.
+	// Coming lists adapters that are being loaded.
 	Coming []string
-	// Busy engines carry out an order.
+	// Busy is true while the engine carries out an order.
 	Busy             bool
 	OrderCount       int64
 	Waiting, Running int
-	// InMemory and OnDisk name the models of which copies are kept.
+	// InMemory and OnDisk name the models of which the engine keeps copies.
 	InMemory, OnDisk []string
 }
