--- a/clock/clock.go
+++ b/clock/clock.go
@@ -7,44 +7,47 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock starts at the time of day and never jumps after that.
+// Clock starts at the current time of day and then advances steadily, without
+// following later changes of the time of day.
 type Clock struct {
-	epoch time.Time
-	began time.Duration
-	// read returns the reading of the kernel's clock.
-	read func() time.Duration
+	startTime    time.Time
+	startReading time.Duration
+	// readKernel returns the current reading of the kernel's clock.
+	readKernel func() time.Duration
 }
 
-// New returns a clock that starts now. Where the kernel has no clock that counts
-// suspension, it follows the steady one.
+// New returns a clock that starts now. If the kernel has no clock that includes
+// suspension, the clock follows Go's monotonic clock.
 func New() *Clock {
-	read := sinceBoot
-	if _, ok := boottime(); !ok {
-		began := time.Now()
-		read = func() time.Duration { return time.Since(began) }
+	readKernel := timeSinceBoot
+	if _, ok := readBoottime(); !ok {
+		start := time.Now()
+		readKernel = func() time.Duration { return time.Since(start) }
 	}
-	return newClock(time.Now(), read)
+	return newClock(time.Now(), readKernel)
 }
 
-func newClock(epoch time.Time, read func() time.Duration) *Clock {
-	return &Clock{epoch: epoch.Round(0), began: read(), read: read}
+func newClock(startTime time.Time, readKernel func() time.Duration) *Clock {
+	return &Clock{startTime: startTime.Round(0), startReading: readKernel(), readKernel: readKernel}
 }
 
-// Now returns the clock's time. Two of its times compare by what passed between them.
-func (c *Clock) Now() time.Time { return c.epoch.Add(c.read() - c.began) }
+// Now returns the current time of the clock. The difference of two such times is
+// the time that passed between them, including suspension.
+func (c *Clock) Now() time.Time { return c.startTime.Add(c.readKernel() - c.startReading) }
 
-// boottime reads the kernel's clock since the machine's boot, suspension included. It is a
-// system call that never waits, so the scheduler isn't told of it.
-func boottime() (time.Duration, bool) {
-	var reading unix.Timespec
-	_, _, failure := unix.RawSyscall(unix.SYS_CLOCK_GETTIME, unix.CLOCK_BOOTTIME, uintptr(unsafe.Pointer(&reading)), 0)
+// readBoottime reads CLOCK_BOOTTIME, the time since the machine's boot including
+// suspension. The system call never blocks, so it is made without informing the
+// Go scheduler.
+func readBoottime() (time.Duration, bool) {
+	var timespec unix.Timespec
+	_, _, failure := unix.RawSyscall(unix.SYS_CLOCK_GETTIME, unix.CLOCK_BOOTTIME, uintptr(unsafe.Pointer(&timespec)), 0)
 	if failure != 0 {
 		return 0, false
 	}
-	return time.Duration(reading.Nano()), true
+	return time.Duration(timespec.Nano()), true
 }
 
-func sinceBoot() time.Duration {
-	reading, _ := boottime()
+func timeSinceBoot() time.Duration {
+	reading, _ := readBoottime()
 	return reading
 }
--- a/cluster/doc.go
+++ b/cluster/doc.go
@@ -1,4 +1,5 @@
-// Package cluster holds the identifiers and plain data types that all packages
+// Package cluster defines the identifiers and plain data types that all packages
 // share: nodes, machines, models, replicas, inventories, orders and allotments.
-// It has no behaviour beyond small accessors and depends on nothing.
+// Apart from small accessors it has no behaviour, and it imports no other package
+// of the project.
 package cluster
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -10,14 +10,14 @@
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value: an error whose verdict nobody set must be
-	// treated as if the request might have been executed.
+	// MayHaveRun is the zero value: an error without an explicit verdict must be
+	// treated as if the request may have been executed.
 	MayHaveRun Verdict = iota
-	// NotRun states that no engine executed any part of the request: it was
+	// NotRun means that no engine executed any part of the request: it was
 	// refused before a byte was written to an engine, or the engine confirmed
 	// that it had not started it.
 	NotRun
-	// Ran states that an engine executed the request, fully or in part.
+	// Ran means that an engine executed the request, fully or in part.
 	Ran
 )
 
@@ -33,7 +33,8 @@
 	}
 }
 
-// Parse reads the form written by String. Unknown text is MayHaveRun.
+// Parse returns the verdict for a text written by String. Unknown text gives
+// MayHaveRun.
 func Parse(text string) Verdict {
 	switch text {
 	case "not-run":
@@ -48,7 +49,7 @@
 // Code classifies an error for callers, logs and metrics.
 type Code string
 
-// The codes a caller can see. Each maps to one HTTP status in package api.
+// The codes that a caller can receive. Package api maps each to one HTTP status.
 const (
 	CodeInvalidRequest     Code = "invalid_request"
 	CodeUnauthorized       Code = "unauthorized"
@@ -75,19 +76,22 @@
 	CodeConflict           Code = "conflict"
 	CodeUnavailable        Code = "unavailable"
 	CodeInternal           Code = "internal"
-	// CodePoisonRequest refuses a request that ended the machines which ran it.
+	// CodePoisonRequest rejects a request whose earlier runs ended the machines
+	// that executed it.
 	CodePoisonRequest Code = "poison_request"
 )
 
-// Error is a classified error that carries a verdict.
+// Error is a classified error with a verdict.
 type Error struct {
 	// Verdict says whether the request may have been executed.
 	Verdict Verdict
 	// Code classifies the error.
 	Code Code
-	// Message is one sentence for people; it never holds secrets or prompts.
+	// Message is one human-readable sentence; it never contains secrets or
+	// prompts.
 	Message string
-	// RetryAfter tells the caller when to come back; zero means unstated.
+	// RetryAfter is the time after which the caller may retry; zero means
+	// unstated.
 	RetryAfter time.Duration
 	// Cause is the underlying error, or nil.
 	Cause error
@@ -98,12 +102,12 @@
 	return &Error{Verdict: verdict, Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// Wrap returns an Error around cause.
+// Wrap returns an Error with the given cause.
 func Wrap(cause error, verdict Verdict, code Code, message string) *Error {
 	return &Error{Verdict: verdict, Code: code, Message: message, Cause: cause}
 }
 
-// After returns a copy of the error that tells the caller when to come back.
+// After returns a copy of the error with RetryAfter set to wait.
 func (e *Error) After(wait time.Duration) *Error {
 	copied := *e
 	copied.RetryAfter = wait
@@ -118,7 +122,8 @@
 	return fmt.Sprintf("%s (%s, %s)", e.Message, e.Code, e.Verdict)
 }
 
-// Reason says what failed and why, for a log that has the code and verdict by themselves.
+// Reason returns the message and the cause, without code and verdict, for logs
+// that have these in separate fields.
 func (e *Error) Reason() string {
 	if e.Cause == nil {
 		return e.Message
@@ -129,7 +134,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Of returns the verdict of err. An error without one is MayHaveRun, which is
+// Of returns the verdict of err. It is MayHaveRun if err carries none, which is
 // the only safe assumption.
 func Of(err error) Verdict {
 	var classified *Error
@@ -139,7 +144,7 @@
 	return MayHaveRun
 }
 
-// CodeOf returns the code of err, or CodeInternal when it carries none.
+// CodeOf returns the code of err, or CodeInternal if err carries none.
 func CodeOf(err error) Code {
 	var classified *Error
 	if errors.As(err, &classified) {
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -6,9 +6,11 @@
 	"testing"
 )
 
+// An error without a verdict must count as MayHaveRun, or a request that was
+// executed would be retried. Wrapping must preserve verdict and code.
 func TestOfDefaultsToMayHaveRun(t *testing.T) {
 	if got := Of(errors.New("plain")); got != MayHaveRun {
-		t.Fatalf("a plain error has verdict %v, want %v", got, MayHaveRun)
+		t.Fatalf("an error without a verdict has verdict %v, want %v", got, MayHaveRun)
 	}
 	wrapped := fmt.Errorf("outer: %w", New(NotRun, CodeQueueFull, "queue of %s is full", "m"))
 	if Of(wrapped) != NotRun || CodeOf(wrapped) != CodeQueueFull {
@@ -16,6 +18,8 @@
 	}
 }
 
+// Verdicts cross the network as text: each must survive the round trip, and text
+// from a newer version must be read as the safe value.
 func TestParseIsTheInverseOfString(t *testing.T) {
 	for _, v := range []Verdict{MayHaveRun, NotRun, Ran} {
 		if Parse(v.String()) != v {
@@ -23,15 +27,16 @@
 		}
 	}
 	if Parse("something newer") != MayHaveRun {
-		t.Fatal("unknown text must be MayHaveRun")
+		t.Fatal("Parse of unknown text must return MayHaveRun")
 	}
 }
 
-// TestReasonTellsCause: the reason holds the message and the cause, not the class.
-func TestReasonTellsCause(t *testing.T) {
+// The reason must contain the message and the cause, but neither code nor
+// verdict.
+func TestReasonContainsMessageAndCause(t *testing.T) {
 	plain := New(NotRun, CodeInternal, "it failed")
 	wrapped := Wrap(errors.New("reset"), NotRun, CodeInternal, "it failed")
 	if plain.Reason() != "it failed" || wrapped.Reason() != "it failed: reset" {
-		t.Errorf("%q and %q", plain.Reason(), wrapped.Reason())
+		t.Errorf("reasons %q and %q", plain.Reason(), wrapped.Reason())
 	}
 }
