--- a/decisions/doc.go
+++ b/decisions/doc.go
@@ -1,4 +1,4 @@
-// Package decisions keeps the latest decisions of a node with their reasons, in
-// bounded memory: what was planned for each model, and where each request went
-// and how it ended. It answers by model and by request.
+// Package decisions keeps the latest decisions of a node and their reasons in
+// bounded memory: the placement decisions for each model, and the attempts and the
+// outcome of each request. It can be queried by model and by request.
 package decisions
--- a/decisions/journal.go
+++ b/decisions/journal.go
@@ -10,25 +10,28 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Defaults of Config and bounds of one entry.
+// Defaults of Config and limits on one entry.
 const (
 	DefaultRequests  = 4096
 	DefaultDecisions = 4096
-	// maxCandidates and maxFiltered bound the reasons kept with an entry.
+	// maxCandidates and maxFiltered limit the reasons kept with an entry.
 	maxCandidates = 4
 	maxFiltered   = 6
-	// maxDispatches bounds the attempts kept with a request; the last stay.
+	// maxDispatches limits the attempts kept with a request; the oldest are
+	// dropped.
 	maxDispatches = 4
 )
 
-// Config bounds a Journal; zero fields take the defaults.
+// Config sets the capacity of a Journal. The zero value of a field selects its
+// default.
 type Config struct {
-	// Requests is how many requests are kept, Decisions how many placement
-	// decisions and actions.
+	// Requests is the number of requests kept, Decisions the number of placement
+	// decisions with their actions.
 	Requests, Decisions int
 }
 
-// Dispatch is one attempt of a request with the reason of its choice.
+// Dispatch is one attempt of a request, with the reason for the choice of its
+// machine.
 type Dispatch struct {
 	At      time.Time
 	Attempt cluster.Attempt
@@ -37,40 +40,44 @@
 	Reason  routing.Choice
 }
 
-// Request is what became of one request.
+// Request is the record of one request: its attempts and its outcome.
 type Request struct {
 	ID    cluster.RequestID
 	Model cluster.ModelID
-	// TokenPath is the subtree of the caller's token.
+	// TokenPath is the subtree to which the caller's token gives access.
 	TokenPath string
-	// Arrived and Ended bound the request's life; Ended is zero while it runs.
+	// Arrived and Ended are the start and end of the request; Ended is zero
+	// while the request runs.
 	Arrived, Ended time.Time
 	Dispatches     []Dispatch
-	// Failure is nil for a request that was served or has not ended.
+	// Failure is nil for a request that succeeded or has not ended.
 	Failure *verdict.Error
-	// Reason of the end.
+	// Reason explains how the request ended.
 	Reason routing.Explanation
 }
 
-// Decision is one change of what was decided for a model in a zone.
+// Decision is a placement decision for a model in a zone that differs from the
+// one recorded before, or that came with actions.
 type Decision struct {
 	At       time.Time
 	Zone     cluster.ZoneID
 	Decision placement.Decision
-	// Actions ordered for the model in the same round.
+	// Actions are the actions ordered for the model in the same planning round.
 	Actions []placement.Action
 }
 
-// Journal keeps decisions. It is safe for concurrent use.
+// Journal keeps the latest requests and placement decisions. It is safe for
+// concurrent use.
 type Journal struct {
 	mutex     sync.Mutex
 	requests  ring[*Request]
 	decisions ring[*Decision]
-	// byRequest, requestsOf and decisionsOf index the rings. They hold no more
-	// keys than the rings hold entries.
-	byRequest   map[cluster.RequestID]uint64
-	requestsOf  map[cluster.ModelID]uint64
-	decisionsOf map[cluster.ModelID]uint64
+	// byRequest, newestRequest and newestDecision map to sequence numbers in the
+	// rings: newestRequest and newestDecision to the newest entry of each model.
+	// None of them has more keys than its ring has entries.
+	byRequest      map[cluster.RequestID]uint64
+	newestRequest  map[cluster.ModelID]uint64
+	newestDecision map[cluster.ModelID]uint64
 }
 
 // New returns an empty journal.
@@ -82,35 +89,35 @@
 		config.Decisions = DefaultDecisions
 	}
 	return &Journal{
-		requests:    newRing[*Request](config.Requests),
-		decisions:   newRing[*Decision](config.Decisions),
-		byRequest:   make(map[cluster.RequestID]uint64),
-		requestsOf:  make(map[cluster.ModelID]uint64),
-		decisionsOf: make(map[cluster.ModelID]uint64),
+		requests:       newRing[*Request](config.Requests),
+		decisions:      newRing[*Decision](config.Decisions),
+		byRequest:      make(map[cluster.RequestID]uint64),
+		newestRequest:  make(map[cluster.ModelID]uint64),
+		newestDecision: make(map[cluster.ModelID]uint64),
 	}
 }
 
-// Arrived opens the record of a request.
+// Arrived adds a record for a new request.
 func (j *Journal) Arrived(at time.Time, request *routing.Request) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	entry := &Request{ID: request.ID, Model: request.Model, TokenPath: request.TokenPath, Arrived: at}
-	sequence, lost, overwritten := j.requests.put(entry, j.requestsOf[request.Model])
+	sequence, evicted, overwritten := j.requests.put(entry, j.newestRequest[request.Model])
 	if overwritten {
-		delete(j.byRequest, lost.ID)
-		if held, ok := j.requestsOf[lost.Model]; ok && sequence-held >= uint64(len(j.requests.slots)) {
-			delete(j.requestsOf, lost.Model)
+		delete(j.byRequest, evicted.ID)
+		if newest, ok := j.newestRequest[evicted.Model]; ok && sequence-newest >= uint64(len(j.requests.slots)) {
+			delete(j.newestRequest, evicted.Model)
 		}
 	}
 	j.byRequest[request.ID] = sequence
-	j.requestsOf[request.Model] = sequence
+	j.newestRequest[request.Model] = sequence
 }
 
 // Dispatched adds an attempt to the record of its request.
 func (j *Journal) Dispatched(at time.Time, dispatch *routing.Dispatch) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	entry := j.find(dispatch.Request)
+	entry := j.findRequest(dispatch.Request)
 	if entry == nil {
 		return
 	}
@@ -118,15 +125,15 @@
 		entry.Dispatches = append(entry.Dispatches[:0], entry.Dispatches[1:]...)
 	}
 	entry.Dispatches = append(entry.Dispatches, Dispatch{
-		At: at, Attempt: dispatch.Attempt, Machine: dispatch.Machine, Version: dispatch.Version, Reason: boundChoice(dispatch.Reason),
+		At: at, Attempt: dispatch.Attempt, Machine: dispatch.Machine, Version: dispatch.Version, Reason: truncateChoice(dispatch.Reason),
 	})
 }
 
-// Finished closes the record of a request.
+// Finished sets the outcome in the record of a request.
 func (j *Journal) Finished(at time.Time, finish *routing.Finish) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	entry := j.find(finish.Request)
+	entry := j.findRequest(finish.Request)
 	if entry == nil {
 		return
 	}
@@ -135,8 +142,9 @@
 	entry.Reason = finish.Reason
 }
 
-// find returns the record of a request, or nil.
-func (j *Journal) find(id cluster.RequestID) *Request {
+// findRequest returns the record of a request, or nil if it is unknown or was
+// overwritten.
+func (j *Journal) findRequest(id cluster.RequestID) *Request {
 	sequence, known := j.byRequest[id]
 	if !known {
 		return nil
@@ -148,48 +156,49 @@
 	return entry.value
 }
 
-// boundChoice cuts the reasons of a choice to what is kept.
-func boundChoice(choice routing.Choice) routing.Choice {
-	choice.Candidates = bounded(choice.Candidates, maxCandidates)
-	choice.Filtered = bounded(choice.Filtered, maxFiltered)
+// truncateChoice limits the reasons of a choice to maxCandidates and maxFiltered.
+func truncateChoice(choice routing.Choice) routing.Choice {
+	choice.Candidates = truncate(choice.Candidates, maxCandidates)
+	choice.Filtered = truncate(choice.Filtered, maxFiltered)
 	return choice
 }
 
-// bounded returns a copy of at most limit items, so that a long backing array
-// is not kept alive.
-func bounded[T any](items []T, limit int) []T {
+// truncate returns at most limit items. A longer slice is copied, so that its
+// backing array can be freed.
+func truncate[T any](items []T, limit int) []T {
 	if len(items) <= limit {
 		return items
 	}
 	return append([]T(nil), items[:limit]...)
 }
 
-// Request returns what became of a request.
+// Request returns a copy of the record of a request and whether it is held.
 func (j *Journal) Request(id cluster.RequestID) (Request, bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	entry := j.find(id)
+	entry := j.findRequest(id)
 	if entry == nil {
 		return Request{}, false
 	}
-	return entry.copied(), true
+	return entry.clone(), true
 }
 
-// copied returns the record apart from later changes.
-func (r *Request) copied() Request {
-	apart := *r
-	apart.Dispatches = append([]Dispatch(nil), r.Dispatches...)
-	return apart
+// clone returns a copy of the record that later changes do not affect.
+func (r *Request) clone() Request {
+	clone := *r
+	clone.Dispatches = append([]Dispatch(nil), r.Dispatches...)
+	return clone
 }
 
-// RequestsOf returns the latest requests for a model, newest first.
+// RequestsOf returns the latest requests for a model, newest first, at most
+// limit.
 func (j *Journal) RequestsOf(model cluster.ModelID, limit int) []Request {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	entries := j.requests.chain(j.requestsOf[model], limit)
+	entries := j.requests.newestFirst(j.newestRequest[model], limit)
 	found := make([]Request, len(entries))
 	for i, entry := range entries {
-		found[i] = entry.copied()
+		found[i] = entry.clone()
 	}
 	return found
 }
--- a/decisions/journal_test.go
+++ b/decisions/journal_test.go
@@ -16,36 +16,41 @@
 
 var start = time.Unix(1000, 0)
 
-// request records one whole request.
-func request(j *Journal, id, model string) {
+// recordRequest records a request from its arrival to its end.
+func recordRequest(j *Journal, id, model string) {
 	j.Arrived(start, &routing.Request{ID: cluster.RequestID(id), Model: cluster.ModelID(model), TokenPath: "/dental"})
-	j.Dispatched(start.Add(time.Second), &routing.Dispatch{Request: cluster.RequestID(id), Attempt: 1, Machine: "m1", Reason: choice()})
+	j.Dispatched(start.Add(time.Second), &routing.Dispatch{Request: cluster.RequestID(id), Attempt: 1, Machine: "m1", Reason: oversizedChoice()})
 	j.Finished(start.Add(2*time.Second), &routing.Finish{
 		Request: cluster.RequestID(id), Failure: verdict.New(verdict.Ran, verdict.CodeStreamCut, "cut"), Reason: routing.Explanation{Code: verdict.CodeStreamCut},
 	})
 }
 
-// choice returns a choice with as many reasons as are ever kept, and more.
-func choice() routing.Choice {
+// oversizedChoice returns a choice with more reasons than the journal keeps.
+func oversizedChoice() routing.Choice {
 	return routing.Choice{Candidates: make([]routing.Candidate, 3*maxCandidates), Filtered: make([]routing.FilterCount, 3*maxFiltered)}
 }
 
-func TestRequestIsFoundWithItsReasons(t *testing.T) {
+// A finished request must be found with its attempt and its outcome, and with no
+// more reasons than the limit, so that one entry stays small.
+func TestRequestRecordKeepsBoundedReasons(t *testing.T) {
 	j := New(Config{})
-	request(j, "a", "recall")
+	recordRequest(j, "a", "recall")
 	found, ok := j.Request("a")
 	if !ok || found.Model != "recall" || len(found.Dispatches) != 1 || found.Dispatches[0].Machine != "m1" {
-		t.Fatalf("found %v: %+v", ok, found)
+		t.Fatalf("Request found %v, returned %+v", ok, found)
 	}
 	if found.Reason.Code != verdict.CodeStreamCut || found.Ended.Sub(found.Arrived) != 2*time.Second {
-		t.Fatalf("end %+v", found)
+		t.Fatalf("outcome of the request: %+v", found)
 	}
 	if len(found.Dispatches[0].Reason.Candidates) != maxCandidates {
 		t.Fatalf("%d candidates kept", len(found.Dispatches[0].Reason.Candidates))
 	}
 }
 
-func TestDecisionsAreKeptWhenTheyChange(t *testing.T) {
+// Planning rounds repeat the same decision. Only changes and decisions with
+// actions may be recorded, since repeats would overwrite the older history.
+// Actions for a model without a decision must be recorded too.
+func TestUnchangedDecisionsAreNotRecordedAgain(t *testing.T) {
 	j := New(Config{})
 	plan := placement.Plan{Decisions: []placement.Decision{{Model: "recall", Wanted: 1, Reason: placement.Reason{Cause: placement.CauseDemand}}}}
 	for range 5 {
@@ -59,18 +64,19 @@
 		t.Fatalf("decisions %+v", decisions)
 	}
 	if others := j.DecisionsOf("other", 10); len(others) != 1 {
-		t.Fatalf("actions without a decision: %+v", others)
+		t.Fatalf("actions of a model without a decision: %+v, want one entry", others)
 	}
 }
 
-// TestLookupsAgreeWithTheLatestEntries compares the journal with a plain list.
-func TestLookupsAgreeWithTheLatestEntries(t *testing.T) {
+// Compares the journal with a plain list. A ring overwrites its oldest entries,
+// and the index must not return overwritten entries or grow beyond the ring.
+func TestLookupsReturnNewestEntriesAfterOverwrite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 8).Draw(t, "capacity")
 		j := New(Config{Requests: capacity})
 		models := rapid.SliceOfN(rapid.IntRange(0, 3), 0, 40).Draw(t, "models")
 		for i, model := range models {
-			request(j, fmt.Sprint(i), fmt.Sprint(model))
+			recordRequest(j, fmt.Sprint(i), fmt.Sprint(model))
 		}
 		oldest := max(0, len(models)-capacity)
 		wanted := make(map[int][]string)
@@ -88,39 +94,42 @@
 		}
 		for i := range models {
 			if _, ok := j.Request(cluster.RequestID(fmt.Sprint(i))); ok != (i >= oldest) {
-				t.Fatalf("request %d found %v", i, ok)
+				t.Fatalf("request %d: found is %v, want the opposite", i, ok)
 			}
 		}
-		if len(j.byRequest) > capacity || len(j.requestsOf) > capacity {
-			t.Fatalf("%d and %d index keys for %d entries", len(j.byRequest), len(j.requestsOf), capacity)
+		if len(j.byRequest) > capacity || len(j.newestRequest) > capacity {
+			t.Fatalf("%d and %d index keys for %d entries", len(j.byRequest), len(j.newestRequest), capacity)
 		}
 	})
 }
 
-// maxBytes is the most memory a journal of the default size may take.
-const maxBytes = 10 << 20
+// maxJournalBytes is the maximum memory for a journal with default capacity.
+const maxJournalBytes = 10 << 20
 
-func TestMemoryStaysBounded(t *testing.T) {
+// Records with long lists of reasons must not keep those lists in memory: after
+// three times its capacity, the journal must stay within the bound and still hold
+// the newest request.
+func TestFullJournalStaysWithinMemoryBound(t *testing.T) {
 	j := New(Config{})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	fill(j, 3*DefaultRequests)
+	fillJournal(j, 3*DefaultRequests)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > maxBytes {
-		t.Fatalf("the full journal takes %d bytes", grown)
+	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > maxJournalBytes {
+		t.Fatalf("the full journal occupies %d bytes", grown)
 	}
 	if _, ok := j.Request(cluster.RequestID(fmt.Sprint(3*DefaultRequests - 1))); !ok {
 		t.Fatal("the newest request is not held")
 	}
 }
 
-// fill records requests and decisions of many models.
-func fill(j *Journal, count int) {
+// fillJournal records count requests and decisions, spread over 1600 models.
+func fillJournal(j *Journal, count int) {
 	for i := range count {
 		model := fmt.Sprint("model-", i%1600)
-		request(j, fmt.Sprint(i), model)
+		recordRequest(j, fmt.Sprint(i), model)
 		j.Planned(start, "z1", &placement.Plan{Decisions: []placement.Decision{{Model: cluster.ModelID(model), Wanted: i, Reason: placement.Reason{
 			Candidates: make([]placement.Candidate, 8), Filtered: make([]placement.FilterCount, 8),
 		}}}})
@@ -129,7 +138,7 @@
 
 func BenchmarkRecord(b *testing.B) {
 	j := New(Config{})
-	fill(j, DefaultRequests)
+	fillJournal(j, DefaultRequests)
 	var memory runtime.MemStats
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/decisions/plans.go
+++ b/decisions/plans.go
@@ -7,47 +7,48 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// Planned records a planning round: for each model the decision when it differs
-// from the last one kept, or when actions were ordered for the model.
+// Planned records a planning round. For each model it records the decision if
+// that differs from the last one recorded or if the plan has actions for the
+// model.
 func (j *Journal) Planned(at time.Time, zone cluster.ZoneID, plan *placement.Plan) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	actions := actionsByModel(plan.Actions)
 	for i := range plan.Decisions {
 		decision := &plan.Decisions[i]
-		ordered := actions[decision.Model]
+		modelActions := actions[decision.Model]
 		delete(actions, decision.Model)
-		if len(ordered) == 0 && !j.changed(zone, decision) {
+		if len(modelActions) == 0 && !j.hasChanged(zone, decision) {
 			continue
 		}
-		j.record(&Decision{At: at, Zone: zone, Decision: boundDecision(*decision), Actions: ordered})
+		j.storeDecision(&Decision{At: at, Zone: zone, Decision: truncateDecision(*decision), Actions: modelActions})
 	}
 	for i := range plan.Actions {
 		model := plan.Actions[i].Model
-		if ordered, left := actions[model]; left {
+		if modelActions, remaining := actions[model]; remaining {
 			delete(actions, model)
-			j.record(&Decision{At: at, Zone: zone, Decision: placement.Decision{Model: model, Reason: ordered[0].Reason}, Actions: ordered})
+			j.storeDecision(&Decision{At: at, Zone: zone, Decision: placement.Decision{Model: model, Reason: modelActions[0].Reason}, Actions: modelActions})
 		}
 	}
 }
 
-// actionsByModel groups actions and cuts their reasons.
+// actionsByModel groups actions by model and truncates their reasons.
 func actionsByModel(actions []placement.Action) map[cluster.ModelID][]placement.Action {
 	if len(actions) == 0 {
 		return nil
 	}
 	grouped := make(map[cluster.ModelID][]placement.Action, len(actions))
 	for _, action := range actions {
-		action.Reason = boundReason(action.Reason)
+		action.Reason = truncateReason(action.Reason)
 		grouped[action.Model] = append(grouped[action.Model], action)
 	}
 	return grouped
 }
 
-// changed reports whether a decision differs from the last one kept in what an
-// operator would ask about.
-func (j *Journal) changed(zone cluster.ZoneID, decision *placement.Decision) bool {
-	entry, held := j.decisions.get(j.decisionsOf[decision.Model])
+// hasChanged reports whether a decision differs from the last one recorded for
+// its model in a field that matters to operators.
+func (j *Journal) hasChanged(zone cluster.ZoneID, decision *placement.Decision) bool {
+	entry, held := j.decisions.get(j.newestDecision[decision.Model])
 	if !held || entry.value.Zone != zone {
 		return true
 	}
@@ -57,37 +58,39 @@
 		last.Reason.SettingsRevision != decision.Reason.SettingsRevision || last.Reason.Token != decision.Reason.Token
 }
 
-// record stores a decision.
-func (j *Journal) record(decision *Decision) {
+// storeDecision adds a decision to the ring and the index.
+func (j *Journal) storeDecision(decision *Decision) {
 	model := decision.Decision.Model
-	sequence, lost, overwritten := j.decisions.put(decision, j.decisionsOf[model])
+	sequence, evicted, overwritten := j.decisions.put(decision, j.newestDecision[model])
 	if overwritten {
-		old := lost.Decision.Model
-		if held, ok := j.decisionsOf[old]; ok && sequence-held >= uint64(len(j.decisions.slots)) {
-			delete(j.decisionsOf, old)
+		old := evicted.Decision.Model
+		if newest, ok := j.newestDecision[old]; ok && sequence-newest >= uint64(len(j.decisions.slots)) {
+			delete(j.newestDecision, old)
 		}
 	}
-	j.decisionsOf[model] = sequence
+	j.newestDecision[model] = sequence
 }
 
-// boundDecision cuts the reasons of a decision to what is kept.
-func boundDecision(decision placement.Decision) placement.Decision {
-	decision.Reason = boundReason(decision.Reason)
+// truncateDecision limits the reasons of a decision to maxCandidates and
+// maxFiltered.
+func truncateDecision(decision placement.Decision) placement.Decision {
+	decision.Reason = truncateReason(decision.Reason)
 	return decision
 }
 
-// boundReason cuts a reason to what is kept.
-func boundReason(reason placement.Reason) placement.Reason {
-	reason.Candidates = bounded(reason.Candidates, maxCandidates)
-	reason.Filtered = bounded(reason.Filtered, maxFiltered)
+// truncateReason limits a reason to maxCandidates and maxFiltered.
+func truncateReason(reason placement.Reason) placement.Reason {
+	reason.Candidates = truncate(reason.Candidates, maxCandidates)
+	reason.Filtered = truncate(reason.Filtered, maxFiltered)
 	return reason
 }
 
-// DecisionsOf returns the latest decisions on a model, newest first.
+// DecisionsOf returns the latest decisions for a model, newest first, at most
+// limit.
 func (j *Journal) DecisionsOf(model cluster.ModelID, limit int) []Decision {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	entries := j.decisions.chain(j.decisionsOf[model], limit)
+	entries := j.decisions.newestFirst(j.newestDecision[model], limit)
 	found := make([]Decision, len(entries))
 	for i, entry := range entries {
 		found[i] = *entry
--- a/document/doc.go
+++ b/document/doc.go
@@ -1,3 +1,3 @@
-// Package document reads JSON documents of the platform over HTTP, conditionally
-// where the service gives them an entity tag.
+// Package document reads JSON documents of the platform over HTTP. It makes
+// conditional requests where the service provides entity tags.
 package document
--- a/document/document.go
+++ b/document/document.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	dialTimeout     = 2 * time.Second
-	idleTimeout     = 60 * time.Second
-	maxAnswerBytes  = 16 << 20
-	idleConnections = 2
+	dialTimeout        = 2 * time.Second
+	idleTimeout        = 60 * time.Second
+	maxResponseBytes   = 16 << 20
+	maxIdleConnections = 2
 )
 
-// Client reads documents below one base URL. It is safe for concurrent use.
+// Client reads JSON documents below one base URL. It is safe for concurrent use.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// NewClient returns a client of the service at url.
+// NewClient returns a client for the service at url.
 func NewClient(url string) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     idleTimeout,
 	}
 	return &Client{url: strings.TrimSuffix(url, "/"), http: &http.Client{Transport: transport}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Read decodes the document at path into the value. With a tag of an earlier
-// answer that still holds, changed is false and the value is left alone. The
-// tag returned is empty when the service gives none.
+// Read decodes the document at path into the value. If tag is the entity tag of
+// an earlier response and still current, changed is false and the value is not
+// modified. The returned tag is empty if the service sends none.
 func (c *Client) Read(ctx context.Context, path, tag string, into any) (newTag string, changed bool, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+path, nil)
 	if err != nil {
@@ -49,18 +49,18 @@
 	if tag != "" {
 		request.Header.Set("If-None-Match", tag)
 	}
-	answer, err := c.http.Do(request)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return "", false, eris.Wrap(err, "send the request")
 	}
-	defer func() { _ = answer.Body.Close() }()
-	switch answer.StatusCode {
+	defer func() { _ = response.Body.Close() }()
+	switch response.StatusCode {
 	case http.StatusNotModified:
 		return tag, false, nil
 	case http.StatusOK:
-		err = json.NewDecoder(io.LimitReader(answer.Body, maxAnswerBytes)).Decode(into)
-		return answer.Header.Get("ETag"), true, eris.Wrap(err, "decode the answer")
+		err = json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(into)
+		return response.Header.Get("ETag"), true, eris.Wrap(err, "decode the response")
 	default:
-		return "", false, eris.Errorf("the service answered %d", answer.StatusCode)
+		return "", false, eris.Errorf("unexpected response status %d", response.StatusCode)
 	}
 }
--- a/machines/client.go
+++ b/machines/client.go
@@ -12,40 +12,40 @@
 	"github.com/valveslip/valveslip/document"
 )
 
-// PathMachines of the machine list takes GET and answers List as JSON. It gives
-// an entity tag and answers 304 to one that still holds.
+// PathMachines is the path of the machine list. A GET returns List as JSON with
+// an entity tag, and status 304 if the request's tag is still current.
 const PathMachines = "/v1/machines"
 
-// List is the body of the machine list's answer.
+// List is the response body of PathMachines.
 type List struct {
 	Version  uint64
 	Machines []cluster.Machine
 }
 
-// Client reads the machine list over HTTP and keeps the last one, so that an
-// unchanged list costs no transfer.
+// Client reads the machine list over HTTP. It keeps the last list, so that an
+// unchanged list is not transferred again.
 type Client struct {
 	document *document.Client
 
-	mu   sync.Mutex
-	tag  string
-	last List
+	mu       sync.Mutex
+	etag     string
+	lastList List
 }
 
 var _ Lister = (*Client)(nil)
 
-// NewClient returns a client of the list at url.
+// NewClient returns a client for the machine list service at url.
 func NewClient(url string) *Client { return &Client{document: document.NewClient(url)} }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.document.Close() }
 
-// List implements Lister. The slice must not be changed.
+// List implements Lister. Callers must not modify the slice.
 func (c *Client) List(ctx context.Context) ([]cluster.Machine, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list List
-	tag, changed, err := c.document.Read(ctx, PathMachines, c.tag, &list)
+	tag, changed, err := c.document.Read(ctx, PathMachines, c.etag, &list)
 	if err != nil {
 		return nil, 0, eris.Wrap(err, "read the machine list")
 	}
@@ -53,7 +53,7 @@
 		slices.SortFunc(list.Machines, func(a, b cluster.Machine) int {
 			return strings.Compare(string(a.ID), string(b.ID))
 		})
-		c.tag, c.last = tag, list
+		c.etag, c.lastList = tag, list
 	}
-	return c.last.Machines, c.last.Version, nil
+	return c.lastList.Machines, c.lastList.Version, nil
 }
--- a/machines/doc.go
+++ b/machines/doc.go
@@ -1,3 +1,3 @@
-// Package machines defines what valveslip needs of the platform's machine list,
-// which shows live and leaving machines with a lag.
+// Package machines defines what valveslip needs from the platform's machine list.
+// The list contains live and leaving machines and is updated with a delay.
 package machines
