--- a/settings/commit.go
+++ b/settings/commit.go
@@ -9,31 +9,31 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// outcome of one attempt to commit.
-type outcome uint8
+// commitOutcome is the outcome of one attempt to commit an edit.
+type commitOutcome uint8
 
 const (
-	// notCommitted comes with an error that says why.
-	notCommitted outcome = iota
+	// notCommitted means that nothing was written; the error states the reason.
+	notCommitted commitOutcome = iota
 	committed
-	// raced means that another edit was faster; nothing was written.
-	raced
-	// answerLost means that the transaction may have taken effect.
-	answerLost
+	// headChanged means that another edit replaced the head record first; nothing was written.
+	headChanged
+	// resultUnknown means that the response was lost, so the transaction may have taken effect.
+	resultUnknown
 )
 
-// attempt tries once to make the edit the next revision. Trying again after a
-// lost answer is safe: both transactions compare the same head, so only one of
-// them can take effect, and once the head has moved the id tells which.
-func (s *Store) attempt(ctx context.Context, edit Edit) (Entry, outcome, error) {
+// tryCommit tries once to store the edit as the next revision. It is safe to call again after a
+// lost response: both transactions compare the same revision of the head record, so at most one of
+// them takes effect, and the edit ID in the history tells whether the first one did.
+func (s *Store) tryCommit(ctx context.Context, edit Edit) (Entry, commitOutcome, error) {
 	current, err := s.refresh(ctx)
 	if err != nil {
 		return Entry{}, notCommitted, err
 	}
-	if entry, found := current.find(edit.ID); found {
-		return entry, committed, entry.checkSame(edit)
+	if entry, found := current.findEntry(edit.ID); found {
+		return entry, committed, entry.verifySameEdit(edit)
 	}
-	next, operations, err := s.next(current, edit)
+	next, operations, err := s.planCommit(current, edit)
 	if err != nil {
 		return Entry{}, notCommitted, err
 	}
@@ -45,17 +45,17 @@
 	case err != nil && verdict.Of(err) == verdict.NotRun:
 		return Entry{}, notCommitted, err
 	case err != nil:
-		return Entry{}, answerLost, err
+		return Entry{}, resultUnknown, err
 	case !result.Succeeded:
-		return Entry{}, raced, nil
+		return Entry{}, headChanged, nil
 	}
 	next.modRevision = result.Revision
-	s.remember(next)
+	s.cacheState(next)
 	return next.entries[len(next.entries)-1], committed, nil
 }
 
-// checkSame refuses an id that was used for another edit.
-func (e *Entry) checkSame(edit Edit) error {
+// verifySameEdit returns an error if the ID of the stored edit was reused for a different edit.
+func (e *Entry) verifySameEdit(edit Edit) error {
 	var problems ValidationErrors
 	for i := range edit.Changes {
 		edit.Changes[i] = edit.Changes[i].normalise(&problems)
@@ -67,8 +67,8 @@
 		Reason: fmt.Sprintf("the id %s was used for another edit, revision %d", edit.ID, e.Revision)}}
 }
 
-// next returns the state after the edit and the operations that lead to it.
-func (s *Store) next(current *state, edit Edit) (*state, []keyvalue.Operation, error) {
+// planCommit returns the state after the edit and the operations that write it.
+func (s *Store) planCommit(current *state, edit Edit) (*state, []keyvalue.Operation, error) {
 	if err := current.checkBase(&edit); err != nil {
 		return nil, nil, err
 	}
@@ -94,25 +94,25 @@
 	}
 	entry.parts = len(written)
 	operations = append(operations, written...)
-	next := &state{tree: tree, stale: current.stale, entries: append(current.entries[:len(current.entries):len(current.entries)], entry)}
+	next := &state{tree: tree, obsolete: current.obsolete, entries: append(current.entries[:len(current.entries):len(current.entries)], entry)}
 	operations = append(operations, next.prune(&record, s.historyLength)...)
 	next.head = record
 	operations = append(operations, keyvalue.Operation{Key: headKey, Value: encodeJSON(record)})
 	return next, operations, nil
 }
 
-// maxPruned bounds the entries that one edit removes from the history.
-const maxPruned = 4
+// maxPrunedPerEdit bounds the history entries that one edit deletes.
+const maxPrunedPerEdit = 4
 
-// prune drops stale entries, then the oldest beyond the length, and returns the
-// deletions.
-func (s *state) prune(record *head, length int64) []keyvalue.Operation {
+// prune removes obsolete entries first, then the oldest entries beyond the history length, at most
+// maxPrunedPerEdit of them, and returns the operations that delete them.
+func (s *state) prune(record *headRecord, length int64) []keyvalue.Operation {
 	var operations []keyvalue.Operation
-	for range maxPruned {
+	for range maxPrunedPerEdit {
 		var dropped Entry
 		switch {
-		case len(s.stale) > 0:
-			dropped, s.stale = s.stale[0], s.stale[1:]
+		case len(s.obsolete) > 0:
+			dropped, s.obsolete = s.obsolete[0], s.obsolete[1:]
 		case int64(len(s.entries)) > length:
 			dropped, s.entries = s.entries[0], s.entries[1:]
 			record.Oldest = dropped.Revision + 1
@@ -126,8 +126,8 @@
 	return operations
 }
 
-// checkBase refuses an edit from an older revision that touches what has
-// changed since.
+// checkBase returns a ConflictError for an edit that was made from an older revision and touches a
+// part of the tree that has changed since, or whose base is not in the kept history.
 func (s *state) checkBase(edit *Edit) error {
 	base := edit.BaseRevision
 	if edit.BaseHistory != "" && edit.BaseHistory != s.head.History {
--- a/settings/compile.go
+++ b/settings/compile.go
@@ -11,21 +11,21 @@
 // SourceDefault is the source of a value that no level sets.
 const SourceDefault = "default"
 
-// Effective is what holds at one level after inheritance.
+// Effective holds the policy in effect at one level, after inheritance.
 type Effective struct {
 	Path   string
 	Kind   Kind
 	Policy Policy
-	// Sources gives, by key, the path of the level the value came from, or
-	// SourceDefault. It is shared between levels and must not be changed.
+	// Sources maps each key to the path of the level that sets its value, or to SourceDefault. The
+	// map is shared between levels and must not be modified.
 	Sources map[string]string
-	// Team is the path of the closest team at or above, or the root.
+	// Team is the path of the closest team at or above the level, or the root.
 	Team string
-	// model is the closest model at or above.
+	// model is the closest model at or above the level.
 	model cluster.ModelID
 }
 
-// defaultEffective returns what holds above the root.
+// defaultEffective returns the defaults, which the root level inherits.
 func defaultEffective() *Effective {
 	sources := make(map[string]string, len(keys))
 	for i := range keys {
@@ -34,51 +34,50 @@
 	return &Effective{Policy: Defaults(), Sources: sources, Team: RootPath}
 }
 
-// descend returns what holds at a level, from what holds above it. Keys this
-// version does not know have no effect.
-func (e *Effective) descend(level *Level, problems *ValidationErrors) *Effective {
-	below := *e
-	below.Path, below.Kind = level.Path, level.Kind
+// withLevel returns the policy in effect at the level, given that of its parent as e. Keys that
+// this version does not know have no effect.
+func (e *Effective) withLevel(level *Level, problems *ValidationErrors) *Effective {
+	child := *e
+	child.Path, child.Kind = level.Path, level.Kind
 	shared := true
 	for name, value := range level.Values {
 		key, known := keyIndex[name]
 		if !known {
 			continue
 		}
-		if err := key.assign(&below.Policy, value); err != nil {
+		if err := key.parseInto(&child.Policy, value); err != nil {
 			problems.add(level.Path, name, "%s", err)
 			continue
 		}
 		if shared {
-			below.Sources, shared = maps.Clone(e.Sources), false
+			child.Sources, shared = maps.Clone(e.Sources), false
 		}
-		below.Sources[name] = level.Path
+		child.Sources[name] = level.Path
 	}
 	switch level.Kind {
 	case KindTeam:
-		below.Team = level.Path
+		child.Team = level.Path
 	case KindModel:
-		below.model = cluster.ModelID(level.Name())
+		child.model = cluster.ModelID(level.Name())
 	}
-	return &below
+	return &child
 }
 
-// Effective returns what holds at the level at path, or false when there is
-// none.
+// Effective returns the policy in effect at path, and false if there is no such level.
 func (t *Tree) Effective(path string) (Effective, bool) {
 	if t.levels[path] == nil {
 		return Effective{}, false
 	}
 	var ignored ValidationErrors
 	effective := defaultEffective()
-	for _, candidate := range ancestry(path) {
-		effective = effective.descend(t.levels[candidate], &ignored)
+	for _, candidate := range pathsFromRoot(path) {
+		effective = effective.withLevel(t.levels[candidate], &ignored)
 	}
 	return *effective, true
 }
 
-// ancestry returns the paths from the root to path.
-func ancestry(path string) []string {
+// pathsFromRoot returns the path and all its ancestors, starting with the root.
+func pathsFromRoot(path string) []string {
 	paths := []string{path}
 	for path != RootPath {
 		path = parent(path)
@@ -88,7 +87,7 @@
 	return paths
 }
 
-// compiler carries one compilation.
+// compiler holds the state of one compilation.
 type compiler struct {
 	tree     *Tree
 	resolved map[string]*Effective
@@ -98,8 +97,8 @@
 	problems ValidationErrors
 }
 
-// Compile resolves inheritance and checks the tree as a whole. The error is a
-// ValidationErrors with everything that is wrong.
+// Compile resolves inheritance and validates the tree as a whole. The error is a ValidationErrors
+// that lists every problem.
 func (t *Tree) Compile(stamp Stamp) (*Snapshot, error) {
 	c := &compiler{tree: t, resolved: make(map[string]*Effective, len(t.paths)), scopes: map[string]Scope{}}
 	for _, path := range t.paths {
@@ -120,16 +119,16 @@
 	return snapshot, nil
 }
 
-// addLevel resolves one level; the levels above it are resolved already.
+// addLevel resolves one level. Its parent must be resolved already.
 func (c *compiler) addLevel(level *Level) {
-	above := c.resolved[parent(level.Path)]
+	inherited := c.resolved[parent(level.Path)]
 	if level.Path == RootPath {
-		above = defaultEffective()
+		inherited = defaultEffective()
 	}
-	effective := above.descend(level, &c.problems)
+	effective := inherited.withLevel(level, &c.problems)
 	c.resolved[level.Path] = effective
 	c.checkKind(level)
-	if scope, limited := scopeOf(level, &effective.Policy); limited {
+	if scope, limited := limitsSetAt(level, &effective.Policy); limited {
 		c.scopes[level.Path] = scope
 	}
 	for _, token := range level.Tokens {
@@ -143,8 +142,8 @@
 	}
 }
 
-// scopeOf returns the limits that the level itself sets.
-func scopeOf(level *Level, policy *Policy) (Scope, bool) {
+// limitsSetAt returns the limits that the level itself sets, and false if it sets none.
+func limitsSetAt(level *Level, policy *Policy) (Scope, bool) {
 	scope := Scope{Path: level.Path}
 	if _, set := level.Values["max_concurrency"]; set {
 		scope.MaxConcurrency = policy.MaxConcurrency
@@ -158,7 +157,7 @@
 	return scope, scope != Scope{Path: level.Path}
 }
 
-// addModel records a model or adapter and checks its policy as a whole.
+// addModel adds a model or adapter and validates the relations between its policy values.
 func (c *compiler) addModel(level *Level, effective *Effective) {
 	model := Model{
 		ID: cluster.ModelID(level.Name()), Kind: level.Kind, Path: level.Path,
@@ -167,7 +166,7 @@
 	if level.Kind == KindAdapter {
 		model.Base = effective.model
 		if value, set := level.Values[KeyBase]; set {
-			if err := baseKey.assign(nil, value); err != nil {
+			if err := baseKey.parseInto(nil, value); err != nil {
 				c.problems.add(level.Path, KeyBase, "%s", err)
 			}
 			model.Base = cluster.ModelID(value.String())
@@ -187,11 +186,11 @@
 	}
 }
 
-// checkKind checks where the level stands. Kinds of newer versions count as
-// plain levels.
+// checkKind validates the kind of the level against that of its parent. Kinds that only newer
+// versions know are treated as plain levels.
 func (c *compiler) checkKind(level *Level) {
 	if _, set := level.Values[KeyBase]; set && level.Kind != KindAdapter {
-		c.problems.add(level.Path, KeyBase, "only an adapter has a base model, this is %s", article(level.Kind))
+		c.problems.add(level.Path, KeyBase, "only an adapter has a base model, this is %s", withArticle(level.Kind))
 	}
 	if level.Path == RootPath {
 		if level.Kind != KindOrganization {
@@ -199,16 +198,16 @@
 		}
 		return
 	}
-	switch above := c.resolved[parent(level.Path)].Kind; {
-	case above == KindAdapter:
+	switch parentKind := c.resolved[parent(level.Path)].Kind; {
+	case parentKind == KindAdapter:
 		c.problems.add(level.Path, "kind", "nothing can stand below an adapter")
-	case above == KindModel && level.Kind != KindAdapter:
-		c.problems.add(level.Path, "kind", "only an adapter can stand below a model, this is %s", article(level.Kind))
+	case parentKind == KindModel && level.Kind != KindAdapter:
+		c.problems.add(level.Path, "kind", "only an adapter can stand below a model, this is %s", withArticle(level.Kind))
 	}
 }
 
-// article returns the kind with its indefinite article.
-func article(kind Kind) string {
+// withArticle returns the kind with its indefinite article.
+func withArticle(kind Kind) string {
 	switch kind {
 	case KindOrganization, KindAdapter:
 		return "an " + string(kind)
@@ -217,7 +216,7 @@
 	}
 }
 
-// checkUnique checks that model names and token hashes are unique.
+// checkUnique reports model names and token hashes that occur more than once.
 func (c *compiler) checkUnique() {
 	for i := 1; i < len(c.models); i++ {
 		if c.models[i].ID == c.models[i-1].ID {
@@ -232,7 +231,7 @@
 	}
 }
 
-// checkBases checks that the base of each adapter exists and is visible to it.
+// checkBases reports adapters whose base model does not exist or is not visible to them.
 func (c *compiler) checkBases(snapshot *Snapshot) {
 	for i := range c.models {
 		adapter := &c.models[i]
--- a/settings/diff.go
+++ b/settings/diff.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Diff returns the changes that turn before into the tree. They are sorted by
-// path, deletions first, so that applying them in order works.
+// Diff returns the changes that turn before into the tree. Deletions come first and the other
+// changes are sorted by path, so that they can be applied in order.
 func (t *Tree) Diff(before *Tree) []Change {
 	changes := t.deletions(before)
 	deleted := slices.Clone(changes)
 	for _, path := range t.paths {
 		old := before.levels[path]
-		if covers(deleted, path) {
+		if isDeleted(deleted, path) {
 			old = nil
 		}
 		if change, differs := t.levels[path].diff(old); differs {
@@ -22,7 +22,8 @@
 	return changes
 }
 
-// deletions names the topmost levels that are gone or changed their kind.
+// deletions returns the deletions of the topmost levels of before that are missing from the tree
+// or have another kind in it.
 func (t *Tree) deletions(before *Tree) []Change {
 	var changes []Change
 	for _, path := range before.paths {
@@ -30,19 +31,20 @@
 		if level != nil && level.Kind == before.levels[path].Kind {
 			continue
 		}
-		if !covers(changes, path) {
+		if !isDeleted(changes, path) {
 			changes = append(changes, Change{Path: path, Delete: true})
 		}
 	}
 	return changes
 }
 
-// covers reports whether one of the deletions removes the level at path.
-func covers(deletions []Change, path string) bool {
+// isDeleted reports whether one of the deletions removes the level at path.
+func isDeleted(deletions []Change, path string) bool {
 	return slices.ContainsFunc(deletions, func(c Change) bool { return contains(c.Path, path) })
 }
 
-// diff returns the change that turns old, nil for none, into the level.
+// diff returns the change that turns old into the level, and false if they are equal. A nil old
+// means that the level is new.
 func (l *Level) diff(old *Level) (Change, bool) {
 	if l == old {
 		return Change{}, false
@@ -66,10 +68,10 @@
 		}
 	}
 	change.diffTokens(old.Tokens, l.Tokens)
-	return change, change.Create != "" || change.touches()
+	return change, change.Create != "" || change.modifiesLevel()
 }
 
-// diffTokens adds what turns the old tokens into the new ones.
+// diffTokens adds the token changes that turn before into after.
 func (c *Change) diffTokens(before, after []AccessToken) {
 	for _, token := range after {
 		if !slices.Contains(before, token) {
@@ -77,8 +79,8 @@
 		}
 	}
 	for _, token := range before {
-		named := func(candidate AccessToken) bool { return candidate.Name == token.Name }
-		if !slices.ContainsFunc(after, named) {
+		hasSameName := func(candidate AccessToken) bool { return candidate.Name == token.Name }
+		if !slices.ContainsFunc(after, hasSameName) {
 			c.RemoveTokens = append(c.RemoveTokens, token.Name)
 		}
 	}
--- a/settings/edit.go
+++ b/settings/edit.go
@@ -10,59 +10,58 @@
 	"github.com/rotisserie/eris"
 )
 
-// Edit is one operator's change of the tree. It takes effect as a whole or not
-// at all.
+// Edit is an operator's change of the tree. It is applied atomically.
 type Edit struct {
-	// ID is chosen by the writer and unique; giving an edit again with the
-	// same ID has no further effect.
+	// ID is unique and chosen by the author. Committing an edit again with the same ID has no
+	// further effect.
 	ID      string    `json:"id"`
 	Author  string    `json:"author"`
 	Message string    `json:"message,omitempty"`
 	At      time.Time `json:"at,omitzero"`
-	// BaseHistory and BaseRevision are what the writer read. An empty history
-	// fits any.
+	// BaseHistory and BaseRevision identify the tree that the author read. An empty BaseHistory
+	// matches any history.
 	BaseHistory  string   `json:"base_history,omitempty"`
 	BaseRevision int64    `json:"base_revision"`
 	Changes      []Change `json:"changes"`
 }
 
-// Change is what an edit does to one level. Within a change Delete comes
-// first, then Create, Unset, Set, RemoveTokens and PutTokens.
+// Change is the part of an edit that applies to one level. Its steps run in the order Delete,
+// Create, Unset, Set, RemoveTokens, PutTokens.
 type Change struct {
 	Path string `json:"path"`
-	// Delete removes the level and all below it.
+	// Delete removes the level and its subtree.
 	Delete bool `json:"delete,omitempty"`
-	// Create adds the level with this kind; the level above must exist.
+	// Create adds the level with this kind. Its parent must exist.
 	Create Kind `json:"create,omitempty"`
-	// Set gives keys a value at this level.
+	// Set assigns values to keys of the level.
 	Set map[string]Value `json:"set,omitempty"`
-	// Unset makes keys inherit again.
+	// Unset removes keys from the level, so that their values are inherited again.
 	Unset []string `json:"unset,omitempty"`
-	// PutTokens adds tokens or replaces those of the same name.
+	// PutTokens adds tokens, and replaces existing tokens of the same name.
 	PutTokens []AccessToken `json:"put_tokens,omitempty"`
-	// RemoveTokens names tokens to remove.
+	// RemoveTokens lists the names of tokens to remove.
 	RemoveTokens []string `json:"remove_tokens,omitempty"`
 }
 
-// Entry is one accepted edit in the history.
+// Entry is an accepted edit in the history.
 type Entry struct {
-	// Revision the edit led to.
+	// Revision of the tree after the edit.
 	Revision int64 `json:"revision"`
-	// Digest of the whole tree after it.
+	// Digest of the whole tree after the edit.
 	Digest uint64 `json:"digest,string"`
 	Edit   Edit   `json:"edit"`
-	// Undo leads back to the tree before it.
+	// Undo holds the changes that restore the tree before the edit.
 	Undo []Change `json:"undo,omitempty"`
 
-	// parts is the number of values the entry takes in the store.
+	// parts is the number of key-value pairs that store the entry.
 	parts int
 }
 
 // Encode returns the JSON form of the edit.
 func (e Edit) Encode() []byte { return encodeJSON(e) }
 
-// DecodeEdit reads what Encode wrote. Unknown fields are an error: an edit that
-// is not fully understood cannot be applied.
+// DecodeEdit decodes the output of Encode. Unknown fields are an error, because applying only the
+// known part of an edit would yield a different tree.
 func DecodeEdit(data []byte) (Edit, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(data)))
 	decoder.DisallowUnknownFields()
@@ -73,9 +72,9 @@
 	return edit, nil
 }
 
-// Apply replays an accepted edit. It checks that the levels it names exist or
-// not as needed, but not values: keys of a newer version are kept. The same
-// tree and edit give the same result in every version.
+// Apply replays an accepted edit. It checks that each level exists or is absent as the change
+// requires, but does not check values: keys of newer versions are kept. The same tree and edit
+// give the same result in every version.
 func (t *Tree) Apply(edit Edit) (*Tree, error) {
 	var problems ValidationErrors
 	result := t.copy()
@@ -88,7 +87,7 @@
 	return result, nil
 }
 
-// applyChange changes one level of a tree that is still private.
+// applyChange applies the change to t, which must not be shared yet.
 func (t *Tree) applyChange(change *Change, problems *ValidationErrors) {
 	if problem := checkPath(change.Path); problem != "" {
 		problems.add(change.Path, "", "%s", problem)
@@ -102,22 +101,22 @@
 	}
 	old := t.levels[change.Path]
 	if old == nil {
-		if !change.Delete || change.touches() {
+		if !change.Delete || change.modifiesLevel() {
 			problems.add(change.Path, "", "there is no such level")
 		}
 		return
 	}
-	if change.touches() {
+	if change.modifiesLevel() {
 		level := old.clone()
 		level.applyValues(change)
 		level.applyTokens(change, problems)
-		level.normaliseForm()
-		t.put(level)
+		level.canonicalise()
+		t.putLevel(level)
 	}
 }
 
-// touches reports whether the change does something to a level that exists.
-func (c *Change) touches() bool {
+// modifiesLevel reports whether the change sets or unsets keys or tokens.
+func (c *Change) modifiesLevel() bool {
 	return len(c.Set)+len(c.Unset)+len(c.PutTokens)+len(c.RemoveTokens) > 0
 }
 
@@ -130,7 +129,7 @@
 		problems.add(change.Path, "", "there is no such level to delete")
 		return false
 	}
-	t.remove(change.Path)
+	t.removeSubtree(change.Path)
 	return true
 }
 
@@ -143,11 +142,11 @@
 		problems.add(change.Path, "", "there is no level %s above it", parent(change.Path))
 		return false
 	}
-	t.put(&Level{Path: change.Path, Kind: change.Create})
+	t.putLevel(&Level{Path: change.Path, Kind: change.Create})
 	return true
 }
 
-// applyValues sets and unsets keys of a level that is still private.
+// applyValues sets and unsets keys of l, which must not be shared yet.
 func (l *Level) applyValues(change *Change) {
 	for _, key := range change.Unset {
 		delete(l.Values, key)
@@ -158,26 +157,25 @@
 	maps.Copy(l.Values, change.Set)
 }
 
-// applyTokens changes the tokens of a level that is still private.
+// applyTokens adds, replaces and removes tokens of l, which must not be shared yet.
 func (l *Level) applyTokens(change *Change, problems *ValidationErrors) {
-	named := func(name string) func(AccessToken) bool {
+	hasName := func(name string) func(AccessToken) bool {
 		return func(token AccessToken) bool { return token.Name == name }
 	}
 	for _, name := range change.RemoveTokens {
-		if !slices.ContainsFunc(l.Tokens, named(name)) {
+		if !slices.ContainsFunc(l.Tokens, hasName(name)) {
 			problems.add(l.Path, "tokens", "there is no token %s to remove", name)
 		}
-		l.Tokens = slices.DeleteFunc(l.Tokens, named(name))
+		l.Tokens = slices.DeleteFunc(l.Tokens, hasName(name))
 	}
 	for _, token := range change.PutTokens {
-		l.Tokens = append(slices.DeleteFunc(l.Tokens, named(token.Name)), token)
+		l.Tokens = append(slices.DeleteFunc(l.Tokens, hasName(token.Name)), token)
 	}
 }
 
-// Validate checks an operator's edit strictly against the tree: every key must
-// be known and every value well formed, and the resulting tree must compile. It
-// returns the edit with normalised values and the resulting tree; the error is
-// a ValidationErrors.
+// Validate checks an operator's edit strictly against the tree: every key must be known, every
+// value well formed, and the resulting tree must compile. It returns the edit with normalised
+// values and the resulting tree. The error is a ValidationErrors.
 func (t *Tree) Validate(edit Edit) (Edit, *Tree, error) {
 	var problems ValidationErrors
 	if edit.ID == "" || len(edit.ID) > maxEditIDBytes {
@@ -207,24 +205,24 @@
 	return edit, result, nil
 }
 
-// The bounds of an edit's texts.
+// Limits on the texts of an edit.
 const (
 	maxEditIDBytes  = 128
 	maxAuthorBytes  = 256
 	maxMessageBytes = 4 << 10
 )
 
-// normalise checks the change by itself and returns it with canonical values.
+// normalise validates the change on its own and returns it with canonical values.
 func (c Change) normalise(problems *ValidationErrors) Change {
-	if c.Create != "" && !knownKind(c.Create) {
+	if c.Create != "" && !isKnownKind(c.Create) {
 		problems.add(c.Path, "kind", "unknown kind %s", c.Create)
 	}
-	if !c.Delete && c.Create == "" && !c.touches() {
+	if !c.Delete && c.Create == "" && !c.modifiesLevel() {
 		problems.add(c.Path, "", "the change does nothing")
 	}
 	values := make(map[string]Value, len(c.Set))
 	for _, key := range slices.Sorted(maps.Keys(c.Set)) {
-		value, err := normalise(key, c.Set[key])
+		value, err := normaliseValue(key, c.Set[key])
 		if err != nil {
 			problems.add(c.Path, key, "%s", err)
 		}
@@ -243,8 +241,8 @@
 	return c
 }
 
-// knownKind reports whether this version knows the kind.
-func knownKind(kind Kind) bool {
+// isKnownKind reports whether this version knows the kind.
+func isKnownKind(kind Kind) bool {
 	switch kind {
 	case KindOrganization, KindTeam, KindService, KindModel, KindAdapter:
 		return true
@@ -253,10 +251,10 @@
 	}
 }
 
-// sha256HexLength is the length of a SHA-256 hash in hexadecimal.
+// sha256HexLength is the number of hexadecimal digits of a SHA-256 hash.
 const sha256HexLength = 64
 
-// checkToken checks one token strictly.
+// checkToken reports an invalid name, hash or role of the token.
 func checkToken(path string, token *AccessToken, problems *ValidationErrors) {
 	if !namePattern.MatchString(token.Name) {
 		problems.add(path, "tokens", "a token wants a name of letters, digits, '.', '_', ':' and '-'")
--- a/settings/encode.go
+++ b/settings/encode.go
@@ -9,14 +9,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// document is the JSON form of a tree or of a part of one.
-type document struct {
+// treeDocument is the JSON form of a tree or of a part of a tree.
+type treeDocument struct {
 	// Levels is sorted by path.
 	Levels []*Level `json:"levels"`
 }
 
-// encodeJSON is the canonical JSON form: no spaces, no HTML escapes, map keys
-// sorted. The types passed here always encode.
+// encodeJSON returns the canonical JSON form of a value: no spaces, no HTML escapes, map keys
+// sorted. It panics if the value has no JSON form, which none of its callers pass.
 func encodeJSON(plain any) []byte {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -29,11 +29,10 @@
 
 // Encode returns the canonical JSON form of the whole tree.
 func (t *Tree) Encode() []byte {
-	return encodeJSON(document{Levels: t.Levels(RootPath)})
+	return encodeJSON(treeDocument{Levels: t.Levels(RootPath)})
 }
 
-// Levels returns the levels of the subtree at path, sorted by path. They must
-// not be changed.
+// Levels returns the levels of the subtree at path, sorted by path. They must not be modified.
 func (t *Tree) Levels(path string) []*Level {
 	var levels []*Level
 	for _, candidate := range t.paths {
@@ -44,33 +43,33 @@
 	return levels
 }
 
-// DecodeTree reads what Encode wrote, possibly by a newer version: unknown keys
-// and kinds are kept. It checks structure only; Compile checks values.
+// DecodeTree decodes the output of Encode, which a newer version may have written: unknown keys
+// and kinds are kept. It validates the structure only; Compile validates the values.
 func DecodeTree(data []byte) (*Tree, error) {
 	levels, err := decodeLevels(data)
 	if err != nil {
 		return nil, err
 	}
-	return assemble(levels)
+	return buildCheckedTree(levels)
 }
 
-// decodeLevels reads the levels of one encoded document.
+// decodeLevels decodes the levels of one treeDocument.
 func decodeLevels(data []byte) ([]*Level, error) {
-	var decoded document
+	var decoded treeDocument
 	if err := json.Unmarshal(data, &decoded); err != nil {
-		return nil, eris.Wrap(err, "settings tree is not readable")
+		return nil, eris.Wrap(err, "decode the settings tree")
 	}
 	for _, level := range decoded.Levels {
 		if level == nil {
-			return nil, eris.New("settings tree holds a null level")
+			return nil, eris.New("settings tree contains a null level")
 		}
-		level.normaliseForm()
+		level.canonicalise()
 	}
 	return decoded.Levels, nil
 }
 
-// normaliseForm makes equal levels have equal encodings.
-func (l *Level) normaliseForm() {
+// canonicalise brings the level into canonical form, so that equal levels have equal encodings.
+func (l *Level) canonicalise() {
 	for key, value := range l.Values {
 		if value == "" || value == "null" {
 			delete(l.Values, key)
@@ -88,9 +87,9 @@
 	slices.SortStableFunc(l.Tokens, func(a, b AccessToken) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// assemble builds a tree and checks that paths are well formed, distinct and
-// connected.
-func assemble(levels []*Level) (*Tree, error) {
+// buildCheckedTree builds a tree from levels, and returns an error if a path is malformed or
+// occurs twice, or if a parent is missing.
+func buildCheckedTree(levels []*Level) (*Tree, error) {
 	var problems ValidationErrors
 	tree := fromLevels(levels)
 	seen := make(map[string]bool, len(levels))
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// ValidationError says what is wrong with one key of one tree level.
+// ValidationError describes a problem with one key of one level.
 type ValidationError struct {
 	// Path of the level.
 	Path string `json:"path"`
-	// Key that is wrong, empty when the level itself is.
+	// Key that is invalid. It is empty if the problem concerns the level itself.
 	Key string `json:"key,omitempty"`
-	// Reason is one sentence for people.
+	// Reason is a sentence for the operator.
 	Reason string `json:"reason"`
-	// Other is the path of another level that stands in the way.
+	// Other is the path of the level that the problem conflicts with.
 	Other string `json:"other,omitempty"`
-	// File and Line of the YAML document, empty when not read from one.
+	// File and Line locate the problem in a YAML document. They are empty for input of another
+	// form.
 	File string `json:"file,omitempty"`
 	Line int    `json:"line,omitempty"`
 }
@@ -42,11 +43,10 @@
 	return text.String()
 }
 
-// ValidationErrors holds everything that is wrong with a tree or an edit,
-// sorted by path and key.
+// ValidationErrors lists all problems of a tree or an edit, sorted by file, line, path and key.
 type ValidationErrors []*ValidationError
 
-// Error implements error: one line each.
+// Error implements error. It returns one line for each problem.
 func (e ValidationErrors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
@@ -60,13 +60,13 @@
 	*e = append(*e, &ValidationError{Path: path, Key: key, Reason: fmt.Sprintf(format, arguments...)})
 }
 
-// addOther appends an error that names another level.
+// addOther appends an error that refers to another level.
 func (e *ValidationErrors) addOther(path, key, other, format string, arguments ...any) {
 	e.add(path, key, format, arguments...)
 	(*e)[len(*e)-1].Other = other
 }
 
-// orNil sorts the errors and returns nil when there are none.
+// orNil returns the sorted errors, or nil if there are none.
 func (e ValidationErrors) orNil() error {
 	if len(e) == 0 {
 		return nil
@@ -77,25 +77,25 @@
 	return e
 }
 
-// Conflict is one part of the tree that was changed since the edit's base.
+// Conflict is a part of the tree that was changed after the base revision of an edit.
 type Conflict struct {
 	// Path of the level.
 	Path string `json:"path"`
-	// Key of the level; empty when the level was created or deleted.
+	// Key of the level. It is empty if the level was created or deleted.
 	Key string `json:"key,omitempty"`
-	// Revision, Author and EditID of the change that is in the way.
+	// Revision, Author and EditID identify the conflicting edit.
 	Revision int64  `json:"revision"`
 	Author   string `json:"author"`
 	EditID   string `json:"edit_id"`
 }
 
-// ConflictError refuses an edit made from an older revision that touches what
-// has changed since. Nothing of the edit took effect.
+// ConflictError refuses an edit that was made from an older revision and touches a part of the
+// tree that has changed since. Nothing of the edit was applied.
 type ConflictError struct {
-	// Base of the edit, and the Current revision of the tree.
+	// Base is the revision that the edit was made from, and Current that of the stored tree.
 	Base    int64 `json:"base_revision"`
 	Current int64 `json:"current_revision"`
-	// Conflicts is empty when the base is older than the kept history.
+	// Conflicts is empty if the base revision is not in the kept history.
 	Conflicts []Conflict `json:"conflicts"`
 }
 
--- a/settings/kv_test.go
+++ b/settings/kv_test.go
@@ -12,18 +12,18 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// memoryKV is a key-value service in memory. It serves Range and Txn only.
+// memoryKV is an in-memory key-value service. It implements Range and Txn only.
 type memoryKV struct {
 	mutex    sync.Mutex
 	revision int64
 	pairs    map[string]keyvalue.KeyValue
-	// fault is asked for the n-th transaction and says what happens to it.
-	fault        func(n int) kvFault
+	// faultFor returns the fault to inject into the n-th transaction.
+	faultFor     func(n int) kvFault
 	transactions int
-	// writtenBytes and writtenKeys of the last successful transaction.
+	// writtenBytes and writtenKeys describe the last successful transaction.
 	writtenBytes, writtenKeys int
 	largestValue              int
-	// events of successful transactions, one batch each.
+	// batches holds the events of each successful transaction.
 	batches [][]keyvalue.Event
 }
 
@@ -31,9 +31,9 @@
 
 const (
 	noFault kvFault = iota
-	refused
-	lostBefore // the transaction is lost before it takes effect
-	lostAfter  // the answer is lost after the transaction took effect
+	faultRefused
+	faultLostBeforeApply // the request is lost; the transaction has no effect
+	faultLostAfterApply  // the response is lost after the transaction took effect
 )
 
 func newMemoryKV() *memoryKV { return &memoryKV{pairs: map[string]keyvalue.KeyValue{}} }
@@ -55,15 +55,15 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	fault := noFault
-	if m.transactions++; m.fault != nil {
-		fault = m.fault(m.transactions)
+	if m.transactions++; m.faultFor != nil {
+		fault = m.faultFor(m.transactions)
 	}
-	lost := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "the answer was lost")
+	lostResponse := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "the response was lost")
 	switch fault {
-	case refused:
+	case faultRefused:
 		return keyvalue.TransactionResult{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "too many requests")
-	case lostBefore:
-		return keyvalue.TransactionResult{}, lost
+	case faultLostBeforeApply:
+		return keyvalue.TransactionResult{}, lostResponse
 	}
 	for _, compare := range transaction.Compares {
 		if m.pairs[compare.Key].ModRevision != compare.ModRevision {
@@ -71,8 +71,8 @@
 		}
 	}
 	m.write(transaction.Operations)
-	if fault == lostAfter {
-		return keyvalue.TransactionResult{}, lost
+	if fault == faultLostAfterApply {
+		return keyvalue.TransactionResult{}, lostResponse
 	}
 	return keyvalue.TransactionResult{Succeeded: true, Revision: m.revision}, nil
 }
@@ -95,7 +95,7 @@
 	m.batches = append(m.batches, batch)
 }
 
-var errUnused = errors.New("not used by the settings store")
+var errUnused = errors.New("operation not implemented by memoryKV")
 
 func (m *memoryKV) Grant(context.Context, time.Duration) (int64, error) { return 0, errUnused }
 func (m *memoryKV) KeepAlive(context.Context, int64) (time.Duration, error) {
--- a/settings/layout.go
+++ b/settings/layout.go
@@ -14,17 +14,17 @@
 	"github.com/valveslip/valveslip/keyvalue"
 )
 
-// KeyPrefix is where the tree is kept in the key-value service.
+// KeyPrefix is the prefix of all keys of the tree in the key-value service.
 const KeyPrefix = "/valveslip/tree/"
 
-// The keys below KeyPrefix:
+// Keys below KeyPrefix:
 //
-//	head                       the head record; every edit compares its revision
+//	head                       the head record, whose revision every edit compares
 //	chunks/<number>            the levels whose path hashes to the number
-//	history/<revision>/<part>  an accepted edit, split where it is large
+//	history/<revision>/<part>  an accepted edit, split into parts if it is large
 //
-// One edit writes the head, the chunks of the levels it changes and its history
-// entry in one transaction.
+// An edit writes the head record, the chunks of the levels that it changes and its
+// history entry in one transaction.
 const (
 	headKey       = KeyPrefix + "head"
 	chunkPrefix   = KeyPrefix + "chunks/"
@@ -32,82 +32,83 @@
 )
 
 const (
-	// chunkCount is fixed: at 1,700 levels a chunk holds about 27 of them.
+	// chunkCount is part of the stored layout and must not change. With 1,700 levels a chunk holds
+	// about 27 of them.
 	chunkCount = 64
-	// maxValueBytes bounds every value written.
+	// maxValueBytes bounds each value written to the key-value service.
 	maxValueBytes = 48 << 10
-	// maxPartBytes of an entry stand in one value, before base64.
+	// maxPartBytes bounds the bytes of a history entry in one value, before base64 encoding.
 	maxPartBytes = 32 << 10
-	// maxEditParts bounds how many values one history entry takes, so that a
-	// transaction stays within 128 operations.
-	maxEditParts = 32
-	// layoutVersion is raised when older versions cannot read the layout.
+	// maxEntryParts bounds the values that store one history entry, so that a transaction stays
+	// within 128 operations.
+	maxEntryParts = 32
+	// layoutVersion is incremented when older versions cannot read the layout.
 	layoutVersion = 1
 )
 
-// head is the record that every edit compares and replaces.
-type head struct {
+// headRecord describes the newest revision. Each edit compares and replaces it.
+type headRecord struct {
 	Layout   int    `json:"layout"`
 	History  string `json:"history"`
 	Revision int64  `json:"revision"`
 	Digest   uint64 `json:"digest,string"`
-	// Oldest revision whose entry is kept.
+	// Oldest is the oldest revision whose entry is kept.
 	Oldest int64 `json:"oldest"`
 }
 
-func (h head) stamp() Stamp {
+func (h headRecord) stamp() Stamp {
 	return Stamp{History: h.History, Revision: h.Revision, Digest: h.Digest}
 }
 
-// decodeHead reads a head record.
-func decodeHead(value []byte) (head, error) {
-	var decoded head
+// decodeHead decodes a head record. It refuses the layouts of newer versions.
+func decodeHead(value []byte) (headRecord, error) {
+	var decoded headRecord
 	if err := json.Unmarshal(value, &decoded); err != nil {
-		return head{}, eris.Wrap(err, "settings head is not readable")
+		return headRecord{}, eris.Wrap(err, "decode the settings head record")
 	}
 	if decoded.Layout > layoutVersion {
-		return head{}, eris.Errorf("settings are stored in layout %d, this version reads up to %d", decoded.Layout, layoutVersion)
+		return headRecord{}, eris.Errorf("settings are stored in layout %d, but this version supports at most layout %d", decoded.Layout, layoutVersion)
 	}
 	return decoded, nil
 }
 
-// chunkOf returns the number of the chunk that holds the level at path.
-func chunkOf(path string) int { return int(xxhash.Sum64String(path) % chunkCount) }
+// chunkNumber returns the number of the chunk that stores the level at path.
+func chunkNumber(path string) int { return int(xxhash.Sum64String(path) % chunkCount) }
 
 func chunkKey(number int) string { return fmt.Sprintf("%s%02d", chunkPrefix, number) }
 
 func historyKey(revision int64) string { return fmt.Sprintf("%s%016x/", historyPrefix, revision) }
 
-// chunks groups the levels of the tree that stand in the wanted chunks.
-func (t *Tree) chunks(wanted map[int]bool) map[int][]*Level {
+// levelsByChunk returns the levels of the wanted chunks, grouped by chunk number.
+func (t *Tree) levelsByChunk(wanted map[int]bool) map[int][]*Level {
 	grouped := make(map[int][]*Level, len(wanted))
 	for _, path := range t.paths {
-		if number := chunkOf(path); wanted[number] {
+		if number := chunkNumber(path); wanted[number] {
 			grouped[number] = append(grouped[number], t.levels[path])
 		}
 	}
 	return grouped
 }
 
-// changedChunks returns the chunks in which two trees differ.
+// changedChunks returns the numbers of the chunks that differ between two trees.
 func changedChunks(before, after *Tree) map[int]bool {
 	changed := map[int]bool{}
 	for _, path := range before.paths {
 		if after.levels[path] != before.levels[path] {
-			changed[chunkOf(path)] = true
+			changed[chunkNumber(path)] = true
 		}
 	}
 	for _, path := range after.paths {
 		if before.levels[path] == nil {
-			changed[chunkOf(path)] = true
+			changed[chunkNumber(path)] = true
 		}
 	}
 	return changed
 }
 
-// chunkOperations writes the given chunks of the tree.
+// chunkOperations returns the operations that write the changed chunks of the tree.
 func chunkOperations(tree *Tree, changed map[int]bool) ([]keyvalue.Operation, error) {
-	grouped := tree.chunks(changed)
+	grouped := tree.levelsByChunk(changed)
 	var operations []keyvalue.Operation
 	for number := range chunkCount {
 		if !changed[number] {
@@ -115,7 +116,7 @@
 		}
 		operation := keyvalue.Operation{Key: chunkKey(number), Delete: len(grouped[number]) == 0}
 		if !operation.Delete {
-			operation.Value = encodeJSON(document{Levels: grouped[number]})
+			operation.Value = encodeJSON(treeDocument{Levels: grouped[number]})
 		}
 		if len(operation.Value) > maxValueBytes {
 			return nil, ValidationErrors{{Path: grouped[number][0].Path,
@@ -126,20 +127,21 @@
 	return operations, nil
 }
 
-// entryPart is one value of a history entry. Parts are joined by number.
+// entryPart is the value that stores one part of a history entry. The parts are joined in the
+// order of their numbers.
 type entryPart struct {
 	Parts int `json:"parts"`
-	// Data is a piece of the entry's JSON form, in base64.
+	// Data is a section of the entry's JSON form, encoded in base64.
 	Data []byte `json:"data"`
 }
 
-// entryOperations writes a history entry.
+// entryOperations returns the operations that write a history entry.
 func entryOperations(entry Entry) ([]keyvalue.Operation, error) {
 	data := encodeJSON(entry)
 	parts := (len(data) + maxPartBytes - 1) / maxPartBytes
-	if parts > maxEditParts {
+	if parts > maxEntryParts {
 		return nil, ValidationErrors{{Path: RootPath, Reason: fmt.Sprintf(
-			"the edit is too large: %d bytes, %d at most; split it", len(data), maxEditParts*maxPartBytes)}}
+			"the edit is too large: %d bytes, %d at most; split it", len(data), maxEntryParts*maxPartBytes)}}
 	}
 	var operations []keyvalue.Operation
 	for part := range parts {
@@ -152,11 +154,11 @@
 	return operations, nil
 }
 
-// FromPairs reads the tree from all pairs below KeyPrefix, read at one
-// revision. Without a head record it returns the empty tree and a zero stamp.
+// FromPairs decodes the tree from all pairs below KeyPrefix, which must be read at one revision.
+// Without a head record it returns the empty tree and a zero stamp.
 func FromPairs(pairs []keyvalue.KeyValue) (*Tree, Stamp, error) {
 	var levels []*Level
-	var record head
+	var record headRecord
 	for _, pair := range pairs {
 		var err error
 		switch {
@@ -174,18 +176,17 @@
 	if record.Revision == 0 {
 		return Empty(), Stamp{}, nil
 	}
-	tree, err := assemble(levels)
+	tree, err := buildCheckedTree(levels)
 	if err != nil {
 		return nil, Stamp{}, err
 	}
 	if tree.Digest() != record.Digest {
-		return nil, Stamp{}, eris.Errorf("settings digest is %x, the head record says %x", tree.Digest(), record.Digest)
+		return nil, Stamp{}, eris.Errorf("settings tree has digest %x, but the head record states %x", tree.Digest(), record.Digest)
 	}
 	return tree, record.stamp(), nil
 }
 
-// EntriesFromPairs reads the history entries among pairs below KeyPrefix, in
-// revision order.
+// EntriesFromPairs decodes the history entries among the pairs below KeyPrefix, in revision order.
 func EntriesFromPairs(pairs []keyvalue.KeyValue) ([]Entry, error) {
 	parts := map[string][]entryPart{}
 	for _, pair := range pairs {
@@ -196,11 +197,11 @@
 		}
 		var decoded entryPart
 		if err := json.Unmarshal(pair.Value, &decoded); err != nil {
-			return nil, eris.Wrapf(err, "history entry %s is not readable", pair.Key)
+			return nil, eris.Wrapf(err, "decode history entry %s", pair.Key)
 		}
 		number, err := strconv.Atoi(part)
-		if err != nil || number < 0 || number >= decoded.Parts || decoded.Parts > maxEditParts {
-			return nil, eris.Errorf("history entry %s has a wrong part", pair.Key)
+		if err != nil || number < 0 || number >= decoded.Parts || decoded.Parts > maxEntryParts {
+			return nil, eris.Errorf("history entry %s has an invalid part number", pair.Key)
 		}
 		if parts[revision] == nil {
 			parts[revision] = make([]entryPart, decoded.Parts)
@@ -212,20 +213,20 @@
 	return joinEntries(parts)
 }
 
-// joinEntries decodes entries from their parts.
+// joinEntries joins the parts of each entry, decodes the entries and sorts them by revision.
 func joinEntries(parts map[string][]entryPart) ([]Entry, error) {
 	entries := make([]Entry, 0, len(parts))
 	for revision, pieces := range parts {
 		var data []byte
 		for _, piece := range pieces {
 			if piece.Parts == 0 {
-				return nil, eris.Errorf("history entry %s misses a part", revision)
+				return nil, eris.Errorf("history entry %s lacks a part", revision)
 			}
 			data = append(data, piece.Data...)
 		}
 		var entry Entry
 		if err := json.Unmarshal(data, &entry); err != nil {
-			return nil, eris.Wrapf(err, "history entry %s is not readable", revision)
+			return nil, eris.Wrapf(err, "decode history entry %s", revision)
 		}
 		entry.parts = len(pieces)
 		entries = append(entries, entry)
@@ -234,8 +235,8 @@
 	return entries, nil
 }
 
-// StampFromEvents returns the stamp that a watch batch led to, false when the
-// batch has none that can be read.
+// StampFromEvents returns the newest stamp in a watch batch, and false if the batch has no
+// readable head record.
 func StampFromEvents(events []keyvalue.Event) (Stamp, bool) {
 	for _, event := range slices.Backward(events) {
 		if event.KeyValue.Key == headKey && !event.Deleted {
@@ -246,8 +247,8 @@
 	return Stamp{}, false
 }
 
-// EntriesFromEvents reads the edits accepted in a watch batch, in revision
-// order. Deletions of old entries and changes of other keys are passed over.
+// EntriesFromEvents decodes the edits accepted in a watch batch, in revision order. It ignores
+// deletions of old entries and changes of other keys.
 func EntriesFromEvents(events []keyvalue.Event) ([]Entry, error) {
 	var pairs []keyvalue.KeyValue
 	for _, event := range events {
--- a/settings/policy.go
+++ b/settings/policy.go
@@ -6,60 +6,58 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Policy is the effective value of every inheritable key for one model or
-// service. Package documentation lists the keys with their defaults.
+// Policy holds the effective value of every inheritable key of one model or service. The registry
+// of keys defines the defaults.
 type Policy struct {
-	// MinReplicas are kept loaded even when idle.
+	// MinReplicas is the number of replicas kept loaded even when idle, over all zones.
 	MinReplicas int
-	// MaxReplicas is the decided upper bound over all zones.
+	// MaxReplicas is the upper bound of replicas over all zones.
 	MaxReplicas int
-	// Zones that may hold replicas; empty means all.
+	// Zones that may hold replicas. An empty list means all zones.
 	Zones []cluster.ZoneID
-	// Memory one replica occupies, in bytes.
+	// Memory that one replica occupies, in bytes.
 	Memory int64
-	// KeepAlive is how long an idle replica stays loaded while the learned
-	// idle-time histogram has too few samples; a learned time is at most 16 of
-	// it.
+	// KeepAlive is how long an idle replica stays loaded while the histogram of idle times has too
+	// few samples. A time learned from the histogram is at most 16 times as long.
 	KeepAlive time.Duration
-	// ColdStartWeight between 0 and 1 weighs tail cold-start time against
-	// idle accelerator hours: 1 prefers short cold starts.
+	// ColdStartWeight weighs tail cold-start time against idle accelerator hours: 1 prefers short
+	// cold starts, 0 few idle hours.
 	ColdStartWeight float64
-	// Priority of waiting requests; larger goes first.
+	// Priority of queued requests. Requests of higher priority are dispatched first.
 	Priority int
-	// MaxConcurrency limits requests admitted at once over the whole system;
-	// zero means unlimited.
-	MaxConcurrency int
-	// RequestsPerSecond limits admissions over the whole system; zero means
+	// MaxConcurrency limits the requests admitted at the same time in the whole system. Zero means
 	// unlimited.
+	MaxConcurrency int
+	// RequestsPerSecond limits admissions in the whole system. Zero means unlimited.
 	RequestsPerSecond float64
-	// TokensPerSecond limits prompt and generated tokens over the whole
-	// system; zero means unlimited.
+	// TokensPerSecond limits prompt and generated tokens in the whole system. Zero means
+	// unlimited.
 	TokensPerSecond float64
-	// QueueLength bounds the waiting requests of a model on one node.
+	// QueueLength limits the queued requests of a model on one node.
 	QueueLength int
-	// QueueBytes bounds the bytes of waiting request bodies of a model on one
-	// node.
+	// QueueBytes limits the bytes of queued request bodies of a model on one node.
 	QueueBytes int64
-	// QueueTime bounds how long a request may wait for dispatch.
+	// QueueTime limits how long a request may wait for dispatch.
 	QueueTime time.Duration
-	// Deadline for the whole request when the caller states none.
+	// Deadline for the whole request if the caller states none.
 	Deadline time.Duration
-	// RetryAttempts bounds dispatches of one request, the first included.
+	// RetryAttempts limits the dispatches of one request, including the first.
 	RetryAttempts int
-	// Repeatable is the default for requests that do not say.
+	// Repeatable tells whether a request that does not state it may run more than once.
 	Repeatable bool
-	// EnginePool whose machines may hold the model.
+	// EnginePool is the engine pool whose machines may hold the model.
 	EnginePool string
 	// Version of the checkpoint to load.
 	Version string
-	// DrainTime bounds how long a replica that is unloaded finishes requests.
+	// DrainTime limits how long the requests of a replica may continue after its unloading has
+	// begun.
 	DrainTime time.Duration
 }
 
-// Kind is the kind of a node in the tree.
+// Kind is the kind of a level.
 type Kind string
 
-// The kinds of tree nodes.
+// Kinds of levels.
 const (
 	KindOrganization Kind = "organization"
 	KindTeam         Kind = "team"
@@ -68,26 +66,25 @@
 	KindAdapter      Kind = "adapter"
 )
 
-// Model is one servable base model or adapter with its effective policy.
+// Model is a servable base model or adapter with its effective policy.
 type Model struct {
 	ID cluster.ModelID
 	// Kind is KindModel or KindAdapter.
 	Kind Kind
-	// Base is the base model of an adapter, else empty.
+	// Base is the base model of an adapter. It is empty for base models.
 	Base cluster.ModelID
-	// Path of the tree node, such as /dental/after-hours/recall-letters.
+	// Path of the level, such as /dental/after-hours/recall-letters.
 	Path string
-	// Team is the path of the closest team above, or the root.
+	// Team is the path of the closest team above the model, or the root.
 	Team string
-	// Policy is effective here.
+	// Policy in effect for the model.
 	Policy Policy
-	// Sources gives, by key name, the path of the level each value came from;
-	// "default" where the documented default applies.
+	// Sources maps each key to the path of the level that sets its value, or to SourceDefault.
 	Sources map[string]string
 }
 
-// Scope is one level on a path at which limits apply: a request counts against
-// every scope from its token's subtree and its model up to the root.
+// Scope holds the limits that one level sets. A request counts against every scope on the paths
+// from its model and from its token's subtree up to the root.
 type Scope struct {
 	Path              string
 	MaxConcurrency    int
@@ -98,9 +95,8 @@
 // Role of a token.
 type Role string
 
-// The roles. RoleCall may only call models; RoleRead may read the
-// administration API; RoleEdit may also edit its subtree; RoleAdminister may
-// also manage tokens there.
+// Roles of tokens. RoleCall may only call models. RoleRead may read the administration API.
+// RoleEdit may also edit its subtree. RoleAdminister may also manage tokens in its subtree.
 const (
 	RoleCall       Role = "call"
 	RoleRead       Role = "read"
@@ -108,49 +104,50 @@
 	RoleAdminister Role = "administer"
 )
 
-// Token is an access token, stored as a hash.
+// Token is an access token. Only the hash of its secret is stored.
 type Token struct {
-	// Name for logs and the audit trail.
+	// Name of the token in logs and the audit trail.
 	Name string
-	// SHA256 is the lower-case hexadecimal hash of the secret.
+	// SHA256 is the hash of the secret in lower-case hexadecimal.
 	SHA256 string
 	Role   Role
-	// Path of the subtree the token is bound to.
+	// Path of the subtree that the token is bound to.
 	Path string
-	// NotAfter ends the token; zero means never.
+	// NotAfter is when the token expires. Zero means never.
 	NotAfter time.Time
 }
 
-// Stamp identifies a configuration: which history, how far, and what content.
-// Within one history a larger revision is newer.
+// Stamp identifies the history, revision and content of a tree. Within one history a larger
+// revision is newer.
 type Stamp struct {
-	// History identifies one lineage of edits; it changes only when the
-	// key-value service was restored or replaced.
+	// History identifies a sequence of edits. It changes only when the key-value service was
+	// restored or replaced.
 	History string
 	// Revision counts accepted edits from 1.
 	Revision int64
-	// Digest is xxhash64 over the canonical tree at Revision.
+	// Digest is the wrapping sum of the xxhash64 values of the tree's levels at Revision.
 	Digest uint64
 }
 
-// Snapshot is the compiled, immutable form of an accepted tree. All decisions
-// read policies from one.
+// Snapshot is the compiled, immutable form of an accepted tree. All decisions read their policies
+// from a snapshot.
 type Snapshot struct {
 	Stamp Stamp
 	// Models is sorted by ID.
 	Models []Model
 	// Tokens is sorted by SHA256.
 	Tokens []Token
-	// Scopes holds every node of the tree that sets a limit, by path.
+	// Scopes maps the path of every level that sets a limit to its limits.
 	Scopes map[string]Scope
 
 	models map[cluster.ModelID]int
 	tokens map[string]int
-	// teams of the models.
+	// teams is the set of the models' teams.
 	teams map[string]struct{}
 }
 
-// NewSnapshot indexes models and tokens; both must be sorted as documented.
+// NewSnapshot returns a snapshot that indexes models and tokens. Models must be sorted by ID and
+// tokens by SHA256.
 func NewSnapshot(stamp Stamp, models []Model, tokens []Token, scopes map[string]Scope) *Snapshot {
 	snapshot := &Snapshot{
 		Stamp: stamp, Models: models, Tokens: tokens, Scopes: scopes,
@@ -190,8 +187,8 @@
 	return nil
 }
 
-// TeamOf returns the path of the closest team with models at or above path, or
-// path itself without one.
+// TeamOf returns the path of the closest team with models at or above path, or path itself if
+// there is none.
 func (s *Snapshot) TeamOf(path string) string {
 	for level := path; level != "/"; level = parent(level) {
 		if _, found := s.teams[level]; found {
@@ -201,20 +198,20 @@
 	return path
 }
 
-// Visible reports whether a token bound to the subtree at path may call the
-// model: the model lies in the subtree, or is shared by being placed directly
-// under a level at or above the subtree that is not inside another team.
+// Visible reports whether a token bound to the subtree at path may call the model. It may if the
+// model is in the subtree, or if the model's parent is at path or above it, which makes the model
+// shared.
 func (s *Snapshot) Visible(path string, model *Model) bool {
 	return contains(path, model.Path) || contains(parent(model.Path), path)
 }
 
-// Contains reports whether the level at inner lies in the subtree at outer.
+// Contains reports whether the level at inner is in the subtree at outer.
 func Contains(outer, inner string) bool { return contains(outer, inner) }
 
-// Parent returns the path of the level above, "/" at the top.
+// Parent returns the path of the parent level. The parent of "/" is "/".
 func Parent(path string) string { return parent(path) }
 
-// contains reports whether the tree node at inner lies in the subtree at outer.
+// contains reports whether the level at inner is in the subtree at outer.
 func contains(outer, inner string) bool {
 	if outer == "/" || outer == inner {
 		return true
@@ -222,7 +219,7 @@
 	return len(inner) > len(outer) && inner[:len(outer)] == outer && inner[len(outer)] == '/'
 }
 
-// parent returns the path of the level above, "/" at the top.
+// parent returns the path of the parent level. The parent of "/" is "/".
 func parent(path string) string {
 	for i := len(path) - 1; i > 0; i-- {
 		if path[i] == '/' {
--- a/settings/rebase_test.go
+++ b/settings/rebase_test.go
@@ -9,21 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// touches returns what an edit sets, unsets or gives tokens, by path and key.
-func (e *Edit) touches() map[place]bool {
-	touched := map[place]bool{}
+// touchedKeyRefs returns the keys and tokens that the edit sets, unsets, puts or removes.
+func (e *Edit) touchedKeyRefs() map[keyRef]bool {
+	touched := map[keyRef]bool{}
 	for i := range e.Changes {
 		for _, key := range e.Changes[i].touchedKeys() {
-			touched[place{e.Changes[i].Path, key}] = true
+			touched[keyRef{e.Changes[i].Path, key}] = true
 		}
 	}
 	return touched
 }
 
-// TestNoEditIsLostToOneThatDidNotSeeIt commits one edit and then another that
-// was made from the revision before. The second is accepted only if the first
-// stands as it was, and refused only if both touch the same part.
-func TestNoEditIsLostToOneThatDidNotSeeIt(t *testing.T) {
+// TestRebasedEditKeepsInterveningEdit guards against lost updates: an edit made from an older
+// revision must not overwrite an edit that was accepted since. It commits two edits made from the
+// same revision. The second may be accepted only if the result of the first is kept, and refused
+// only with the conflicting parts named and the tree unchanged.
+func TestRebasedEditKeepsInterveningEdit(t *testing.T) {
 	ctx := context.Background()
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,41 +41,42 @@
 		if _, err := store.Commit(ctx, first); err != nil {
 			return
 		}
-		between, _, _ := store.Load(ctx)
+		afterFirst, _, _ := store.Load(ctx)
 		_, err := store.Commit(ctx, second)
-		after, _, _ := store.Load(ctx)
+		afterSecond, _, _ := store.Load(ctx)
 		var conflict *ConflictError
 		switch {
 		case err == nil:
 			accepted++
-			checkKept(t, &first, &second, between, after)
+			checkFirstEditKept(t, &first, &second, afterFirst, afterSecond)
 		case errors.As(err, &conflict):
 			refused++
-			if len(conflict.Conflicts) == 0 || after.Digest() != between.Digest() {
-				t.Fatalf("refused with %v", conflict)
+			if len(conflict.Conflicts) == 0 || afterSecond.Digest() != afterFirst.Digest() {
+				t.Fatalf("refused without conflicts or with a changed tree: %v", conflict)
 			}
 		}
 	})
 	if accepted == 0 || refused == 0 {
-		t.Fatalf("the draws led to %d accepted and %d refused edits", accepted, refused)
+		t.Fatalf("%d edits accepted and %d refused, want both above 0", accepted, refused)
 	}
 }
 
-// checkKept checks that everything the first edit touched is as it left it.
-func checkKept(t *rapid.T, first, second *Edit, between, after *Tree) {
+// checkFirstEditKept checks that the second edit left every part that the first one touched
+// unchanged.
+func checkFirstEditKept(t *rapid.T, first, second *Edit, between, after *Tree) {
 	for _, change := range first.Changes {
-		then, now := between.Level(change.Path), after.Level(change.Path)
-		if (then == nil) != (now == nil) {
-			t.Fatalf("%s came or went by an edit that did not see it", change.Path)
+		beforeSecond, afterSecond := between.Level(change.Path), after.Level(change.Path)
+		if (beforeSecond == nil) != (afterSecond == nil) {
+			t.Fatalf("level %s was created or deleted by an edit made from an older revision", change.Path)
 		}
-		if then == nil {
+		if beforeSecond == nil {
 			continue
 		}
-		for key := range maps.Keys(first.touches()) {
-			if key.path == change.Path && then.Values[key.key] != now.Values[key.key] {
-				t.Fatalf("%v was overwritten by an edit that did not see it", key)
+		for key := range maps.Keys(first.touchedKeyRefs()) {
+			if key.path == change.Path && beforeSecond.Values[key.key] != afterSecond.Values[key.key] {
+				t.Fatalf("%v was overwritten by an edit made from an older revision", key)
 			}
-			if second.touches()[key] {
+			if second.touchedKeyRefs()[key] {
 				t.Fatalf("%v was touched by both edits", key)
 			}
 		}
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// Reference returns the operators' page on the policy keys, in Markdown. The
-// page in docs/operations is this text.
+// Reference returns the operators' reference page of the policy keys, in Markdown. The committed
+// copy is in docs/operations.
 func Reference() string {
 	var page strings.Builder
-	page.WriteString(referenceHead)
+	page.WriteString(referenceIntroduction)
 	page.WriteString("| Key | Type | Default | Bounds | Meaning |\n|---|---|---|---|---|\n")
 	for i := range keys {
 		key := &keys[i]
 		fmt.Fprintf(&page, "| `%s` | %s | `%s` | %s | %s |\n", key.Name, key.Type, key.Default, key.Bounds, key.Doc)
 	}
 	fmt.Fprintf(&page, "\nAdapters also have `%s` (%s): %s\n", baseKey.Name, baseKey.Type, lowerFirst(baseKey.Doc))
-	page.WriteString(referenceTail)
+	page.WriteString(referenceDetails)
 	return page.String()
 }
 
 func lowerFirst(text string) string { return strings.ToLower(text[:1]) + text[1:] }
 
-const referenceHead = `# Keys of the settings tree
+const referenceIntroduction = `# Keys of the settings tree
 
 A level of the tree sets any of these keys. A level that does not set a key
 inherits the value of the closest level above that does; where no level does,
@@ -32,7 +32,7 @@
 
 `
 
-const referenceTail = `
+const referenceDetails = `
 ## How values are written
 
 | Type | In YAML | On a command line |
@@ -66,8 +66,8 @@
 to any level below.
 `
 
-// Schema returns a JSON Schema of the YAML documents that ParseYAML reads, for
-// editors. It does not replace the checks of ParseYAML.
+// Schema returns a JSON Schema of the YAML documents that ParseYAML accepts, for use in editors.
+// It does not replace the validation by ParseYAML.
 func Schema() []byte {
 	properties := map[string]any{
 		fieldKind: map[string]any{"enum": []Kind{KindOrganization, KindTeam, KindService, KindModel, KindAdapter}},
@@ -81,10 +81,10 @@
 			},
 		}},
 		fieldChildren: map[string]any{"type": "object", "propertyNames": nameType.schema, "additionalProperties": map[string]any{"$ref": "#"}},
-		KeyBase:       described(&baseKey),
+		KeyBase:       keySchema(&baseKey),
 	}
 	for i := range keys {
-		properties[keys[i].Name] = described(&keys[i])
+		properties[keys[i].Name] = keySchema(&keys[i])
 	}
 	schema, err := json.MarshalIndent(map[string]any{
 		"$schema": "https://json-schema.org/draft/2020-12/schema",
@@ -97,8 +97,8 @@
 	return append(schema, '\n')
 }
 
-// described returns the schema of a key's values with its documentation.
-func described(key *Key) map[string]any {
+// keySchema returns the schema of a key's values, with the description of the key.
+func keySchema(key *Key) map[string]any {
 	schema := map[string]any{"description": key.Doc}
 	for name, value := range key.schema {
 		schema[name] = value
--- a/settings/reference_test.go
+++ b/settings/reference_test.go
@@ -10,17 +10,18 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// TestReferencePagesAreThoseOfTheRegistry compares the committed pages with
-// the registry; -update writes them.
-func TestReferencePagesAreThoseOfTheRegistry(t *testing.T) {
+// TestReferencePagesMatchKeyRegistry guards against reference pages that lag behind the registry
+// of keys. Run it with -update to write the pages.
+func TestReferencePagesMatchKeyRegistry(t *testing.T) {
 	pages := goldie.New(t, goldie.WithFixtureDir("../docs/operations"), goldie.WithNameSuffix(""))
 	pages.Assert(t, "tree-keys.md", []byte(Reference()))
 	pages.Assert(t, "tree.schema.json", Schema())
 }
 
-// TestSchemaAcceptsWhatTheParserAccepts checks the schema with a validator of
-// JSON Schema, for which it becomes a component of a document.
-func TestSchemaAcceptsWhatTheParserAccepts(t *testing.T) {
+// TestSchemaAgreesWithParser guards against a schema that marks accepted trees as invalid in an
+// editor, or the reverse. The JSON Schema validator takes the schema as a component of an OpenAPI
+// document.
+func TestSchemaAgreesWithParser(t *testing.T) {
 	schema := strings.ReplaceAll(string(Schema()), `"$ref": "#"`, `"$ref": "#/components/schemas/tree"`)
 	document := `{"openapi":"3.1.0","info":{"title":"t","version":"1"},"paths":{},"components":{"schemas":{"tree":` + schema + `}}}`
 	loaded, err := openapi3.NewLoader().LoadFromData([]byte(document))
@@ -35,7 +36,7 @@
 		yaml     string
 		accepted bool
 	}{
-		// The YAML library reads a bare date as a time, which JSON does not have.
+		// The YAML library decodes an unquoted date as a time, which JSON does not have.
 		"a right tree":        {strings.ReplaceAll(string(dental), "2027-06-30", `"2027-06-30"`), true},
 		"an unknown key":      {"keep_alvie: 10m", false},
 		"a wrong unit":        {"memory: 16GB", false},
--- a/settings/refresh.go
+++ b/settings/refresh.go
@@ -8,13 +8,12 @@
 	"github.com/valveslip/valveslip/keyvalue"
 )
 
-// maxCatchUp is how many entries are read one by one before the whole tree is
-// read instead.
-const maxCatchUp = 16
+// maxCatchUpEntries bounds the entries read one by one. A larger gap is closed by reading the
+// whole tree.
+const maxCatchUpEntries = 16
 
-// refresh returns the newest state. It reads the head record, then only the
-// entries that are new; the whole tree when the cached state cannot be
-// continued.
+// refresh returns the newest state. It reads the head record and then only the new entries, or the
+// whole tree if the cached state cannot be brought up to date that way.
 func (s *Store) refresh(ctx context.Context) (*state, error) {
 	s.mutex.Lock()
 	cached := s.cached
@@ -34,31 +33,31 @@
 		return cached, nil
 	}
 	behind := record.Revision - cached.head.Revision
-	if record.History == cached.head.History && behind > 0 && behind <= maxCatchUp {
+	if record.History == cached.head.History && behind > 0 && behind <= maxCatchUpEntries {
 		if next := s.catchUp(ctx, cached, record, modRevision); next != nil {
-			s.remember(next)
+			s.cacheState(next)
 			return next, nil
 		}
 	}
 	return s.load(ctx)
 }
 
-// findHead returns the head record among the pairs and its revision in the
-// key-value service, zeros when there is none.
-func findHead(pairs []keyvalue.KeyValue) (head, int64, error) {
+// findHead returns the head record among the pairs and its modification revision in the key-value
+// service, or zero values if there is none.
+func findHead(pairs []keyvalue.KeyValue) (headRecord, int64, error) {
 	for _, pair := range pairs {
 		if pair.Key == headKey {
 			record, err := decodeHead(pair.Value)
 			return record, pair.ModRevision, err
 		}
 	}
-	return head{}, 0, nil
+	return headRecord{}, 0, nil
 }
 
-// catchUp applies the entries up to the head record to the cached state, or
-// returns nil when they cannot be read or do not lead there.
-func (s *Store) catchUp(ctx context.Context, cached *state, record head, modRevision int64) *state {
-	next := &state{head: record, modRevision: modRevision, tree: cached.tree, stale: cached.stale}
+// catchUp applies the entries up to the head record to the cached state. It returns nil if they
+// cannot be read or do not lead to the digest in the head record.
+func (s *Store) catchUp(ctx context.Context, cached *state, record headRecord, modRevision int64) *state {
+	next := &state{head: record, modRevision: modRevision, tree: cached.tree, obsolete: cached.obsolete}
 	next.entries = cached.entries[:len(cached.entries):len(cached.entries)]
 	for revision := cached.head.Revision + 1; revision <= record.Revision; revision++ {
 		pairs, _, err := s.kv.Range(ctx, historyKey(revision))
@@ -81,7 +80,7 @@
 	return next
 }
 
-// load reads everything.
+// load reads the whole tree and its history, and caches them.
 func (s *Store) load(ctx context.Context) (*state, error) {
 	pairs, _, err := s.kv.Range(ctx, KeyPrefix)
 	if err != nil {
@@ -100,14 +99,14 @@
 		return nil, err
 	}
 	next.entries = next.entriesAfter(next.head.Oldest - 1)
-	next.stale = entries[:len(entries)-len(next.entries)]
-	s.remember(next)
+	next.obsolete = entries[:len(entries)-len(next.entries)]
+	s.cacheState(next)
 	return next, nil
 }
 
-// remember caches a state unless a newer one is cached already. A state of
-// another history replaces the cache when it was read, which is later.
-func (s *Store) remember(next *state) {
+// cacheState caches a state unless a newer one is cached already. A state of another history
+// always replaces the cached one, because it was read later.
+func (s *Store) cacheState(next *state) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.cached == nil || s.cached.head.History != next.head.History || s.cached.head.Revision < next.head.Revision {
--- a/settings/store.go
+++ b/settings/store.go
@@ -12,18 +12,17 @@
 )
 
 const (
-	// DefaultHistoryLength is how many accepted edits the store keeps.
+	// DefaultHistoryLength is the number of accepted edits that the store keeps.
 	DefaultHistoryLength = 512
-	// maxCommitAttempts bounds how often one Commit starts over because other
-	// writers were faster or answers were lost.
+	// maxCommitAttempts bounds the attempts of one Commit, which retries after a concurrent edit
+	// or a lost response.
 	maxCommitAttempts = 64
 )
 
-// ErrExists is returned by Initialize when there is a tree already.
+// ErrExists is returned by Initialize if a tree is stored already.
 var ErrExists = errors.New("settings are initialized already")
 
-// Store keeps the tree in the key-value service. Its methods are safe for
-// concurrent use.
+// Store keeps the tree in the key-value service. Its methods are safe for concurrent use.
 type Store struct {
 	kv            keyvalue.Store
 	historyLength int64
@@ -35,34 +34,34 @@
 	cached *state
 }
 
-// state is the stored tree at one revision with its kept history. It is
-// immutable.
+// state is the stored tree at one revision, with its kept history. It is immutable.
 type state struct {
-	head head
-	// modRevision of the head record, zero when there is none.
+	head headRecord
+	// modRevision is the modification revision of the head record, zero if there is none.
 	modRevision int64
 	tree        *Tree
-	// entries kept, in revision order.
+	// entries is the kept history, in revision order.
 	entries []Entry
-	// stale entries are stored but belong to the history no more.
-	stale []Entry
+	// obsolete holds entries that are still stored but no longer part of the history.
+	obsolete []Entry
 }
 
-// StoreOption changes a Store.
+// StoreOption configures a Store.
 type StoreOption func(*Store)
 
-// WithHistoryLength keeps the given number of accepted edits, at least 1.
+// WithHistoryLength sets the number of accepted edits to keep, at least 1.
 func WithHistoryLength(length int) StoreOption {
 	return func(s *Store) { s.historyLength = int64(max(1, length)) }
 }
 
-// WithClock sets the clock that stamps the first entry of a history.
+// WithClock sets the clock that names histories and gives the time of the entries written by
+// Initialize and Restore.
 func WithClock(now func() time.Time) StoreOption {
 	return func(s *Store) { s.now = now }
 }
 
-// WithHistoryNames sets how new histories are named. Names of later histories
-// must sort after those of earlier ones.
+// WithHistoryNames sets the function that names new histories. The names of later histories must
+// sort after those of earlier ones.
 func WithHistoryNames(name func() string) StoreOption {
 	return func(s *Store) { s.newHistory = name }
 }
@@ -70,18 +69,18 @@
 // NewStore returns a store over the key-value service.
 func NewStore(store keyvalue.Store, options ...StoreOption) *Store {
 	s := &Store{kv: store, historyLength: DefaultHistoryLength, now: time.Now}
-	s.newHistory = func() string { return s.now().UTC().Format(historyTime) + "-" + rand.Text() }
+	s.newHistory = func() string { return s.now().UTC().Format(historyTimeLayout) + "-" + rand.Text() }
 	for _, option := range options {
 		option(s)
 	}
 	return s
 }
 
-// historyTime is how the name of a history begins, so that names sort by the
-// time of their making: nodes take the later of two histories.
-const historyTime = "20060102T150405.000Z"
+// historyTimeLayout is the layout of the time at the start of a history name. Names sort by
+// creation time, because nodes take the later of two histories.
+const historyTimeLayout = "20060102T150405.000Z"
 
-// Load reads the current tree. Before any edit it is empty with a zero stamp.
+// Load reads the current tree. Before the first edit it returns the empty tree and a zero stamp.
 // Errors of the service are *verdict.Error.
 func (s *Store) Load(ctx context.Context) (*Tree, Stamp, error) {
 	current, err := s.refresh(ctx)
@@ -91,8 +90,8 @@
 	return current.tree, current.head.stamp(), nil
 }
 
-// EntriesAfter returns the accepted edits after the revision, in order. A
-// revision before the kept history gives what is kept.
+// EntriesAfter returns the accepted edits after the revision, in order. For a revision before the
+// kept history it returns all kept edits.
 func (s *Store) EntriesAfter(ctx context.Context, revision int64) ([]Entry, error) {
 	current, err := s.refresh(ctx)
 	if err != nil {
@@ -101,19 +100,18 @@
 	return current.entriesAfter(revision), nil
 }
 
-// Find returns the accepted edit with the id, or false when the kept history
-// has none.
+// Find returns the accepted edit with the ID, and false if the kept history has none.
 func (s *Store) Find(ctx context.Context, id string) (Entry, bool, error) {
 	current, err := s.refresh(ctx)
 	if err != nil {
 		return Entry{}, false, err
 	}
-	entry, found := current.find(id)
+	entry, found := current.findEntry(id)
 	return entry, found, nil
 }
 
-// find returns the kept entry with the edit id.
-func (s *state) find(id string) (Entry, bool) {
+// findEntry returns the kept entry with the edit ID.
+func (s *state) findEntry(id string) (Entry, bool) {
 	for i := len(s.entries) - 1; i >= 0; i-- {
 		if s.entries[i].Edit.ID == id {
 			return s.entries[i], true
@@ -131,21 +129,21 @@
 	return nil
 }
 
-// ErrRevisionGone is returned for a revision that the kept history does not
-// reach, or that does not exist yet.
+// ErrRevisionGone is returned for a revision that is older than the kept history or does not exist
+// yet.
 var ErrRevisionGone = errors.New("the revision is not in the kept history")
 
-// TreeAt returns the tree as it was at a revision of the kept history.
+// TreeAt returns the tree at a revision of the kept history.
 func (s *Store) TreeAt(ctx context.Context, revision int64) (*Tree, error) {
 	current, err := s.refresh(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return current.at(revision)
+	return current.treeAt(revision)
 }
 
-// at undoes the entries after the revision.
-func (s *state) at(revision int64) (*Tree, error) {
+// treeAt returns the tree at the revision, by undoing all later entries.
+func (s *state) treeAt(revision int64) (*Tree, error) {
 	if revision > s.head.Revision || revision < s.head.Oldest-1 || revision < 0 {
 		return nil, ErrRevisionGone
 	}
@@ -159,8 +157,8 @@
 	return tree, nil
 }
 
-// Initialize stores the first tree of a new history as revision 1. It returns
-// ErrExists, and the stamp found, when there is a tree already.
+// Initialize stores the first tree of a new history as revision 1. If a tree is stored already, it
+// returns ErrExists and the stamp of that tree.
 func (s *Store) Initialize(ctx context.Context, tree *Tree, author string) (Stamp, error) {
 	current, err := s.refresh(ctx)
 	if err != nil {
@@ -171,7 +169,7 @@
 	}
 	edit := Edit{ID: rand.Text(), Author: author, Message: "initial tree", At: s.now().UTC(), Changes: tree.Diff(Empty())}
 	if len(edit.Changes) == 0 {
-		edit.Changes = noChange()
+		edit.Changes = noOpChanges()
 	}
 	entry, err := s.Commit(ctx, edit)
 	var conflict *ConflictError
@@ -189,21 +187,21 @@
 	return stamp, err
 }
 
-// Commit makes the edit the next revision. An edit whose id is in the history
-// is not applied again; its entry is returned.
+// Commit stores the edit as the next revision. An edit whose ID is in the history is not applied
+// again; Commit returns its entry.
 //
-// An edit from an older revision is accepted when nothing it touches has
-// changed since, else the error is a *ConflictError. A ValidationErrors says
-// that the edit is wrong by itself. A *verdict.Error with CodeOutcomeUnknown
-// says that it may have taken effect: commit it again, unchanged, or Find it.
+// An edit made from an older revision is accepted if nothing that it touches has changed since;
+// otherwise the error is a *ConflictError. A ValidationErrors means that the edit itself is
+// invalid. A *verdict.Error with CodeOutcomeUnknown means that the edit may have taken effect:
+// commit it again, unchanged, or look it up by Find.
 func (s *Store) Commit(ctx context.Context, edit Edit) (Entry, error) {
 	unknown := false
 	for range maxCommitAttempts {
-		entry, outcome, err := s.attempt(ctx, edit)
+		entry, outcome, err := s.tryCommit(ctx, edit)
 		switch {
 		case outcome == committed:
 			return entry, err
-		case outcome == answerLost:
+		case outcome == resultUnknown:
 			unknown = true
 		case err != nil && unknown && verdict.CodeOf(err) != verdict.CodeInternal:
 			return Entry{}, outcomeUnknown(edit.ID, err)
--- a/settings/team_test.go
+++ b/settings/team_test.go
@@ -2,7 +2,9 @@
 
 import "testing"
 
-func TestTeamOf(t *testing.T) {
+// TestTeamOfReturnsClosestTeamWithModels guards against matching by string prefix: /dentals is not
+// in the team /dental. A path without a team at or above it is returned as it is.
+func TestTeamOfReturnsClosestTeamWithModels(t *testing.T) {
 	snapshot := NewSnapshot(Stamp{}, []Model{{ID: "a", Path: "/dental/after-hours/a", Team: "/dental"}, {ID: "b", Path: "/b", Team: "/"}}, nil, nil)
 	for path, wanted := range map[string]string{
 		"/dental": "/dental", "/dental/after-hours": "/dental", "/claims/clerks": "/claims/clerks", "/": "/", "/dentals": "/dentals",
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -10,42 +10,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RootPath is the path of the level above all others. It always exists.
+// RootPath is the path of the root level, which always exists.
 const RootPath = "/"
 
 // maxPathBytes bounds the length of a level's path.
 const maxPathBytes = 1024
 
-// namePattern is what a level, zone, pool or version may be called.
+// namePattern matches valid names of levels, tokens, zones, engine pools and versions.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$`)
 
-// AccessToken is a token as a level stores it. The secret is never stored.
+// AccessToken is a token as stored in a level. The secret itself is never stored.
 type AccessToken struct {
 	// Name is unique among the tokens of the level.
 	Name string `json:"name"`
-	// SHA256 is the lower-case hexadecimal hash of the secret.
+	// SHA256 is the hash of the secret in lower-case hexadecimal.
 	SHA256 string `json:"sha256"`
 	Role   Role   `json:"role"`
-	// NotAfter ends the token; zero means never.
+	// NotAfter is when the token expires. Zero means never.
 	NotAfter time.Time `json:"not_after,omitzero"`
 }
 
-// Level is one node of the tree with what it sets itself. It is immutable once
-// part of a Tree.
+// Level is one level of the tree, with only the values that it sets itself. It is immutable once
+// it is part of a Tree.
 type Level struct {
 	Path string `json:"path"`
 	Kind Kind   `json:"kind"`
-	// Values by key. Keys this version does not know are kept.
+	// Values by key. Keys that this version does not know are kept.
 	Values map[string]Value `json:"values,omitempty"`
-	// Tokens sorted by name.
+	// Tokens is sorted by name.
 	Tokens []AccessToken `json:"tokens,omitempty"`
 }
 
-// Name is the last part of the path; for models and adapters it is what callers
-// use.
+// Name returns the last element of the path. Callers address models and adapters by it.
 func (l *Level) Name() string { return l.Path[strings.LastIndexByte(l.Path, '/')+1:] }
 
-// clone returns a copy that may be changed.
+// clone returns a copy that may be modified.
 func (l *Level) clone() *Level {
 	copied := *l
 	copied.Values = maps.Clone(l.Values)
@@ -53,57 +52,58 @@
 	return &copied
 }
 
-// hash identifies the level's content.
+// hash returns the hash of the level's canonical encoding.
 func (l *Level) hash() uint64 { return xxhash.Sum64(encodeJSON(l)) }
 
-// Tree is an immutable raw settings tree: what each level sets itself. Edits
-// return a new tree that shares all unchanged levels.
+// Tree is an immutable settings tree before inheritance: each level has only the values that it
+// sets itself. Applying an edit returns a new tree that shares all unchanged levels.
 type Tree struct {
 	levels map[string]*Level
-	// paths is sorted; a level comes after the ones above it.
+	// paths is sorted, so that a level comes after its ancestors.
 	paths []string
-	// digest is the wrapping sum of the levels' hashes, so that an edit changes
-	// it by its own levels alone.
+	// digest is the wrapping sum of the levels' hashes, so that an edit updates it from the
+	// changed levels alone.
 	digest uint64
 }
 
-// Empty returns the tree that has only its root.
+// Empty returns a tree with only the root level.
 func Empty() *Tree {
 	tree := &Tree{levels: map[string]*Level{}}
-	tree.put(&Level{Path: RootPath, Kind: KindOrganization})
+	tree.putLevel(&Level{Path: RootPath, Kind: KindOrganization})
 	return tree
 }
 
-// Digest identifies the content of the tree, whatever edits led to it.
+// Digest returns a hash of the tree's content. It does not depend on the edits that led to the
+// tree.
 func (t *Tree) Digest() uint64 { return t.digest }
 
-// Len returns the number of levels, the root included.
+// Len returns the number of levels, including the root.
 func (t *Tree) Len() int { return len(t.paths) }
 
 // Paths returns the paths of all levels, sorted.
 func (t *Tree) Paths() []string { return slices.Clone(t.paths) }
 
-// Level returns the level at path, or nil. It must not be changed.
+// Level returns the level at path, or nil. It must not be modified.
 func (t *Tree) Level(path string) *Level { return t.levels[path] }
 
-// copy returns a tree that may be changed by put and remove.
+// copy returns a tree that putLevel and removeSubtree may modify.
 func (t *Tree) copy() *Tree {
 	return &Tree{levels: maps.Clone(t.levels), paths: t.paths, digest: t.digest}
 }
 
-// put adds or replaces a level.
-func (t *Tree) put(level *Level) {
+// putLevel adds or replaces a level.
+func (t *Tree) putLevel(level *Level) {
 	if old := t.levels[level.Path]; old != nil {
 		t.digest -= old.hash()
 	} else {
-		t.paths = slices.Insert(slices.Clone(t.paths), t.position(level.Path), level.Path)
+		t.paths = slices.Insert(slices.Clone(t.paths), t.insertIndex(level.Path), level.Path)
 	}
 	t.levels[level.Path] = level
 	t.digest += level.hash()
 }
 
-// remove takes out the level at path and all below it.
-func (t *Tree) remove(path string) {
+// removeSubtree removes the level at path and all levels below it.
+func (t *Tree) removeSubtree(path string) {
 	t.paths = slices.DeleteFunc(slices.Clone(t.paths), func(candidate string) bool {
 		if !contains(path, candidate) {
 			return false
@@ -114,17 +114,16 @@
 	})
 }
 
-func (t *Tree) position(path string) int {
+func (t *Tree) insertIndex(path string) int {
 	at, _ := slices.BinarySearch(t.paths, path)
 	return at
 }
 
-// FromLevels builds a part of a tree from levels that were read from one, for
-// comparing. It is not checked.
+// FromLevels builds a tree from some levels of another tree, for comparison. It does not validate
+// them.
 func FromLevels(levels []*Level) *Tree { return fromLevels(levels) }
 
-// fromLevels builds a tree of levels with distinct paths; a root is added when
-// missing.
+// fromLevels builds a tree from levels with distinct paths, and adds a root if there is none.
 func fromLevels(levels []*Level) *Tree {
 	tree := &Tree{levels: make(map[string]*Level, len(levels)+1)}
 	for _, level := range levels {
@@ -136,20 +135,20 @@
 	}
 	tree.paths = slices.Sorted(maps.Keys(tree.levels))
 	if tree.levels[RootPath] == nil {
-		tree.put(&Level{Path: RootPath, Kind: KindOrganization})
+		tree.putLevel(&Level{Path: RootPath, Kind: KindOrganization})
 	}
 	return tree
 }
 
-// join returns the path of a level below another.
-func join(above, name string) string {
-	if above == RootPath {
+// joinPath returns the path of the level with the given name below parentPath.
+func joinPath(parentPath, name string) string {
+	if parentPath == RootPath {
 		return RootPath + name
 	}
-	return above + "/" + name
+	return parentPath + "/" + name
 }
 
-// checkPath returns what is wrong with a path, or "".
+// checkPath returns the reason why a path is invalid, or "".
 func checkPath(path string) string {
 	if path == RootPath {
 		return ""
--- a/settings/tree_test.go
+++ b/settings/tree_test.go
@@ -12,6 +12,7 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
+// readTree parses a YAML file of testdata.
 func readTree(t *testing.T, name string) *Tree {
 	t.Helper()
 	data, err := os.ReadFile("testdata/" + name)
@@ -25,6 +26,8 @@
 	return tree
 }
 
+// TestPoliciesAreInheritedWithTheirSources guards against values that are not inherited from the
+// closest level that sets them, or that are attributed to another level.
 func TestPoliciesAreInheritedWithTheirSources(t *testing.T) {
 	snapshot, err := readTree(t, "dental.yaml").Compile(Stamp{Revision: 7})
 	if err != nil {
@@ -61,31 +64,37 @@
 	}
 }
 
-func TestValidationNamesEverythingWrongAtOnce(t *testing.T) {
+// TestParseYAMLReportsAllErrorsAtOnce guards against a parser that stops at the first error, so
+// that operators would find the others one at a time.
+func TestParseYAMLReportsAllErrorsAtOnce(t *testing.T) {
 	data, err := os.ReadFile("testdata/wrong.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = ParseYAML(data)
 	if err == nil {
-		t.Fatal("a wrong tree was accepted")
+		t.Fatal("an invalid tree was accepted")
 	}
 	goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "wrong", []byte(err.Error()+"\n"))
 }
 
-func TestCompileNamesWhatDoesNotFitTogether(t *testing.T) {
+// TestCompileReportsAllInconsistencies guards against trees whose levels are valid on their own
+// but contradict each other, such as a minimum above an inherited maximum.
+func TestCompileReportsAllInconsistencies(t *testing.T) {
 	data, err := os.ReadFile("testdata/unfitting.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = ParseYAML(data)
 	if err == nil {
-		t.Fatal("an unfitting tree was accepted")
+		t.Fatal("an inconsistent tree was accepted")
 	}
 	goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "unfitting", []byte(err.Error()+"\n"))
 }
 
-func TestTreesAreReadFromSeveralFiles(t *testing.T) {
+// TestParseYAMLFilesMergesLevelsAndRejectsContradictions guards against files that silently
+// override each other.
+func TestParseYAMLFilesMergesLevelsAndRejectsContradictions(t *testing.T) {
 	files := []File{
 		{Name: "base.yaml", Data: []byte("children: {dental: {kind: team, children: {base: {kind: model}}}}")},
 		{Name: "letters.yaml", Data: []byte("children: {dental: {priority: 2, children: {letters: {kind: adapter, base: base}}}}")},
@@ -102,7 +111,9 @@
 	goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "files", []byte(err.Error()+"\n"))
 }
 
-func TestFragmentsChangeOnlyWhatTheyName(t *testing.T) {
+// TestFragmentChangesOnlyNamedLevelsUnlessPruning guards against a fragment that removes levels
+// without prune, and against one that causes changes again after it was applied.
+func TestFragmentChangesOnlyNamedLevelsUnlessPruning(t *testing.T) {
 	tree := readTree(t, "dental.yaml")
 	fragment, err := ParseFragment("/dental", []File{{Name: "f.yaml", Data: []byte("children: {after-hours: {priority: 2}, night: {kind: team}}")}})
 	if err != nil {
@@ -115,7 +126,7 @@
 		}
 		after, err := tree.Apply(Edit{Changes: changes})
 		if err != nil || after.Level("/dental/night") == nil || (after.Level("/dental/clinics") == nil) != prune {
-			t.Fatalf("prune %v: applied to %v: %v", prune, after.Paths(), err)
+			t.Fatalf("prune %v: wrong levels %v, error %v", prune, after.Paths(), err)
 		}
 		if again, _ := fragment.Changes(after, prune); len(again) != 0 {
 			t.Errorf("prune %v: applying again would change %+v", prune, again)
@@ -126,7 +137,9 @@
 	}
 }
 
-func TestValuesAreReadAsPeopleTypeThem(t *testing.T) {
+// TestParseValueAcceptsCommandLineForms checks the forms accepted on a command line and their
+// canonical values. An empty value means that the input must be refused.
+func TestParseValueAcceptsCommandLineForms(t *testing.T) {
 	for typed, want := range map[[2]string]Value{
 		{"keep_alive", "90m"}: `"1h30m"`, {"memory", "16GiB"}: `"16GiB"`, {"zones", "b,a"}: `["a","b"]`, {"zones", ""}: `[]`,
 		{"requests_per_second", "90/m"}: "1.5", {"requests_per_second", "2"}: "2", {"version", "2"}: `"2"`,
@@ -140,7 +153,9 @@
 	}
 }
 
-func TestKeysOfNewerVersionsAreKeptButNotTakenFromOperators(t *testing.T) {
+// TestUnknownKeysAreKeptOnDecodeAndRejectedInEdits guards against a rolling upgrade in which older
+// versions drop the keys of newer ones, and against misspelt keys in operators' edits.
+func TestUnknownKeysAreKeptOnDecodeAndRejectedInEdits(t *testing.T) {
 	data := []byte(`{"levels":[{"path":"/","kind":"organization","values":{"future_key":{"b":1,"a":[2]}}},{"path":"/x","kind":"galaxy"}]}`)
 	tree, err := DecodeTree(data)
 	if err != nil {
@@ -163,7 +178,7 @@
 	}
 }
 
-// drawTree draws a tree by random accepted edits.
+// drawTree draws a tree by applying random edits and keeping those that yield a valid tree.
 func drawTree(t *rapid.T) *Tree {
 	tree := Empty()
 	for range rapid.IntRange(0, 12).Draw(t, "edits") {
@@ -176,6 +191,7 @@
 	return tree
 }
 
+// drawChange draws a change of one level, which may be invalid for the tree.
 func drawChange(t *rapid.T, tree *Tree) Change {
 	path := rapid.SampledFrom(tree.Paths()).Draw(t, "path")
 	change := Change{Path: path}
@@ -183,7 +199,7 @@
 	case 0:
 		change.Delete = true
 	case 1, 2, 3:
-		change.Path = join(path, rapid.StringMatching(`[a-d]{1,2}`).Draw(t, "name"))
+		change.Path = joinPath(path, rapid.StringMatching(`[a-d]{1,2}`).Draw(t, "name"))
 		change.Create = rapid.SampledFrom([]Kind{KindTeam, KindService, KindModel, KindModel, KindAdapter}).Draw(t, "kind")
 	case 4:
 		change.Unset = []string{rapid.SampledFrom(keys).Draw(t, "key").Name}
@@ -199,7 +215,9 @@
 	return change
 }
 
-func TestEncodeAndDecodeAreInverse(t *testing.T) {
+// TestTreeSurvivesEncodeAndDecode guards against an encoding that loses content or is not
+// canonical.
+func TestTreeSurvivesEncodeAndDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		decoded, err := DecodeTree(tree.Encode())
@@ -212,7 +230,8 @@
 	})
 }
 
-func TestYAMLAndTreeAreInverse(t *testing.T) {
+// TestTreeSurvivesYAMLRoundTrip guards against written YAML that parses to a different tree.
+func TestTreeSurvivesYAMLRoundTrip(t *testing.T) {
 	check := func(t rapid.TB, tree *Tree) {
 		data, err := tree.EncodeYAML(RootPath)
 		if err != nil {
@@ -220,14 +239,16 @@
 		}
 		parsed, err := ParseYAML(data)
 		if err != nil || parsed.Digest() != tree.Digest() {
-			t.Fatalf("written and read: %v\n%s", err, data)
+			t.Fatalf("the tree differs after encoding and parsing: %v\n%s", err, data)
 		}
 	}
 	check(t, readTree(t, "dental.yaml"))
 	rapid.Check(t, func(t *rapid.T) { check(t, drawTree(t)) })
 }
 
-func TestDiffLeadsFromOneTreeToTheOther(t *testing.T) {
+// TestDiffTurnsOneTreeIntoTheOther guards against a diff that misses changes or cannot be applied
+// in its order.
+func TestDiffTurnsOneTreeIntoTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawTree(t), drawTree(t)
 		changed, err := before.Apply(Edit{Changes: after.Diff(before)})
@@ -235,12 +256,14 @@
 			t.Fatal(err)
 		}
 		if changed.Digest() != after.Digest() || len(after.Diff(changed)) != 0 {
-			t.Fatalf("diff leads to %s, want %s", changed.Encode(), after.Encode())
+			t.Fatalf("the diff yields %s, want %s", changed.Encode(), after.Encode())
 		}
 	})
 }
 
-func TestEveryValueComesFromTheClosestLevelThatSetsIt(t *testing.T) {
+// TestEffectiveValueComesFromClosestLevelThatSetsIt compares the compiled policies of random trees
+// with a search from the root to the model.
+func TestEffectiveValueComesFromClosestLevelThatSetsIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		snapshot, err := tree.Compile(Stamp{})
@@ -251,7 +274,7 @@
 			model := &snapshot.Models[i]
 			for _, key := range keys {
 				source, want := SourceDefault, key.Default
-				for _, path := range ancestry(model.Path) {
+				for _, path := range pathsFromRoot(model.Path) {
 					if value, set := tree.Level(path).Values[key.Name]; set {
 						source, want = path, value
 					}
@@ -264,6 +287,8 @@
 	})
 }
 
+// FuzzParseYAML checks that no input makes the parser panic, and that an accepted tree keeps its
+// content when it is encoded and decoded.
 func FuzzParseYAML(f *testing.F) {
 	for _, name := range []string{"dental.yaml", "wrong.yaml", "unfitting.yaml"} {
 		data, err := os.ReadFile("testdata/" + name)
@@ -279,11 +304,13 @@
 		}
 		decoded, err := DecodeTree(tree.Encode())
 		if err != nil || decoded.Digest() != tree.Digest() {
-			t.Fatalf("accepted tree does not survive its encoding: %v", err)
+			t.Fatalf("accepted tree differs after encoding and decoding: %v", err)
 		}
 	})
 }
 
+// FuzzDecodeTree checks that no input makes the decoder panic, and that a decoded tree keeps its
+// content when it is encoded and decoded again.
 func FuzzDecodeTree(f *testing.F) {
 	f.Add(Empty().Encode())
 	f.Add([]byte(`{"levels":[{"path":"/","kind":"x","values":{"a":null,"b":1e999},"tokens":[{"name":"a"},{"name":"a"}]}]}`))
@@ -294,7 +321,7 @@
 		}
 		again, err := DecodeTree(tree.Encode())
 		if err != nil || again.Digest() != tree.Digest() {
-			t.Fatalf("decoded tree does not survive its encoding: %v", err)
+			t.Fatalf("decoded tree differs after encoding and decoding again: %v", err)
 		}
 	})
 }
--- a/settings/value.go
+++ b/settings/value.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Value is the canonical JSON text of one key's value. Values of known keys are
-// normalised by the key's type; values of keys that a newer version wrote are
-// kept as they are.
+// Value is the canonical JSON text of a key's value. Values of known keys are normalised by the
+// type of the key. Values of unknown keys, which newer versions write, only have their JSON
+// canonicalised.
 type Value string
 
 // MarshalJSON implements json.Marshaler.
@@ -30,16 +30,16 @@
 	return err
 }
 
-// String returns the value for people: strings without their quotes.
+// String returns the value for display: strings without their quotes.
 func (v Value) String() string {
-	if text, err := parseText(v); err == nil {
+	if text, err := parseString(v); err == nil {
 		return text
 	}
 	return string(v)
 }
 
-// canonicalJSON decodes and encodes data so that equal values have equal text:
-// no spaces, object keys sorted, numbers as written.
+// canonicalJSON re-encodes data so that equal values have equal text: no spaces, object keys
+// sorted, numbers as written.
 func canonicalJSON(data []byte) (Value, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
@@ -50,7 +50,7 @@
 	return encodeValue(decoded), nil
 }
 
-// encodeValue returns the canonical JSON text of a plain value.
+// encodeValue returns the canonical JSON text of a value, or "null" if the value has no JSON form.
 func encodeValue(plain any) Value {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -61,7 +61,7 @@
 	return Value(strings.TrimSuffix(buffer.String(), "\n"))
 }
 
-// valueType describes how one Go type is written in the tree.
+// valueType describes how values of a Go type are parsed and formatted.
 type valueType[T any] struct {
 	name    string
 	example string
@@ -71,9 +71,9 @@
 	schema map[string]any
 }
 
-// wants returns the error for a value of the wrong form.
-func wants(what, example string, got Value) error {
-	return fmt.Errorf("wants %s such as %s, got %s", what, example, got)
+// formatError returns the error for a value that does not have the required form.
+func formatError(form, example string, got Value) error {
+	return fmt.Errorf("wants %s such as %s, got %s", form, example, got)
 }
 
 var integerType = valueType[int]{
@@ -81,7 +81,7 @@
 	parse: func(v Value) (int, error) {
 		n, err := strconv.Atoi(string(v))
 		if err != nil {
-			return 0, wants("an integer", "3", v)
+			return 0, formatError("an integer", "3", v)
 		}
 		return n, nil
 	},
@@ -89,12 +89,12 @@
 	schema: map[string]any{"type": "integer"},
 }
 
-var fractionType = valueType[float64]{
+var numberType = valueType[float64]{
 	name: "number", example: "0.5",
 	parse: func(v Value) (float64, error) {
 		f, err := strconv.ParseFloat(string(v), 64)
 		if err != nil {
-			return 0, wants("a number", "0.5", v)
+			return 0, formatError("a number", "0.5", v)
 		}
 		return f, nil
 	},
@@ -111,7 +111,7 @@
 		case "false":
 			return false, nil
 		default:
-			return false, wants("true or false", "true", v)
+			return false, formatError("true or false", "true", v)
 		}
 	},
 	format: func(b bool) Value { return Value(strconv.FormatBool(b)) },
@@ -121,9 +121,9 @@
 var nameType = valueType[string]{
 	name: "name", example: `"default"`,
 	parse: func(v Value) (string, error) {
-		text, err := parseText(v)
+		text, err := parseString(v)
 		if err != nil || !namePattern.MatchString(text) {
-			return "", wants("a name of letters, digits, '.', '_', ':' and '-'", `"default"`, v)
+			return "", formatError("a name of letters, digits, '.', '_', ':' and '-'", `"default"`, v)
 		}
 		return text, nil
 	},
@@ -134,13 +134,13 @@
 var durationType = valueType[time.Duration]{
 	name: "duration", example: `"10m"`,
 	parse: func(v Value) (time.Duration, error) {
-		text, err := parseText(v)
+		text, err := parseString(v)
 		if err != nil {
-			return 0, wants("a duration", `"10m"`, v)
+			return 0, formatError("a duration", `"10m"`, v)
 		}
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			return 0, wants("a duration", `"10m"`, v)
+			return 0, formatError("a duration", `"10m"`, v)
 		}
 		return d, nil
 	},
@@ -148,7 +148,7 @@
 	schema: map[string]any{"type": "string", "pattern": `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$|^0$`},
 }
 
-// FormatDuration writes a duration without trailing zero units, such as "10m".
+// FormatDuration formats a duration without trailing zero units, such as "10m".
 func FormatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
@@ -160,7 +160,7 @@
 	return text
 }
 
-// byteUnits lists the units of sizes, largest first.
+// byteUnits lists the units of byte sizes, largest first.
 var byteUnits = []struct {
 	suffix string
 	bytes  int64
@@ -173,8 +173,7 @@
 	schema: map[string]any{"type": "string", "pattern": `^[0-9]+(\.[0-9]+)?(TiB|GiB|MiB|KiB|B)$`},
 }
 
-// FormatBytes writes a size in the largest unit that divides it, such as
-// "16GiB".
+// FormatBytes formats a size in the largest unit that divides it, such as "16GiB".
 func FormatBytes(n int64) string {
 	for _, unit := range byteUnits {
 		if n != 0 && n%unit.bytes == 0 {
@@ -185,9 +184,9 @@
 }
 
 func parseBytes(v Value) (int64, error) {
-	text, err := parseText(v)
+	text, err := parseString(v)
 	if err != nil {
-		return 0, wantsBytes(v)
+		return 0, bytesFormatError(v)
 	}
 	for _, unit := range byteUnits {
 		number, found := strings.CutSuffix(text, unit.suffix)
@@ -197,18 +196,18 @@
 		f, err := strconv.ParseFloat(number, 64)
 		size := f * float64(unit.bytes)
 		if err != nil || !(size >= 0 && size < 1<<62) {
-			return 0, wantsBytes(v)
+			return 0, bytesFormatError(v)
 		}
 		return int64(size), nil
 	}
-	return 0, wantsBytes(v)
+	return 0, bytesFormatError(v)
 }
 
-func wantsBytes(v Value) error {
-	return wants("a size in B, KiB, MiB, GiB or TiB", `"16GiB"`, v)
+func bytesFormatError(v Value) error {
+	return formatError("a size in B, KiB, MiB, GiB or TiB", `"16GiB"`, v)
 }
 
-// rateUnits gives the seconds of each unit of a rate.
+// rateUnits maps each time unit of a rate to its length in seconds.
 var rateUnits = map[string]float64{"s": 1, "m": 60, "h": 3600}
 
 var rateType = valueType[float64]{
@@ -221,39 +220,40 @@
 	}},
 }
 
-// parseRate reads a number a second, or a text such as "90/m".
+// parseRate parses a rate per second from a number, or from a string such as "90/m".
 func parseRate(v Value) (float64, error) {
 	number, unit := string(v), "s"
-	if text, err := parseText(v); err == nil {
+	if text, err := parseString(v); err == nil {
 		var found bool
 		if number, unit, found = strings.Cut(text, "/"); !found {
-			return 0, wantsRate(v)
+			return 0, rateFormatError(v)
 		}
 	}
 	seconds, known := rateUnits[unit]
 	rate, err := strconv.ParseFloat(number, 64)
 	if err != nil || !known {
-		return 0, wantsRate(v)
+		return 0, rateFormatError(v)
 	}
 	return rate / seconds, nil
 }
 
-func wantsRate(v Value) error {
-	return wants("a rate: a number a second, or a text", `"90/m"`, v)
+func rateFormatError(v Value) error {
+	return formatError("a rate: a number a second, or a text", `"90/m"`, v)
 }
 
 func formatNumber(f float64) Value { return Value(strconv.FormatFloat(f, 'f', -1, 64)) }
 
-// namesType writes a set of names as a sorted list.
+// namesType returns the type of a set of names, which is stored as a sorted list without
+// duplicates.
 func namesType[T ~string]() valueType[[]T] {
 	return valueType[[]T]{
 		name: "list of names", example: `["a","b"]`,
 		parse: func(v Value) ([]T, error) {
 			var names []T
 			err := json.Unmarshal([]byte(v), &names)
-			misnamed := func(name T) bool { return !namePattern.MatchString(string(name)) }
-			if err != nil || names == nil || slices.ContainsFunc(names, misnamed) {
-				return nil, wants("a list of names", `["a","b"]`, v)
+			isInvalid := func(name T) bool { return !namePattern.MatchString(string(name)) }
+			if err != nil || names == nil || slices.ContainsFunc(names, isInvalid) {
+				return nil, formatError("a list of names", `["a","b"]`, v)
 			}
 			slices.Sort(names)
 			return slices.Compact(names), nil
@@ -268,13 +268,13 @@
 	}
 }
 
-// parseText decodes a JSON string; other JSON is an error.
-func parseText(v Value) (string, error) {
+// parseString decodes a JSON string. Any other JSON value is an error.
+func parseString(v Value) (string, error) {
 	if len(v) >= 2 && v[0] == '"' && !strings.Contains(string(v), `\`) {
 		return string(v[1 : len(v)-1]), nil
 	}
 	if len(v) == 0 || v[0] != '"' {
-		return "", fmt.Errorf("not a text")
+		return "", fmt.Errorf("not a JSON string")
 	}
 	var text string
 	err := json.Unmarshal([]byte(v), &text)
--- a/settings/yaml.go
+++ b/settings/yaml.go
@@ -11,32 +11,32 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// The fields of a level in YAML that are not policy keys.
+// Fields of a level in YAML that are not policy keys.
 const (
 	fieldKind     = "kind"
 	fieldTokens   = "tokens"
 	fieldChildren = "children"
 )
 
-// maxDepth bounds how deep a YAML tree may nest.
-const maxDepth = 32
+// maxYAMLDepth bounds the nesting of levels in a YAML document.
+const maxYAMLDepth = 32
 
-// File is one YAML document of a tree that is written in several.
+// File is one of the YAML documents that make up a tree.
 type File struct {
-	// Name for error messages.
+	// Name of the file in error messages.
 	Name string
 	Data []byte
 }
 
-// ParseYAML reads a whole tree from one YAML document and checks it strictly.
-// A level is a mapping of policy keys, `kind`, `tokens` and `children`, the
-// levels below by name; the document is the root. The error is a
-// ValidationErrors with path, key, line and reason of everything that is wrong.
+// ParseYAML parses a whole tree from one YAML document, which starts at the root, and validates it
+// strictly. A level is a mapping of policy keys and the fields `kind`, `tokens` and `children`,
+// which maps names to the levels below. The error is a ValidationErrors with the path, key, line
+// and reason of every problem.
 func ParseYAML(data []byte) (*Tree, error) { return ParseYAMLFiles([]File{{Data: data}}) }
 
-// ParseYAMLFiles reads a tree whose levels are spread over several documents,
-// each beginning at the root. A level may appear in many; its kind, and each
-// key, is given in one or alike, and it has tokens in one at most.
+// ParseYAMLFiles parses a tree from several documents, each of which starts at the root. A level
+// may occur in several documents, but its tokens and each of its keys in one only. Its kind must
+// be the same wherever it is given.
 func ParseYAMLFiles(files []File) (*Tree, error) {
 	reader := newYAMLReader(RootPath, files)
 	reader.levels[RootPath].Kind = KindOrganization
@@ -51,69 +51,69 @@
 	return tree, nil
 }
 
-// newYAMLReader reads files whose documents begin at the level at path.
+// newYAMLReader reads files whose documents start at the level at path.
 func newYAMLReader(path string, files []File) *yamlReader {
-	reader := &yamlReader{levels: map[string]*Level{}, places: map[place]location{}}
-	reader.add(path, nil)
+	reader := &yamlReader{levels: map[string]*Level{}, positions: map[keyRef]sourcePosition{}}
+	reader.levelAt(path, nil)
 	for _, file := range files {
 		reader.file = file.Name
-		reader.document(path, file.Data)
+		reader.readDocument(path, file.Data)
 	}
 	for _, level := range reader.levels {
-		level.normaliseForm()
+		level.canonicalise()
 	}
 	return reader
 }
 
-// yamlReason shortens the library's message.
-func yamlReason(err error) string { return strings.TrimPrefix(err.Error(), "yaml: ") }
+// yamlErrorText returns the message of a YAML library error without the library's prefix.
+func yamlErrorText(err error) string { return strings.TrimPrefix(err.Error(), "yaml: ") }
 
-// place is a key of a level, or the level itself with an empty key.
-type place struct{ path, key string }
+// keyRef identifies a key of a level, or the level itself if key is empty.
+type keyRef struct{ path, key string }
 
-// location is where a place was read.
-type location struct {
+// sourcePosition is the file and line in which a key or level was first read.
+type sourcePosition struct {
 	file string
 	line int
 }
 
-// yamlReader walks the documents of one tree.
+// yamlReader collects the levels from the documents of one tree.
 type yamlReader struct {
-	// file being read.
-	file     string
-	levels   map[string]*Level
-	places   map[place]location
-	problems ValidationErrors
+	// file is the name of the file being read.
+	file      string
+	levels    map[string]*Level
+	positions map[keyRef]sourcePosition
+	problems  ValidationErrors
 }
 
-// document reads one document.
-func (r *yamlReader) document(path string, data []byte) {
+// readDocument reads the document of one file, which starts at the level at path.
+func (r *yamlReader) readDocument(path string, data []byte) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var top yaml.Node
 	if err := decoder.Decode(&top); errors.Is(err, io.EOF) {
 		return
 	} else if err != nil {
-		r.fail(nil, path, "", "%s", yamlReason(err))
+		r.addProblem(nil, path, "", "%s", yamlErrorText(err))
 		return
 	}
 	if err := decoder.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
-		r.fail(nil, path, "", "a file holds one YAML document; a second one begins")
+		r.addProblem(nil, path, "", "a file holds one YAML document; a second one begins")
 	}
-	r.level(path, top.Content[0], 0)
+	r.readLevel(path, top.Content[0], 0)
 }
 
-// add returns the level at path, a new one when it was not read before.
-func (r *yamlReader) add(path string, node *yaml.Node) *Level {
+// levelAt returns the level at path, and adds it if it was not read before.
+func (r *yamlReader) levelAt(path string, node *yaml.Node) *Level {
 	level := r.levels[path]
 	if level == nil {
 		level = &Level{Path: path, Values: map[string]Value{}}
 		r.levels[path] = level
-		r.remember(path, "", node)
+		r.recordPosition(path, "", node)
 	}
 	return level
 }
 
-// checkKinds checks that every level was given a kind.
+// checkKinds reports levels without a kind.
 func (r *yamlReader) checkKinds() {
 	for path, level := range r.levels {
 		if level.Kind == "" {
@@ -123,17 +123,18 @@
 	}
 }
 
-// locate adds where the named key, or else its level, was read.
+// locate sets the file and line of a problem to those of its key, or of its level if the key was
+// not read.
 func (r *yamlReader) locate(problem *ValidationError) *ValidationError {
-	at, known := r.places[place{problem.Path, problem.Key}]
+	at, known := r.positions[keyRef{problem.Path, problem.Key}]
 	if !known {
-		at = r.places[place{problem.Path, ""}]
+		at = r.positions[keyRef{problem.Path, ""}]
 	}
 	problem.File, problem.Line = at.file, at.line
 	return problem
 }
 
-// withLocations adds the files and lines at which the named keys stand.
+// withLocations adds files and lines to validation errors.
 func (r *yamlReader) withLocations(err error) error {
 	var problems ValidationErrors
 	if !errors.As(err, &problems) {
@@ -145,7 +146,7 @@
 	return problems.orNil()
 }
 
-func (r *yamlReader) fail(at *yaml.Node, path, key, format string, arguments ...any) {
+func (r *yamlReader) addProblem(at *yaml.Node, path, key, format string, arguments ...any) {
 	r.problems.add(path, key, format, arguments...)
 	problem := r.problems[len(r.problems)-1]
 	problem.File = r.file
@@ -154,27 +155,28 @@
 	}
 }
 
-// remember notes where a key of a level was read first. It reports whether the
-// key was read before in another file, which it names.
-func (r *yamlReader) remember(path, key string, at *yaml.Node) (file string, again bool) {
-	if earlier, known := r.places[place{path, key}]; known {
+// recordPosition records where a key of a level was first read. If the key was first read in
+// another file, it returns that file and true.
+func (r *yamlReader) recordPosition(path, key string, at *yaml.Node) (file string, inOtherFile bool) {
+	if earlier, known := r.positions[keyRef{path, key}]; known {
 		return earlier.file, earlier.file != r.file
 	}
-	read := location{file: r.file}
+	read := sourcePosition{file: r.file}
 	if at != nil {
 		read.line = at.Line
 	}
-	r.places[place{path, key}] = read
+	r.positions[keyRef{path, key}] = read
 	return "", false
 }
 
-// mapping calls visit for each key of a mapping, after checking its form.
-func (r *yamlReader) mapping(path string, node *yaml.Node, visit func(key, value *yaml.Node)) {
+// visitMapping calls visit for each key of a mapping. It reports nodes of another kind,
+// unsupported keys and duplicate keys.
+func (r *yamlReader) visitMapping(path string, node *yaml.Node, visit func(key, value *yaml.Node)) {
 	if node.Kind == yaml.ScalarNode && node.Tag == "!!null" {
 		return
 	}
 	if node.Kind != yaml.MappingNode {
-		r.fail(node, path, "", "wants a mapping")
+		r.addProblem(node, path, "", "wants a mapping")
 		return
 	}
 	seen := map[string]bool{}
@@ -182,9 +184,9 @@
 		key, value := node.Content[i], node.Content[i+1]
 		switch {
 		case key.Kind != yaml.ScalarNode || key.Tag == "!!merge":
-			r.fail(key, path, "", "wants plain keys; merge keys and aliases are not supported, let levels inherit instead")
+			r.addProblem(key, path, "", "wants plain keys; merge keys and aliases are not supported, let levels inherit instead")
 		case seen[key.Value]:
-			r.fail(key, path, key.Value, "the key is given twice")
+			r.addProblem(key, path, key.Value, "the key is given twice")
 		default:
 			seen[key.Value] = true
 			visit(key, value)
@@ -192,48 +194,48 @@
 	}
 }
 
-// level reads one level and all below it.
-func (r *yamlReader) level(path string, node *yaml.Node, depth int) {
-	if depth > maxDepth {
-		r.fail(node, path, "", "the tree is nested deeper than %d levels", maxDepth)
+// readLevel reads a level and all levels below it.
+func (r *yamlReader) readLevel(path string, node *yaml.Node, depth int) {
+	if depth > maxYAMLDepth {
+		r.addProblem(node, path, "", "the tree is nested deeper than %d levels", maxYAMLDepth)
 		return
 	}
-	level := r.add(path, node)
-	r.mapping(path, node, func(key, value *yaml.Node) {
-		file, again := r.remember(path, key.Value, key)
+	level := r.levelAt(path, node)
+	r.visitMapping(path, node, func(key, value *yaml.Node) {
+		file, inOtherFile := r.recordPosition(path, key.Value, key)
 		switch {
 		case key.Value == fieldChildren:
-			r.children(path, value, depth)
+			r.readChildren(path, value, depth)
 		case key.Value == fieldKind:
-			r.kind(level, value)
-		case again:
-			r.fail(key, path, key.Value, "the key is also given in %s", file)
+			r.readKind(level, value)
+		case inOtherFile:
+			r.addProblem(key, path, key.Value, "the key is also given in %s", file)
 		case key.Value == fieldTokens:
-			r.tokens(level, value)
+			r.readTokens(level, value)
 		default:
-			r.value(level, key, value)
+			r.readValue(level, key, value)
 		}
 	})
 }
 
-func (r *yamlReader) kind(level *Level, value *yaml.Node) {
+func (r *yamlReader) readKind(level *Level, value *yaml.Node) {
 	kind := Kind(value.Value)
 	switch {
-	case value.Kind != yaml.ScalarNode || !knownKind(kind):
-		r.fail(value, level.Path, fieldKind, "wants organization, team, service, model or adapter, got %q", value.Value)
+	case value.Kind != yaml.ScalarNode || !isKnownKind(kind):
+		r.addProblem(value, level.Path, fieldKind, "wants organization, team, service, model or adapter, got %q", value.Value)
 	case level.Kind != "" && level.Kind != kind:
-		r.fail(value, level.Path, fieldKind, "the level is already %s", article(level.Kind))
+		r.addProblem(value, level.Path, fieldKind, "the level is already %s", withArticle(level.Kind))
 	}
 	level.Kind = kind
 }
 
-func (r *yamlReader) children(path string, node *yaml.Node, depth int) {
-	r.mapping(path, node, func(key, value *yaml.Node) {
-		below := join(path, key.Value)
-		if problem := checkPath(below); problem != "" || strings.Contains(key.Value, "/") {
-			r.fail(key, path, fieldChildren, "%q cannot name a level: letters, digits, '.', '_', ':' and '-', 128 at most", key.Value)
+func (r *yamlReader) readChildren(path string, node *yaml.Node, depth int) {
+	r.visitMapping(path, node, func(key, value *yaml.Node) {
+		childPath := joinPath(path, key.Value)
+		if problem := checkPath(childPath); problem != "" || strings.Contains(key.Value, "/") {
+			r.addProblem(key, path, fieldChildren, "%q cannot name a level: letters, digits, '.', '_', ':' and '-', 128 at most", key.Value)
 			return
 		}
-		r.level(below, value, depth+1)
+		r.readLevel(childPath, value, depth+1)
 	})
 }
--- a/settings/yamltoken.go
+++ b/settings/yamltoken.go
@@ -8,33 +8,33 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// tokens reads the list of tokens of a level.
-func (r *yamlReader) tokens(level *Level, node *yaml.Node) {
+// readTokens reads the list of tokens of a level.
+func (r *yamlReader) readTokens(level *Level, node *yaml.Node) {
 	if node.Kind != yaml.SequenceNode {
-		r.fail(node, level.Path, fieldTokens, "wants a list")
+		r.addProblem(node, level.Path, fieldTokens, "wants a list")
 		return
 	}
 	names := map[string]bool{}
 	for _, item := range node.Content {
-		token, ok := r.token(level.Path, item)
+		token, ok := r.readToken(level.Path, item)
 		if !ok {
 			continue
 		}
 		if names[token.Name] {
-			r.fail(item, level.Path, fieldTokens, "token %s is given twice", token.Name)
+			r.addProblem(item, level.Path, fieldTokens, "token %s is given twice", token.Name)
 		}
 		names[token.Name] = true
 		level.Tokens = append(level.Tokens, token)
 	}
 }
 
-// token reads and checks one token.
-func (r *yamlReader) token(path string, item *yaml.Node) (AccessToken, bool) {
+// readToken reads and validates one token, and returns false if it is invalid.
+func (r *yamlReader) readToken(path string, item *yaml.Node) (AccessToken, bool) {
 	before := len(r.problems)
 	var token AccessToken
-	r.mapping(path, item, func(key, value *yaml.Node) {
+	r.visitMapping(path, item, func(key, value *yaml.Node) {
 		if err := token.setYAML(key.Value, value); err != nil {
-			r.fail(key, path, fieldTokens, "%s", err)
+			r.addProblem(key, path, fieldTokens, "%s", err)
 		}
 	})
 	checkToken(path, &token, &r.problems)
@@ -44,7 +44,7 @@
 	return token, len(r.problems) == before
 }
 
-// setYAML reads one field of the token.
+// setYAML sets one field of the token.
 func (t *AccessToken) setYAML(field string, node *yaml.Node) error {
 	if node.Kind != yaml.ScalarNode {
 		return eris.Errorf("%s wants a plain value", field)
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// parseYAMLTime reads a time in RFC 3339, such as 2027-01-31T00:00:00Z, or a
-// date, which means its beginning in UTC.
+// parseYAMLTime parses an RFC 3339 time, such as 2027-01-31T00:00:00Z, or a date, which means its
+// start in UTC.
 func parseYAMLTime(text string) (time.Time, error) {
 	for _, layout := range []string{time.RFC3339, time.DateOnly} {
 		if parsed, err := time.Parse(layout, text); err == nil {
--- a/settings/yamlwrite.go
+++ b/settings/yamlwrite.go
@@ -11,16 +11,16 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// yamlIndent of written trees, in spaces.
+// yamlIndent is the indentation of encoded trees, in spaces.
 const yamlIndent = 2
 
-// EncodeYAML writes the subtree at path in the form that ParseFragment reads at
-// the same path. Tokens whose hash is hidden are left out.
+// EncodeYAML encodes the subtree at path in the form that ParseFragment accepts for the same path.
+// It omits tokens whose hash is hidden.
 func (t *Tree) EncodeYAML(path string) ([]byte, error) {
 	if t.levels[path] == nil {
 		return nil, eris.Errorf("there is no level %s", path)
 	}
-	top, err := t.yamlLevel(path)
+	top, err := t.levelToYAML(path)
 	if err != nil {
 		return nil, err
 	}
@@ -28,63 +28,63 @@
 	encoder := yaml.NewEncoder(&buffer)
 	encoder.SetIndent(yamlIndent)
 	if err := encoder.Encode(top); err != nil {
-		return nil, eris.Wrap(err, "write YAML")
+		return nil, eris.Wrap(err, "encode YAML")
 	}
 	return buffer.Bytes(), encoder.Close()
 }
 
-// yamlMapping collects the fields of a mapping in order.
+// yamlMapping collects the fields of a YAML mapping in order.
 type yamlMapping struct{ node yaml.Node }
 
 func (m *yamlMapping) add(key string, value *yaml.Node) {
-	m.node.Content = append(m.node.Content, yamlText(key), value)
+	m.node.Content = append(m.node.Content, yamlString(key), value)
 }
 
-func yamlText(text string) *yaml.Node {
+func yamlString(text string) *yaml.Node {
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text}
 }
 
-// yamlLevel returns a level and all below it.
-func (t *Tree) yamlLevel(path string) (*yaml.Node, error) {
+// levelToYAML returns the YAML node of a level and all levels below it.
+func (t *Tree) levelToYAML(path string) (*yaml.Node, error) {
 	level := t.levels[path]
-	written := yamlMapping{node: yaml.Node{Kind: yaml.MappingNode}}
-	written.add(fieldKind, yamlText(string(level.Kind)))
+	mapping := yamlMapping{node: yaml.Node{Kind: yaml.MappingNode}}
+	mapping.add(fieldKind, yamlString(string(level.Kind)))
 	for _, key := range level.orderedKeys() {
 		value := &yaml.Node{}
 		if err := yaml.Unmarshal([]byte(level.Values[key]), value); err != nil {
-			return nil, eris.Wrapf(err, "write %s of %s", key, path)
+			return nil, eris.Wrapf(err, "encode %s of level %s", key, path)
 		}
-		written.add(key, plainStyle(value.Content[0]))
+		mapping.add(key, clearScalarStyle(value.Content[0]))
 	}
-	if tokens := yamlTokens(level.Tokens); len(tokens.Content) > 0 {
-		written.add(fieldTokens, tokens)
+	if tokens := tokensToYAML(level.Tokens); len(tokens.Content) > 0 {
+		mapping.add(fieldTokens, tokens)
 	}
 	children := yamlMapping{node: yaml.Node{Kind: yaml.MappingNode}}
-	for _, below := range t.paths {
-		if below == RootPath || parent(below) != path {
+	for _, childPath := range t.paths {
+		if childPath == RootPath || parent(childPath) != path {
 			continue
 		}
-		node, err := t.yamlLevel(below)
+		node, err := t.levelToYAML(childPath)
 		if err != nil {
 			return nil, err
 		}
-		children.add(t.levels[below].Name(), node)
+		children.add(t.levels[childPath].Name(), node)
 	}
 	if len(children.node.Content) > 0 {
-		written.add(fieldChildren, &children.node)
+		mapping.add(fieldChildren, &children.node)
 	}
-	return &written.node, nil
+	return &mapping.node, nil
 }
 
-// orderedKeys returns the level's keys: the base, those of the registry in its
-// order, then those this version does not know.
+// orderedKeys returns the level's keys: the base first, then the registered keys in registry
+// order, then unknown keys by name.
 func (l *Level) orderedKeys() []string {
 	rank := func(name string) int {
 		if name == KeyBase {
 			return -1
 		}
-		if at := slices.IndexFunc(keys, func(key Key) bool { return key.Name == name }); at >= 0 {
-			return at
+		if index := slices.IndexFunc(keys, func(key Key) bool { return key.Name == name }); index >= 0 {
+			return index
 		}
 		return len(keys)
 	}
@@ -96,31 +96,32 @@
 	})
 }
 
-// plainStyle drops the quotes of JSON where YAML needs none.
-func plainStyle(node *yaml.Node) *yaml.Node {
+// clearScalarStyle drops the quoting style that the scalars have from JSON, so that the encoder
+// quotes only where YAML requires it.
+func clearScalarStyle(node *yaml.Node) *yaml.Node {
 	if node.Kind == yaml.ScalarNode {
 		node.Style = 0
 	}
-	for _, below := range node.Content {
-		plainStyle(below)
+	for _, child := range node.Content {
+		clearScalarStyle(child)
 	}
 	return node
 }
 
-func yamlTokens(tokens []AccessToken) *yaml.Node {
+func tokensToYAML(tokens []AccessToken) *yaml.Node {
 	list := &yaml.Node{Kind: yaml.SequenceNode}
 	for _, token := range tokens {
 		if token.SHA256 == "" {
 			continue
 		}
-		written := yamlMapping{node: yaml.Node{Kind: yaml.MappingNode}}
-		written.add("name", yamlText(token.Name))
-		written.add("sha256", yamlText(token.SHA256))
-		written.add("role", yamlText(string(token.Role)))
+		mapping := yamlMapping{node: yaml.Node{Kind: yaml.MappingNode}}
+		mapping.add("name", yamlString(token.Name))
+		mapping.add("sha256", yamlString(token.SHA256))
+		mapping.add("role", yamlString(string(token.Role)))
 		if !token.NotAfter.IsZero() {
-			written.add("not_after", yamlText(token.NotAfter.Format(time.RFC3339)))
+			mapping.add("not_after", yamlString(token.NotAfter.Format(time.RFC3339)))
 		}
-		list.Content = append(list.Content, &written.node)
+		list.Content = append(list.Content, &mapping.node)
 	}
 	return list
 }
