--- a/api/authenticate.go
+++ b/api/authenticate.go
@@ -8,8 +8,8 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Authenticate returns the token of a request under the snapshot, for other
-// APIs that use the same bearer tokens.
+// Authenticate returns the token of a request, looked up in the snapshot. It serves other APIs
+// that use the same bearer tokens.
 func Authenticate(snapshot *settings.Snapshot, r *http.Request, now time.Time) (*settings.Token, *verdict.Error) {
 	return authenticate(snapshot, r, now)
 }
--- a/api/callers.go
+++ b/api/callers.go
@@ -19,49 +19,49 @@
 
 // Defaults of CallersConfig.
 const (
-	DefaultMaxBodyBytes = 4 << 20
-	DefaultBodyTime     = 30 * time.Second
-	DefaultStallTime    = 30 * time.Second
-	DefaultMaxDeadline  = time.Hour
+	DefaultMaxBodyBytes      = 4 << 20
+	DefaultBodyReadTimeout   = 30 * time.Second
+	DefaultWriteStallTimeout = 30 * time.Second
+	DefaultMaxDeadline       = time.Hour
 )
 
-// Engine paths that callers may use.
+// Paths of the engine API that callers may use.
 const (
 	pathChatCompletions = "/v1/chat/completions"
 	pathCompletions     = "/v1/completions"
 )
 
-// Runner runs an admitted request; *relay.Runner implements it.
+// Runner runs an admitted request. *relay.Runner implements it.
 type Runner interface {
 	Run(ctx context.Context, call relay.Call, sink relay.Sink) relay.Result
 }
 
-// CallersConfig sets up the callers' API.
+// CallersConfig configures the callers' API.
 type CallersConfig struct {
-	// Node prefixes request ids, so that an id names its node.
+	// Node is the prefix of request IDs, so that an ID shows its node.
 	Node cluster.NodeID
 	// Runner runs the requests.
 	Runner Runner
-	// Settings returns the snapshot in force, or nil before the first.
+	// Settings returns the snapshot in force, or nil before the first one.
 	Settings func() *settings.Snapshot
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes limits the size of a request body. Zero means DefaultMaxBodyBytes.
 	MaxBodyBytes int64
-	// BodyTime bounds the reading of a request body, and StallTime the wait
-	// for a caller that does not take its answer.
-	BodyTime, StallTime time.Duration
-	// Stopping ends when the node stops: bodies that have not come whole are refused then.
-	// It may be nil.
+	// BodyReadTimeout limits the time for reading a request body, and WriteStallTimeout how long a
+	// write may wait for a caller that does not read its response. Zero means the default.
+	BodyReadTimeout, WriteStallTimeout time.Duration
+	// Stopping is cancelled when the node stops, upon which requests whose body is still being
+	// read are refused. It may be nil.
 	Stopping context.Context
-	// MaxDeadline bounds the deadline a caller may state.
+	// MaxDeadline limits the deadline that a caller may request. Zero means DefaultMaxDeadline.
 	MaxDeadline time.Duration
 	Logger      *slog.Logger
-	// Now is the clock of deadlines; time.Now by default.
+	// Now is the clock of request deadlines. Nil means time.Now.
 	Now func() time.Time
-	// Observe is called once for each ended request; it may be nil.
+	// Observe is called once for each ended request. It may be nil.
 	Observe func(Outcome)
 }
 
-// Outcome is the account of one ended inference request.
+// Outcome describes an ended inference request.
 type Outcome struct {
 	Request cluster.RequestID
 	Model   cluster.ModelID
@@ -74,15 +74,15 @@
 	Result relay.Result
 }
 
-// callers serves the callers' API.
-type callers struct {
+// callersHandler serves the callers' API.
+type callersHandler struct {
 	CallersConfig
 	sequence atomic.Uint64
 }
 
 // NewCallers returns the handler of the callers' API.
 func NewCallers(config CallersConfig) http.Handler {
-	api := &callers{CallersConfig: config.withDefaults()}
+	api := &callersHandler{CallersConfig: config.withDefaults()}
 	router := chi.NewRouter()
 	router.NotFound(func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, http.StatusNotFound, verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, "there is no %s", r.URL.Path), "")
@@ -92,16 +92,16 @@
 	})
 	router.Get("/v1/models", api.listModels)
 	router.Get("/v1/models/*", api.getModel)
-	router.Post(pathChatCompletions, api.infer)
-	router.Post(pathCompletions, api.infer)
+	router.Post(pathChatCompletions, api.serveInference)
+	router.Post(pathCompletions, api.serveInference)
 	return router
 }
 
-// withDefaults fills zero fields.
+// withDefaults returns the configuration with defaults in place of zero fields.
 func (c CallersConfig) withDefaults() CallersConfig {
 	c.MaxBodyBytes = cmp.Or(c.MaxBodyBytes, DefaultMaxBodyBytes)
-	c.BodyTime = cmp.Or(c.BodyTime, DefaultBodyTime)
-	c.StallTime = cmp.Or(c.StallTime, DefaultStallTime)
+	c.BodyReadTimeout = cmp.Or(c.BodyReadTimeout, DefaultBodyReadTimeout)
+	c.WriteStallTimeout = cmp.Or(c.WriteStallTimeout, DefaultWriteStallTimeout)
 	c.MaxDeadline = cmp.Or(c.MaxDeadline, DefaultMaxDeadline)
 	c.Logger = cmp.Or(c.Logger, slog.New(slog.DiscardHandler))
 	if c.Stopping == nil {
@@ -116,7 +116,7 @@
 	return c
 }
 
-// newRequestID returns an id that is unique over all nodes and names this one.
-func (c *callers) newRequestID() cluster.RequestID {
+// newRequestID returns an ID that starts with the node's ID and is unique among all nodes.
+func (c *callersHandler) newRequestID() cluster.RequestID {
 	return cluster.RequestID(string(c.Node) + "." + strconv.FormatUint(c.sequence.Add(1), 36))
 }
--- a/api/callers_auth.go
+++ b/api/callers_auth.go
@@ -11,11 +11,11 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// bearerPrefix begins the Authorization field of a bearer token.
+// bearerPrefix is the prefix of a bearer token in the Authorization header field.
 const bearerPrefix = "Bearer "
 
-// authenticate returns the token of a request under the snapshot. The secret
-// itself is neither kept nor logged.
+// authenticate returns the token of a request, looked up in the snapshot. The secret is neither
+// stored nor logged.
 func authenticate(snapshot *settings.Snapshot, r *http.Request, now time.Time) (*settings.Token, *verdict.Error) {
 	if snapshot == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the node has no configuration yet").After(time.Second)
@@ -37,7 +37,7 @@
 	return token, nil
 }
 
-// authorizeCall reports whether the token's role may call models.
+// authorizeCall returns an error if the token's role may not call models.
 func authorizeCall(token *settings.Token) *verdict.Error {
 	switch token.Role {
 	case settings.RoleCall, settings.RoleEdit, settings.RoleAdminister:
--- a/api/callers_body.go
+++ b/api/callers_body.go
@@ -17,66 +17,68 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// defaultMaxTokens is the estimate for requests that state no maximum.
+// defaultMaxTokens is the estimate of output tokens for requests that state no maximum.
 const defaultMaxTokens = 512
 
-// bytesPerToken estimates prompt tokens from body bytes.
+// bytesPerToken is used to estimate prompt tokens from the bytes of the prompt.
 const bytesPerToken = 4
 
-// inferenceBody is what the node reads of a request body; the engine gets the
-// body unchanged.
+// inferenceBody holds the fields of a request body that the node reads. The engine receives the
+// original body.
 type inferenceBody struct {
 	Model     string
 	Stream    bool
 	MaxTokens int
-	// Prompt is the raw JSON of messages or prompt.
+	// Prompt is the raw JSON of the messages or prompt field.
 	Prompt json.RawMessage
 }
 
-// bodyError is a fault of the body with the field it lies in.
-type bodyError struct {
+// requestError is an error in a request, with the name of the body or header field at fault. The
+// name is empty if the error concerns no single field.
+type requestError struct {
 	failure *verdict.Error
 	param   string
 }
 
-// invalid returns a 400 for a field.
-func invalid(param, format string, arguments ...any) *bodyError {
-	return &bodyError{failure: verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, format, arguments...), param: param}
+// invalidField returns an error with status 400 for a body or header field.
+func invalidField(param, format string, arguments ...any) *requestError {
+	return &requestError{failure: verdict.New(verdict.NotRun, verdict.CodeInvalidRequest, format, arguments...), param: param}
 }
 
-// readBody reads a request body within the limits of bytes and time.
-func (c *callers) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *bodyError) {
+// readBody reads a request body within the limits on bytes and time. It fails early if the node
+// stops.
+func (c *callersHandler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *requestError) {
 	if r.ContentLength > c.MaxBodyBytes {
 		return nil, c.tooLarge()
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(c.BodyTime))
-	forget := context.AfterFunc(c.Stopping, func() { _ = control.SetReadDeadline(time.Now()) })
+	_ = control.SetReadDeadline(time.Now().Add(c.BodyReadTimeout))
+	cancelInterrupt := context.AfterFunc(c.Stopping, func() { _ = control.SetReadDeadline(time.Now()) })
 	body, err := readAll(http.MaxBytesReader(w, r.Body, c.MaxBodyBytes), r.ContentLength)
-	stopped := !forget()
-	var large *http.MaxBytesError
+	stopped := !cancelInterrupt()
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return nil, c.tooLarge()
 	case stopped:
 		w.Header().Set("Connection", "close")
-		return nil, &bodyError{failure: verdict.New(verdict.NotRun, verdict.CodeNodeDraining,
+		return nil, &requestError{failure: verdict.New(verdict.NotRun, verdict.CodeNodeDraining,
 			"this node stopped before the body came whole; another one takes the request").After(routing.DefaultDrainRetryAfter)}
 	case err != nil:
-		unread := invalid("", "the body could not be read whole")
-		unread.failure.Cause = err
-		return nil, unread
+		unreadable := invalidField("", "the body could not be read whole")
+		unreadable.failure.Cause = err
+		return nil, unreadable
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// tooLarge returns a 413.
-func (c *callers) tooLarge() *bodyError {
-	return &bodyError{failure: verdict.New(verdict.NotRun, verdict.CodeRequestTooLarge, "the body is larger than %d bytes", c.MaxBodyBytes)}
+// tooLarge returns an error with status 413.
+func (c *callersHandler) tooLarge() *requestError {
+	return &requestError{failure: verdict.New(verdict.NotRun, verdict.CodeRequestTooLarge, "the body is larger than %d bytes", c.MaxBodyBytes)}
 }
 
-// readAll reads everything; length is the stated size or -1.
+// readAll reads the whole body. length is its stated size, or -1 if none is stated.
 func readAll(reader io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(reader)
@@ -88,27 +90,27 @@
 	return body, nil
 }
 
-// parseBody reads the fields the node needs. A field it reads may stand only
-// once and in no other case, so that node and engine cannot read a body
+// parseBody parses the fields that the node needs. Each of them may occur only once and only in
+// its exact spelling, because otherwise the node and the engine could interpret the same body
 // differently.
-func parseBody(body []byte, promptField string) (inferenceBody, *bodyError) {
+func parseBody(body []byte, promptField string) (inferenceBody, *requestError) {
 	parsed := inferenceBody{MaxTokens: defaultMaxTokens}
 	if !utf8.Valid(body) || !json.Valid(body) {
-		return parsed, invalid("", "the body is not valid JSON in UTF-8")
+		return parsed, invalidField("", "the body is not valid JSON in UTF-8")
 	}
 	document := gjson.ParseBytes(body)
 	if !document.IsObject() {
-		return parsed, invalid("", "the body is not a JSON object")
+		return parsed, invalidField("", "the body is not a JSON object")
 	}
 	reader := fieldReader{body: &parsed, promptField: promptField}
-	document.ForEach(reader.field)
+	document.ForEach(reader.readField)
 	if reader.fault != nil {
 		return parsed, reader.fault
 	}
 	return parsed, parsed.check(promptField)
 }
 
-// The fields the node reads besides the prompt.
+// Names of the fields that the node reads, apart from the prompt.
 const (
 	fieldModel               = "model"
 	fieldStream              = "stream"
@@ -116,16 +118,16 @@
 	fieldMaxCompletionTokens = "max_completion_tokens"
 )
 
-// fieldReader takes the fields of a body one by one.
+// fieldReader reads the top-level fields of a body one at a time.
 type fieldReader struct {
 	body        *inferenceBody
 	promptField string
 	seen        [5]bool
-	fault       *bodyError
+	fault       *requestError
 }
 
-// field reads one field; it returns false to stop.
-func (r *fieldReader) field(key, value gjson.Result) bool {
+// readField reads one field. It returns false to stop after an error.
+func (r *fieldReader) readField(key, value gjson.Result) bool {
 	name := key.String()
 	names := [...]string{fieldModel, fieldStream, fieldMaxTokens, fieldMaxCompletionTokens, r.promptField}
 	for i, known := range names {
@@ -134,19 +136,20 @@
 		}
 		switch {
 		case name != known:
-			r.fault = invalid(known, "field %q must be written %q", name, known)
+			r.fault = invalidField(known, "field %q must be written %q", name, known)
 		case r.seen[i]:
-			r.fault = invalid(known, "field %q stands twice", name)
-		case !r.take(known, value):
-			r.fault = invalid(known, "field %q is not valid", name)
+			r.fault = invalidField(known, "field %q stands twice", name)
+		case !r.setField(known, value):
+			r.fault = invalidField(known, "field %q is not valid", name)
 		}
 		r.seen[i] = true
 	}
 	return r.fault == nil
 }
 
-// take reads the value of a known field. Null counts as absent.
-func (r *fieldReader) take(name string, value gjson.Result) bool {
+// setField stores the value of a known field and reports whether it has the right type. Null
+// counts as absent.
+func (r *fieldReader) setField(name string, value gjson.Result) bool {
 	if value.Type == gjson.Null {
 		return true
 	}
@@ -167,15 +170,15 @@
 	}
 }
 
-// check validates the fields the node depends on.
-func (b *inferenceBody) check(promptField string) *bodyError {
+// check validates the fields that the node depends on.
+func (b *inferenceBody) check(promptField string) *requestError {
 	switch {
 	case b.Model == "":
-		return invalid("model", "the model is missing")
+		return invalidField("model", "the model is missing")
 	case len(b.Prompt) == 0:
-		return invalid(promptField, "field %q is missing", promptField)
+		return invalidField(promptField, "field %q is missing", promptField)
 	case b.MaxTokens < 0:
-		return invalid("max_tokens", "max_tokens is negative")
+		return invalidField("max_tokens", "max_tokens is negative")
 	}
 	return nil
 }
--- a/api/callers_clock_test.go
+++ b/api/callers_clock_test.go
@@ -15,16 +15,16 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// deadlineRunner notes the deadline of the call that it is given.
-type deadlineRunner struct{ deadline time.Time }
+// recordingRunner records the deadline of its call.
+type recordingRunner struct{ deadline time.Time }
 
-func (r *deadlineRunner) Run(_ context.Context, call relay.Call, sink relay.Sink) relay.Result {
+func (r *recordingRunner) Run(_ context.Context, call relay.Call, sink relay.Sink) relay.Result {
 	r.deadline = call.Request.Deadline
 	_ = sink.Start(http.StatusOK, nil)
 	return relay.Result{Started: true, Status: http.StatusOK}
 }
 
-// oneModelSnapshot holds a model and a token whose secret is "secret".
+// oneModelSnapshot returns a snapshot with one model and one token, whose secret is "secret".
 func oneModelSnapshot() *settings.Snapshot {
 	secret := sha256.Sum256([]byte("secret"))
 	policy := settings.Defaults()
@@ -34,14 +34,15 @@
 		map[string]settings.Scope{"/t": {Path: "/t", MaxConcurrency: policy.MaxConcurrency, RequestsPerSecond: policy.RequestsPerSecond, TokensPerSecond: policy.TokensPerSecond}})
 }
 
-// TestDeadlineIsKeptByTheClock: a deadline in time of day or from now is as far away by the
-// clock of the decisions, which may be anywhere.
-func TestDeadlineIsKeptByTheClock(t *testing.T) {
+// TestCallerDeadlineIsConvertedToDecisionClock guards against deadlines that are far off when the
+// clock of decisions differs from the time of day. A deadline must be as far in the future by that
+// clock as the caller requested, whether as a duration or as a time.
+func TestCallerDeadlineIsConvertedToDecisionClock(t *testing.T) {
 	const ahead = 30 * time.Hour
 	arrived := time.Now().Add(ahead)
 	for name, text := range map[string]string{"from now": "1m", "time of day": time.Now().Add(time.Minute).Format(time.RFC3339Nano)} {
 		t.Run(name, func(t *testing.T) {
-			runner := &deadlineRunner{}
+			runner := &recordingRunner{}
 			handler := NewCallers(CallersConfig{
 				Runner: runner, Now: func() time.Time { return arrived },
 				Settings: oneModelSnapshot,
@@ -52,10 +53,10 @@
 			answer := httptest.NewRecorder()
 			handler.ServeHTTP(answer, request)
 			if answer.Code != http.StatusOK {
-				t.Fatalf("answered %d: %s", answer.Code, answer.Body)
+				t.Fatalf("status %d: %s", answer.Code, answer.Body)
 			}
 			if left := runner.deadline.Sub(arrived); left <= 0 || left > time.Minute {
-				t.Errorf("the deadline is %s away by the clock", left)
+				t.Errorf("the deadline is %s from now by the clock of decisions, want above 0 and at most 1m", left)
 			}
 		})
 	}
--- a/api/callers_errors.go
+++ b/api/callers_errors.go
@@ -13,8 +13,8 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// statuses maps the codes a caller can see to HTTP statuses.
-var statuses = map[verdict.Code]int{
+// statusByCode maps the error codes that a caller can receive to HTTP statuses.
+var statusByCode = map[verdict.Code]int{
 	verdict.CodeInvalidRequest:     http.StatusBadRequest,
 	verdict.CodeUnauthorized:       http.StatusUnauthorized,
 	verdict.CodeForbidden:          http.StatusForbidden,
@@ -35,31 +35,32 @@
 	verdict.CodeStreamCut:          http.StatusBadGateway,
 	verdict.CodeDuplicateKey:       http.StatusConflict,
 	verdict.CodeOutcomeUnknown:     http.StatusConflict,
-	verdict.CodeCallerGone:         statusCallerGone,
-	verdict.CodeCallerStalled:      statusCallerGone,
+	verdict.CodeCallerGone:         statusClientClosedRequest,
+	verdict.CodeCallerStalled:      statusClientClosedRequest,
 	verdict.CodeConflict:           http.StatusConflict,
 	verdict.CodeUnavailable:        http.StatusServiceUnavailable,
 	verdict.CodeInternal:           http.StatusInternalServerError,
 	verdict.CodePoisonRequest:      http.StatusServiceUnavailable,
 }
 
-// statusCallerGone is recorded for requests whose caller left; nobody sees it.
-const statusCallerGone = 499
+// statusClientClosedRequest is recorded for requests whose caller has disconnected or stalled, so
+// that nobody receives it.
+const statusClientClosedRequest = 499
 
-// StatusOf returns the HTTP status of a code.
+// StatusOf returns the HTTP status of an error code, and 500 for an unknown code.
 func StatusOf(code verdict.Code) int {
-	if status, ok := statuses[code]; ok {
+	if status, ok := statusByCode[code]; ok {
 		return status
 	}
 	return http.StatusInternalServerError
 }
 
-// errorBody is OpenAI's error object plus the verdict.
+// errorBody is the error response of OpenAI's API, extended by the verdict.
 type errorBody struct {
 	Error errorObject `json:"error"`
 }
 
-// errorObject is the object clients of OpenAI's API read.
+// errorObject is the error object that clients of OpenAI's API parse.
 type errorObject struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
@@ -68,7 +69,7 @@
 	Verdict string  `json:"verdict"`
 }
 
-// errorType returns OpenAI's error type for a status.
+// errorType returns the error type that OpenAI's API has for a status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -84,7 +85,7 @@
 	}
 }
 
-// encodeError returns the error body of a failure.
+// encodeError returns the JSON error response for a failure.
 func encodeError(status int, failure *verdict.Error, param string) []byte {
 	object := errorObject{
 		Message: failure.Message, Type: errorType(status),
@@ -100,12 +101,12 @@
 	return body
 }
 
-// headerShouldRetry keeps OpenAI's clients from repeating a request by
-// themselves.
+// headerShouldRetry is the header field by which a server turns off the automatic retries of
+// OpenAI's clients.
 const headerShouldRetry = "X-Should-Retry"
 
-// forbidRetry tells clients not to repeat a request that may have run and is not
-// repeatable. A request with a key that is in progress is safe to ask for again.
+// forbidRetry tells clients not to retry a request that may have run and is not repeatable. A
+// request with an idempotency key that is still in progress may be sent again safely.
 func forbidRetry(header http.Header, failure *verdict.Error, repeatable bool) {
 	inProgress := failure.Code == verdict.CodeDuplicateKey && failure.Verdict == verdict.MayHaveRun
 	if failure.Verdict != verdict.NotRun && !repeatable && !inProgress {
@@ -113,43 +114,43 @@
 	}
 }
 
-// writeError answers with an error object. Param names the body field or
-// header at fault, empty for none.
+// writeError responds with an error object. param names the body or header field at fault and is
+// empty if there is none.
 func writeError(w http.ResponseWriter, status int, failure *verdict.Error, param string) {
 	setErrorHeader(w.Header(), status, failure)
 	w.WriteHeader(status)
 	_, _ = w.Write(append(encodeError(status, failure, param), '\n'))
 }
 
-// setErrorHeader sets the header fields of an error's answer.
+// setErrorHeader sets the header fields of an error response.
 func setErrorHeader(header http.Header, status int, failure *verdict.Error) {
 	header.Set("Content-Type", "application/json")
 	header.Set(engine.HeaderVerdict, failure.Verdict.String())
 	if failure.RetryAfter > 0 {
-		header.Set("Retry-After", retryAfter(failure.RetryAfter))
+		header.Set("Retry-After", formatRetryAfter(failure.RetryAfter))
 	}
 	if status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
 	}
 }
 
-// Dismissal returns an answer that ends a connection on which no request is in
-// progress. Its status 408 is the one that a server may send unasked (RFC 9110,
-// 15.5.9): clients drop an idle connection on which they read it, and take it for
-// the answer of a request that crossed it.
+// Dismissal returns a response that closes a connection without a request in progress. It has
+// status 408, which a server may send without a request (RFC 9110, 15.5.9): clients drop an idle
+// connection on which they receive it, and treat it as the response to a request that they sent at
+// the same time.
 func Dismissal(failure *verdict.Error) []byte {
 	body := append(encodeError(http.StatusRequestTimeout, failure, ""), '\n')
-	answer := http.Response{
+	response := http.Response{
 		StatusCode: http.StatusRequestTimeout, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{},
 		Close: true, ContentLength: int64(len(body)), Body: io.NopCloser(bytes.NewReader(body)),
 	}
-	setErrorHeader(answer.Header, answer.StatusCode, failure)
-	var written bytes.Buffer
-	_ = answer.Write(&written)
-	return written.Bytes()
+	setErrorHeader(response.Header, response.StatusCode, failure)
+	var encoded bytes.Buffer
+	_ = response.Write(&encoded)
+	return encoded.Bytes()
 }
 
-// retryAfter returns a wait in whole seconds, rounded up.
-func retryAfter(wait time.Duration) string {
+// formatRetryAfter returns the value of a Retry-After field: whole seconds, rounded up.
+func formatRetryAfter(wait time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(wait.Seconds())))
 }
--- a/api/callers_fuzz_test.go
+++ b/api/callers_fuzz_test.go
@@ -7,8 +7,9 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// FuzzParseBody checks that a body the node accepts is one whose model and
-// stream flag any other JSON reader sees alike, and that none makes it panic.
+// FuzzParseBody guards against bodies that the node and an engine interpret differently, which
+// would let a caller use another model than the one that was authorized. The model of an accepted
+// body must be the one that encoding/json reads. No body may cause a panic.
 func FuzzParseBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"a","messages":[{"role":"user","content":"hi"}],"stream":true}`,
@@ -23,7 +24,7 @@
 		parsed, fault := parseBody(body, "messages")
 		if fault != nil {
 			if fault.failure.Verdict != verdict.NotRun {
-				t.Fatalf("refusal with verdict %v", fault.failure.Verdict)
+				t.Fatalf("body refused with verdict %v, want not-run", fault.failure.Verdict)
 			}
 			return
 		}
@@ -33,7 +34,7 @@
 		}
 		var model string
 		if err := json.Unmarshal(fields["model"], &model); err != nil || model != parsed.Model || model == "" {
-			t.Fatalf("model %q read as %q", fields["model"], parsed.Model)
+			t.Fatalf("model %s parsed as %q", fields["model"], parsed.Model)
 		}
 		promptPrefixes(parsed.Prompt, pathChatCompletions)
 		promptPrefixes(parsed.Prompt, pathCompletions)
--- a/api/callers_headers.go
+++ b/api/callers_headers.go
@@ -9,59 +9,62 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// Header fields of the callers' API beyond OpenAI's. The deadline and priority
-// use the engine API's names.
+// Header fields that the callers' API adds to OpenAI's. The fields for deadline and priority have
+// the names of the engine API.
 const (
-	// HeaderRepeatable is "true" or "false": whether the request may run twice.
+	// HeaderRepeatable states whether the request may run more than once, as "true" or "false".
 	HeaderRepeatable = "X-Valveslip-Repeatable"
-	// HeaderIdempotencyKey marks a request whose repetition must not run again.
+	// HeaderIdempotencyKey identifies a request. Another request with the same key does not run
+	// again.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// passedHeaders go to the engine as the caller sent them.
-var passedHeaders = []string{"Traceparent", "Tracestate"}
+// forwardedRequestHeaders are copied unchanged from the caller's request to the engine's.
+var forwardedRequestHeaders = []string{"Traceparent", "Tracestate"}
 
-// terms are the conditions a caller states in header fields.
-type terms struct {
+// requestOptions are the options that a caller sets by header fields.
+type requestOptions struct {
 	deadline   time.Time
 	priority   int
 	repeatable bool
-	// key is the Idempotency-Key, empty for none.
-	key string
+	// idempotencyKey is the value of Idempotency-Key, empty if the request has none.
+	idempotencyKey string
 }
 
-// maxKeyBytes bounds an Idempotency-Key.
-const maxKeyBytes = 255
+// maxIdempotencyKeyBytes limits the length of an Idempotency-Key.
+const maxIdempotencyKeyBytes = 255
 
-// readTerms reads the header fields; policy gives what they leave out.
-func (c *callers) readTerms(header http.Header, policy *settings.Policy, now time.Time) (terms, *bodyError) {
-	read := terms{priority: policy.Priority, repeatable: policy.Repeatable}
-	if read.key = header.Get(HeaderIdempotencyKey); len(read.key) > maxKeyBytes {
-		return read, invalid(HeaderIdempotencyKey, "the key is longer than %d bytes", maxKeyBytes)
+// readOptions parses the header fields. The policy provides the options that they omit, and the
+// upper bound of the priority.
+func (c *callersHandler) readOptions(header http.Header, policy *settings.Policy, now time.Time) (requestOptions, *requestError) {
+	options := requestOptions{priority: policy.Priority, repeatable: policy.Repeatable}
+	if options.idempotencyKey = header.Get(HeaderIdempotencyKey); len(options.idempotencyKey) > maxIdempotencyKeyBytes {
+		return options, invalidField(HeaderIdempotencyKey, "the key is longer than %d bytes", maxIdempotencyKeyBytes)
 	}
-	var fault *bodyError
-	if read.deadline, fault = c.readDeadline(header.Get(engine.HeaderDeadline), policy, now); fault != nil {
-		return read, fault
+	var fault *requestError
+	if options.deadline, fault = c.readDeadline(header.Get(engine.HeaderDeadline), policy, now); fault != nil {
+		return options, fault
 	}
 	if text := header.Get(engine.HeaderPriority); text != "" {
 		priority, err := strconv.Atoi(text)
 		if err != nil {
-			return read, invalid(engine.HeaderPriority, "the priority is not a whole number")
+			return options, invalidField(engine.HeaderPriority, "the priority is not a whole number")
 		}
-		read.priority = min(priority, policy.Priority)
+		options.priority = min(priority, policy.Priority)
 	}
 	if text := header.Get(HeaderRepeatable); text != "" {
 		repeatable, err := strconv.ParseBool(text)
 		if err != nil {
-			return read, invalid(HeaderRepeatable, "it is neither true nor false")
+			return options, invalidField(HeaderRepeatable, "it is neither true nor false")
 		}
-		read.repeatable = repeatable
+		options.repeatable = repeatable
 	}
-	return read, nil
+	return options, nil
 }
 
-// readDeadline reads a duration from now or an RFC 3339 time.
-func (c *callers) readDeadline(text string, policy *settings.Policy, now time.Time) (time.Time, *bodyError) {
+// readDeadline parses a duration from now or an RFC 3339 time. The deadline is at most MaxDeadline
+// from now.
+func (c *callersHandler) readDeadline(text string, policy *settings.Policy, now time.Time) (time.Time, *requestError) {
 	latest := now.Add(c.MaxDeadline)
 	if text == "" {
 		if policy.Deadline <= 0 {
@@ -71,21 +74,21 @@
 	}
 	if wait, err := time.ParseDuration(text); err == nil {
 		if wait <= 0 {
-			return latest, invalid(engine.HeaderDeadline, "the deadline is not in the future")
+			return latest, invalidField(engine.HeaderDeadline, "the deadline is not in the future")
 		}
 		return earlier(now.Add(wait), latest), nil
 	}
 	deadline, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return latest, invalid(engine.HeaderDeadline, "the deadline is neither a duration nor an RFC 3339 time")
+		return latest, invalidField(engine.HeaderDeadline, "the deadline is neither a duration nor an RFC 3339 time")
 	}
 	if !deadline.After(now) {
-		return latest, invalid(engine.HeaderDeadline, "the deadline is not in the future")
+		return latest, invalidField(engine.HeaderDeadline, "the deadline is not in the future")
 	}
 	return earlier(deadline, latest), nil
 }
 
-// earlier returns the earlier time.
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -93,16 +96,16 @@
 	return b
 }
 
-// engineHeader returns the fields to pass on to the engine.
+// engineHeader returns the header fields to forward to the engine.
 func engineHeader(header http.Header) http.Header {
-	var passed http.Header
-	for _, name := range passedHeaders {
+	var forwarded http.Header
+	for _, name := range forwardedRequestHeaders {
 		if values := header[name]; len(values) > 0 {
-			if passed == nil {
-				passed = make(http.Header, len(passedHeaders))
+			if forwarded == nil {
+				forwarded = make(http.Header, len(forwardedRequestHeaders))
 			}
-			passed[name] = values
+			forwarded[name] = values
 		}
 	}
-	return passed
+	return forwarded
 }
--- a/api/callers_infer.go
+++ b/api/callers_infer.go
@@ -14,50 +14,51 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// infer serves a completion request: it checks the request, runs it and relays
-// the answer.
-func (c *callers) infer(w http.ResponseWriter, r *http.Request) {
-	began, arrived := time.Now(), c.Now()
+// serveInference serves a completion request: it validates and runs the request and relays the
+// response.
+func (c *callersHandler) serveInference(w http.ResponseWriter, r *http.Request) {
+	start, arrived := time.Now(), c.Now()
 	id := c.newRequestID()
 	w.Header().Set(engine.HeaderRequestID, string(id))
 	outcome := Outcome{Request: id}
-	call, token, fault := c.admit(w, r, id, began)
+	call, token, fault := c.admit(w, r, id, start)
 	if token != nil {
 		outcome.Token = token.Name
 	}
 	if fault != nil {
 		outcome.Status = StatusOf(fault.failure.Code)
 		outcome.Result.Failure = fault.failure
-		c.account(&outcome, began)
+		c.recordOutcome(&outcome, start)
 		writeError(w, outcome.Status, fault.failure, fault.param)
 		return
 	}
-	// Callers state deadlines in time of day, or from now; they are kept by the clock.
-	call.Request.Deadline = arrived.Add(call.Request.Deadline.Sub(began))
+	// The caller's deadline refers to the time of day. Convert it to the clock of decisions.
+	call.Request.Deadline = arrived.Add(call.Request.Deadline.Sub(start))
 	outcome.Model = call.Request.Model
 	outcome.Stream = call.Stream
-	sink := newSink(w, c.StallTime, call.Stream)
+	sink := newSink(w, c.WriteStallTimeout, call.Stream)
 	outcome.Result = c.Runner.Run(r.Context(), call, sink)
 	outcome.Status = outcome.Result.Status
 	if failure := outcome.Result.Failure; failure != nil && !outcome.Result.Started {
 		outcome.Status = StatusOf(failure.Code)
 	}
-	c.account(&outcome, began)
+	c.recordOutcome(&outcome, start)
 	if failure := outcome.Result.Failure; failure != nil && !outcome.Result.Started {
 		forbidRetry(w.Header(), failure, call.Request.Repeatable)
 	}
-	c.conclude(w, sink, &outcome)
+	c.finishFailedRequest(w, sink, &outcome)
 }
 
-// admit turns an HTTP request into a call, or says why not.
-func (c *callers) admit(w http.ResponseWriter, r *http.Request, id cluster.RequestID, now time.Time) (relay.Call, *settings.Token, *bodyError) {
+// admit authenticates and validates an HTTP request and converts it to a call. It returns the
+// token also with most errors, for the log.
+func (c *callersHandler) admit(w http.ResponseWriter, r *http.Request, id cluster.RequestID, now time.Time) (relay.Call, *settings.Token, *requestError) {
 	snapshot := c.Settings()
 	token, failure := authenticate(snapshot, r, now)
 	if failure != nil {
-		return relay.Call{}, nil, &bodyError{failure: failure}
+		return relay.Call{}, nil, &requestError{failure: failure}
 	}
 	if failure := authorizeCall(token); failure != nil {
-		return relay.Call{}, token, &bodyError{failure: failure}
+		return relay.Call{}, token, &requestError{failure: failure}
 	}
 	body, fault := c.readBody(w, r)
 	if fault != nil {
@@ -69,23 +70,23 @@
 	}
 	model, failure := visibleModel(snapshot, token, parsed.Model)
 	if failure != nil {
-		return relay.Call{}, token, &bodyError{failure: failure, param: "model"}
+		return relay.Call{}, token, &requestError{failure: failure, param: "model"}
 	}
-	stated, fault := c.readTerms(r.Header, &model.Policy, now)
+	options, fault := c.readOptions(r.Header, &model.Policy, now)
 	if fault != nil {
 		return relay.Call{}, token, fault
 	}
-	call := relay.Call{Path: r.URL.Path, Body: body, Header: engineHeader(r.Header), Stream: parsed.Stream, Key: stated.key}
+	call := relay.Call{Path: r.URL.Path, Body: body, Header: engineHeader(r.Header), Stream: parsed.Stream, Key: options.idempotencyKey}
 	call.Request = routing.Request{
 		ID: id, Model: model.ID, TokenPath: token.Path, Team: snapshot.TeamOf(token.Path),
-		Priority: stated.priority, Deadline: stated.deadline, Repeatable: stated.repeatable,
+		Priority: options.priority, Deadline: options.deadline, Repeatable: options.repeatable,
 		BodyBytes: int64(len(body)), PromptTokens: len(parsed.Prompt) / bytesPerToken, MaxTokens: parsed.MaxTokens,
 		Prefixes: promptPrefixes(parsed.Prompt, r.URL.Path),
 	}
 	return call, token, nil
 }
 
-// promptField names the body field that holds the prompt.
+// promptField returns the name of the body field that contains the prompt.
 func promptField(path string) string {
 	if path == pathChatCompletions {
 		return "messages"
@@ -93,9 +94,9 @@
 	return "prompt"
 }
 
-// account logs and counts an ended request.
-func (c *callers) account(outcome *Outcome, began time.Time) {
-	outcome.Total = time.Since(began)
+// recordOutcome logs an ended request and passes it to Observe.
+func (c *callersHandler) recordOutcome(outcome *Outcome, start time.Time) {
+	outcome.Total = time.Since(start)
 	c.Observe(*outcome)
 	if failure := outcome.Result.Failure; failure != nil {
 		c.Logger.Info("request failed", "request", outcome.Request, "model", outcome.Model, "token", outcome.Token,
@@ -111,10 +112,10 @@
 		"tokens", outcome.Result.Tokens, "waited", outcome.Result.Waited, "duration", outcome.Total)
 }
 
-// conclude answers a request that failed. When a part of the answer has gone
-// out already, the connection is broken so that the caller cannot take the part
-// for the whole.
-func (c *callers) conclude(w http.ResponseWriter, sink *sink, outcome *Outcome) {
+// finishFailedRequest completes the response to a failed request. If a part of the response was sent
+// already, it aborts the connection, because the caller would otherwise take the part for the
+// whole.
+func (c *callersHandler) finishFailedRequest(w http.ResponseWriter, sink *sink, outcome *Outcome) {
 	failure := outcome.Result.Failure
 	switch {
 	case failure == nil:
@@ -122,7 +123,7 @@
 	case !outcome.Result.Started && failure.Code != verdict.CodeCallerGone:
 		writeError(w, outcome.Status, failure, "")
 	case outcome.Stream && failure.Code != verdict.CodeCallerGone:
-		sink.fail(failure)
+		sink.writeErrorEvent(failure)
 		panic(http.ErrAbortHandler)
 	default:
 		panic(http.ErrAbortHandler)
--- a/api/callers_models.go
+++ b/api/callers_models.go
@@ -12,7 +12,7 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// modelObject is OpenAI's model object.
+// modelObject is the model object of OpenAI's API.
 type modelObject struct {
 	ID      cluster.ModelID `json:"id"`
 	Object  string          `json:"object"`
@@ -20,19 +20,19 @@
 	OwnedBy string          `json:"owned_by"`
 }
 
-// modelList is OpenAI's list of models.
+// modelList is the list of models of OpenAI's API.
 type modelList struct {
 	Object string        `json:"object"`
 	Data   []modelObject `json:"data"`
 }
 
-// describe returns the object of a model.
-func describe(model *settings.Model) modelObject {
+// newModelObject returns the model object of a model.
+func newModelObject(model *settings.Model) modelObject {
 	return modelObject{ID: model.ID, Object: "model", OwnedBy: model.Team}
 }
 
-// listModels answers with the models the token may call.
-func (c *callers) listModels(w http.ResponseWriter, r *http.Request) {
+// listModels responds with the models that the token may call.
+func (c *callersHandler) listModels(w http.ResponseWriter, r *http.Request) {
 	snapshot := c.Settings()
 	token, failure := authenticate(snapshot, r, time.Now())
 	if failure != nil {
@@ -42,15 +42,15 @@
 	list := modelList{Object: "list", Data: []modelObject{}}
 	for i := range snapshot.Models {
 		if snapshot.Visible(token.Path, &snapshot.Models[i]) {
-			list.Data = append(list.Data, describe(&snapshot.Models[i]))
+			list.Data = append(list.Data, newModelObject(&snapshot.Models[i]))
 		}
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(c.StallTime))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(c.WriteStallTimeout))
 	writeJSON(w, list)
 }
 
-// getModel answers with one model.
-func (c *callers) getModel(w http.ResponseWriter, r *http.Request) {
+// getModel responds with one model.
+func (c *callersHandler) getModel(w http.ResponseWriter, r *http.Request) {
 	snapshot := c.Settings()
 	token, failure := authenticate(snapshot, r, time.Now())
 	if failure != nil {
@@ -62,11 +62,11 @@
 		writeError(w, StatusOf(failure.Code), failure, "model")
 		return
 	}
-	writeJSON(w, describe(model))
+	writeJSON(w, newModelObject(model))
 }
 
-// visibleModel returns a model the token may see. One that it may not see is
-// answered like one that does not exist.
+// visibleModel returns the named model if the token may see it. A model that the token may not see
+// causes the same error as one that does not exist, so that its existence is not revealed.
 func visibleModel(snapshot *settings.Snapshot, token *settings.Token, name string) (*settings.Model, *verdict.Error) {
 	model := snapshot.Model(cluster.ModelID(name))
 	if model == nil || !snapshot.Visible(token.Path, model) {
@@ -75,7 +75,7 @@
 	return model, nil
 }
 
-// writeJSON answers 200 with a value.
+// writeJSON responds with status 200 and a JSON value.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
--- a/api/callers_overload.go
+++ b/api/callers_overload.go
@@ -7,12 +7,13 @@
 	"github.com/valveslip/valveslip/overload"
 )
 
-// Bounded refuses requests that may not be taken, before anything of them is read: each one
-// more would have all others wait longer, and with them what keeps the node informed.
-func Bounded(next http.Handler, mayTake func() (late time.Duration, may bool)) http.Handler {
+// Bounded returns a handler that refuses a request before reading its body if admit returns false.
+// Under overload, each further request would delay all others, including the node's own control
+// messages.
+func Bounded(next http.Handler, admit func() (lateness time.Duration, admitted bool)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if late, may := mayTake(); !may {
-			failure := overload.Refusal(late)
+		if lateness, admitted := admit(); !admitted {
+			failure := overload.Refusal(lateness)
 			w.Header().Set("Connection", "close")
 			writeError(w, StatusOf(failure.Code), failure, "")
 			return
--- a/api/callers_prompt.go
+++ b/api/callers_prompt.go
@@ -7,11 +7,11 @@
 	"github.com/valveslip/valveslip/engine"
 )
 
-// maxPrefixBlocks bounds the prefix blocks a request is matched by.
+// maxPrefixBlocks limits the prefix blocks of a prompt that are compared with prefix caches.
 const maxPrefixBlocks = 32
 
-// chatMessage is the part of a chat message that makes up the prompt. Content
-// is a text or a list of parts.
+// chatMessage holds the fields of a chat message that become part of the prompt. Content is a
+// string or a list of parts.
 type chatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
@@ -22,8 +22,8 @@
 	Text string `json:"text"`
 }
 
-// promptPrefixes returns the hash chain of a prompt's whole blocks. A prompt
-// that is too short or of another form has none; it is merely not matched.
+// promptPrefixes returns the hash chain of the prompt's complete blocks. It returns nil for a
+// prompt that is too short or has another form; such a request is routed without prefix matching.
 func promptPrefixes(prompt json.RawMessage, path string) []uint64 {
 	if len(prompt) < engine.PrefixBlockBytes {
 		return nil
@@ -42,7 +42,7 @@
 	return engine.PrefixChain(engine.ChatPrompt(texts), maxPrefixBlocks)
 }
 
-// contentText returns the text of a content value, empty when it has none.
+// contentText returns the text of a content value, empty if it has none.
 func contentText(content json.RawMessage) string {
 	var text string
 	if json.Unmarshal(content, &text) == nil {
--- a/api/callers_slow_test.go
+++ b/api/callers_slow_test.go
@@ -20,22 +20,22 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// endless writes to the caller until that fails.
-type endless struct{ failed chan error }
+// endlessRunner writes to the caller until a write fails.
+type endlessRunner struct{ writeFailed chan error }
 
 // Run implements Runner.
-func (e endless) Run(_ context.Context, _ relay.Call, sink relay.Sink) relay.Result {
+func (e endlessRunner) Run(_ context.Context, _ relay.Call, sink relay.Sink) relay.Result {
 	_ = sink.Start(http.StatusOK, http.Header{})
 	block := make([]byte, 64<<10)
 	for {
 		if err := sink.Write(block); err != nil {
-			e.failed <- err
+			e.writeFailed <- err
 			return relay.Result{Started: true}
 		}
 	}
 }
 
-// newTestCallers returns a callers' API with one model and one token.
+// newTestCallers returns a handler of the callers' API with one model and one token.
 func newTestCallers(config CallersConfig) http.Handler {
 	models := []settings.Model{{ID: "recall", Path: "/dental/recall", Team: "/dental", Policy: settings.Defaults()}}
 	const hash = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b" // of "secret"
@@ -45,16 +45,17 @@
 	return NewCallers(config)
 }
 
-// serve returns the address of such a callers' API.
-func serve(t *testing.T, config CallersConfig) string {
+// startServer serves the callers' API on a local port and returns its address.
+func startServer(t *testing.T, config CallersConfig) string {
 	t.Helper()
 	server := httptest.NewServer(newTestCallers(config))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-// serveInMemory returns a connection to such a callers' API, whose time a bubble controls.
-func serveInMemory(t *testing.T, config CallersConfig) net.Conn {
+// dialInMemory serves the callers' API and returns a connection to it. The connection is in
+// memory, so that it works in a synctest bubble.
+func dialInMemory(t *testing.T, config CallersConfig) net.Conn {
 	t.Helper()
 	listener, server := pipe.NewListener(), &http.Server{Handler: newTestCallers(config)}
 	go func() { _ = server.Serve(listener) }()
@@ -67,20 +68,21 @@
 	return connection
 }
 
-// dial sends the head of a request that promises a body of the given length.
-func dial(t *testing.T, address string, length int) net.Conn {
+// dialAndSendHead opens a connection and sends the header of a request whose body has the given
+// length.
+func dialAndSendHead(t *testing.T, address string, length int) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = connection.Close() })
-	sendHead(t, connection, length)
+	sendRequestHead(t, connection, length)
 	return connection
 }
 
-// sendHead sends such a head.
-func sendHead(t *testing.T, connection net.Conn, length int) {
+// sendRequestHead sends the header of a request whose body has the given length.
+func sendRequestHead(t *testing.T, connection net.Conn, length int) {
 	t.Helper()
 	_, err := fmt.Fprintf(connection, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer secret\r\nContent-Length: %d\r\n\r\n", length)
 	if err != nil {
@@ -88,8 +90,10 @@
 	}
 }
 
-func TestCallerThatStallsItsBodyIsRefused(t *testing.T) {
-	connection := dial(t, serve(t, CallersConfig{BodyTime: time.Millisecond}), 1000)
+// TestRequestWithStalledBodyIsRefused guards against a request that occupies a connection without
+// limit because its caller stops sending the body.
+func TestRequestWithStalledBodyIsRefused(t *testing.T) {
+	connection := dialAndSendHead(t, startServer(t, CallersConfig{BodyReadTimeout: time.Millisecond}), 1000)
 	answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -100,20 +104,20 @@
 	}
 }
 
-// lines hands on what a logger writes.
-type lines chan string
+// logLines is a channel that receives each write of a logger.
+type logLines chan string
 
 // Write implements io.Writer.
-func (l lines) Write(data []byte) (int, error) {
+func (l logLines) Write(data []byte) (int, error) {
 	l <- string(data)
 	return len(data), nil
 }
 
-// TestCauseOfACutBodyIsLogged: the log tells why a body could not be read, the caller is
-// told that it could not.
-func TestCauseOfACutBodyIsLogged(t *testing.T) {
-	log := make(lines, 1)
-	connection := dial(t, serve(t, CallersConfig{BodyTime: time.Millisecond, Logger: slog.New(slog.NewTextHandler(log, nil))}), 1000)
+// TestBodyReadFailureIsLoggedWithCause guards against a log without the reason why a body could
+// not be read, and against revealing that reason to the caller.
+func TestBodyReadFailureIsLoggedWithCause(t *testing.T) {
+	log := make(logLines, 1)
+	connection := dialAndSendHead(t, startServer(t, CallersConfig{BodyReadTimeout: time.Millisecond, Logger: slog.New(slog.NewTextHandler(log, nil))}), 1000)
 	answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -121,27 +125,31 @@
 	defer answer.Body.Close()
 	body, err := io.ReadAll(answer.Body)
 	if err != nil || !strings.Contains(string(body), "read whole") || strings.Contains(string(body), "timeout") {
-		t.Errorf("the caller is told %s, error %v", body, err)
+		t.Errorf("response %s, error %v; want the body error without its cause", body, err)
 	}
 	if line := <-log; !strings.Contains(line, "the body could not be read whole: ") || !strings.Contains(line, "timeout") {
-		t.Errorf("the log says %q", line)
+		t.Errorf("log line %q, want the body error with its cause", line)
 	}
 }
 
-func TestCallerThatDoesNotReadIsGivenUp(t *testing.T) {
-	runner := endless{failed: make(chan error, 1)}
+// TestResponseToStalledCallerIsAborted guards against a request that occupies an engine without
+// limit because its caller stops reading the response.
+func TestResponseToStalledCallerIsAborted(t *testing.T) {
+	runner := endlessRunner{writeFailed: make(chan error, 1)}
 	const body = `{"model":"recall","messages":[],"stream":true}`
-	connection := dial(t, serve(t, CallersConfig{Runner: runner, StallTime: 20 * time.Millisecond}), len(body))
+	connection := dialAndSendHead(t, startServer(t, CallersConfig{Runner: runner, WriteStallTimeout: 20 * time.Millisecond}), len(body))
 	if _, err := connection.Write([]byte(body)); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-runner.failed; !strings.Contains(err.Error(), "timeout") {
-		t.Fatalf("ended by %v", err)
+	if err := <-runner.writeFailed; !strings.Contains(err.Error(), "timeout") {
+		t.Fatalf("write failed with %v, want a timeout", err)
 	}
 }
 
-func TestDeadlineOfACallerIsBounded(t *testing.T) {
-	api := &callers{CallersConfig: CallersConfig{}.withDefaults()}
+// TestCallerDeadlineIsCapped checks the forms of a deadline and guards against deadlines
+// beyond MaxDeadline.
+func TestCallerDeadlineIsCapped(t *testing.T) {
+	api := &callersHandler{CallersConfig: CallersConfig{}.withDefaults()}
 	now := time.Unix(1000, 0).UTC()
 	policy := &settings.Policy{Deadline: time.Minute}
 	tests := map[string]time.Duration{
@@ -156,39 +164,41 @@
 	}
 }
 
-func TestPriorityCanOnlyBeLowered(t *testing.T) {
-	api := &callers{CallersConfig: CallersConfig{}.withDefaults()}
+// TestCallerCanOnlyLowerPriority guards against callers that raise the priority of their
+// requests above that of the policy.
+func TestCallerCanOnlyLowerPriority(t *testing.T) {
+	api := &callersHandler{CallersConfig: CallersConfig{}.withDefaults()}
 	var got []int
 	for _, text := range []string{"", "9", "3", "-1"} {
-		read, fault := api.readTerms(http.Header{"X-Valveslip-Priority": {text}}, &settings.Policy{Priority: 5}, time.Now())
+		options, fault := api.readOptions(http.Header{"X-Valveslip-Priority": {text}}, &settings.Policy{Priority: 5}, time.Now())
 		if fault != nil {
 			t.Fatal(fault.failure)
 		}
-		got = append(got, read.priority)
+		got = append(got, options.priority)
 	}
 	if !slices.Equal(got, []int{5, 5, 3, -1}) {
-		t.Fatalf("priorities %v", got)
+		t.Fatalf("priorities %v, want 5, 5, 3, -1", got)
 	}
 }
 
-// brief answers at once.
-type brief struct{}
+// shortRunner responds with a short body and returns.
+type shortRunner struct{}
 
 // Run implements Runner.
-func (brief) Run(_ context.Context, _ relay.Call, sink relay.Sink) relay.Result {
+func (shortRunner) Run(_ context.Context, _ relay.Call, sink relay.Sink) relay.Result {
 	_ = sink.Start(http.StatusOK, http.Header{})
 	_ = sink.Write([]byte("{}"))
 	return relay.Result{Started: true, Status: http.StatusOK}
 }
 
-// TestConnectionIsUsedAgainAfterAPause holds that the bound on one answer's
-// writes does not reach into the next answer on the connection.
-func TestConnectionIsUsedAgainAfterAPause(t *testing.T) {
+// TestWriteDeadlineDoesNotAffectNextResponseOnConnection guards against a write deadline that
+// stays set on a kept-alive connection and fails the next response after a pause.
+func TestWriteDeadlineDoesNotAffectNextResponseOnConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stall = 200 * time.Millisecond
 		const body = `{"model":"recall","messages":[]}`
-		connection := serveInMemory(t, CallersConfig{Runner: brief{}, StallTime: stall})
-		sendHead(t, connection, len(body))
+		connection := dialInMemory(t, CallersConfig{Runner: shortRunner{}, WriteStallTimeout: stall})
+		sendRequestHead(t, connection, len(body))
 		reader := bufio.NewReader(connection)
 		for i, request := range []string{
 			body,
--- a/api/doc.go
+++ b/api/doc.go
@@ -1,3 +1,3 @@
-// Package api serves the callers' OpenAI-compatible API and the
+// Package api serves the OpenAI-compatible API for callers. Its package admin serves the
 // administration API.
 package api
