--- a/fleet/lending/voters_test.go
+++ b/fleet/lending/voters_test.go
@@ -11,7 +11,7 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// candidates weighs machines.
+// candidates returns the candidates of peers.
 func candidates(peers []Peer) []candidate {
 	weighed := make([]candidate, len(peers))
 	for i := range peers {
@@ -20,9 +20,10 @@
 	return weighed
 }
 
-// sortedVoters ranks all machines of all zones, as builds did that are beside this one while
-// machines are replaced: two that ranked otherwise would let two nodes lend.
-func sortedVoters(shard int, peers []Peer) []string {
+// votersByFullSort selects voters by sorting all machines of all zones, as earlier builds do, which
+// run beside this one during a rolling replacement: builds that selected differently could elect two
+// lenders.
+func votersByFullSort(shard int, peers []Peer) []string {
 	strongest := 0.0
 	for i := range peers {
 		strongest = max(strongest, peers[i].Capacity)
@@ -35,12 +36,12 @@
 	for zone, members := range zones {
 		names = append(names, zone)
 		slices.SortFunc(members, func(a, b Peer) int {
-			return cmp.Or(cmp.Compare(weak(a, strongest), weak(b, strongest)),
-				cmp.Compare(weightOf(shard, a.Machine), weightOf(shard, b.Machine)), cmp.Compare(a.Machine, b.Machine))
+			return cmp.Or(cmp.Compare(weakRank(a, strongest), weakRank(b, strongest)),
+				cmp.Compare(rendezvousWeight(shard, a.Machine), rendezvousWeight(shard, b.Machine)), cmp.Compare(a.Machine, b.Machine))
 		})
 	}
 	slices.SortFunc(names, func(a, b cluster.ZoneID) int {
-		return cmp.Or(cmp.Compare(weightOf(shard, string(a)), weightOf(shard, string(b))), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(rendezvousWeight(shard, string(a)), rendezvousWeight(shard, string(b))), cmp.Compare(a, b))
 	})
 	var voters []string
 	for round := 0; len(voters) < min(maxVoters, len(peers)); round++ {
@@ -53,9 +54,9 @@
 	return voters
 }
 
-// TestVotersAreTheFirstOfAllSorted: whatever machines there are, their voters are the same as
-// where all are sorted.
-func TestVotersAreTheFirstOfAllSorted(t *testing.T) {
+// TestSelectVotersMatchesFullSort: for any machines, selectVoters must return the voters that a full
+// sort gives.
+func TestSelectVotersMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var peers []Peer
 		for i := range rapid.IntRange(1, 60).Draw(t, "machines") {
@@ -66,7 +67,7 @@
 			})
 		}
 		for shard := range Shards {
-			if got, want := votersOf(shard, candidates(peers)), sortedVoters(shard, peers); !slices.Equal(got, want) {
+			if got, want := selectVoters(shard, candidates(peers)), votersByFullSort(shard, peers); !slices.Equal(got, want) {
 				t.Fatalf("shard %d: %q, want %q", shard, got, want)
 			}
 		}
--- a/fleet/delays_test.go
+++ b/fleet/load_delays_test.go
@@ -8,14 +8,14 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// TestAlternatingCausesAreLoggedOnce: two causes that alternate from plan to plan would
-// fill the log; one that lasts is written.
+// Guards against two causes that alternate from plan to plan and fill the log. A cause that lasts
+// is logged.
 func TestAlternatingCausesAreLoggedOnce(t *testing.T) {
-	var current delay
+	var current loadDelay
 	var logged []placement.Cause
 	now := time.Unix(1000, 0)
 	step := func(cause placement.Cause) {
-		next, logs := current.with(cause, now)
+		next, logs := current.update(cause, now)
 		if logs {
 			logged = append(logged, cause)
 		}
