--- a/fleet/shell/batch.go
+++ b/fleet/shell/batch.go
@@ -16,43 +16,45 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// batch is what changed, by kind. Of several changes of one record the last counts.
+// batch holds a set of store changes, grouped by kind. Of several changes to one record the last
+// one counts.
 type batch struct {
-	revision      int64
-	configuration *wire.StoreChange
-	workers       latest[cluster.MachineID, catalog.Worker]
-	workersUnread latest[cluster.MachineID, fleet.UnreadWorker]
-	workersGone   []cluster.MachineID
-	restarted     []routing.MachineRestarted
-	nodes         latest[cluster.NodeID, fleet.NodeEntry]
-	nodesGone     []cluster.NodeID
-	holder        *fleet.HolderRead
-	last          *fleet.LastHolderRead
-	poison        latest[poison.Fingerprint, fleet.PoisonStored]
-	poisonUnread  latest[poison.Fingerprint, fleet.PoisonStored]
-	poisonGone    []poison.Fingerprint
+	revision          int64
+	configuration     *wire.StoreChange
+	workers           orderedMap[cluster.MachineID, catalog.Worker]
+	unreadableWorkers orderedMap[cluster.MachineID, fleet.UnreadWorker]
+	removedWorkers    []cluster.MachineID
+	restarted         []routing.MachineRestarted
+	nodes             orderedMap[cluster.NodeID, fleet.NodeEntry]
+	removedNodes      []cluster.NodeID
+	holder            *fleet.HolderRead
+	lastHolder        *fleet.LastHolderRead
+	poison            orderedMap[poison.Fingerprint, fleet.PoisonStored]
+	unreadablePoison  orderedMap[poison.Fingerprint, fleet.PoisonStored]
+	removedPoison     []poison.Fingerprint
 }
 
-// workersRead is what the batch says of machines.
+// workersRead returns the changes to machines as an event of the core.
 func (b *batch) workersRead() fleet.WorkersRead {
 	return fleet.WorkersRead{
-		Workers: b.workers.values(), Unread: b.workersUnread.values(), Gone: b.workersGone,
+		Workers: b.workers.values(), Unread: b.unreadableWorkers.values(), Gone: b.removedWorkers,
 		Restarted: b.restarted, Revision: b.revision,
 	}
 }
 
-// nodesRead is what the batch says of nodes.
+// nodesRead returns the changes to nodes as an event of the core.
 func (b *batch) nodesRead() fleet.NodesRead {
-	return fleet.NodesRead{Nodes: b.nodes.values(), Gone: b.nodesGone}
+	return fleet.NodesRead{Nodes: b.nodes.values(), Gone: b.removedNodes}
 }
 
-// poisonRead is what the batch says of requests that end machines.
+// poisonRead returns the changes to poison records, the records of requests that crash machines,
+// as an event of the core.
 func (b *batch) poisonRead() fleet.PoisonRead {
-	return fleet.PoisonRead{Records: b.poison.values(), Unread: b.poisonUnread.values(), Gone: b.poisonGone}
+	return fleet.PoisonRead{Records: b.poison.values(), Unread: b.unreadablePoison.values(), Gone: b.removedPoison}
 }
 
-// sort enters one change.
-func (f *follower) sort(b *batch, pair *wire.StoreChange) {
+// addChange adds one store change to the batch.
+func (f *follower) addChange(b *batch, pair *wire.StoreChange) {
 	codec, deleted := f.options.Codec, pair.Deleted
 	switch {
 	case pair.Key == codec.ConfigurationKey():
@@ -60,7 +62,7 @@
 			b.configuration = pair
 		}
 	case strings.HasPrefix(pair.Key, codec.WorkersPrefix()):
-		f.sortWorker(b, pair)
+		f.addWorkerChange(b, pair)
 	case pair.Key == fleet.KeyHolder:
 		b.holder = &fleet.HolderRead{}
 		if entry, read := f.nodeEntry(pair); read {
@@ -68,17 +70,18 @@
 		}
 	case pair.Key == fleet.KeyLast:
 		if !deleted {
-			// The next holder replaces what can't be read, which takes its revision.
+			// The next lease holder overwrites a record that can't be decoded; it needs the
+			// revision of the record for that.
 			entry, _ := f.nodeEntry(pair)
-			b.last = &fleet.LastHolderRead{Node: entry, Revision: pair.Revision}
+			b.lastHolder = &fleet.LastHolderRead{Node: entry, Revision: pair.Revision}
 		}
 	case strings.HasPrefix(pair.Key, fleet.KeyPoison):
-		f.sortPoison(b, pair)
+		f.addPoisonChange(b, pair)
 	case strings.HasPrefix(pair.Key, fleet.KeyNodes):
 		if deleted {
 			id := cluster.NodeID(strings.TrimPrefix(pair.Key, fleet.KeyNodes))
-			b.nodes.drop(id)
-			b.nodesGone = append(b.nodesGone, id)
+			b.nodes.remove(id)
+			b.removedNodes = append(b.removedNodes, id)
 		} else if entry, read := f.nodeEntry(pair); read {
 			entry.Revision = pair.Revision
 			b.nodes.put(entry.ID, entry)
@@ -86,48 +89,51 @@
 	}
 }
 
-// sortPoison enters the record of a request that ends machines.
-func (f *follower) sortPoison(b *batch, pair *wire.StoreChange) {
+// addPoisonChange adds the change of a poison record, the record of a request that crashes
+// machines.
+func (f *follower) addPoisonChange(b *batch, pair *wire.StoreChange) {
 	stored, err := fleet.DecodePoison(pair.Key, pair.Value)
 	content := stored.Record.Content
 	if content.IsZero() || err != nil && !pair.Deleted {
-		f.unreadable(unreadablePoison, pair, err)
+		f.reportUnreadable(unreadablePoison, pair, err)
 	}
 	if content.IsZero() {
 		return
 	}
-	b.poison.drop(content)
-	b.poisonUnread.drop(content)
-	b.poisonGone = slices.DeleteFunc(b.poisonGone, func(gone poison.Fingerprint) bool { return gone == content })
+	b.poison.remove(content)
+	b.unreadablePoison.remove(content)
+	b.removedPoison = slices.DeleteFunc(b.removedPoison, func(gone poison.Fingerprint) bool { return gone == content })
 	stored.Revision = pair.Revision
 	switch {
 	case pair.Deleted:
-		b.poisonGone = append(b.poisonGone, content)
+		b.removedPoison = append(b.removedPoison, content)
 	case err != nil:
-		b.poisonUnread.put(content, stored)
+		b.unreadablePoison.put(content, stored)
 	default:
 		b.poison.put(content, stored)
 	}
 }
 
-// nodeEntry reads a node's entry; false for one that is gone or can't be read.
+// nodeEntry decodes a node's entry. It returns false if the entry was deleted or can't be
+// decoded.
 func (f *follower) nodeEntry(pair *wire.StoreChange) (fleet.NodeEntry, bool) {
 	if pair.Deleted {
 		return fleet.NodeEntry{}, false
 	}
 	entry, err := fleet.DecodeNodeEntry(pair.Value)
 	if id, isNode := strings.CutPrefix(pair.Key, fleet.KeyNodes); err == nil && isNode && id != string(entry.ID) {
-		// Nothing would ever take it out: the end of a record is told by its key.
+		// A deletion names only the key, so an entry under the key of another node would never be
+		// removed.
 		err = eris.New("the record names another node than its key")
 	}
 	if err != nil {
-		f.unreadable(unreadableNode, pair, err)
+		f.reportUnreadable(unreadableNode, pair, err)
 		return fleet.NodeEntry{}, false
 	}
 	return entry, true
 }
 
-// The kinds of records that can't be read, for the count of them.
+// The kinds of records that can't be decoded, as the metrics label them.
 const (
 	unreadableWorker        = "worker"
 	unreadableNode          = "node"
@@ -135,52 +141,55 @@
 	unreadableConfiguration = "configuration"
 )
 
-// unreadable tells of a record of the nodes that is passed over.
-func (f *follower) unreadable(kind string, pair *wire.StoreChange, cause error) {
-	f.metrics.unreadable.WithLabelValues(kind).Inc()
+// reportUnreadable counts and logs a record of the nodes that is skipped because it can't be
+// decoded.
+func (f *follower) reportUnreadable(kind string, pair *wire.StoreChange, cause error) {
+	f.metrics.unreadableRecords.WithLabelValues(kind).Inc()
 	f.options.Log.Write(eventlog.RecordUnreadable{Key: pair.Key, Revision: pair.Revision, Cause: cause.Error()})
 }
 
-// sortWorker enters a machine's entry: the last that can be read, and that the machine leaves
-// until one can be. The entry of a later start of a machine ends the one before it.
-func (f *follower) sortWorker(b *batch, pair *wire.StoreChange) {
+// addWorkerChange adds the change of a machine's entry. It keeps the last entry that can be
+// decoded; an entry that can't be decoded only adds that the machine is leaving. The entry of a
+// later start of a machine removes the machine of the earlier start.
+func (f *follower) addWorkerChange(b *batch, pair *wire.StoreChange) {
 	name := f.options.Codec.WorkerID(pair.Key)
 	if pair.Deleted {
-		known := f.starts.current(name)
-		b.workerGone(known)
+		currentID := f.starts.currentID(name)
+		b.removeWorker(currentID)
 		f.starts.forget(name)
 		return
 	}
-	worker, err := f.news.decode(name, pair)
-	known := f.starts.current(name)
+	worker, err := f.filter.decode(name, pair)
+	currentID := f.starts.currentID(name)
 	if err == nil {
-		err = f.starts.check(name, &worker)
+		err = f.starts.validate(name, &worker)
 	}
 	switch {
 	case errors.Is(err, errEarlierStart):
-		f.options.Log.Write(eventlog.WorkerUnreadable{Machine: worker.ID, Revision: pair.Revision, Outcome: outcomePassedOver, Cause: err.Error()})
+		f.options.Log.Write(eventlog.WorkerUnreadable{Machine: worker.ID, Revision: pair.Revision, Outcome: outcomeIgnored, Cause: err.Error()})
 		return
 	case err != nil:
-		f.metrics.unreadable.WithLabelValues(unreadableWorker).Inc()
-		before, _ := b.workersUnread.get(known)
-		b.workersUnread.put(known, fleet.UnreadWorker{ID: known, Leaving: worker.Draining || before.Leaving, Cause: err.Error()})
+		f.metrics.unreadableRecords.WithLabelValues(unreadableWorker).Inc()
+		before, _ := b.unreadableWorkers.get(currentID)
+		b.unreadableWorkers.put(currentID, fleet.UnreadWorker{ID: currentID, Leaving: worker.Draining || before.Leaving, Cause: err.Error()})
 		return
 	}
-	if known != worker.ID && f.starts.knows(name) {
-		b.workerGone(known)
-		b.restarted = append(b.restarted, routing.MachineRestarted{Machine: worker.ID, Before: known})
-		f.options.Log.Write(eventlog.WorkerRestarted{Machine: worker.ID, Before: known, Revision: pair.Revision})
-		// A request on one would be lost without a word that it did not run.
+	if currentID != worker.ID && f.starts.knows(name) {
+		b.removeWorker(currentID)
+		b.restarted = append(b.restarted, routing.MachineRestarted{Machine: worker.ID, Before: currentID})
+		f.options.Log.Write(eventlog.WorkerRestarted{Machine: worker.ID, Before: currentID, Revision: pair.Revision})
+		// A request on a connection to the earlier start would be lost without proof that it did
+		// not run.
 		f.pool.Forget(f.starts[name].address)
 	}
-	f.starts.note(name, &worker)
-	b.workersUnread.drop(known)
+	f.starts.record(name, &worker)
+	b.unreadableWorkers.remove(currentID)
 	b.workers.put(worker.ID, worker)
 }
 
-// workerGone enters the end of a machine.
-func (b *batch) workerGone(id cluster.MachineID) {
-	b.workersUnread.drop(id)
-	b.workers.drop(id)
-	b.workersGone = append(b.workersGone, id)
+// removeWorker adds the removal of a machine to the batch.
+func (b *batch) removeWorker(id cluster.MachineID) {
+	b.unreadableWorkers.remove(id)
+	b.workers.remove(id)
+	b.removedWorkers = append(b.removedWorkers, id)
 }
--- a/fleet/shell/batch_test.go
+++ b/fleet/shell/batch_test.go
@@ -35,10 +35,10 @@
 		n := &Node{}
 		n.options.Codec = platform.Codec{}
 		n.metrics = newMetrics(prometheus.NewRegistry(), n)
-		f := &follower{Node: n, starts: starts{}, news: newNewsFilter(platform.Codec{})}
+		f := &follower{Node: n, starts: machineStarts{}, filter: newChangeFilter(platform.Codec{})}
 		var b batch
 		for i, value := range test.values {
-			f.sort(&b, &wire.StoreChange{Key: platform.PrefixWorkers + "w", Value: []byte(value), Revision: int64(i + 1), Deleted: value == gone})
+			f.addChange(&b, &wire.StoreChange{Key: platform.PrefixWorkers + "w", Value: []byte(value), Revision: int64(i + 1), Deleted: value == gone})
 		}
 		read := b.workersRead()
 		if len(read.Workers) != test.workers || len(read.Unread) != test.unread || len(read.Gone) != test.ended {
--- a/fleet/shell/callerconn_test.go
+++ b/fleet/shell/callerconn_test.go
@@ -41,7 +41,7 @@
 			if took := time.Since(began); took != defaultStalledFor || stalled.For != took {
 				t.Fatalf("ended after %v, said %v, want %v", took, stalled.For, defaultStalledFor)
 			}
-			if c.node.retained.Used() != 0 || c.node.retained.Peak() != stalledSockets*defaultSocketBytes {
+			if c.node.retained.Used() != 0 || c.node.retained.Peak() != buffersPerStalledCaller*defaultSocketBytes {
 				t.Fatalf("%d bytes are counted, %d at most", c.node.retained.Used(), c.node.retained.Peak())
 			}
 		})
--- a/fleet/shell/calls.go
+++ b/fleet/shell/calls.go
@@ -13,43 +13,45 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Bounds of the calls to the store and the engines.
+// Timeouts of the calls to the store and to the engines.
 const (
 	// leaseTimeout leaves time for a second call within a lease of 2 s.
 	leaseTimeout = 900 * time.Millisecond
-	// orderTimeout is short since an engine takes an order at once or not at all, and
-	// the outcome of one without an answer shows in its report.
+	// orderTimeout is short because an engine accepts an order at once or not at all, and the
+	// outcome of an order without an answer shows in the engine's report.
 	orderTimeout = 250 * time.Millisecond
-	// reportTimeout is longer: an engine answers between two steps of its batch.
+	// reportTimeout is longer than orderTimeout because an engine answers between two steps of
+	// its batch.
 	reportTimeout = 600 * time.Millisecond
 )
 
-// engineReport names calls for a report, in the metrics and the log.
+// engineReport names the report calls in the metrics and the log.
 const engineReport = "engine report"
 
-// noteFailure tells the log of a call that failed by another cause than the one before
-// it; calls that the node's end cut off don't count.
-func (n *Node) noteFailure(call string, machine cluster.MachineID, err error) {
+// logNewFailure logs a failed call unless the previous call of this kind to the machine failed
+// for the same cause. Calls that were cancelled because the node ends are not logged.
+func (n *Node) logNewFailure(call string, machine cluster.MachineID, err error) {
 	if n.context.Err() == nil && n.failures.New(call+" "+string(machine), err) {
 		n.options.Log.Write(eventlog.CallFailed{Call: call, Machine: machine, Cause: err.Error()})
 	}
 }
 
-// callLease makes a call for one of the node's records.
+// callLease runs a lease operation for one of the node's records and feeds the answer to the core
+// if the core awaits it.
 func (n *Node) callLease(call fleet.LeaseCall) {
 	ctx, cancel := context.WithTimeout(n.context, leaseTimeout)
 	defer cancel()
-	answer := n.answerLease(ctx, &call.Call)
+	answer := n.performLeaseCall(ctx, &call.Call)
 	operation := operationOf(call.Call.Operation)
-	n.calledStore(operation, answer.Err)
-	n.noteFailure(string(operation), "", answer.Err)
+	n.countStoreCall(operation, answer.Err)
+	n.logNewFailure(string(operation), "", answer.Err)
 	if call.Awaited {
 		n.step(fleet.LeaseAnswered{Record: call.Record, Answer: answer})
 	}
 }
 
-// answerLease makes one call and returns its answer.
-func (n *Node) answerLease(ctx context.Context, call *lease.Call) lease.Answer {
+// performLeaseCall runs one lease operation and returns the store's answer.
+func (n *Node) performLeaseCall(ctx context.Context, call *lease.Call) lease.Answer {
 	var answer lease.Answer
 	switch call.Operation {
 	case lease.Grant:
@@ -68,8 +70,8 @@
 	return answer
 }
 
-// callWrite writes or deletes a key. One that another node wrote or deleted before is as
-// wanted.
+// callWrite writes or deletes a key. If another node has already changed the key the transaction
+// does nothing, which is the intended result.
 func (n *Node) callWrite(effect fleet.StoreWrite) {
 	ctx, cancel := context.WithTimeout(n.context, leaseTimeout)
 	defer cancel()
@@ -77,42 +79,42 @@
 		Compares:   []keyvalue.Compare{{Key: effect.Key, ModRevision: effect.Revision}},
 		Operations: []keyvalue.Operation{{Key: effect.Key, Value: effect.Value, Delete: effect.Delete}},
 	})
-	n.calledStore(storeWrite, err)
-	n.noteFailure(string(storeWrite), "", err)
+	n.countStoreCall(storeWrite, err)
+	n.logNewFailure(string(storeWrite), "", err)
 	n.step(fleet.StoreWritten{Key: effect.Key, Err: err})
 }
 
-// callTicket writes a key that must be absent, under a lease of its own that nobody renews.
-// One of which the answer is lost is taken by nobody until the lease is over.
+// callTicket writes a key that must be absent, under a lease of its own that is never renewed. If
+// the answer is lost, no node can take the ticket until the lease expires.
 func (n *Node) callTicket(effect fleet.StoreTicket) {
 	ctx, cancel := context.WithTimeout(n.context, leaseTimeout)
 	defer cancel()
 	id, err := n.options.Store.Grant(ctx, effect.Lasts)
-	n.calledStore(storeGrant, err)
+	n.countStoreCall(storeGrant, err)
 	if err != nil {
-		n.noteFailure(string(storeGrant), "", err)
+		n.logNewFailure(string(storeGrant), "", err)
 		return
 	}
 	result, err := n.options.Store.Txn(ctx, keyvalue.Transaction{
 		Compares:   []keyvalue.Compare{{Key: effect.Key}},
 		Operations: []keyvalue.Operation{{Key: effect.Key, Value: []byte(n.options.Core.Self.ID), Lease: id}},
 	})
-	n.calledStore(storeWrite, err)
-	n.noteFailure(string(storeWrite), "", err)
+	n.countStoreCall(storeWrite, err)
+	n.logNewFailure(string(storeWrite), "", err)
 	if err == nil && result.Succeeded {
 		n.step(fleet.TicketTaken{Shard: effect.Shard, Number: effect.Number})
 	}
 }
 
-// errDecidedLongAgo is why an order was not given.
-var errDecidedLongAgo = verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the process stood still since the order was decided")
+// errStaleOrder is the answer to an order that was not sent because it was decided too long ago.
+var errStaleOrder = verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the process stood still since the order was decided")
 
-// callOrder gives an order. One that was decided before the process or its machine stood
-// still is not given: another node may hold the lease by now.
+// callOrder sends an order to an engine. It drops an order that was decided before the process or
+// its machine was paused, because another node may hold the lease by now.
 func (n *Node) callOrder(effect fleet.SendOrder, decided time.Time) {
 	if n.Now().Sub(decided) > orderTimeout {
 		n.step(fleet.OrderAnswered{
-			Answer: sequence.Answered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Err: errDecidedLongAgo},
+			Answer: sequence.Answered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Err: errStaleOrder},
 			Order:  effect.Send.Order,
 		})
 		return
@@ -121,7 +123,7 @@
 	defer cancel()
 	began := n.Now()
 	outcome, err := n.options.Engines.Order(ctx, effect.Send.Address, effect.Send.Order)
-	n.metrics.called("engine order", err)
+	n.metrics.countCall("engine order", err)
 	n.step(fleet.OrderAnswered{
 		Answer: sequence.Answered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Outcome: outcome, Err: err},
 		Order:  effect.Send.Order, Took: n.Now().Sub(began),
@@ -133,7 +135,7 @@
 	ctx, cancel := context.WithTimeout(n.context, reportTimeout)
 	defer cancel()
 	report, err := n.options.Engines.Report(ctx, effect.Read.Address, effect.Read.Machine)
-	n.metrics.called(engineReport, err)
-	n.noteFailure(engineReport, effect.Read.Machine, err)
+	n.metrics.countCall(engineReport, err)
+	n.logNewFailure(engineReport, effect.Read.Machine, err)
 	n.step(fleet.ReportRead{Read: sequence.ReportRead{Machine: effect.Read.Machine, Report: report, Err: err}})
 }
--- a/fleet/shell/early_test.go
+++ b/fleet/shell/early_test.go
@@ -14,7 +14,7 @@
 	for _, message := range []wire.Message{wire.StoreChanges{}, wire.ClockTold{}, wire.StoreChangesRequest{}} {
 		n.receive(message)
 	}
-	if age := n.knownAge(); age >= 0 {
+	if age := n.storeViewAge(); age >= 0 {
 		t.Errorf("what is known is %v old before anything is", age)
 	}
 }
--- a/fleet/shell/export_test.go
+++ b/fleet/shell/export_test.go
@@ -9,4 +9,4 @@
 }
 
 // Late is how late the node works.
-func (n *Node) Late() time.Duration { return n.lateness.Late() }
+func (n *Node) Late() time.Duration { return n.schedulingDelay.Late() }
--- a/fleet/shell/follow.go
+++ b/fleet/shell/follow.go
@@ -18,58 +18,63 @@
 
 const (
 	storeName = "store"
-	// inboxLength bounds the messages of peers that wait. An update that is dropped shows
-	// as a gap, which the store fills.
+	// inboxLength limits the peer messages that wait in the inbox. A dropped update leaves a gap
+	// in the revisions, which the feed closes from the store.
 	inboxLength = 32
-	// slowStoreCall is from when on a call to the store has a line of its own: half of
-	// what one may take that waits for changes.
+	// slowStoreCall is the duration from which a call to the store is logged: half of the timeout
+	// of a call that waits for changes.
 	slowStoreCall = 300 * time.Millisecond
 )
 
-// follower follows the store's changes by what a feed.Core decides.
+// follower follows the store's changes. The feed.Core decides from where they are read; the
+// follower does the I/O and feeds the content to the fleet.Core.
 type follower struct {
 	*Node
-	feed *feed.Core
-	news *newsFilter
-	// starts are those of machines, as of what the core was told.
-	starts starts
-	// configuration is the revision of the configuration read last.
-	configuration int64
-	lostAt        time.Time
-	// lostBy is the cause of the failure of which the log was told last.
-	lostBy string
-	// proves is the key that the feed is to prove, empty for none.
-	proves string
-	// source is the name of the feed.Source, for the log.
+	feed   *feed.Core
+	filter *changeFilter
+	// starts are the machine starts that the fleet.Core was told of.
+	starts machineStarts
+	// configurationRevision is the revision of the last configuration that was decoded and
+	// compiled.
+	configurationRevision int64
+	storeLostAt           time.Time
+	// storeLostCause is the cause of the last store failure that was logged.
+	storeLostCause string
+	// provenKey is the key that the feed keeps verifying; empty for none.
+	provenKey string
+	// source is the name of the current feed.Source, for the log and the metrics.
 	source atomic.Value
-	// knownAt is feed.Core.KnownAt in nanoseconds since the epoch, zero for never.
+	// knownAt is feed.Core.KnownAt in nanoseconds since the Unix epoch; zero before the first
+	// read.
 	knownAt atomic.Int64
-	// oldSince is since when the log has it that what is known is old, zero for not.
-	oldSince time.Time
+	// staleSince is the time since which the node's view of the store counts as stale; zero while
+	// it is fresh.
+	staleSince time.Time
 	// inbox holds messages of peers.
 	inbox   chan feed.Event
 	results chan feed.Event
-	// wasRead tells the log of the first reading of everything.
-	wasRead sync.Once
-	// resync has everything read again, peers the feed told of the live nodes.
-	resync, peers chan struct{}
+	// firstReadLogged makes sure that the first full read of the store is logged once.
+	firstReadLogged sync.Once
+	// resync requests a full read of the store; peersChanged requests that the feed is told the
+	// live nodes.
+	resync, peersChanged chan struct{}
 }
 
 func newFollower(n *Node) *follower {
 	f := &follower{
-		Node: n, news: newNewsFilter(n.options.Codec), starts: starts{},
-		inbox: make(chan feed.Event, inboxLength), results: make(chan feed.Event, 1), resync: make(chan struct{}, 1), peers: make(chan struct{}, 1),
+		Node: n, filter: newChangeFilter(n.options.Codec), starts: machineStarts{},
+		inbox: make(chan feed.Event, inboxLength), results: make(chan feed.Event, 1), resync: make(chan struct{}, 1), peersChanged: make(chan struct{}, 1),
 	}
 	self := &n.options.Core.Self
 	cfg := n.options.Feed
 	cfg.Self = feed.Peer{ID: self.ID, Address: self.Address, Zone: self.Zone, Capacity: self.Capacity}
 	cfg.Machine = self.Machine
-	f.feed = feed.New(cfg, f.news, n.options.Seed)
+	f.feed = feed.New(cfg, f.filter, n.options.Seed)
 	f.source.Store(feed.SourceStore.String())
 	return f
 }
 
-// receive takes a message of a peer.
+// receive queues a message of a peer and drops it if the inbox is full.
 func (f *follower) receive(event feed.Event) {
 	select {
 	case f.inbox <- event:
@@ -77,8 +82,8 @@
 	}
 }
 
-// invalidate has everything read again.
-func (f *follower) invalidate() { signalOnce(f.resync) }
+// requestResync requests a full read of the store.
+func (f *follower) requestResync() { notify(f.resync) }
 
 // run follows the store until the node ends.
 func (f *follower) run() {
@@ -93,12 +98,12 @@
 			event = feed.Invalidated{}
 		case event = <-f.inbox:
 		case event = <-f.results:
-		case <-f.peers:
+		case <-f.peersChanged:
 			event = feed.PeersChanged{Peers: f.livePeers()}
 		case <-timer.C:
 		}
 		f.take(event)
-		f.noteKnowledge()
+		f.updateStaleness()
 		if due := f.feed.NextDue(); !due.IsZero() {
 			timer.Reset(max(due.Sub(f.Now()), 0))
 		}
@@ -114,17 +119,18 @@
 	f.carryOut(effects)
 }
 
-// feedStep feeds the core and begins its effects.
-func (f *follower) feedStep(event feed.Event) {
+// stepFeed feeds one event to the feed.Core and starts the effects.
+func (f *follower) stepFeed(event feed.Event) {
 	f.carryOut(slices.Clone(f.feed.Step(f.Now(), event)))
 }
 
-// carryOut begins effects. What a reading proves is proven of the content that it brought.
+// carryOut starts effects of the feed.Core. A key proof from a read is reported after the content
+// of that read was applied.
 func (f *follower) carryOut(effects []feed.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case feed.Read:
-			go f.read(e)
+			go f.readStore(e)
 		case feed.ReadStarter:
 			go f.readStarter()
 		case feed.ClaimStart:
@@ -137,17 +143,17 @@
 		case feed.SendSnapshot:
 			f.transport.Send(e.Address, e.Part)
 		case feed.Poll:
-			go f.poll(e)
+			go f.pollChanges(e)
 		case feed.Apply:
-			f.apply(&e)
+			f.applyChanges(&e)
 		case feed.Send:
 			f.transport.Send(e.Address, e.Update)
 		case feed.Ask:
 			f.transport.Send(e.Address, e.Request)
 		case feed.Verify:
-			go f.verify(e)
+			go f.verifyKey(e)
 		case feed.Proven:
-			f.proven(e)
+			f.reportKeyProof(e)
 		case feed.TellClock:
 			f.transport.Send(e.Address, e.Told)
 		case feed.SourceChanged:
@@ -157,39 +163,40 @@
 	}
 }
 
-// called counts a call's outcome and notes whether the store can be reached, and for
-// what other cause it can't be.
-func (f *follower) called(o storeOperation, known int64, began time.Time, err error) {
-	f.calledStore(o, err)
+// noteStoreCall counts the outcome of a store call and logs slow calls, the loss of the store
+// with each new cause, and its return.
+func (f *follower) noteStoreCall(o storeOperation, known int64, began time.Time, err error) {
+	f.countStoreCall(o, err)
 	if took := f.Now().Sub(began); took >= slowStoreCall {
 		f.options.Log.Write(eventlog.StoreCallSlow{Call: string(o), Took: took, Known: known, Failed: err != nil})
 	}
 	switch cause := eventlog.CauseOf(err); {
-	case err != nil && cause != f.lostBy && f.context.Err() == nil:
-		if f.lostAt.IsZero() {
-			f.lostAt = f.Now()
+	case err != nil && cause != f.storeLostCause && f.context.Err() == nil:
+		if f.storeLostAt.IsZero() {
+			f.storeLostAt = f.Now()
 		}
-		f.lostBy = cause
+		f.storeLostCause = cause
 		f.options.Log.Write(eventlog.DependencyLost{Name: storeName, Cause: err.Error()})
-	case err == nil && !f.lostAt.IsZero():
-		f.options.Log.Write(eventlog.DependencyBack{Name: storeName, After: f.Now().Sub(f.lostAt)})
-		f.lostAt, f.lostBy = time.Time{}, ""
+	case err == nil && !f.storeLostAt.IsZero():
+		f.options.Log.Write(eventlog.DependencyBack{Name: storeName, After: f.Now().Sub(f.storeLostAt)})
+		f.storeLostAt, f.storeLostCause = time.Time{}, ""
 	}
 }
 
-// result hands a call's outcome to run; one call is made at a time.
-func (f *follower) result(event feed.Event) {
+// deliverResult hands the outcome of a call to run. The results channel holds one entry because
+// only one call is made at a time.
+func (f *follower) deliverResult(event feed.Event) {
 	select {
 	case f.results <- event:
 	case <-f.context.Done():
 	}
 }
 
-// poll asks the store for changes.
-func (f *follower) poll(call feed.Poll) {
+// pollChanges asks the store for changes after a revision.
+func (f *follower) pollChanges(call feed.Poll) {
 	began := f.Now()
 	changes, err := f.options.Store.Changes(f.context, "", call.After, call.Most)
-	f.called(storePoll, call.After, began, err)
+	f.noteStoreCall(storePoll, call.After, began, err)
 	if changes.Compacted {
 		f.options.Log.Write(eventlog.DependencyLost{Name: "store history", Cause: "changes since the last answer are gone"})
 	}
@@ -205,12 +212,12 @@
 			Key: pair.Key, Value: pair.Value, Revision: pair.ModRevision, Deleted: changes.Events[i].Deleted,
 		})
 	}
-	f.result(done)
+	f.deliverResult(done)
 }
 
-// read reads everything that is in the store, or one page of it. While it does, run waits for
-// it: no other call is under way.
-func (f *follower) read(call feed.Read) {
+// readStore reads all content of the store, or only its first page if the call asks for one page.
+// The feed makes no other call until the result arrives.
+func (f *follower) readStore(call feed.Read) {
 	done := feed.ReadDone{Began: f.Now()}
 	var pairs []keyvalue.KeyValue
 	if call.OnePage {
@@ -218,16 +225,16 @@
 	} else {
 		pairs, done.Revision, done.Err = f.options.Store.Range(f.context, "")
 	}
-	f.called(storeRead, call.Known, done.Began, done.Err)
+	f.noteStoreCall(storeRead, call.Known, done.Began, done.Err)
 	if done.Err == nil && !done.Large {
-		f.wasRead.Do(func() { f.stage(stageRead) })
-		done.Pairs = storePairs(pairs)
+		f.firstReadLogged.Do(func() { f.logStartStage(stageRead) })
+		done.Pairs = toStoreChanges(pairs)
 	}
-	f.result(done)
+	f.deliverResult(done)
 }
 
-// storePairs converts pairs of the store.
-func storePairs(pairs []keyvalue.KeyValue) []wire.StoreChange {
+// toStoreChanges converts key-value pairs of the store to changes.
+func toStoreChanges(pairs []keyvalue.KeyValue) []wire.StoreChange {
 	converted := make([]wire.StoreChange, len(pairs))
 	for i := range pairs {
 		converted[i] = wire.StoreChange{Key: pairs[i].Key, Value: pairs[i].Value, Revision: pairs[i].ModRevision}
@@ -235,42 +242,43 @@
 	return converted
 }
 
-// replace takes the whole content of the store.
+// replace replaces everything known of the store by its full content.
 func (f *follower) replace(revision int64, pairs []wire.StoreChange) {
 	batch := batch{revision: revision}
-	named := map[cluster.MachineID]bool{}
+	listed := map[cluster.MachineID]bool{}
 	for i := range pairs {
-		f.sort(&batch, &pairs[i])
+		f.addChange(&batch, &pairs[i])
 		if strings.HasPrefix(pairs[i].Key, f.options.Codec.WorkersPrefix()) {
-			named[f.options.Codec.WorkerID(pairs[i].Key)] = true
+			listed[f.options.Codec.WorkerID(pairs[i].Key)] = true
 		}
 	}
-	f.starts.keep(named)
+	f.starts.retainOnly(listed)
 	holder := fleet.HolderRead{}
 	if batch.holder != nil {
 		holder = *batch.holder
 	}
-	f.configured(batch.configuration)
-	// What must not be sent comes before where to: requests may wait.
+	f.applyConfiguration(batch.configuration)
+	// Poison records come before the machines: requests may be waiting, and would be sent as soon
+	// as there is a machine.
 	poisoned, nodes, workers := batch.poisonRead(), batch.nodesRead(), batch.workersRead()
 	poisoned.Full, nodes.Full, workers.Full = true, true, true
 	f.step(poisoned)
 	f.step(nodes)
 	f.step(workers)
-	if batch.last != nil {
-		f.step(*batch.last)
+	if batch.lastHolder != nil {
+		f.step(*batch.lastHolder)
 	}
 	f.step(holder)
 	f.step(fleet.StoreSynced{})
 }
 
-// apply takes changes.
-func (f *follower) apply(e *feed.Apply) {
+// applyChanges applies a list of changes to what is known of the store.
+func (f *follower) applyChanges(e *feed.Apply) {
 	batch := batch{revision: e.Revision}
 	for i := range e.Changes {
-		f.sort(&batch, &e.Changes[i])
+		f.addChange(&batch, &e.Changes[i])
 	}
-	f.configured(batch.configuration)
+	f.applyConfiguration(batch.configuration)
 	if read := batch.poisonRead(); len(read.Records)+len(read.Unread)+len(read.Gone) > 0 {
 		f.step(read)
 	}
@@ -280,26 +288,26 @@
 	if read := batch.nodesRead(); len(read.Nodes)+len(read.Gone) > 0 {
 		f.step(read)
 	}
-	if batch.last != nil {
-		f.step(*batch.last)
+	if batch.lastHolder != nil {
+		f.step(*batch.lastHolder)
 	}
 	if batch.holder != nil {
 		f.step(*batch.holder)
 	}
 }
 
-// peersSettled has the feed told of the live nodes.
-func (f *follower) peersSettled() { signalOnce(f.peers) }
+// notifyPeersChanged requests that the feed is told the live nodes.
+func (f *follower) notifyPeersChanged() { notify(f.peersChanged) }
 
-// livePeers lists the live nodes.
+// livePeers returns the live nodes as peers of the feed.
 func (f *follower) livePeers() []feed.Peer {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return feedPeers(f.core.Nodes())
+	return toFeedPeers(f.core.Nodes())
 }
 
-// feedPeers lists nodes as the feed knows them.
-func feedPeers(nodes []fleet.NodeEntry) []feed.Peer {
+// toFeedPeers converts node entries to peers of the feed.
+func toFeedPeers(nodes []fleet.NodeEntry) []feed.Peer {
 	peers := make([]feed.Peer, 0, len(nodes))
 	for i := range nodes {
 		n := &nodes[i]
@@ -308,10 +316,10 @@
 	return peers
 }
 
-// configured puts a configuration in force. One that can't be read or compiled
-// leaves the one before it.
-func (f *follower) configured(pair *wire.StoreChange) {
-	if pair == nil || pair.Revision <= f.configuration {
+// applyConfiguration puts a configuration in force. If it can't be decoded or compiled, the
+// previous one stays in force.
+func (f *follower) applyConfiguration(pair *wire.StoreChange) {
+	if pair == nil || pair.Revision <= f.configurationRevision {
 		return
 	}
 	began := f.Now()
@@ -321,18 +329,18 @@
 		compiled, err = configuration.Compile()
 	}
 	if err != nil {
-		f.metrics.unreadable.WithLabelValues(unreadableConfiguration).Inc()
+		f.metrics.unreadableRecords.WithLabelValues(unreadableConfiguration).Inc()
 		f.options.Log.Write(eventlog.ConfigurationRejected{Revision: pair.Revision, Cause: err.Error()})
 		return
 	}
-	f.configuration = pair.Revision
+	f.configurationRevision = pair.Revision
 	if known := f.compiled.Load(); known != nil && known.Version >= compiled.Version {
 		return
 	}
-	// The core knows a service before a request for it can come.
+	// The core must know a service before a request for it can arrive.
 	f.step(fleet.ConfigurationRead{Compiled: compiled})
 	f.compiled.Store(compiled)
-	f.wantProof(compiled)
+	f.requestKeyProof(compiled)
 	f.options.Log.Write(eventlog.ConfigurationInForce{
 		Version: compiled.Version, Routes: len(compiled.Routes), Services: len(compiled.Services), Took: f.Now().Sub(began),
 	})
--- a/fleet/shell/keys.go
+++ b/fleet/shell/keys.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// keysKnownWithin is how old the proof may be when a key is said not to be known: half
-	// of the least time in which a key that was added must be taken, so that no caller in
-	// touch is refused one that was.
-	keysKnownWithin = 1500 * time.Millisecond
-	// findKeyWait bounds the wait of a caller whose key isn't known for such a proof, and
-	// findKeyPause is the pause between two looks; chosen, not measured.
-	findKeyWait  = time.Second
-	findKeyPause = 25 * time.Millisecond
+	// rejectionProofAge is the largest age of the key proof with which a caller's key may be
+	// rejected as unknown. It is half of the shortest time within which an added key must be
+	// accepted, so that a node in touch with the store rejects no key that was added before.
+	rejectionProofAge = 1500 * time.Millisecond
+	// findKeyTimeout limits how long a caller with an unknown key waits for such a proof, and
+	// findKeyInterval is the time between two checks. Both are short because the caller waits
+	// meanwhile.
+	findKeyTimeout  = time.Second
+	findKeyInterval = 25 * time.Millisecond
 )
 
-// verify has the store confirm that a key's value is still that of a revision, by a
-// transaction that changes nothing.
-func (f *follower) verify(e feed.Verify) {
+// verifyKey asks the store to confirm that a key still has the given revision, by a transaction
+// that changes nothing.
+func (f *follower) verifyKey(e feed.Verify) {
 	began := f.Now()
 	ctx, cancel := context.WithTimeout(f.context, leaseTimeout)
 	defer cancel()
 	result, err := f.options.Store.Txn(ctx, keyvalue.Transaction{Compares: []keyvalue.Compare{{Key: e.Key, ModRevision: e.Revision}}})
-	f.calledStore(storeVerify, err)
-	f.noteFailure(string(storeVerify), "", err)
+	f.countStoreCall(storeVerify, err)
+	f.logNewFailure(string(storeVerify), "", err)
 	done := feed.VerifyDone{Began: began, Revision: e.Revision, Err: err}
 	if err == nil && !result.Succeeded {
 		done.Found = &wire.StoreChange{}
@@ -43,38 +44,40 @@
 			}
 		}
 	}
-	f.result(done)
+	f.deliverResult(done)
 }
 
-// wantProof has the configuration proven to be the newest where callers' keys hang on it.
-func (f *follower) wantProof(compiled *catalog.Compiled) {
+// requestKeyProof has the feed verify that the configuration is the newest one if it contains
+// callers' keys.
+func (f *follower) requestKeyProof(compiled *catalog.Compiled) {
 	key := ""
 	if compiled.Keyed() && f.options.Core.KeyProof > 0 {
 		key = f.options.Codec.ConfigurationKey()
 	}
-	if key != f.proves {
-		f.proves = key
-		f.feedStep(feed.KeyProven{Key: key})
+	if key != f.provenKey {
+		f.provenKey = key
+		f.stepFeed(feed.KeyProven{Key: key})
 	}
 }
 
-// proven hands a proof on if the configuration that it is about, or a newer one, is in
-// force: one that can't be compiled never is.
-func (f *follower) proven(e feed.Proven) {
-	if f.configuration >= e.Revision {
+// reportKeyProof passes a proof to the core if the proven configuration, or a newer one, is in
+// force. A configuration that can't be compiled never is.
+func (f *follower) reportKeyProof(e feed.Proven) {
+	if f.configurationRevision >= e.Revision {
 		f.step(fleet.KeysProven{At: e.At})
 	}
 }
 
-// serves reports whether callers who need a key can be served.
-func (n *Node) serves() bool {
+// servesKeyedRoutes reports whether the node can serve callers that need a key.
+func (n *Node) servesKeyedRoutes() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.core == nil || n.core.Serves(n.Now())
 }
 
-// keysAge is how old the proof of callers' keys is; false without one.
-func (n *Node) keysAge() (time.Duration, bool) {
+// keyProofAge returns the age of the proof that the callers' keys are current; false if there is
+// no proof.
+func (n *Node) keyProofAge() (time.Duration, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.core == nil {
@@ -83,25 +86,27 @@
 	return n.core.KeysAge(n.Now())
 }
 
-// maySend says in the instant of a send why a request must not be sent any more.
-func (n *Node) maySend(id cluster.RequestID) *verdict.Error {
+// checkSend is called right before a request is sent. It returns why the request must not be sent
+// any more; nil if it may be.
+func (n *Node) checkSend(id cluster.RequestID) *verdict.Error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.core.MaySend(n.Now(), id)
 }
 
-// findKey returns the tenant of a key that the configuration in force did not name, nil if
-// there is none by what is known well enough.
+// findKey returns the tenant of a key that the configuration in force did not contain. It waits
+// until the key appears or a recent proof shows that there is no such key, and returns nil in
+// that case.
 func (n *Node) findKey(ctx context.Context, hash string) (*catalog.Tenant, *verdict.Error) {
 	if n.options.Core.KeyProof <= 0 {
 		return n.compiled.Load().Holder(hash), nil
 	}
-	for deadline := n.Now().Add(findKeyWait); ; {
-		age, proven := n.keysAge()
+	for deadline := n.Now().Add(findKeyTimeout); ; {
+		age, proven := n.keyProofAge()
 		if tenant := n.compiled.Load().Holder(hash); tenant != nil {
 			return tenant, nil
 		}
-		if proven && age < min(keysKnownWithin, n.options.Core.KeyProof) {
+		if proven && age < min(rejectionProofAge, n.options.Core.KeyProof) {
 			return nil, nil
 		}
 		if !n.Now().Before(deadline) {
@@ -112,7 +117,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, verdict.New(verdict.NotRun, verdict.CodeCallerGone, "the caller left")
-		case <-time.After(findKeyPause):
+		case <-time.After(findKeyInterval):
 		}
 	}
 }
--- a/fleet/shell/latest_test.go
+++ b/fleet/shell/latest_test.go
@@ -12,13 +12,13 @@
 func TestLatestIsAListWithoutRepeats(t *testing.T) {
 	type pair struct{ key, value int }
 	rapid.Check(t, func(t *rapid.T) {
-		var of latest[int, pair]
+		var of orderedMap[int, pair]
 		var list []pair
 		for step := range rapid.IntRange(0, 40).Draw(t, "steps") {
 			key := rapid.IntRange(0, 6).Draw(t, "key")
 			at := slices.IndexFunc(list, func(p pair) bool { return p.key == key })
 			if rapid.Bool().Draw(t, "drop") {
-				of.drop(key)
+				of.remove(key)
 				if at >= 0 {
 					list = slices.Delete(list, at, at+1)
 				}
--- a/fleet/shell/metrics.go
+++ b/fleet/shell/metrics.go
@@ -7,12 +7,12 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// metrics counts the node's calls and shows its state.
+// metrics counts the node's calls and exports its state.
 type metrics struct {
-	calls   *prometheus.CounterVec
-	stalled *prometheus.CounterVec
-	// unreadable counts what is in the store and can't be read.
-	unreadable *prometheus.CounterVec
+	calls          *prometheus.CounterVec
+	stalledCallers *prometheus.CounterVec
+	// unreadableRecords counts the records in the store that can't be decoded.
+	unreadableRecords *prometheus.CounterVec
 }
 
 func newMetrics(registry prometheus.Registerer, n *Node) *metrics {
@@ -20,17 +20,17 @@
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "valveslip_calls_total", Help: "Calls to the store and to engines by outcome.",
 		}, []string{"target", "outcome"}),
-		stalled: prometheus.NewCounterVec(prometheus.CounterOpts{
+		stalledCallers: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "valveslip_callers_stalled_total", Help: "Callers' connections that were ended because nothing more could be written to them.",
 		}, []string{"cause"}),
-		unreadable: prometheus.NewCounterVec(prometheus.CounterOpts{
+		unreadableRecords: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "valveslip_records_unreadable_total", Help: "Entries and records of the store that could not be read, by kind.",
 		}, []string{"kind"}),
 	}
 	gauge := func(name, help string, value func() float64) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 	}
-	registry.MustRegister(m.calls, m.stalled, m.unreadable, newTenantFigures(n), newKnowledgeFigures(n))
+	registry.MustRegister(m.calls, m.stalledCallers, m.unreadableRecords, newTenantCollector(n), newStoreViewCollector(n))
 	gauge("valveslip_retained_bytes", "Bytes that are kept of requests and answers.", func() float64 { return float64(n.retained.Used()) })
 	gauge("valveslip_retained_peak_bytes", "Most bytes that were kept of requests and answers at one time.", func() float64 { return float64(n.retained.Peak()) })
 	gauge("valveslip_retained_limit_bytes", "Most bytes that may be kept of requests and answers.", func() float64 { return float64(n.retained.Limit()) })
@@ -52,7 +52,7 @@
 		}
 		return float64(n.core.StoreCapacity())
 	})
-	counts := func(of func(suspected, convicted int) int) func() float64 {
+	poisonGauge := func(of func(suspected, convicted int) int) func() float64 {
 		return func() float64 {
 			n.mutex.Lock()
 			defer n.mutex.Unlock()
@@ -63,16 +63,16 @@
 		}
 	}
 	gauge("valveslip_poison_requests", "Requests that are refused because machines ended under them.",
-		counts(func(_, convicted int) int { return convicted }))
+		poisonGauge(func(_, convicted int) int { return convicted }))
 	gauge("valveslip_poison_suspects", "Requests under which machines ended, too few to refuse them.",
-		counts(func(suspected, _ int) int { return suspected }))
+		poisonGauge(func(suspected, _ int) int { return suspected }))
 	gauge("valveslip_keys_proof_age_seconds", "How old the proof is that callers' keys are those in force; -1 without one.", func() float64 {
-		if age, proven := n.keysAge(); proven {
+		if age, proven := n.keyProofAge(); proven {
 			return age.Seconds()
 		}
 		return -1
 	})
-	dispatches := func(of func(c fleet.DispatchCounts) int) func() float64 {
+	dispatchGauge := func(of func(c fleet.DispatchCounts) int) func() float64 {
 		return func() float64 {
 			n.mutex.Lock()
 			defer n.mutex.Unlock()
@@ -83,13 +83,13 @@
 		}
 	}
 	gauge("valveslip_dispatcher_questions", "Attempts at engines for which the dispatcher was asked so far.",
-		dispatches(func(c fleet.DispatchCounts) int { return c.Asked }))
+		dispatchGauge(func(c fleet.DispatchCounts) int { return c.Asked }))
 	gauge("valveslip_dispatcher_unanswered", "Questions to dispatchers without an answer in time so far.",
-		dispatches(func(c fleet.DispatchCounts) int { return c.Unanswered }))
+		dispatchGauge(func(c fleet.DispatchCounts) int { return c.Unanswered }))
 	gauge("valveslip_dispatcher_held", "Attempts that waited for their engine by the dispatcher's word so far.",
-		dispatches(func(c fleet.DispatchCounts) int { return c.Held }))
+		dispatchGauge(func(c fleet.DispatchCounts) int { return c.Held }))
 	gauge("valveslip_dispatcher_attempts", "Attempts of all nodes that this node knows as the dispatcher.",
-		dispatches(func(c fleet.DispatchCounts) int { return c.Known }))
+		dispatchGauge(func(c fleet.DispatchCounts) int { return c.Known }))
 	gauge("valveslip_shards_lent", "Shards of tenants of which this node lends the tokens.", func() float64 {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
@@ -109,8 +109,8 @@
 	return m
 }
 
-// called counts a call by its outcome.
-func (m *metrics) called(target string, err error) {
+// countCall counts a call by its outcome.
+func (m *metrics) countCall(target string, err error) {
 	outcome := "ok"
 	if err != nil {
 		outcome = "not run"
--- a/fleet/shell/node.go
+++ b/fleet/shell/node.go
@@ -32,88 +32,88 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Bounds of the listeners' connections.
+// Limits of the listeners' connections.
 const (
-	// headerTimeout and idleTimeout end connections that nobody uses; chosen so long
-	// that no caller who does is cut off, not measured.
+	// headerTimeout and idleTimeout close unused connections. They are long so that no caller
+	// that uses its connection is cut off.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 90 * time.Second
-	// maxHeaderBytes bounds the memory that a caller takes before its route is known.
+	// maxHeaderBytes limits the memory that a request takes before its route is known.
 	maxHeaderBytes = 64 << 10
 )
 
-// compressAbove is the size in bytes of messages to other nodes from which they are
-// compressed: configurations, which relays send to dozens of nodes over links of
-// 20 Mbit/s. What is smaller fits into a few packets as it is.
-const compressAbove = 16 << 10
+// compressionThresholdBytes is the size from which messages to other nodes are compressed. These
+// are configurations, which relays send to dozens of nodes over links of 20 Mbit/s. Smaller
+// messages fit into a few packets uncompressed.
+const compressionThresholdBytes = 16 << 10
 
-// MetricsPath is where the figures are served.
+// MetricsPath is the path of the metrics endpoint.
 const MetricsPath = "/metrics"
 
 // Node is a running node.
 type Node struct {
 	options Options
-	// began and epoch make the core's clock: it follows the steady clock and
-	// never jumps.
-	began time.Time
-	epoch time.Time
+	// startTime and epoch make the core's clock: epoch plus the time since startTime. It follows
+	// the monotonic clock and never jumps.
+	startTime time.Time
+	epoch     time.Time
 
 	mutex   sync.Mutex
 	core    *fleet.Core
 	tickets relay.Tickets
 	timer   *time.Timer
-	// wakeAt is when the timer is set to fire, in the core's time.
-	wakeAt time.Time
+	// timerDue is the core time at which the timer fires.
+	timerDue time.Time
 
 	compiled atomic.Pointer[catalog.Compiled]
 	pool     *upstream.Pool
-	// retained counts the bytes that are kept of requests and answers.
+	// retained accounts for the bytes that are buffered of requests and answers.
 	retained *retained.Account
 	registry *prometheus.Registry
 	metrics  *metrics
-	// storeCounts are the calls to the store that the log has not told of.
-	storeCounts storeCounts
-	// failures are the calls of which the log was told that they fail.
+	// storeCallCounts counts the store calls since the last log line on them.
+	storeCallCounts storeCallCounts
+	// failures remembers the causes of failed calls that were logged.
 	failures eventlog.Failures
 
-	transport *wire.Transport
-	callers   *http.Server
-	ready     *http.Server
-	figures   *http.Server
-	isReady   atomic.Bool
-	// known is closed once the node is ready for the first time.
-	known    chan struct{}
-	stopping atomic.Bool
-	closing  atomic.Bool
-	// admitsUntil is the last deadline that is taken during a planned stop, in
-	// nanoseconds since the start; zero for any.
-	admitsUntil atomic.Int64
-	// follower is nil until the node follows the store; messages and callers may come before.
-	follower atomic.Pointer[follower]
-	lateness *overload.Meter
+	transport       *wire.Transport
+	callerServer    *http.Server
+	readinessServer *http.Server
+	metricsServer   *http.Server
+	isReady         atomic.Bool
+	// becameReady is closed once the node is ready for the first time.
+	becameReady       chan struct{}
+	stopping          atomic.Bool
+	closesConnections atomic.Bool
+	// admissionDeadline limits the deadlines of the requests that are admitted during a planned
+	// stop, in nanoseconds since epoch; zero means no limit.
+	admissionDeadline atomic.Int64
+	// follower is nil until the node follows the store; messages and requests may arrive earlier.
+	follower        atomic.Pointer[follower]
+	schedulingDelay *overload.Meter
 
 	context context.Context
 	cancel  context.CancelFunc
-	// failed holds the error of a listener that broke.
-	failed   chan error
-	stopOnce sync.Once
-	stopped  chan struct{}
+	// listenerErrors receives the error of each listener that fails.
+	listenerErrors chan error
+	stopOnce       sync.Once
+	stopped        chan struct{}
 }
 
-// Start runs a node until Stop.
+// Start starts a node, which runs until Stop or Kill.
 func Start(options Options) (*Node, error) {
 	options = options.withDefaults()
 	now := options.Now()
 	n := &Node{
-		options: options, began: now, epoch: now.Round(0),
+		options: options, startTime: now, epoch: now.Round(0),
 		tickets: make(relay.Tickets), pool: upstream.NewPool(options.Upstream), retained: retained.NewAccount(options.Callers.RetainedBytes),
-		registry: prometheus.NewRegistry(), failed: make(chan error, 3), stopped: make(chan struct{}),
-		known: make(chan struct{}),
+		registry: prometheus.NewRegistry(), listenerErrors: make(chan error, 3), stopped: make(chan struct{}),
+		becameReady: make(chan struct{}),
 	}
-	n.lateness = overload.New(n.takeTurn)
+	n.schedulingDelay = overload.New(n.waitForTurn)
 	n.context, n.cancel = context.WithCancel(context.Background())
 	n.metrics = newMetrics(n.registry, n)
-	if err := n.open(); err != nil {
+	if err := n.openListeners(); err != nil {
 		n.cancel()
 		return nil, err
 	}
@@ -128,45 +128,46 @@
 	f := newFollower(n)
 	n.follower.Store(f)
 	go f.run()
-	go f.reportStoreCalls()
-	go n.lateness.Run(n.context)
+	go f.logStoreCalls()
+	go n.schedulingDelay.Run(n.context)
 	return n, nil
 }
 
-// open opens the transport and the listeners.
-func (n *Node) open() error {
-	transport, err := wire.NewTransport(n.options.PeerAddress, n.options.Logger, n.receive, wire.WithCompression(compressAbove))
+// openListeners opens the transport to other nodes and the HTTP listeners.
+func (n *Node) openListeners() error {
+	transport, err := wire.NewTransport(n.options.PeerAddress, n.options.Logger, n.receive, wire.WithCompression(compressionThresholdBytes))
 	if err != nil {
-		return eris.Wrap(err, "peers' listener")
+		return eris.Wrap(err, "open the listener for other nodes")
 	}
 	n.transport = transport
 	n.options.Core.Self.Address = transport.Address()
 	handler := passthrough.NewHandler(passthrough.Config{
-		Catalog: n.catalog, Known: n.known, Decider: n, Dialect: n.options.Dialect, Pool: n.pool, Log: n.options.Log,
-		Metrics: passthrough.NewMetrics(n.registry), NewID: n.newID, Closing: n.closing.Load, Admits: n.admits,
-		KnowsPoison: n.knowsPoison, FindKey: n.findKey, MaySend: n.maySend, Retained: n.retained, MayTake: n.mayTake, MostUnderWay: n.options.Callers.Requests,
+		Catalog: n.servingCatalog, Known: n.becameReady, Decider: n, Dialect: n.options.Dialect, Pool: n.pool, Log: n.options.Log,
+		Metrics: passthrough.NewMetrics(n.registry), NewID: n.newRequestID, Closing: n.closesConnections.Load, Admits: n.admits,
+		KnowsPoison: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayTake: n.admitRequest, MostUnderWay: n.options.Callers.Requests,
 	})
-	if n.callers, err = n.serve(&n.options.CallersAddress, handler, n.boundCallers); err != nil {
-		return errors.Join(eris.Wrap(err, "callers' listener"), transport.Close(n.context))
+	if n.callerServer, err = n.startServer(&n.options.CallersAddress, handler, n.limitCallers); err != nil {
+		return errors.Join(eris.Wrap(err, "open the listener for callers"), transport.Close(n.context))
 	}
-	probes := chi.NewRouter()
-	probes.Get(n.options.ReadyPath, n.answerReady)
-	if n.ready, err = n.serve(&n.options.ReadyAddress, probes, boundOthers); err != nil {
-		return errors.Join(eris.Wrap(err, "readiness listener"), transport.Close(n.context), n.callers.Close())
+	readinessRouter := chi.NewRouter()
+	readinessRouter.Get(n.options.ReadyPath, n.serveReadiness)
+	if n.readinessServer, err = n.startServer(&n.options.ReadyAddress, readinessRouter, withSilenceLimit); err != nil {
+		return errors.Join(eris.Wrap(err, "open the listener for readiness probes"), transport.Close(n.context), n.callerServer.Close())
 	}
 	if n.options.MetricsAddress == "" {
 		return nil
 	}
-	figures := chi.NewRouter()
-	figures.Handle(MetricsPath, promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{DisableCompression: true}))
-	if n.figures, err = n.serve(&n.options.MetricsAddress, figures, boundOthers); err != nil {
+	metricsRouter := chi.NewRouter()
+	metricsRouter.Handle(MetricsPath, promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{DisableCompression: true}))
+	if n.metricsServer, err = n.startServer(&n.options.MetricsAddress, metricsRouter, withSilenceLimit); err != nil {
 		n.options.Log.Write(eventlog.DependencyLost{Name: "metrics listener", Cause: err.Error()})
 	}
 	return nil
 }
 
-// serve starts an HTTP server on a listener that is bounded, and stores the address it got.
-func (n *Node) serve(address *string, handler http.Handler, bound func(net.Listener) net.Listener) (*http.Server, error) {
+// startServer starts an HTTP server on a listener that it passes through wrap, and stores the
+// listener's actual address in address.
+func (n *Node) startServer(address *string, handler http.Handler, wrap func(net.Listener) net.Listener) (*http.Server, error) {
 	listener, err := n.options.Listen("tcp", *address)
 	if err != nil {
 		return nil, err
@@ -176,76 +177,77 @@
 		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	go func() {
-		if err := server.Serve(bound(listener)); !errors.Is(err, http.ErrServerClosed) {
-			n.failed <- eris.Wrapf(err, "listener %s", listener.Addr())
+		if err := server.Serve(wrap(listener)); !errors.Is(err, http.ErrServerClosed) {
+			n.listenerErrors <- eris.Wrapf(err, "serve connections on listener %s", listener.Addr())
 		}
 	}()
 	return server, nil
 }
 
-// Failed delivers the error of a listener that broke.
-func (n *Node) Failed() <-chan error { return n.failed }
+// Failed returns a channel that delivers the error of a listener that failed.
+func (n *Node) Failed() <-chan error { return n.listenerErrors }
 
-// takeTurn waits behind all goroutines that are ready to run, as what comes from the network
-// does, and behind all that wait for the core.
-func (n *Node) takeTurn() {
+// waitForTurn returns after the goroutines that are ready to run, such as those of the network,
+// and after those that wait for the core's mutex. The time that it takes is the scheduling delay
+// of the process.
+func (n *Node) waitForTurn() {
 	runtime.Gosched()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 }
 
-// knowsPoison reports whether the fingerprint of a request with this head matters now.
-func (n *Node) knowsPoison(head poison.Head) bool {
+// needsFingerprint reports whether a request with this head needs a fingerprint, because a poison
+// record may match it.
+func (n *Node) needsFingerprint(head poison.Head) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.core != nil && n.core.KnowsPoison(head)
 }
 
-// answerReady answers whether the node takes new connections.
-func (n *Node) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if !n.isReady.Load() || n.stopping.Load() || !n.serves() {
+// serveReadiness answers the readiness probe.
+func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	if !n.isReady.Load() || n.stopping.Load() || !n.servesKeyedRoutes() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// newID makes an identifier for a request without one.
-func (n *Node) newID() cluster.RequestID {
+// newRequestID returns an identifier for a request that has none.
+func (n *Node) newRequestID() cluster.RequestID {
 	return cluster.RequestID(string(n.options.Core.Self.ID) + "-" + strconv.FormatUint(rand.Uint64(), 36))
 }
 
-// Now implements passthrough.Decider: the core's clock.
-func (n *Node) Now() time.Time { return n.epoch.Add(n.options.Now().Sub(n.began)) }
+// Now implements passthrough.Decider and returns the core's time.
+func (n *Node) Now() time.Time { return n.epoch.Add(n.options.Now().Sub(n.startTime)) }
 
-// receive takes a message of another node.
+// receive handles a message of another node.
 func (n *Node) receive(message wire.Message) {
 	switch m := message.(type) {
 	case wire.StoreChanges:
-		n.follow(feed.UpdateReceived{Update: m})
+		n.forwardToFollower(feed.UpdateReceived{Update: m})
 	case wire.ClockTold:
-		n.follow(feed.ClockHeard{Told: m})
+		n.forwardToFollower(feed.ClockHeard{Told: m})
 	case wire.StoreChangesRequest:
-		n.follow(feed.ChangesRequested{Request: m})
+		n.forwardToFollower(feed.ChangesRequested{Request: m})
 	case wire.StoreSnapshotRequest:
-		n.follow(feed.SnapshotRequested{Request: m})
+		n.forwardToFollower(feed.SnapshotRequested{Request: m})
 	case wire.StoreSnapshot:
-		n.follow(feed.SnapshotReceived{Part: m})
+		n.forwardToFollower(feed.SnapshotReceived{Part: m})
 	default:
 		n.step(fleet.MessageReceived{Message: message})
 	}
 }
 
-// follow hands a peer's message to what follows the store. Before there is that, the message
-// is dropped: the first reading of the store brings more.
-func (n *Node) follow(event feed.Event) {
+// forwardToFollower passes a peer's message to the follower. It drops a message that arrives
+// before there is a follower, since the first read of the store brings the content.
+func (n *Node) forwardToFollower(event feed.Event) {
 	if f := n.follower.Load(); f != nil {
 		f.receive(event)
 	}
 }
 
-// step feeds one event to the core and begins its effects. Nothing in it waits
-// for the network.
+// step feeds one event to the core and starts the effects. It never waits for the network.
 func (n *Node) step(event fleet.Event) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -257,97 +259,98 @@
 // stepLocked is step for a caller that holds the mutex.
 func (n *Node) stepLocked(event fleet.Event) {
 	now := n.Now()
-	n.noticePause(now)
-	n.advance(now, event)
+	n.detectPause(now)
+	n.stepCore(now, event)
 }
 
-// advance feeds one event to the core. The caller holds the mutex.
-func (n *Node) advance(now time.Time, event fleet.Event) {
+// stepCore feeds one event to the core and starts the effects, without checking for a pause. The
+// caller holds the mutex.
+func (n *Node) stepCore(now time.Time, event fleet.Event) {
 	for _, effect := range n.core.Step(now, event) {
-		n.begin(effect)
+		n.startEffect(effect)
 	}
 	if n.core.Ready() && !n.isReady.Load() {
 		n.isReady.Store(true)
-		close(n.known)
-		n.stage(stageReady)
+		close(n.becameReady)
+		n.logStartStage(stageReady)
 	}
-	n.schedule(now)
+	n.resetTimer(now)
 }
 
-// catalog is the configuration that requests go by, nil until the node also knows what else
-// it needs to serve.
-func (n *Node) catalog() *catalog.Compiled {
+// servingCatalog returns the configuration that requests are served by; nil until the node is
+// ready.
+func (n *Node) servingCatalog() *catalog.Compiled {
 	if !n.isReady.Load() {
 		return nil
 	}
 	return n.compiled.Load()
 }
 
-// The stages of a start that have a line of their own in the log.
+// The stages of the start that are logged.
 const (
 	stageRead  = "store read"
 	stageReady = "ready"
 )
 
-// stage tells the log how long after the start a stage was reached.
-func (n *Node) stage(name string) {
-	n.options.Log.Write(eventlog.StartStage{Stage: name, After: n.options.Now().Sub(n.began)})
+// logStartStage logs that a stage of the start was reached and how long that took.
+func (n *Node) logStartStage(name string) {
+	n.options.Log.Write(eventlog.StartStage{Stage: name, After: n.options.Now().Sub(n.startTime)})
 }
 
-// schedule sets the timer for the core's next time.
-func (n *Node) schedule(now time.Time) {
+// resetTimer sets the timer to the time at which the core is next due.
+func (n *Node) resetTimer(now time.Time) {
 	due := n.core.NextDue()
 	if due.Before(now) {
 		due = now
 	}
-	if !n.wakeAt.IsZero() && due.Equal(n.wakeAt) {
+	if !n.timerDue.IsZero() && due.Equal(n.timerDue) {
 		return
 	}
-	n.wakeAt = due
+	n.timerDue = due
 	n.timer.Reset(max(due.Sub(now), 0))
 }
 
-// pauseThreshold is by how much a step that is due must be late for the process to have stood
-// still; chosen, not measured.
+// pauseThreshold is how late a due step must be for the process to count as paused. It is large
+// so that ordinary scheduling delays do not trigger a full read of the store.
 const pauseThreshold = 700 * time.Millisecond
 
-// tick lets time pass for the core.
+// tick steps the core when the timer fires.
 func (n *Node) tick() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.Now()
-	n.noticePause(now)
-	n.wakeAt = time.Time{}
-	n.advance(now, fleet.Tick{})
+	n.detectPause(now)
+	n.timerDue = time.Time{}
+	n.stepCore(now, fleet.Tick{})
 }
 
-// noticePause finds that the process or its machine stood still, before anything is decided
-// by what was known: no step came when one was due. The store is read again then. After a
-// suspension the timer is late by as much, so each step asks, not the timer's alone. The
-// caller holds the mutex.
-func (n *Node) noticePause(now time.Time) {
-	late := now.Sub(n.wakeAt)
-	if n.wakeAt.IsZero() || late <= pauseThreshold {
+// detectPause checks whether the process or its machine was paused, such as by a suspension,
+// before anything is decided by outdated knowledge: a pause shows as a due step that is late.
+// After a pause the store is read in full again. A suspension delays the timer too, so every step
+// checks and not only the timer's. The caller holds the mutex.
+func (n *Node) detectPause(now time.Time) {
+	delay := now.Sub(n.timerDue)
+	if n.timerDue.IsZero() || delay <= pauseThreshold {
 		return
 	}
-	n.wakeAt = time.Time{}
-	n.options.Log.Write(eventlog.PauseNoticed{Pause: late})
-	n.advance(now, fleet.Paused{For: late})
+	n.timerDue = time.Time{}
+	n.options.Log.Write(eventlog.PauseNoticed{Pause: delay})
+	n.stepCore(now, fleet.Paused{For: delay})
 	if f := n.follower.Load(); f != nil {
-		f.invalidate()
+		f.requestResync()
 	}
 }
 
-// signalOnce wakes a receiver unless a signal waits already.
-func signalOnce(channel chan struct{}) {
+// notify sends a signal unless one is already pending.
+func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default:
 	}
 }
 
-// begin starts one effect. The caller holds the mutex.
-func (n *Node) begin(effect fleet.Effect) {
+// startEffect starts one effect of the core. The caller holds the mutex.
+func (n *Node) startEffect(effect fleet.Effect) {
 	switch effect := effect.(type) {
 	case fleet.RoutingOutput:
 		n.tickets.Deliver(effect.Effect)
@@ -365,7 +368,7 @@
 		go n.callReport(effect)
 	case fleet.PeersSettled:
 		if f := n.follower.Load(); f != nil {
-			f.peersSettled()
+			f.notifyPeersChanged()
 		}
 	case fleet.Log:
 		n.options.Log.Write(effect.Line)
@@ -378,8 +381,8 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if _, known := n.tickets[request.ID]; known {
-		// Two requests under one identifier can't be told apart.
-		request.ID = n.newID()
+		// Two requests with the same identifier can't be told apart.
+		request.ID = n.newRequestID()
 	}
 	n.tickets[request.ID] = ticket
 	n.stepLocked(fleet.RoutingInput{Event: routing.RequestArrived{Request: request}})
@@ -389,21 +392,21 @@
 // Report implements relay.Decider.
 func (n *Node) Report(event routing.Event) { n.step(fleet.RoutingInput{Event: event}) }
 
-// Address is where callers are served.
+// Address returns the address of the callers' listener.
 func (n *Node) Address() string { return n.options.CallersAddress }
 
-// ReadyURL tells whether the node takes new connections.
+// ReadyURL returns the URL of the readiness probe.
 func (n *Node) ReadyURL() string { return "http://" + n.options.ReadyAddress + n.options.ReadyPath }
 
-// MetricsURL is where the node's figures are, empty without a listener for them.
+// MetricsURL returns the URL of the node's metrics; empty without a metrics listener.
 func (n *Node) MetricsURL() string {
-	if n.figures == nil {
+	if n.metricsServer == nil {
 		return ""
 	}
 	return "http://" + n.options.MetricsAddress + MetricsPath
 }
 
-// Holding reports whether this node gives the orders.
+// Holding reports whether this node holds the lease for orders to the engines.
 func (n *Node) Holding() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/fleet/shell/options.go
+++ b/fleet/shell/options.go
@@ -20,30 +20,30 @@
 	"github.com/valveslip/valveslip/upstream"
 )
 
-// Engines gives orders to engines and reads their reports.
+// Engines sends orders to engines and reads their reports.
 type Engines interface {
-	// Order gives an order; an error means that its outcome is unknown.
+	// Order sends an order; an error means that its outcome is unknown.
 	Order(ctx context.Context, address string, order sequence.Order) (sequence.Outcome, error)
 	Report(ctx context.Context, address string, machine cluster.MachineID) (catalog.Report, error)
 }
 
-// Store is the metadata store; errors are *verdict.Error.
+// Store is the metadata store. Its errors are *verdict.Error.
 type Store interface {
 	lease.Store
-	// Range returns all pairs below prefix and the revision they were read at.
+	// Range returns all pairs under prefix and the revision at which they were read.
 	Range(ctx context.Context, prefix string) ([]keyvalue.KeyValue, int64, error)
-	// FirstPage returns the first pairs below prefix, whether there are more, and the revision
-	// they were read at.
+	// FirstPage returns the first pairs under prefix, whether there are more, and the revision at
+	// which they were read.
 	FirstPage(ctx context.Context, prefix string) (pairs []keyvalue.KeyValue, more bool, revision int64, err error)
-	// Changes returns the changes below prefix after a revision; it may be held for
-	// a while until there is one. More than most bytes of them are too long to be had;
-	// zero allows any.
-	Changes(ctx context.Context, prefix string, after, most int64) (keyvalue.WatchBatch, error)
+	// Changes returns the changes under prefix after a revision. It may wait for a while until
+	// there is a change. If the changes exceed maxBytes the batch says that they are too long
+	// instead; zero means no limit.
+	Changes(ctx context.Context, prefix string, after, maxBytes int64) (keyvalue.WatchBatch, error)
 }
 
-// Codec reads what others keep in the store.
+// Codec decodes the records that other programs keep in the store.
 type Codec interface {
-	// ConfigurationKey holds the configuration, keys under WorkersPrefix the
+	// ConfigurationKey is the key of the configuration; keys under WorkersPrefix hold the
 	// machines' entries.
 	ConfigurationKey() string
 	WorkersPrefix() string
@@ -52,14 +52,14 @@
 	WorkerID(key string) cluster.MachineID
 }
 
-// Options is what a Node runs on.
+// Options configures a Node.
 type Options struct {
 	Core fleet.Config
 	Seed uint64
-	// CallersAddress, ReadyAddress, PeerAddress and MetricsAddress are host:port
-	// of the listeners; an empty MetricsAddress serves no metrics.
+	// CallersAddress, ReadyAddress, PeerAddress and MetricsAddress are the host:port of the
+	// listeners. If MetricsAddress is empty no metrics are served.
 	CallersAddress, ReadyAddress, PeerAddress, MetricsAddress string
-	// ReadyPath answers whether the node is ready.
+	// ReadyPath is the path of the readiness probe.
 	ReadyPath string
 	// Grace is how long a planned stop may take.
 	Grace   time.Duration
@@ -67,29 +67,29 @@
 	Engines Engines
 	Codec   Codec
 	Dialect passthrough.Dialect
-	// Upstream tunes the connections to machines.
+	// Upstream configures the connections to machines.
 	Upstream upstream.Options
-	// Callers bounds what is kept on behalf of callers and machines that read slowly.
+	// Callers limits what is buffered for callers and machines that read slowly.
 	Callers CallerBounds
-	// Feed tunes from where changes of the store are learned; Self is filled in.
+	// Feed configures where changes of the store are read from. Start fills in Self and Machine.
 	Feed   feed.Config
 	Log    *eventlog.Log
 	Logger *slog.Logger
-	// Now is the clock of all decisions: it never jumps back, and counts the time for which
-	// the machine is suspended. That of package clock by default.
+	// Now is the clock of all decisions. It never jumps back and includes the time for which the
+	// machine is suspended. The default is the clock of package clock.
 	Now func() time.Time
-	// Listen opens a listener; net.Listen by default.
+	// Listen opens a listener. The default is net.Listen.
 	Listen func(network, address string) (net.Listener, error)
-	// Version of the program, for the log.
+	// Version is the version of the program, for the log.
 	Version string
 }
 
-// Defaults of Options; chosen, not measured: the platform states the grace time.
+// Defaults of Options: defaultGrace applies if the platform states no grace time.
 const (
 	defaultGrace = 8 * time.Second
 )
 
-// withDefaults fills zero fields.
+// withDefaults returns the options with defaults for zero fields.
 func (o Options) withDefaults() Options {
 	o.Grace = cmp.Or(o.Grace, defaultGrace)
 	o.Callers = o.Callers.withDefaults()
--- a/fleet/shell/size_bench_test.go
+++ b/fleet/shell/size_bench_test.go
@@ -36,8 +36,8 @@
 	}
 	n.options.Feed.Within = 5 * time.Second
 	n.options = n.options.withDefaults()
-	n.began = n.options.Now()
-	n.known = make(chan struct{})
+	n.startTime = n.options.Now()
+	n.becameReady = make(chan struct{})
 	// No call is made: what the store holds comes from the test.
 	n.context, n.cancel = context.WithCancel(t.Context())
 	n.cancel()
@@ -53,7 +53,7 @@
 	n.timer = time.AfterFunc(time.Hour, func() {})
 	t.Cleanup(func() { n.timer.Stop() })
 	f := newFollower(n)
-	f.configured(&wire.StoreChange{Key: platform.KeyConfiguration, Value: sizedConfiguration(t, models), Revision: 1})
+	f.applyConfiguration(&wire.StoreChange{Key: platform.KeyConfiguration, Value: sizedConfiguration(t, models), Revision: 1})
 	return f
 }
 
@@ -127,7 +127,7 @@
 				f := newSizedFollower(b, models)
 				b.StartTimer()
 				for i := range pairs {
-					f.news.News(&pairs[i])
+					f.filter.News(&pairs[i])
 				}
 				f.replace(int64(11*size+2), pairs)
 			}
@@ -145,7 +145,7 @@
 			number, revision := size, int64(11*size+3)
 			for b.Loop() {
 				change := nodeChange(number, revision)
-				f.apply(&feed.Apply{Revision: revision, Changes: []wire.StoreChange{change}})
+				f.applyChanges(&feed.Apply{Revision: revision, Changes: []wire.StoreChange{change}})
 				number, revision = number+1, revision+1
 			}
 		})
--- a/fleet/shell/slowcallers.go
+++ b/fleet/shell/slowcallers.go
@@ -16,42 +16,41 @@
 
 // Defaults of CallerBounds.
 const (
-	// defaultStalledFor is shorter than the time after which machines cut off an answer of
-	// which nothing is read: what is known of that is "some seconds". They begin to count
-	// once the node's buffers are full.
+	// defaultStalledFor is shorter than the time after which machines cut off an answer that is
+	// not read. All that is known of that time is "some seconds". Machines start to count once
+	// the node's buffers are full.
 	defaultStalledFor = 3 * time.Second
-	// defaultSocketBytes carries 32 KB a round trip to one caller: 32 MB/s over 1 ms, 320
-	// KB/s over 100 ms. An answer of text takes 10 KB/s.
+	// defaultSocketBytes allows 32 KB for each round trip to a caller: 32 MB/s at 1 ms, 320 KB/s
+	// at 100 ms. An answer of text needs 10 KB/s.
 	defaultSocketBytes = 32 << 10
-	// defaultRetainedBytes holds where the machine's memory isn't known.
+	// defaultRetainedBytes applies if the memory of the machine isn't known.
 	defaultRetainedBytes = 32 << 20
 )
 
 const (
-	// triesPerStall is in how many tries a stall is waited out. A node that was suspended
-	// counts one try, however long that took.
-	triesPerStall = 3
-	// stalledSockets is how many socket buffers are full, in the kernel's memory, for one
-	// caller who takes nothing: what is sent to it and what comes from its machine, each
-	// twice the bytes that are bounded.
-	stalledSockets = 4
+	// attemptsPerStall is the number of write attempts that make up the stall timeout. A
+	// suspension of the node counts as one attempt, however long it lasted.
+	attemptsPerStall = 3
+	// buffersPerStalledCaller is the number of full socket buffers in kernel memory for a caller
+	// that reads nothing: the send buffer to the caller and the receive buffer from its machine,
+	// each of twice the configured size.
+	buffersPerStalledCaller = 4
 )
 
-// CallerBounds bounds what is kept on behalf of callers and machines that read slowly; zero
-// fields take defaults.
+// CallerBounds limits what is buffered for callers and machines that read slowly. Zero fields
+// take defaults.
 type CallerBounds struct {
-	// StalledFor is after how long without a byte that could be written a caller's
-	// connection ends.
+	// StalledFor is how long a caller's connection may accept no byte before it is closed.
 	StalledFor time.Duration
-	// SocketBytes bounds what the kernel keeps of one connection in each direction.
+	// SocketBytes limits the kernel buffer of a connection in each direction.
 	SocketBytes int
-	// RetainedBytes bounds what the node keeps of all requests and answers.
+	// RetainedBytes limits the bytes that the node buffers of all requests and answers.
 	RetainedBytes int64
-	// Requests bounds those under way; zero allows any.
+	// Requests limits the requests in flight; zero means no limit.
 	Requests int
 }
 
-// withDefaults fills zero fields.
+// withDefaults returns the limits with defaults for zero fields.
 func (b CallerBounds) withDefaults() CallerBounds {
 	b.StalledFor = cmp.Or(b.StalledFor, defaultStalledFor)
 	b.SocketBytes = cmp.Or(b.SocketBytes, defaultSocketBytes)
@@ -59,135 +58,139 @@
 	return b
 }
 
-// boundCallers bounds a listener whose callers may read slowly. Accepted connections have
-// the buffers of the listener's socket, so that the bound costs no call for each.
-func (n *Node) boundCallers(listener net.Listener) net.Listener {
+// limitCallers wraps the listener of callers, which may read slowly. Accepted connections inherit
+// the buffer sizes of the listener's socket, so the limit costs no system call for each
+// connection.
+func (n *Node) limitCallers(listener net.Listener) net.Listener {
 	if socket, ok := listener.(syscall.Conn); ok {
-		boundBuffers(socket, n.options.Callers.SocketBytes)
+		setSocketBuffers(socket, n.options.Callers.SocketBytes)
 	}
-	return callersListener{boundedListener{listener}, n}
+	return callerListener{silenceLimitListener{listener}, n}
 }
 
-// boundBuffers bounds the kernel's buffers of a socket. A bound that can't be set is done
-// without.
-func boundBuffers(socket syscall.Conn, most int) {
+// setSocketBuffers limits the kernel buffers of a socket. A limit that can't be set is skipped.
+func setSocketBuffers(socket syscall.Conn, size int) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return
 	}
 	_ = raw.Control(func(descriptor uintptr) {
-		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_SNDBUF, most)
-		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_RCVBUF, most)
+		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_SNDBUF, size)
+		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_RCVBUF, size)
 	})
 }
 
-// callersListener accepts callers' connections.
-type callersListener struct {
-	boundedListener
+// callerListener accepts callers' connections.
+type callerListener struct {
+	silenceLimitListener
 	node *Node
 }
 
-// Accept implements net.Listener. While the node works too late new connections wait in the
-// kernel: to read and refuse what comes on them costs a fifth of a core where 1,400 come a
+// Accept implements net.Listener. While the process is overloaded new connections wait in the
+// kernel: reading and rejecting their requests costs a fifth of a core at 1,400 connections a
 // second.
-func (l callersListener) Accept() (net.Conn, error) {
-	l.node.lateness.Hold(l.node.context)
-	connection, err := l.boundedListener.Accept()
+func (l callerListener) Accept() (net.Conn, error) {
+	l.node.schedulingDelay.Hold(l.node.context)
+	connection, err := l.silenceLimitListener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	return &callerConn{Conn: connection, node: l.node}, nil
 }
 
-// callerConn is a caller's connection. Its writes end when the caller takes nothing for too
-// long, or when the node keeps too many bytes to wait for that.
+// callerConn is a caller's connection. A write fails if the caller reads nothing for StalledFor,
+// or if the node has no room to buffer while it waits for that.
 type callerConn struct {
 	net.Conn
 	node *Node
-	// deadline is that of writes, which is moved once in half a try, not with each write.
-	deadline time.Time
+	// writeDeadline is the deadline of writes. It is extended once every half attempt, not with
+	// each write.
+	writeDeadline time.Time
 }
 
-// CloseWrite has the server end a connection without a reset.
+// CloseWrite lets the HTTP server close a connection without a reset.
 func (c *callerConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
 
-// Write implements net.Conn. What is known of time here is the steady clock: it is the
-// kernel and the caller that are waited for.
+// Write implements net.Conn. It uses the monotonic clock of package time because it waits for the
+// kernel and the caller, not for a decision of the core.
 func (c *callerConn) Write(data []byte) (int, error) {
-	c.arm(time.Now())
+	c.extendDeadline(time.Now())
 	n, err := c.Conn.Write(data)
 	if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	rest, err := c.wait(data[n:], n)
+	rest, err := c.retryWrite(data[n:], n)
 	return n + rest, err
 }
 
-// try is how long one try of a write lasts.
-func (c *callerConn) try() time.Duration { return c.node.options.Callers.StalledFor / triesPerStall }
+// attemptTimeout returns the duration of one write attempt.
+func (c *callerConn) attemptTimeout() time.Duration {
+	return c.node.options.Callers.StalledFor / attemptsPerStall
+}
 
-// arm moves the deadline on once half of a try has passed.
-func (c *callerConn) arm(now time.Time) {
-	if c.deadline.Sub(now) < c.try()/2 {
-		c.deadline = now.Add(c.try())
-		_ = c.Conn.SetWriteDeadline(c.deadline)
+// extendDeadline extends the write deadline if less than half of an attempt is left.
+func (c *callerConn) extendDeadline(now time.Time) {
+	if c.writeDeadline.Sub(now) < c.attemptTimeout()/2 {
+		c.writeDeadline = now.Add(c.attemptTimeout())
+		_ = c.Conn.SetWriteDeadline(c.writeDeadline)
 	}
 }
 
-// wait goes on with a write that the caller holds up, of which took bytes were written in
-// the first try. While it does, what the kernel keeps for the caller counts among what the
-// node keeps.
-func (c *callerConn) wait(data []byte, took int) (int, error) {
-	kept := int64(stalledSockets * c.node.options.Callers.SocketBytes)
-	began, fruitless, total := time.Now(), 1, 0
-	if took > 0 {
-		fruitless = 0
+// retryWrite continues a write that the caller holds up; written is the number of bytes that the
+// first attempt wrote. Meanwhile the kernel buffers of the caller count towards the retained
+// bytes of the node.
+func (c *callerConn) retryWrite(data []byte, written int) (int, error) {
+	reserved := int64(buffersPerStalledCaller * c.node.options.Callers.SocketBytes)
+	lastProgress, failedAttempts, total := time.Now(), 1, 0
+	if written > 0 {
+		failedAttempts = 0
 	}
-	if !c.node.retained.Reserve(kept) {
-		return 0, c.stalled(len(data), c.try(), true)
+	if !c.node.retained.Reserve(reserved) {
+		return 0, c.abortStalled(len(data), c.attemptTimeout(), true)
 	}
-	defer c.node.retained.Release(kept)
-	for fruitless < triesPerStall {
-		c.deadline = time.Now().Add(c.try())
-		_ = c.Conn.SetWriteDeadline(c.deadline)
+	defer c.node.retained.Release(reserved)
+	for failedAttempts < attemptsPerStall {
+		c.writeDeadline = time.Now().Add(c.attemptTimeout())
+		_ = c.Conn.SetWriteDeadline(c.writeDeadline)
 		n, err := c.Conn.Write(data[total:])
 		total += n
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return total, err
 		}
-		fruitless++
+		failedAttempts++
 		if n > 0 {
-			began, fruitless = time.Now(), 0
+			lastProgress, failedAttempts = time.Now(), 0
 		}
 	}
-	return total, c.stalled(len(data)-total, time.Since(began)+c.try(), false)
+	return total, c.abortStalled(len(data)-total, time.Since(lastProgress)+c.attemptTimeout(), false)
 }
 
-// stalled ends the connection and tells of it. What the caller did not take is dropped.
-func (c *callerConn) stalled(unwritten int, lasted time.Duration, full bool) error {
-	failure := &passthrough.StalledError{Waiting: int64(unwritten) + c.unacknowledged(), For: lasted, Full: full}
+// abortStalled counts and logs a stalled caller and has the connection reset when it is closed,
+// which drops the unread bytes.
+func (c *callerConn) abortStalled(unwritten int, lasted time.Duration, full bool) error {
+	failure := &passthrough.StalledError{Waiting: int64(unwritten) + c.unacknowledgedBytes(), For: lasted, Full: full}
 	cause := "stalled"
 	if full {
 		cause = "full"
 	}
-	c.node.metrics.stalled.WithLabelValues(cause).Inc()
+	c.node.metrics.stalledCallers.WithLabelValues(cause).Inc()
 	c.node.options.Log.Write(eventlog.CallerStalled{
 		Caller: c.RemoteAddr().String(), Waiting: failure.Waiting, For: lasted, Full: full, Kept: c.node.retained.Used(),
 	})
-	if lingering, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		_ = lingering.SetLinger(0)
+	if lingerer, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
+		_ = lingerer.SetLinger(0)
 	}
 	return failure
 }
 
-// unacknowledged counts the bytes that the kernel keeps for the caller, zero where it does
-// not tell.
-func (c *callerConn) unacknowledged() (count int64) {
+// unacknowledgedBytes returns the number of bytes in the kernel's send buffer for the caller;
+// zero if the kernel doesn't tell.
+func (c *callerConn) unacknowledgedBytes() (count int64) {
 	system, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0
--- a/fleet/shell/starter.go
+++ b/fleet/shell/starter.go
@@ -10,14 +10,15 @@
 	"github.com/valveslip/valveslip/keyvalue"
 )
 
-// starterKey holds the starter of the node's zone.
+// starterKey returns the key of the starter of the node's zone, the node that reads the whole
+// store for the other nodes of the zone.
 func (f *follower) starterKey() string {
-	// The end keeps a zone's key from being the beginning of another one's.
+	// The trailing slash keeps the key of one zone from being a prefix of another zone's key.
 	return fleet.KeyStarters + string(f.options.Core.Zone) + "/"
 }
 
-// decodeStarter reads a starter's record. One that can't be read counts as none: whoever
-// claims the start replaces it.
+// decodeStarter decodes a starter's record. A record that can't be decoded counts as absent, so
+// that the next claim replaces it.
 func decodeStarter(pair *keyvalue.KeyValue) feed.Starter {
 	var starter feed.Starter
 	if json.Unmarshal(pair.Value, &starter) != nil {
@@ -26,19 +27,19 @@
 	return starter
 }
 
-// readStarter reads who has read everything for the zone.
+// readStarter reads which node is the starter of the zone.
 func (f *follower) readStarter() {
 	began := f.Now()
 	pairs, _, _, err := f.options.Store.FirstPage(f.context, f.starterKey())
-	f.called(storeRead, 0, began, err)
+	f.noteStoreCall(storeRead, 0, began, err)
 	read := feed.StarterRead{Err: err}
 	for i := range pairs {
 		read.Starter, read.Revision = decodeStarter(&pairs[i]), pairs[i].ModRevision
 	}
-	f.result(read)
+	f.deliverResult(read)
 }
 
-// claimStart makes this node the starter of its zone if nobody else has become it.
+// claimStart makes this node the starter of its zone unless another node has become the starter.
 func (f *follower) claimStart(claim feed.ClaimStart) {
 	began := f.Now()
 	self := feed.Starter{ID: f.options.Core.Self.ID, Machine: f.options.Core.Self.Machine, Address: f.options.Core.Self.Address}
@@ -58,9 +59,9 @@
 		}
 	}
 	claimed.Err = err
-	f.called(storeWrite, 0, began, err)
+	f.noteStoreCall(storeWrite, 0, began, err)
 	if err == nil {
 		f.options.Log.Write(eventlog.StarterChosen{Starter: claimed.Starter.ID, Own: claimed.Won, Revision: claimed.Revision})
 	}
-	f.result(claimed)
+	f.deliverResult(claimed)
 }
--- a/fleet/shell/starts_test.go
+++ b/fleet/shell/starts_test.go
@@ -24,7 +24,7 @@
 	n.options.Codec, n.options.Log = bornCodec{}, eventlog.New(io.Discard, eventlog.Options{})
 	n.metrics = newMetrics(prometheus.NewRegistry(), n)
 	n.pool = upstream.NewPool(upstream.Options{Now: time.Now})
-	return &follower{Node: n, starts: starts{}, news: newNewsFilter(bornCodec{})}
+	return &follower{Node: n, starts: machineStarts{}, filter: newChangeFilter(bornCodec{})}
 }
 
 // bornCodec reads entries that say of a machine only when it was born, zero for not.
@@ -84,16 +84,16 @@
 				var gone []cluster.MachineID
 				for i, born := range test.births {
 					if !together {
-						gone = append(gone, b.workersGone...)
+						gone = append(gone, b.removedWorkers...)
 						b = batch{}
 					}
 					change := bornAt(born, int64(i+1))
-					f.sort(&b, &change)
+					f.addChange(&b, &change)
 				}
 				read := b.workersRead()
 				gone = append(gone, read.Gone...)
-				if f.starts.current("w") != test.machine || !slices.Equal(gone, test.gone) || together && len(read.Unread) != test.unread {
-					t.Errorf("together %t: present %q, gone %q, %d unread", together, f.starts.current("w"), gone, len(read.Unread))
+				if f.starts.currentID("w") != test.machine || !slices.Equal(gone, test.gone) || together && len(read.Unread) != test.unread {
+					t.Errorf("together %t: present %q, gone %q, %d unread", together, f.starts.currentID("w"), gone, len(read.Unread))
 				}
 				if together && (len(read.Workers) != 1 || read.Workers[0].ID != test.machine) {
 					t.Errorf("told of %+v", read.Workers)
@@ -108,16 +108,16 @@
 	f := sortingFollower()
 	var first batch
 	change := bornAt(5, 1)
-	f.sort(&first, &change)
+	f.addChange(&first, &change)
 	var second batch
-	f.sort(&second, &wire.StoreChange{Key: change.Key, Revision: 2, Deleted: true})
-	if gone := second.workersGone; !slices.Equal(gone, []cluster.MachineID{"w@5"}) {
+	f.addChange(&second, &wire.StoreChange{Key: change.Key, Revision: 2, Deleted: true})
+	if gone := second.removedWorkers; !slices.Equal(gone, []cluster.MachineID{"w@5"}) {
 		t.Fatalf("gone: %q", gone)
 	}
 	// What ended is forgotten: an entry that is written again after it lapsed counts.
 	var third batch
 	change = bornAt(4, 3)
-	f.sort(&third, &change)
+	f.addChange(&third, &change)
 	if workers := third.workers.values(); len(workers) != 1 || workers[0].ID != "w@4" {
 		t.Fatalf("told of %+v", workers)
 	}
@@ -126,7 +126,7 @@
 // TestEarlierStartIsNoNews: relays pass on what says something new; an entry of an earlier
 // start says nothing, and one without the birth only that it can't be read.
 func TestEarlierStartIsNoNews(t *testing.T) {
-	filter := newNewsFilter(bornCodec{})
+	filter := newChangeFilter(bornCodec{})
 	for i, step := range []struct {
 		born int64
 		news bool
--- a/fleet/shell/stop.go
+++ b/fleet/shell/stop.go
@@ -8,34 +8,37 @@
 	"github.com/valveslip/valveslip/fleet"
 )
 
-// The steps of a planned stop, counted from its beginning.
+// The phases of a planned stop. Times count from its beginning unless stated otherwise.
 const (
-	// unnoticedTime is how long callers may not have noticed that the node is
-	// not ready: until then all goes on. After it every answer has its caller
-	// leave the connection. Idle connections are not closed: the server could
-	// close one on which a request has just been read.
-	unnoticedTime = 2300 * time.Millisecond
-	// admissionTime is until when all requests are admitted: what is sent within
-	// 3 s of the stop's beginning may be cut at the end of the grace time. After
-	// it only those are that must have ended by then.
-	admissionTime = 2850 * time.Millisecond
-	// lingerTime is until when the listener stays open, so that callers who come
-	// late get a refusal and not a broken connection.
-	lingerTime = 4500 * time.Millisecond
-	// flushTime before the end what still waits is refused; chosen, not measured.
-	flushTime = time.Second
-	// stopMargin is left of the grace time when the process ends; chosen, not measured.
+	// readinessPropagation is how long callers may take to notice that the node is not ready;
+	// until then the node serves as usual. After it every answer asks its caller to close the
+	// connection. Idle connections are not closed by the node: the server could close one on
+	// which a request has just arrived.
+	readinessPropagation = 2300 * time.Millisecond
+	// fullAdmissionTime is until when all requests are admitted: requests sent within 3 s of the
+	// beginning may be cut off at the end of the grace time. After it only requests are admitted
+	// whose deadline is before the end of the drain.
+	fullAdmissionTime = 2850 * time.Millisecond
+	// listenerOpenTime is until when the listener stays open, so that late callers get a
+	// rejection instead of a broken connection.
+	listenerOpenTime = 4500 * time.Millisecond
+	// queueRejectLead is how long before the end of the drain queued requests are rejected,
+	// so that their callers still get an answer.
+	queueRejectLead = time.Second
+	// stopMargin is the part of the grace time that remains after the drain, so that the node has
+	// time to close.
 	stopMargin = 350 * time.Millisecond
-	// drainPoll spaces looks at what is in flight; chosen, not measured.
-	drainPoll = 20 * time.Millisecond
-	// logWait bounds the wait for the last lines of the log; chosen, not measured.
-	logWait = 150 * time.Millisecond
+	// drainPollInterval is the time between two checks of the requests in flight. It is short
+	// because it delays the end of the drain.
+	drainPollInterval = 20 * time.Millisecond
+	// logFlushTimeout limits the wait for the last log lines, so that it fits into stopMargin.
+	logFlushTimeout = 150 * time.Millisecond
 )
 
-// Stop ends the node as planned: it says that it is not ready and goes on until
-// callers have noticed, then has them leave their connections, then refuses those
-// new requests as not run that may last beyond the grace time, and ends once what is in flight has ended or the grace
-// time is nearly over.
+// Stop stops the node as planned. The node reports that it is not ready and serves until callers
+// have noticed, then asks callers to close their connections, then rejects new requests that may
+// outlast the grace time as not run. It ends once no request is in flight or the grace time is
+// nearly over.
 func (n *Node) Stop() {
 	n.stopOnce.Do(n.stop)
 	<-n.stopped
@@ -46,67 +49,67 @@
 	n.stopping.Store(true)
 	n.options.Log.Write(eventlog.NodeStopping{InFlight: n.inFlight()})
 	n.step(fleet.ResignStarted{})
-	n.sleepUntil(began.Add(unnoticedTime))
-	n.closing.Store(true)
-	last := began.Add(n.options.Grace - stopMargin)
-	n.sleepUntil(began.Add(admissionTime))
-	n.admitsUntil.Store(int64(last.Sub(n.epoch)))
-	flushed := false
-	for n.Now().Before(last) {
-		idle := n.inFlight() == 0 && n.Now().Sub(began) >= lingerTime
-		if !flushed && (idle || last.Sub(n.Now()) < flushTime) {
-			flushed = true
+	n.sleepUntil(began.Add(readinessPropagation))
+	n.closesConnections.Store(true)
+	drainEnd := began.Add(n.options.Grace - stopMargin)
+	n.sleepUntil(began.Add(fullAdmissionTime))
+	n.admissionDeadline.Store(int64(drainEnd.Sub(n.epoch)))
+	rejectedQueued := false
+	for n.Now().Before(drainEnd) {
+		idle := n.inFlight() == 0 && n.Now().Sub(began) >= listenerOpenTime
+		if !rejectedQueued && (idle || drainEnd.Sub(n.Now()) < queueRejectLead) {
+			rejectedQueued = true
 			n.step(fleet.DrainStarted{})
 		}
-		if flushed && n.inFlight() == 0 {
+		if rejectedQueued && n.inFlight() == 0 {
 			break
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	n.options.Log.Write(eventlog.NodeStopped{InFlight: n.inFlight(), Took: n.Now().Sub(began)})
 	n.close()
 }
 
-// sleepUntil sleeps until a time of the node's clock, which a suspension may bring sooner
-// than a timer would.
+// sleepUntil sleeps until a time of the node's clock. It sleeps in short steps because that clock
+// counts suspensions and a timer doesn't.
 func (n *Node) sleepUntil(at time.Time) {
 	for left := at.Sub(n.Now()); left > 0; left = at.Sub(n.Now()) {
-		time.Sleep(min(left, drainPoll))
+		time.Sleep(min(left, drainPollInterval))
 	}
 }
 
-// admits reports whether a request that must have ended by the deadline is taken.
+// admits reports whether a request with this deadline is admitted.
 func (n *Node) admits(deadline time.Time) bool {
-	until := n.admitsUntil.Load()
+	until := n.admissionDeadline.Load()
 	return until == 0 || deadline.Sub(n.epoch) <= time.Duration(until)
 }
 
-// Kill ends the node at once, like the death of its process.
+// Kill ends the node at once, like the crash of its process.
 func (n *Node) Kill() {
 	n.stopOnce.Do(n.close)
 	<-n.stopped
 }
 
-// close ends everything.
+// close closes all listeners, the transport and the log, and cancels all calls.
 func (n *Node) close() {
 	n.cancel()
 	n.mutex.Lock()
 	n.timer.Stop()
 	n.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), drainPoll)
-	_ = n.callers.Shutdown(ctx)
+	ctx, cancel := context.WithTimeout(context.Background(), drainPollInterval)
+	_ = n.callerServer.Shutdown(ctx)
 	_ = n.transport.Close(ctx)
 	cancel()
-	_ = n.callers.Close()
-	_ = n.ready.Close()
-	if n.figures != nil {
-		_ = n.figures.Close()
+	_ = n.callerServer.Close()
+	_ = n.readinessServer.Close()
+	if n.metricsServer != nil {
+		_ = n.metricsServer.Close()
 	}
-	n.options.Log.Close(logWait)
+	n.options.Log.Close(logFlushTimeout)
 	close(n.stopped)
 }
 
-// inFlight counts requests that have not ended.
+// inFlight returns the number of requests in flight.
 func (n *Node) inFlight() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/fleet/shell/storecalls.go
+++ b/fleet/shell/storecalls.go
@@ -8,14 +8,14 @@
 	"github.com/valveslip/valveslip/keyvalue/lease"
 )
 
-// storeCallsSpan is the time that one line on calls to the store counts. The metrics are
-// gathered as often; chosen, not measured.
-const storeCallsSpan = 5 * time.Second
+// storeCallInterval is the time between two log lines on store calls: the interval at which the
+// metrics are collected.
+const storeCallInterval = 5 * time.Second
 
-// storeOperation is a kind of call to the store, as it is named in the metrics.
+// storeOperation is a kind of store call, as the metrics label it.
 type storeOperation string
 
-// The kinds of calls.
+// The kinds of store calls.
 const (
 	storeRead   storeOperation = "store read"
 	storePoll   storeOperation = "store poll"
@@ -26,7 +26,7 @@
 	storeVerify storeOperation = "store verification"
 )
 
-// operationOf names a call for a record.
+// operationOf returns the kind of store call of a lease operation.
 func operationOf(o lease.Operation) storeOperation {
 	switch o {
 	case lease.Grant:
@@ -39,15 +39,15 @@
 	return storeWrite
 }
 
-// storeCounts counts the calls of the present span.
-type storeCounts struct {
+// storeCallCounts counts the store calls of the current interval.
+type storeCallCounts struct {
 	mu     sync.Mutex
 	counts map[storeOperation]int
 	failed int
 }
 
 // add counts one call.
-func (c *storeCounts) add(o storeOperation, err error) {
+func (c *storeCallCounts) add(o storeOperation, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counts == nil {
@@ -59,15 +59,15 @@
 	}
 }
 
-// take returns the counts and begins a new span; false when there were no calls.
-func (c *storeCounts) take() (eventlog.StoreCalls, bool) {
+// takeCounts returns the counts and resets them; false if there were no calls.
+func (c *storeCallCounts) takeCounts() (eventlog.StoreCalls, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.counts) == 0 {
 		return eventlog.StoreCalls{}, false
 	}
 	line := eventlog.StoreCalls{
-		Span: storeCallsSpan, Reads: c.counts[storeRead], Polls: c.counts[storePoll], Grants: c.counts[storeGrant],
+		Span: storeCallInterval, Reads: c.counts[storeRead], Polls: c.counts[storePoll], Grants: c.counts[storeGrant],
 		Writes: c.counts[storeWrite], Renewals: c.counts[storeRenew], Ends: c.counts[storeRevoke], Verifies: c.counts[storeVerify], Failed: c.failed,
 	}
 	clear(c.counts)
@@ -75,15 +75,15 @@
 	return line, true
 }
 
-// calledStore counts a call to the store in the metrics and for the log.
-func (n *Node) calledStore(o storeOperation, err error) {
-	n.metrics.called(string(o), err)
-	n.storeCounts.add(o, err)
+// countStoreCall counts a store call in the metrics and for the log.
+func (n *Node) countStoreCall(o storeOperation, err error) {
+	n.metrics.countCall(string(o), err)
+	n.storeCallCounts.add(o, err)
 }
 
-// reportStoreCalls writes the counts of each span until the node ends.
-func (f *follower) reportStoreCalls() {
-	ticker := time.NewTicker(storeCallsSpan)
+// logStoreCalls logs the counts of each interval until the node ends.
+func (f *follower) logStoreCalls() {
+	ticker := time.NewTicker(storeCallInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -91,7 +91,7 @@
 			return
 		case <-ticker.C:
 		}
-		if line, called := f.storeCounts.take(); called {
+		if line, called := f.storeCallCounts.takeCounts(); called {
 			line.Source = f.source.Load().(string)
 			f.options.Log.Write(line)
 		}
--- a/fleet/shell/storecalls_test.go
+++ b/fleet/shell/storecalls_test.go
@@ -10,8 +10,8 @@
 // TestStoreCallsAreCountedByKind: a span holds each kind of call, and the next span
 // begins empty.
 func TestStoreCallsAreCountedByKind(t *testing.T) {
-	var c storeCounts
-	if _, called := c.take(); called {
+	var c storeCallCounts
+	if _, called := c.takeCounts(); called {
 		t.Fatal("a span without calls is reported")
 	}
 	c.add(storePoll, nil)
@@ -19,11 +19,11 @@
 	for _, o := range []lease.Operation{lease.Grant, lease.Txn, lease.KeepAlive, lease.Revoke} {
 		c.add(operationOf(o), nil)
 	}
-	line, called := c.take()
+	line, called := c.takeCounts()
 	if !called || line.Polls != 2 || line.Grants != 1 || line.Writes != 1 || line.Renewals != 1 || line.Ends != 1 || line.Failed != 1 {
 		t.Errorf("counted %+v", line)
 	}
-	if _, called := c.take(); called {
+	if _, called := c.takeCounts(); called {
 		t.Error("counts were kept for the next span")
 	}
 }
--- a/fleet/shell/tenants.go
+++ b/fleet/shell/tenants.go
@@ -8,7 +8,7 @@
 	"github.com/valveslip/valveslip/fleet/lending"
 )
 
-// The names of the figures of tenants with a limit, and of their labels.
+// The names of the metrics of tenants with a limit, and of their labels.
 const (
 	MetricTenantUsed     = "valveslip_tenant_window_used"
 	MetricTenantGrants   = "valveslip_tenant_window_grants"
@@ -20,22 +20,22 @@
 	LabelOutcome         = "outcome"
 )
 
-// maxTenantsShown bounds the tenants with figures of their own; those beyond, in the order of
-// their names, have none.
-const maxTenantsShown = 200
+// maxTenantSeries limits the number of tenants with metrics of their own, because each adds time
+// series. Tenants beyond it, in the order of their names, have no metrics.
+const maxTenantSeries = 200
 
-// tenantFigures shows how tenants stand with their limits: where this node lends, what is used
-// within the window, and what it decided.
-type tenantFigures struct {
+// tenantCollector exports the state of the tenants' limits: what is used within the window where
+// this node lends tokens, and the decisions of this node.
+type tenantCollector struct {
 	node                             *Node
 	used, grants, reserved, requests *prometheus.Desc
 }
 
-func newTenantFigures(n *Node) *tenantFigures {
+func newTenantCollector(n *Node) *tenantCollector {
 	describe := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(name, help, append([]string{LabelTenant}, labels...), nil)
 	}
-	return &tenantFigures{
+	return &tenantCollector{
 		node:     n,
 		used:     describe(MetricTenantUsed, "What was lent of the tenant's limit within the window, where this node lends it."),
 		grants:   describe(MetricTenantGrants, "What the tenant's limit grants within a window, where this node lends it."),
@@ -45,18 +45,18 @@
 }
 
 // Describe implements prometheus.Collector.
-func (f *tenantFigures) Describe(descriptions chan<- *prometheus.Desc) {
+func (f *tenantCollector) Describe(descriptions chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{f.used, f.grants, f.reserved, f.requests} {
 		descriptions <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (f *tenantFigures) Collect(figures chan<- prometheus.Metric) {
+func (f *tenantCollector) Collect(output chan<- prometheus.Metric) {
 	states, tallies := f.node.tenants()
 	shown := map[string]bool{}
 	show := func(tenant string) bool {
-		if !shown[tenant] && len(shown) < maxTenantsShown {
+		if !shown[tenant] && len(shown) < maxTenantSeries {
 			shown[tenant] = true
 		}
 		return shown[tenant]
@@ -66,9 +66,9 @@
 		if !show(s.Tenant) {
 			continue
 		}
-		figures <- prometheus.MustNewConstMetric(f.used, prometheus.GaugeValue, s.Used, s.Tenant)
-		figures <- prometheus.MustNewConstMetric(f.grants, prometheus.GaugeValue, s.Grants, s.Tenant)
-		figures <- prometheus.MustNewConstMetric(f.reserved, prometheus.GaugeValue, s.Reserved, s.Tenant)
+		output <- prometheus.MustNewConstMetric(f.used, prometheus.GaugeValue, s.Used, s.Tenant)
+		output <- prometheus.MustNewConstMetric(f.grants, prometheus.GaugeValue, s.Grants, s.Tenant)
+		output <- prometheus.MustNewConstMetric(f.reserved, prometheus.GaugeValue, s.Reserved, s.Tenant)
 	}
 	for i := range tallies {
 		t := &tallies[i]
@@ -77,12 +77,12 @@
 		}
 		rank, size := strconv.Itoa(t.Rank), strconv.FormatFloat(t.SizeBelow, 'f', 0, 64)
 		for _, o := range []lending.Outcome{lending.Lent, lending.Refused, lending.ReturnLent, lending.ReturnRefused} {
-			figures <- prometheus.MustNewConstMetric(f.requests, prometheus.CounterValue, float64(t.Count(o)), t.Tenant, rank, size, o.String())
+			output <- prometheus.MustNewConstMetric(f.requests, prometheus.CounterValue, float64(t.Count(o)), t.Tenant, rank, size, o.String())
 		}
 	}
 }
 
-// tenants returns what the core knows of tenants with a limit.
+// tenants returns the state and the decision counts of the tenants with a limit.
 func (n *Node) tenants() ([]lending.TenantState, []lending.Tally) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
