--- a/fleet/shell/batch_test.go
+++ b/fleet/shell/batch_test.go
@@ -9,10 +9,10 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestLastReadableEntryOfABatchCounts: of several changes of one worker the last that can be
-// read counts, with what a later one that can't be read still says, unless the entry ended
-// between them.
-func TestLastReadableEntryOfABatchCounts(t *testing.T) {
+// TestBatchKeepsLastDecodableEntry guards against losing a worker's valid entry to a later
+// invalid entry of the same batch, and against losing the draining state that the invalid entry
+// still gives. A deletion in between resets both.
+func TestBatchKeepsLastDecodableEntry(t *testing.T) {
 	const (
 		ready    = `{"service":"s","address":"10.0.0.1:80","zone":"z","slots":8,"state":"ready"}`
 		draining = `{"service":"s","address":"10.0.0.1:80","zone":"z","slots":8,"state":"draining"}`
@@ -42,7 +42,7 @@
 		}
 		read := b.workersRead()
 		if len(read.Workers) != test.workers || len(read.Unread) != test.unread || len(read.Gone) != test.ended {
-			t.Errorf("%q: %d read, %d unread, %d gone", test.values, len(read.Workers), len(read.Unread), len(read.Gone))
+			t.Errorf("%q: %d decoded, %d unreadable, %d removed", test.values, len(read.Workers), len(read.Unread), len(read.Gone))
 			continue
 		}
 		if test.workers > 0 && read.Workers[0].Draining != test.draining || test.unread > 0 && read.Unread[0].Leaving != test.leaving {
--- a/fleet/shell/bench_test.go
+++ b/fleet/shell/bench_test.go
@@ -12,13 +12,13 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// post sends a request that may run once to a node or a worker, reads the answer and returns
-// its status.
+// post sends a non-idempotent request to a node or a worker, reads the answer and returns its
+// status.
 func post(b *testing.B, client *http.Client, address, id, body string) int {
 	return postAs(b, client, address, id, body, "")
 }
 
-// postAs is post with a key, empty for none.
+// postAs is post with a key; empty for none.
 func postAs(b *testing.B, client *http.Client, address, id, body, key string) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/write/", strings.NewReader(body))
 	if err != nil {
@@ -39,8 +39,8 @@
 	return response.StatusCode
 }
 
-// BenchmarkRoutedPath compares a small request by way of a node with one straight to
-// the worker, both over loopback and kept connections: p50 and p99 of each, and the
+// BenchmarkRoutedPath compares a small request through a node with one sent directly to the
+// worker, both over loopback and keep-alive connections. It reports p50 and p99 of each and the
 // time that the node adds.
 func BenchmarkRoutedPath(b *testing.B) {
 	d := newDeployment(b)
--- a/fleet/shell/callerconn_test.go
+++ b/fleet/shell/callerconn_test.go
@@ -14,22 +14,23 @@
 	"github.com/valveslip/valveslip/passthrough/retained"
 )
 
-// newCallerConn returns a connection with the default bounds and its caller's end, which
-// takes what is written only as it is read. The node keeps at most so many bytes.
-func newCallerConn(t *testing.T, most int64) (*callerConn, net.Conn) {
+// newCallerConn returns a connection with the default limits and the caller's end of it, which
+// accepts bytes only as they are read. The node retains at most maxRetained bytes.
+func newCallerConn(t *testing.T, maxRetained int64) (*callerConn, net.Conn) {
 	t.Helper()
-	n := &Node{retained: retained.NewAccount(most)}
+	n := &Node{retained: retained.NewAccount(maxRetained)}
 	n.options.Callers = CallerBounds{}.withDefaults()
 	n.metrics = newMetrics(prometheus.NewRegistry(), n)
-	own, callers := net.Pipe()
-	t.Cleanup(func() { _, _ = own.Close(), callers.Close() })
-	return &callerConn{Conn: own, node: n}, callers
+	nodeEnd, callerEnd := net.Pipe()
+	t.Cleanup(func() { _, _ = nodeEnd.Close(), callerEnd.Close() })
+	return &callerConn{Conn: nodeEnd, node: n}, callerEnd
 }
 
-// TestWriteToStalledCallerEnds: a write of which the caller takes nothing ends after
-// StalledFor, one of which it takes a byte now and then doesn't.
-func TestWriteToStalledCallerEnds(t *testing.T) {
-	t.Run("nothing is taken", func(t *testing.T) {
+// TestWriteToStalledCallerFails guards against writes that block forever on a caller that reads
+// nothing. A write must fail after StalledFor without progress, and must not while the caller
+// reads a byte now and then.
+func TestWriteToStalledCallerFails(t *testing.T) {
+	t.Run("nothing is read", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, _ := newCallerConn(t, 0)
 			began := time.Now()
@@ -39,14 +40,14 @@
 				t.Fatalf("%d bytes written, %v", n, err)
 			}
 			if took := time.Since(began); took != defaultStalledFor || stalled.For != took {
-				t.Fatalf("ended after %v, said %v, want %v", took, stalled.For, defaultStalledFor)
+				t.Fatalf("failed after %v, error says %v, want %v", took, stalled.For, defaultStalledFor)
 			}
 			if c.node.retained.Used() != 0 || c.node.retained.Peak() != buffersPerStalledCaller*defaultSocketBytes {
-				t.Fatalf("%d bytes are counted, %d at most", c.node.retained.Used(), c.node.retained.Peak())
+				t.Fatalf("%d bytes are retained, peak %d", c.node.retained.Used(), c.node.retained.Peak())
 			}
 		})
 	})
-	t.Run("a byte is taken now and then", func(t *testing.T) {
+	t.Run("a byte is read now and then", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, callers := newCallerConn(t, 0)
 			const length = 20
@@ -60,37 +61,38 @@
 				t.Fatalf("%d bytes written, %v", n, err)
 			}
 			if used := c.node.retained.Used(); used != 0 {
-				t.Fatalf("%d bytes are still counted", used)
+				t.Fatalf("%d bytes are still retained", used)
 			}
 		})
 	})
-	t.Run("the node has no room to wait", func(t *testing.T) {
+	t.Run("the node has no room to buffer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, _ := newCallerConn(t, 1)
 			_, err := c.Write(make([]byte, 100))
 			var stalled *passthrough.StalledError
 			if !errors.As(err, &stalled) || !stalled.Full {
-				t.Fatalf("%v, want an end for want of room", err)
+				t.Fatalf("%v, want a StalledError because the node has no room", err)
 			}
 		})
 	})
 }
 
-// deadlineCounter counts how often a connection's write deadline is moved.
+// deadlineCounter counts the updates of a connection's write deadline.
 type deadlineCounter struct {
 	net.Conn
-	moved int
+	updates int
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *deadlineCounter) SetWriteDeadline(at time.Time) error {
-	c.moved++
+	c.updates++
 	return c.Conn.SetWriteDeadline(at)
 }
 
-// TestWritesRarelyMoveTheDeadline: a stream with an event each millisecond moves its
-// deadline twice a second, not with each event, and a rest before a write doesn't end it.
-func TestWritesRarelyMoveTheDeadline(t *testing.T) {
+// TestWritesRarelyExtendDeadline guards against setting the write deadline with each write: a
+// stream with an event each millisecond must set it about twice a second. An idle time before a
+// write must not make it fail.
+func TestWritesRarelyExtendDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, callers := newCallerConn(t, 0)
 		counter := &deadlineCounter{Conn: c.Conn}
@@ -102,12 +104,12 @@
 				t.Fatal(err)
 			}
 		}
-		if counter.moved > 9 {
-			t.Errorf("the deadline was moved %d times in 4 s", counter.moved)
+		if counter.updates > 9 {
+			t.Errorf("the deadline was set %d times in 4 s", counter.updates)
 		}
 		time.Sleep(time.Minute)
 		if _, err := c.Write([]byte("event")); err != nil {
-			t.Fatalf("after a rest: %v", err)
+			t.Fatalf("after an idle time: %v", err)
 		}
 		_ = c.Close()
 	})
--- a/fleet/shell/behind_test.go
+++ b/fleet/shell/catchup_test.go
@@ -11,22 +11,17 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// What was seen: one node of 69 answered 404 on routes that had been in force for 3.9 s.
-// Twelve versions of the configuration had been accepted in the 4 s before it was in touch
-// again, and more followed each 0.8 s.
-//
-// How it came about: a node that was cut off asks the store for what changed since. The
-// call's time limit, 0.62 s, included the transfer of the answer, and the answer holds
-// every version of the configuration, 80 KB each, and all heartbeats. A link of 10 Mbit/s
-// carries 0.78 MB in that time; the answer had 1.1 MB. The call was given up, what had come
-// was dropped, and the next call asked for the same and more.
-//
-// What proved it: behind a slow link and ever new versions a node with today's limits does
-// not get up to date at all; with a limit on silence alone it does.
+// Guarded failure: a node that was cut off from the store asks for the changes since then. One
+// node of 69 answered 404 on routes that had been in force for 3.9 s, because the call's timeout
+// of 0.62 s included the transfer of the answer. The answer held twelve versions of the
+// configuration of 80 KB each and all heartbeats, 1.1 MB together, and a link of 10 Mbit/s
+// carries 0.78 MB in that time. Each call timed out, the received part was dropped, and the next
+// call asked for the same changes and more. A timeout that only limits silence lets the node
+// catch up.
 
-// throttled forwards connections to an address and bounds the bytes a second that come
-// back on each.
-func throttled(t *testing.T, address string, bytesPerSecond int) string {
+// startThrottledProxy forwards connections to an address and limits the bytes per second that
+// come back on each.
+func startThrottledProxy(t *testing.T, address string, bytesPerSecond int) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,25 +39,25 @@
 				_ = near.Close()
 				continue
 			}
-			go forward(far, near, 0)
-			go forward(near, far, bytesPerSecond)
+			go copyThrottled(far, near, 0)
+			go copyThrottled(near, far, bytesPerSecond)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// forwardSlice is what a throttled connection passes on at once, in time.
-const forwardSlice = 10 * time.Millisecond
+// throttleInterval is the time between two writes of a throttled connection.
+const throttleInterval = 10 * time.Millisecond
 
-// forward copies until either end closes. A slice that is passed on late is made up for, as
-// by a link whose bytes wait at its end; time without bytes is not.
-func forward(to, from net.Conn, bytesPerSecond int) {
+// copyThrottled copies until either end closes. It makes up for a late write, like a link on
+// which bytes are queued, but not for time without bytes.
+func copyThrottled(to, from net.Conn, bytesPerSecond int) {
 	defer func() { _, _ = to.Close(), from.Close() }()
 	if bytesPerSecond == 0 {
 		_, _ = io.Copy(to, from)
 		return
 	}
-	buffer := make([]byte, max(bytesPerSecond/int(time.Second/forwardSlice), 1))
+	buffer := make([]byte, max(bytesPerSecond/int(time.Second/throttleInterval), 1))
 	for due := time.Now(); ; {
 		idle := time.Now()
 		n, err := from.Read(buffer)
@@ -77,7 +72,7 @@
 	}
 }
 
-// manyRoutes makes a configuration of some 80 KB.
+// manyRoutes returns the routes of a configuration of some 80 KB.
 func manyRoutes(newest int64) []platform.RouteDocument {
 	routes := make([]platform.RouteDocument, 0, 300)
 	for n := range 300 {
@@ -86,12 +81,12 @@
 	return append(routes, route(fmt.Sprintf("newest-%d", newest), "idempotent", plainService, 3, false))
 }
 
-// TestNodeFarBehindCatchesUp: a node that missed more changes than its link carries within
-// the patience for one call gets up to date, also while further changes are made.
+// TestNodeFarBehindCatchesUp guards against a node that never catches up: it missed more changes
+// than its link carries within the timeout of one call, while further changes are made.
 func TestNodeFarBehindCatchesUp(t *testing.T) {
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
-	slow := throttled(t, d.server.Address(), 400<<10)
+	slow := startThrottledProxy(t, d.server.Address(), 400<<10)
 	node := d.startNode("n1", func(options *shell.Options) {
 		options.Store = platform.NewStoreClient(slow, 20*time.Millisecond)
 	})
--- a/fleet/shell/copy_bench_test.go
+++ b/fleet/shell/copy_bench_test.go
@@ -13,13 +13,13 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// streamTo writes the head of a stream's answer; the stream's events follow it.
+// streamTo writes the head of a stream's answer; the events follow.
 func streamTo(out io.Writer, id string) {
 	_, _ = fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		platform.HeaderRequestID, id, platform.HeaderStamp)
 }
 
-// chunk is one event in the form in which it is sent.
+// chunk returns one event as an HTTP chunk.
 func chunk(number int, data string) string {
 	event := fmt.Sprintf("id: %d\ndata: %s\n\n", number, data)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(event), event)
@@ -28,8 +28,8 @@
 // lastChunk ends a stream.
 const lastChunk = "0\r\n\r\n"
 
-// BenchmarkCopyPath streams events through a node as fast as they come, one write of the
-// worker each, on one kept connection: the processor time of worker, node and caller
+// BenchmarkCopyPath streams events through a node as fast as they come, one write of the worker
+// each, on one keep-alive connection. It reports the CPU time of worker, node and caller
 // together.
 func BenchmarkCopyPath(b *testing.B) {
 	const count = 500
@@ -38,7 +38,7 @@
 	for n := 1; n <= count; n++ {
 		chunks = append(chunks, chunk(n, strings.Repeat("x", 40)))
 	}
-	address := scripted(b, func(_ int, connection net.Conn, reader *bufio.Reader) {
+	address := startScriptedWorker(b, func(_ int, connection net.Conn, reader *bufio.Reader) {
 		for {
 			request, err := readHead(reader)
 			if err != nil {
@@ -73,14 +73,14 @@
 		request.Header.Set(platform.HeaderRequestID, fmt.Sprintf("s%d", streams))
 		request.Header.Set(platform.HeaderDeadline, "6000")
 		withModel("big")(request.Header)
-		before := processorTime(b)
+		before := cpuTime(b)
 		response, err := client.Do(request)
 		if err != nil {
 			b.Fatal(err)
 		}
 		n, err := io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
-		used += processorTime(b) - before
+		used += cpuTime(b) - before
 		if err != nil || response.StatusCode != http.StatusOK || n < count {
 			b.Fatalf("status %d, %d bytes, %v", response.StatusCode, n, err)
 		}
--- a/fleet/shell/failures_test.go
+++ b/fleet/shell/failures_test.go
@@ -17,7 +17,7 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// logText is a log that a test reads while it is written.
+// logText is a log output that a test can read while it is written.
 type logText struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -37,7 +37,7 @@
 	return l.text.String()
 }
 
-// count counts the lines that hold all of the parts.
+// count returns the number of lines that contain all parts.
 func (l *logText) count(parts ...string) int {
 	lines := 0
 	for line := range strings.Lines(l.String()) {
@@ -52,13 +52,13 @@
 	return lines
 }
 
-// logTo has a node write its log there.
+// logTo makes a node write its log to output.
 func logTo(output *logText) func(*shell.Options) {
 	return func(options *shell.Options) { options.Log = eventlog.New(output, eventlog.Options{}) }
 }
 
-// TestUnreadableRecordsAreLogged: records of nodes that can't be read are passed over
-// with a line each, those that are deleted without one.
+// TestUnreadableRecordsAreLogged guards against records that are skipped silently: each node
+// record that can't be decoded must be logged once, and its deletion must not be.
 func TestUnreadableRecordsAreLogged(t *testing.T) {
 	d := newDeployment(t)
 	for _, key := range []string{fleet.KeyLast, fleet.KeyNodes + "strange", fleet.KeyNodes + "gone"} {
@@ -81,25 +81,25 @@
 	d.configure(2)
 	d.eventually("the next change is in force", func() bool { return log.count("msg=configuration_in_force", "config=2") == 1 })
 	if log.count("key="+fleet.KeyNodes+"gone") != 1 {
-		t.Error("a deleted record is said to be unreadable")
+		t.Error("a deleted record was logged as unreadable")
 	}
 }
 
-// withoutLeases is a store that grants no lease.
-type withoutLeases struct {
+// leaseRefusingStore is a store that grants no leases.
+type leaseRefusingStore struct {
 	shell.Store
-	asked atomic.Int64
+	grantCalls atomic.Int64
 }
 
 // Grant implements shell.Store.
-func (s *withoutLeases) Grant(context.Context, time.Duration) (int64, error) {
-	s.asked.Add(1)
+func (s *leaseRefusingStore) Grant(context.Context, time.Duration) (int64, error) {
+	s.grantCalls.Add(1)
 	return 0, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no leases today")
 }
 
-// TestReportsThatFailAreLoggedOnce: the log names a worker whose report is wanted for an
-// order and can't be read.
-func TestReportsThatFailAreLoggedOnce(t *testing.T) {
+// TestFailingReportIsLoggedOnce guards against a failing report that is not logged, or logged
+// with each attempt: the log must name the worker once.
+func TestFailingReportIsLoggedOnce(t *testing.T) {
 	d := newDeployment(t)
 	d.addWorker("i-down", engineService, nil)
 	d.workers["i-down"].Kill()
@@ -118,26 +118,26 @@
 	}
 }
 
-// TestGrantsThatFailAreLoggedOnce: the log names the cause for which a node can't write
-// its records, once.
-func TestGrantsThatFailAreLoggedOnce(t *testing.T) {
+// TestFailingGrantIsLoggedOnce guards against a node that can't write its records without a log
+// line, or with a line for each attempt: the log must give the cause once.
+func TestFailingGrantIsLoggedOnce(t *testing.T) {
 	d := newDeployment(t)
 	var log logText
-	store := &withoutLeases{}
+	store := &leaseRefusingStore{}
 	d.startNode("n", logTo(&log), func(options *shell.Options) {
 		store.Store = options.Store
 		options.Store = store
 	})
 	d.eventually("several grants failed and are logged", func() bool {
-		return store.asked.Load() > 3 && log.count("msg=call_failed") > 0
+		return store.grantCalls.Load() > 3 && log.count("msg=call_failed") > 0
 	})
 	if lines := log.count("msg=call_failed", `call="store grant"`, "no leases today"); lines != 1 {
 		t.Errorf("%d lines on failed grants, want 1", lines)
 	}
 }
 
-// TestUnreadableLastHolderIsReplaced: a record of the last holder that can't be read keeps
-// nobody from becoming the holder, who replaces it.
+// TestUnreadableLastHolderIsReplaced guards against a lease that nobody can take: a last-holder
+// record that can't be decoded must be replaced by the next lease holder.
 func TestUnreadableLastHolderIsReplaced(t *testing.T) {
 	d := newDeployment(t)
 	if err := d.store.Put(fleet.KeyLast, "no record"); err != nil {
--- a/fleet/shell/feed_test.go
+++ b/fleet/shell/feed_test.go
@@ -14,28 +14,29 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// refusingStore turns this node's questions away once it is told to, and goes on
-// taking its leases.
+// refusingStore rejects the node's reads and watches once refuses is set, and still serves its
+// leases.
 type refusingStore struct {
 	shell.Store
 	refuses atomic.Bool
 }
 
-func (s *refusingStore) Changes(ctx context.Context, prefix string, after, most int64) (keyvalue.WatchBatch, error) {
+func (s *refusingStore) Changes(ctx context.Context, prefix string, after, maxBytes int64) (keyvalue.WatchBatch, error) {
 	if s.refuses.Load() {
-		return keyvalue.WatchBatch{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "turned away")
+		return keyvalue.WatchBatch{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "rejected by the test")
 	}
-	return s.Store.Changes(ctx, prefix, after, most)
+	return s.Store.Changes(ctx, prefix, after, maxBytes)
 }
 
 func (s *refusingStore) Range(ctx context.Context, prefix string) ([]keyvalue.KeyValue, int64, error) {
 	if s.refuses.Load() {
-		return nil, 0, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "turned away")
+		return nil, 0, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "rejected by the test")
 	}
 	return s.Store.Range(ctx, prefix)
 }
 
-// startZone starts nodes of one zone; the first has the greatest capacity.
+// startZone starts the nodes of one zone; the first has the largest capacity and becomes the
+// relay.
 func (d *deployment) startZone(nodes int, change func(int, *shell.Options)) []*shell.Node {
 	started := make([]*shell.Node, nodes)
 	for i := range started {
@@ -48,16 +49,16 @@
 	return started
 }
 
-// TestRelayReachesTurnedAwayNode: a node that the store turns away learns of new
-// routes from the node of its zone that relays.
-func TestRelayReachesTurnedAwayNode(t *testing.T) { testTurnedAway(t, 5) }
+// TestRelayUpdatesNodeRejectedByStore guards against a node that misses changes because the store
+// rejects its calls: the relay of its zone must pass new routes on to it.
+func TestRelayUpdatesNodeRejectedByStore(t *testing.T) { testNodeRejectedByStore(t, 5) }
 
-// TestPeerReachesTurnedAwayNode: so does a node of a zone that is too small for relays,
-// from its peer.
-func TestPeerReachesTurnedAwayNode(t *testing.T) { testTurnedAway(t, 2) }
+// TestPeerUpdatesNodeRejectedByStore guards against the same failure in a zone that is too small
+// for a relay: the peer must pass the changes on.
+func TestPeerUpdatesNodeRejectedByStore(t *testing.T) { testNodeRejectedByStore(t, 2) }
 
-// testTurnedAway has the store turn the last of so many nodes away.
-func testTurnedAway(t *testing.T, count int) {
+// testNodeRejectedByStore makes the store reject the calls of the last of count nodes.
+func testNodeRejectedByStore(t *testing.T, count int) {
 	t.Helper()
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
@@ -70,27 +71,27 @@
 	last := nodes[count-1]
 	store.refuses.Store(true)
 	d.configure(2, route("added", "idempotent", plainService, 2, false))
-	d.eventually("the turned away node serves the added route", func() bool {
+	d.eventually("the rejected node serves the added route", func() bool {
 		return d.call(last, http.MethodGet, "/added/", "", nil).status == http.StatusOK
 	})
 }
 
-// TestZoneOutlivesItsRelay: once the node that relays is dead the others learn of
-// changes from the store.
-func TestZoneOutlivesItsRelay(t *testing.T) {
+// TestNodesReadStoreAfterRelayDies guards against a zone that gets no changes after its relay
+// died: the other nodes must read them from the store.
+func TestNodesReadStoreAfterRelayDies(t *testing.T) {
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
 	nodes := d.startZone(5, func(int, *shell.Options) {})
 	nodes[0].Kill()
 	d.configure(2, route("added", "idempotent", plainService, 2, false))
 	for _, node := range nodes[1:] {
-		d.eventually("a node that was relayed to serves the added route", func() bool {
+		d.eventually("a node without a relay serves the added route", func() bool {
 			return d.call(node, http.MethodGet, "/added/", "", nil).status == http.StatusOK
 		})
 	}
 }
 
-// slowStore answers calls for changes late enough for a line in the log.
+// slowStore delays the answer to a watch beyond the duration from which a call is logged as slow.
 type slowStore struct{ shell.Store }
 
 func (s *slowStore) Changes(ctx context.Context, prefix string, after, most int64) (keyvalue.WatchBatch, error) {
@@ -98,9 +99,9 @@
 	return s.Store.Changes(ctx, prefix, after, most)
 }
 
-// TestSlowCallsBesideUpdates: calls to the store end while other nodes pass changes on; the
-// race detector looks on.
-func TestSlowCallsBesideUpdates(t *testing.T) {
+// TestSlowStoreCallsDuringUpdatesHaveNoRace guards against a data race between the end of slow
+// store calls and updates from other nodes; run it with the race detector.
+func TestSlowStoreCallsDuringUpdatesHaveNoRace(t *testing.T) {
 	d := newDeployment(t)
 	nodes := d.startZone(5, func(n int, options *shell.Options) {
 		options.Feed.Silence = 50 * time.Millisecond
--- a/fleet/shell/follow.go
+++ b/fleet/shell/follow.go
@@ -32,7 +32,7 @@
 	*Node
 	feed   *feed.Core
 	filter *changeFilter
-	// starts are the machine starts that the fleet.Core was told of.
+	// starts are the machine starts that were reported to the fleet.Core.
 	starts machineStarts
 	// configurationRevision is the revision of the last configuration that was decoded and
 	// compiled.
@@ -242,7 +242,7 @@
 	return converted
 }
 
-// replace replaces everything known of the store by its full content.
+// replace replaces the node's view of the store by the store's full content.
 func (f *follower) replace(revision int64, pairs []wire.StoreChange) {
 	batch := batch{revision: revision}
 	listed := map[cluster.MachineID]bool{}
@@ -272,7 +272,7 @@
 	f.step(fleet.StoreSynced{})
 }
 
-// applyChanges applies a list of changes to what is known of the store.
+// applyChanges applies a list of changes to the node's view of the store.
 func (f *follower) applyChanges(e *feed.Apply) {
 	batch := batch{revision: e.Revision}
 	for i := range e.Changes {
--- a/fleet/shell/harness_test.go
+++ b/fleet/shell/harness_test.go
@@ -25,31 +25,31 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// The services and routes of the tests.
+// The services and the host of the test routes.
 const (
 	plainService  = "plain"
 	engineService = "engine"
 	testHost      = "service.example"
-	// waitLimit ends a wait that would never end; nothing is measured by it.
+	// waitLimit ends a wait whose condition never holds.
 	waitLimit = 20 * time.Second
 )
 
 // deployment is a store, workers and nodes over loopback.
 type deployment struct {
 	t testing.TB
-	// changes are made to every route.
-	changes []func(*platform.RouteDocument)
-	tenants []platform.TenantDocument
-	store   *metadata.Server
-	server  *standin.Server
-	workers map[string]*standin.Server
-	numbers atomic.Int64
+	// routeChanges are applied to every route.
+	routeChanges      []func(*platform.RouteDocument)
+	tenants           []platform.TenantDocument
+	store             *metadata.Server
+	server            *standin.Server
+	workers           map[string]*standin.Server
+	lastRequestNumber atomic.Int64
 }
 
-// newDeployment starts a store that holds the configuration, with changes to its routes.
-func newDeployment(t testing.TB, changes ...func(*platform.RouteDocument)) *deployment {
+// newDeployment starts a store with a configuration and applies routeChanges to its routes.
+func newDeployment(t testing.TB, routeChanges ...func(*platform.RouteDocument)) *deployment {
 	t.Helper()
-	d := &deployment{t: t, changes: changes, store: metadata.New(1), workers: map[string]*standin.Server{}}
+	d := &deployment{t: t, routeChanges: routeChanges, store: metadata.New(1), workers: map[string]*standin.Server{}}
 	server, err := standin.Listen("127.0.0.1:0", d.store)
 	if err != nil {
 		t.Fatal(err)
@@ -70,11 +70,12 @@
 	}
 }
 
-// patient has no worker of a route left for being slow: a test whose workers answer or
-// fail at once counts on that, and a busy machine may hold one up.
-func patient(route *platform.RouteDocument) { route.AimMS = 0 }
+// withoutLatencyObjective removes a route's latency objective, so that no attempt is abandoned
+// for being slow. Tests whose workers answer or fail at once need it because a busy machine may
+// delay a worker.
+func withoutLatencyObjective(route *platform.RouteDocument) { route.AimMS = 0 }
 
-// configure writes a version of the configuration with further routes.
+// configure writes a version of the configuration with additional routes.
 func (d *deployment) configure(version int64, more ...platform.RouteDocument) {
 	d.t.Helper()
 	document := platform.ConfigurationDocument{
@@ -98,7 +99,7 @@
 		Limits:  platform.LimitsDocument{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderMS: 3000, IdleMS: 15000},
 		Tenants: d.tenants,
 	}
-	for _, change := range d.changes {
+	for _, change := range d.routeChanges {
 		for i := range document.Routes {
 			change(&document.Routes[i])
 		}
@@ -108,7 +109,7 @@
 	}
 }
 
-// addWorker starts a stand-in worker and enters it in the store.
+// addWorker starts a stand-in worker and registers it in the store.
 func (d *deployment) addWorker(id, service string, change func(*worker.Config)) *worker.Worker {
 	d.t.Helper()
 	config := worker.Config{ID: id, Service: service, Zone: "z", Slots: 8, LoadTime: 30 * time.Millisecond}
@@ -129,20 +130,20 @@
 	d.t.Cleanup(server.Kill)
 	d.workers[id] = server
 	added.SetAddress(server.Address())
-	d.enter(added)
+	d.register(added)
 	return added
 }
 
-// enter writes a worker's entry.
-func (d *deployment) enter(w *worker.Worker) {
+// register writes a worker's entry to the store.
+func (d *deployment) register(w *worker.Worker) {
 	d.t.Helper()
 	if err := d.store.Put(w.Key(), w.Entry()); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-// enterAddress enters a worker that the test serves itself.
-func (d *deployment) enterAddress(id, service, address string) {
+// registerAddress writes the entry of a worker that the test serves itself.
+func (d *deployment) registerAddress(id, service, address string) {
 	d.t.Helper()
 	entry := platform.WorkerDocument{Service: service, Address: address, Zone: "z", Slots: 8, State: "ready"}
 	if err := d.store.Put(platform.PrefixWorkers+id, entry); err != nil {
@@ -177,7 +178,7 @@
 	return node
 }
 
-// status returns the status of a GET, zero without an answer.
+// status returns the status of a GET; zero without an answer.
 func status(url string) int {
 	response, err := http.Get(url)
 	if err != nil {
@@ -195,7 +196,7 @@
 			return
 		}
 	}
-	d.t.Fatalf("it did not come about that %s", what)
+	d.t.Fatalf("timed out waiting until %s", what)
 }
 
 // reply is an answer that a caller got.
@@ -216,7 +217,7 @@
 		d.t.Fatal(err)
 	}
 	request.Host = testHost
-	request.Header.Set(platform.HeaderRequestID, "request-"+strconv.FormatInt(d.numbers.Add(1), 10))
+	request.Header.Set(platform.HeaderRequestID, "request-"+strconv.FormatInt(d.lastRequestNumber.Add(1), 10))
 	request.Header.Set(platform.HeaderDeadline, "6000")
 	if change != nil {
 		change(request.Header)
@@ -236,8 +237,9 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(data), err: err}
 }
 
-// callAsTold calls as callers do who come back when they are told to.
-func (d *deployment) callAsTold(node *shell.Node, method, path, body string, change func(http.Header)) reply {
+// callWithRetryAfter calls and repeats the call after the time in Retry-After for as long as the
+// node answers 503.
+func (d *deployment) callWithRetryAfter(node *shell.Node, method, path, body string, change func(http.Header)) reply {
 	d.t.Helper()
 	for deadline := time.Now().Add(waitLimit); ; {
 		got := d.call(node, method, path, body, change)
@@ -256,21 +258,22 @@
 	}
 }
 
-// events lists the numbers of a stream's events and checks that each is whole.
-func events(t *testing.T, body string) []int {
+// eventNumbers returns the numbers of a stream's events and fails the test if an event is
+// incomplete.
+func eventNumbers(t *testing.T, body string) []int {
 	t.Helper()
 	var numbers []int
 	for event := range strings.SplitSeq(strings.TrimSuffix(body, "\n\n"), "\n\n") {
 		var number, piece int
 		if _, err := fmt.Sscanf(event, "id: %d\ndata: piece %d", &number, &piece); err != nil || number != piece {
-			t.Fatalf("event %q is not whole: %v", event, err)
+			t.Fatalf("event %q is incomplete: %v", event, err)
 		}
 		numbers = append(numbers, number)
 	}
 	return numbers
 }
 
-// oneTo lists the numbers from 1 to n.
+// oneTo returns the numbers from 1 to n.
 func oneTo(n int) []int {
 	numbers := make([]int, n)
 	for i := range numbers {
@@ -279,7 +282,7 @@
 	return numbers
 }
 
-// readHead reads the head of a request on a raw connection.
+// readHead reads a request from a raw connection and discards its body.
 func readHead(reader *bufio.Reader) (*http.Request, error) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
--- a/fleet/shell/keys_bench_test.go
+++ b/fleet/shell/keys_bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// BenchmarkKeyedPath compares a small request of a tenant with a key and a limit with one
-// that needs neither, by way of nodes of two deployments in one run: one whose limits it
-// lends itself, and one without tenants.
+// BenchmarkKeyedPath compares a small request of a tenant with a key and a limit with one that
+// needs neither. It sends them in one run through nodes of two deployments: one that lends the
+// tenant's tokens itself, and one without tenants.
 func BenchmarkKeyedPath(b *testing.B) {
 	keyed, plain := newDeployment(b), newDeployment(b)
 	keyed.tenants = []platform.TenantDocument{
@@ -23,7 +23,7 @@
 	var nodes []*shell.Node
 	for _, d := range []*deployment{keyed, plain} {
 		d.addWorker("p1", plainService, nil)
-		nodes = append(nodes, d.startNode("n1", proves))
+		nodes = append(nodes, d.startNode("n1", withKeyProof))
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}
 	keyed.eventually("tokens are lent", func() bool {
@@ -39,11 +39,11 @@
 			times[i] = append(times[i], time.Since(began))
 		}
 	}
-	half := func(i int) float64 {
+	median := func(i int) float64 {
 		slices.Sort(times[i])
 		return float64(times[i][len(times[i])/2].Nanoseconds()) / 1000
 	}
-	b.ReportMetric(half(0), "keyed-p50-us")
-	b.ReportMetric(half(1), "plain-p50-us")
-	b.ReportMetric(half(0)/half(1), "p50-ratio")
+	b.ReportMetric(median(0), "keyed-p50-us")
+	b.ReportMetric(median(1), "plain-p50-us")
+	b.ReportMetric(median(0)/median(1), "p50-ratio")
 }
--- a/fleet/shell/keys_test.go
+++ b/fleet/shell/keys_test.go
@@ -13,17 +13,17 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// keyProof is how old proofs of keys may be in these tests.
-const keyProof = 900 * time.Millisecond
+// maxKeyProofAge is the maximum age of a key proof in these tests.
+const maxKeyProofAge = 900 * time.Millisecond
 
-func proves(options *shell.Options) { options.Core.KeyProof = keyProof }
+func withKeyProof(options *shell.Options) { options.Core.KeyProof = maxKeyProofAge }
 
 func withKey(key string) func(http.Header) {
 	return func(header http.Header) { header.Set(platform.HeaderAuthorization, "Bearer "+key) }
 }
 
-// seenHeaders has a worker keep the head of each request.
-func seenHeaders(w *worker.Worker) func() []http.Header {
+// recordHeaders makes a worker record the headers of each request.
+func recordHeaders(w *worker.Worker) func() []http.Header {
 	var mutex sync.Mutex
 	var seen []http.Header
 	w.Behave = func(r *http.Request) worker.Behaviour {
@@ -39,8 +39,8 @@
 	}
 }
 
-// newKeyed starts a deployment whose callers need keys, but for one route.
-func newKeyed(t *testing.T) *deployment {
+// newKeyedDeployment starts a deployment whose routes require a key, except for one public route.
+func newKeyedDeployment(t *testing.T) *deployment {
 	t.Helper()
 	d := newDeployment(t, func(r *platform.RouteDocument) { r.Public = r.Name == "write" })
 	rank := 0
@@ -51,12 +51,13 @@
 	return d
 }
 
-// TestCallersNeedKeys: a route that isn't public serves callers with a known key only, in the
-// name of the tenant that holds it and at its rank; workers see no key.
-func TestCallersNeedKeys(t *testing.T) {
-	d := newKeyed(t)
-	seen := seenHeaders(d.addWorker("p1", plainService, nil))
-	node := d.startNode("n1", proves)
+// TestRouteRequiresKnownKey guards against requests without a known key on a route that isn't
+// public. The worker must see the tenant of the key and its rank, whatever the caller claims, and
+// must not see the key.
+func TestRouteRequiresKnownKey(t *testing.T) {
+	d := newKeyedDeployment(t)
+	seen := recordHeaders(d.addWorker("p1", plainService, nil))
+	node := d.startNode("n1", withKeyProof)
 	got := d.call(node, http.MethodGet, "/read/", "", func(h http.Header) {
 		withKey("clinic-2")(h)
 		h.Set(platform.HeaderTenant, "school")
@@ -80,7 +81,7 @@
 		t.Fatalf("%d requests reached the worker, want 2", len(headers))
 	}
 	if headers[0].Get(platform.HeaderTenant) != "clinic" || headers[0].Get(platform.HeaderPriority) != strconv.Itoa(1) {
-		t.Errorf("the worker is told %v, want the tenant and its rank", headers[0])
+		t.Errorf("the worker got headers %v, want the tenant and its rank", headers[0])
 	}
 	for _, header := range headers {
 		if header.Get(platform.HeaderAuthorization) != "" {
@@ -89,18 +90,18 @@
 	}
 }
 
-// TestTakenAwayKeyIsRefused: once the configuration without it is in force, and a key that
-// was added is taken.
-func TestTakenAwayKeyIsRefused(t *testing.T) {
-	d := newKeyed(t)
+// TestRemovedKeyIsRejected guards against a removed key that is still accepted after the
+// configuration without it is in force, and against an added key that is rejected.
+func TestRemovedKeyIsRejected(t *testing.T) {
+	d := newKeyedDeployment(t)
 	d.addWorker("p1", plainService, nil)
-	node := d.startNode("n1", proves)
+	node := d.startNode("n1", withKeyProof)
 	if got := d.call(node, http.MethodGet, "/read/", "", withKey("school-1")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
 	d.tenants[1].Keys = []string{"school-2"}
 	d.configure(3)
-	d.eventually("the key is refused", func() bool {
+	d.eventually("the key is rejected", func() bool {
 		return d.call(node, http.MethodGet, "/read/", "", withKey("school-1")).status == http.StatusUnauthorized
 	})
 	if got := d.call(node, http.MethodGet, "/read/", "", withKey("school-2")); got.status != http.StatusOK {
@@ -108,43 +109,43 @@
 	}
 }
 
-// TestMutedWatchHidesNoRevocation: a store whose watches bring nothing is asked for the key
-// itself.
-func TestMutedWatchHidesNoRevocation(t *testing.T) {
-	d := newKeyed(t)
+// TestRemovedKeyIsRejectedDespiteMutedWatch guards against a removed key that stays valid because
+// the store's watches return nothing: the node must verify the key of the configuration itself.
+func TestRemovedKeyIsRejectedDespiteMutedWatch(t *testing.T) {
+	d := newKeyedDeployment(t)
 	d.addWorker("p1", plainService, nil)
-	node := d.startNode("n1", proves)
+	node := d.startNode("n1", withKeyProof)
 	d.store.SetMuted(true)
 	d.tenants[1].Keys = nil
 	d.configure(3)
-	d.eventually("the key is refused", func() bool {
+	d.eventually("the key is rejected", func() bool {
 		return d.call(node, http.MethodGet, "/read/", "", withKey("school-1")).status == http.StatusUnauthorized
 	})
 }
 
-// TestNodeWithoutProofSendsNothingKeyed: cut off from the store and from peers, a node goes on
-// for as long as its proof lasts and then refuses what needs a key, with the time to come
-// back, and says that it isn't ready; what needs none is served. It serves again once it has
-// a proof.
-func TestNodeWithoutProofSendsNothingKeyed(t *testing.T) {
-	d := newKeyed(t)
+// TestNodeWithoutKeyProofRejectsKeyedRequests guards against serving removed keys while the node
+// is cut off from the store and its peers. Once its key proof is too old it must reject keyed
+// requests with Retry-After and report that it is not ready, still serve public routes, and serve
+// keyed requests again after a new proof.
+func TestNodeWithoutKeyProofRejectsKeyedRequests(t *testing.T) {
+	d := newKeyedDeployment(t)
 	plain := d.addWorker("p1", plainService, nil)
-	node := d.startNode("n1", proves)
+	node := d.startNode("n1", withKeyProof)
 	if got := d.call(node, http.MethodGet, "/read/", "", withKey("school-1")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
 	d.store.SetSilent(true)
-	var refused reply
-	d.eventually("requests with a key are refused", func() bool {
-		refused = d.call(node, http.MethodGet, "/read/", "", withKey("school-1"))
-		return refused.status != http.StatusOK
+	var rejected reply
+	d.eventually("requests with a key are rejected", func() bool {
+		rejected = d.call(node, http.MethodGet, "/read/", "", withKey("school-1"))
+		return rejected.status != http.StatusOK
 	})
-	if refused.status != http.StatusServiceUnavailable || refused.header.Get("Retry-After") == "" {
-		t.Fatalf("refused with %+v, want 503 and when to come back", refused)
+	if rejected.status != http.StatusServiceUnavailable || rejected.header.Get("Retry-After") == "" {
+		t.Fatalf("rejected with %+v, want 503 with Retry-After", rejected)
 	}
 	ran := len(plain.Runs())
 	if got := d.call(node, http.MethodGet, "/read/", "", withKey("unknown")); got.status != http.StatusServiceUnavailable {
-		t.Errorf("an unknown key gets %d of a node that knows too little, want 503", got.status)
+		t.Errorf("an unknown key gets %d from a node without a recent proof, want 503", got.status)
 	}
 	if got := d.call(node, http.MethodPost, "/write/", "", nil); got.status != http.StatusOK {
 		t.Errorf("a public route answers %+v", got)
@@ -153,7 +154,7 @@
 		t.Errorf("%d requests ran without proof", len(plain.Runs())-ran-1)
 	}
 	if code := status(node.ReadyURL()); code != http.StatusServiceUnavailable {
-		t.Errorf("the node says it is ready: %d", code)
+		t.Errorf("the node reports that it is ready: %d", code)
 	}
 	d.store.SetSilent(false)
 	d.eventually("requests with a key are served again", func() bool {
@@ -161,11 +162,11 @@
 	})
 }
 
-// TestWaitingRequestIsRefusedOnceItsKeyIsGone: a request that waits for a machine while its
-// key is taken away is refused at once, and not sent.
-func TestWaitingRequestIsRefusedOnceItsKeyIsGone(t *testing.T) {
-	d := newKeyed(t)
-	node := d.startNode("n1", proves)
+// TestQueuedRequestIsRejectedWhenKeyIsRemoved guards against sending a queued request whose key
+// was removed while it waited for a machine: it must be rejected at once.
+func TestQueuedRequestIsRejectedWhenKeyIsRemoved(t *testing.T) {
+	d := newKeyedDeployment(t)
+	node := d.startNode("n1", withKeyProof)
 	answered := make(chan reply, 1)
 	go func() { answered <- d.call(node, http.MethodGet, "/read/", "", withKey("school-1")) }()
 	d.eventually("the request waits", func() bool { return inFlight(t, node) == 1 })
--- a/fleet/shell/limits_test.go
+++ b/fleet/shell/limits_test.go
@@ -13,36 +13,36 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// limitedTokens is what each request of these tests counts.
-const limitedTokens = 100
+// tokensPerRequest is the number of tokens that each request of these tests counts.
+const tokensPerRequest = 100
 
-// newLimited starts three nodes whose callers are of a tenant that may use so many requests a
-// second, and as many at once.
-func newLimited(t *testing.T, perSecond float64) (*deployment, []*shell.Node) {
+// newLimitedDeployment starts three nodes and a tenant that may use perSecond requests a second,
+// with a burst of as many.
+func newLimitedDeployment(t *testing.T, perSecond float64) (*deployment, []*shell.Node) {
 	t.Helper()
 	d := newDeployment(t)
 	d.tenants = []platform.TenantDocument{
-		{Name: "clinic", Keys: []string{"clinic-1"}, Unit: "tokens", PlainTokens: limitedTokens, RatePerS: perSecond * limitedTokens, Burst: perSecond * limitedTokens},
+		{Name: "clinic", Keys: []string{"clinic-1"}, Unit: "tokens", PlainTokens: tokensPerRequest, RatePerS: perSecond * tokensPerRequest, Burst: perSecond * tokensPerRequest},
 		{Name: "school", Keys: []string{"school-1"}},
 	}
 	d.configure(2)
 	var nodes []*shell.Node
 	for i := range 3 {
-		nodes = append(nodes, d.startNode(fmt.Sprintf("n%d", i), proves, func(o *shell.Options) {
+		nodes = append(nodes, d.startNode(fmt.Sprintf("n%d", i), withKeyProof, func(o *shell.Options) {
 			o.Core.Self = fleet.NodeEntry{ID: o.Core.Self.ID, Machine: fmt.Sprintf("machine-%d", i), Capacity: 1}
 		}))
 	}
 	return d, nodes
 }
 
-// TestLimitHoldsOverAllNodes: callers of one tenant flood three nodes and get what the limit
-// gives, over all of them; the rest is refused with 429 and the time to come back. Another
-// tenant is served throughout.
-func TestLimitHoldsOverAllNodes(t *testing.T) {
+// TestTenantLimitHoldsAcrossNodes guards against a tenant that gets its limit once per node.
+// Callers of one tenant flood three nodes; together they must get no more than the limit, the
+// rest 429 with Retry-After, and another tenant must be served throughout.
+func TestTenantLimitHoldsAcrossNodes(t *testing.T) {
 	const perSecond = 20
-	d, nodes := newLimited(t, perSecond)
+	d, nodes := newLimitedDeployment(t, perSecond)
 	plain := d.addWorker("p1", plainService, nil)
-	d.eventually("all nodes find who lends", func() bool {
+	d.eventually("all nodes find the lender", func() bool {
 		for _, n := range nodes {
 			if d.call(n, http.MethodGet, "/read/", "", withKey("clinic-1")).status == http.StatusServiceUnavailable {
 				return false
@@ -52,7 +52,7 @@
 	})
 	began, before := time.Now(), len(plain.Runs())
 	var mutex sync.Mutex
-	var served, refused, others int
+	var served, rejected, others int
 	var callers sync.WaitGroup
 	for i := range 24 {
 		callers.Go(func() {
@@ -61,9 +61,9 @@
 				if i == 0 {
 					key = "school-1"
 				}
-				// On a busy machine an answer may take longer than a node waits for it; its
-				// caller comes back as it is told.
-				got := d.callAsTold(nodes[i%3], http.MethodGet, "/read/", "", withKey(key))
+				// On a busy machine the answer of the lender may come later than the node waits
+				// for it; the caller then repeats the request as told.
+				got := d.callWithRetryAfter(nodes[i%3], http.MethodGet, "/read/", "", withKey(key))
 				back, _ := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 				mutex.Lock()
 				switch {
@@ -72,7 +72,7 @@
 				case got.status == http.StatusOK:
 					served++
 				case got.status == http.StatusTooManyRequests && back > 0:
-					refused++
+					rejected++
 				default:
 					t.Errorf("answer %+v", got)
 				}
@@ -82,21 +82,21 @@
 	}
 	callers.Wait()
 	took := time.Since(began).Seconds()
-	if most := perSecond*(took+0.5) + perSecond; float64(served) > most {
-		t.Errorf("%d requests were served in %.1f s, at most %.0f may be", served, took, most)
+	if limit := perSecond*(took+0.5) + perSecond; float64(served) > limit {
+		t.Errorf("%d requests were served in %.1f s, at most %.0f may be", served, took, limit)
 	}
-	if refused == 0 || others != 25 {
-		t.Errorf("%d refused, %d of 25 served for the other tenant", refused, others)
+	if rejected == 0 || others != 25 {
+		t.Errorf("%d rejected, %d of 25 served for the other tenant", rejected, others)
 	}
 	if ran := len(plain.Runs()) - before; ran != served+others {
 		t.Errorf("%d ran, %d were served", ran, served+others)
 	}
 }
 
-// TestLenderIsReplacedOverLoopback: when nodes end one after the other, those that stay find
-// who lends.
-func TestLenderIsReplacedOverLoopback(t *testing.T) {
-	d, nodes := newLimited(t, 1000)
+// TestLenderIsReplacedAfterNodeDies guards against a limited tenant that is not served after the
+// node that lends its tokens died.
+func TestLenderIsReplacedAfterNodeDies(t *testing.T) {
+	d, nodes := newLimitedDeployment(t, 1000)
 	d.addWorker("p1", plainService, nil)
 	serves := func(n *shell.Node) bool {
 		return d.call(n, http.MethodGet, "/read/", "", withKey("clinic-1")).status == http.StatusOK
@@ -106,24 +106,25 @@
 	d.eventually("requests are served by the others", func() bool { return serves(nodes[1]) && serves(nodes[2]) })
 }
 
-// TestLenderTakesItsTicket: whoever begins to lend writes the key that nobody else may write
-// for longer than a window, once; a lender that follows it finds the key there and lends.
-func TestLenderTakesItsTicket(t *testing.T) {
-	d, nodes := newLimited(t, 20)
+// TestNewLenderTakesTicketOnce guards against two lenders within one window. A new lender must
+// write a ticket key that no other node may write for longer than a window, once; a later lender
+// finds the key and lends.
+func TestNewLenderTakesTicketOnce(t *testing.T) {
+	d, nodes := newLimitedDeployment(t, 20)
 	d.addWorker("p1", plainService, nil)
 	served := func(n *shell.Node) func() bool {
 		return func() bool {
 			return d.call(n, http.MethodGet, "/read/", "", withKey("clinic-1")).status == http.StatusOK
 		}
 	}
-	d.eventually("somebody lends", served(nodes[0]))
+	d.eventually("there is a lender", served(nodes[0]))
 	d.eventually("the ticket of the tenant's shard is taken", func() bool { return len(d.store.Keys(fleet.KeyTickets)) == 1 })
 	nodes[0].Kill()
 	nodes[1].Kill()
-	d.startNode("n0-again", proves, func(o *shell.Options) {
+	d.startNode("n0-again", withKeyProof, func(o *shell.Options) {
 		o.Core.Self = fleet.NodeEntry{ID: o.Core.Self.ID, Machine: "machine-0", Capacity: 1}
 	})
-	d.eventually("somebody lends again", served(nodes[2]))
+	d.eventually("there is a lender again", served(nodes[2]))
 	if keys := d.store.Keys(fleet.KeyTickets); len(keys) != 1 {
 		t.Errorf("tickets %v", keys)
 	}
--- a/fleet/shell/logcost_test.go
+++ b/fleet/shell/logcost_test.go
@@ -13,8 +13,8 @@
 	"github.com/valveslip/valveslip/fleet/shell"
 )
 
-// processorTime is what this process has used so far.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
@@ -22,9 +22,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkLogCost compares the processor time of a small request by way of a node
-// that logs every line with one whose log is off, and with one straight to the
-// worker: log-share is what logging takes of the node's own time.
+// BenchmarkLogCost compares the CPU time of a small request through a node that logs every line,
+// through one whose log is off, and directly to the worker. log-share is the share of logging in
+// the node's own time.
 func BenchmarkLogCost(b *testing.B) {
 	const block = 100
 	d := newDeployment(b)
@@ -35,24 +35,24 @@
 	silent := d.startNode("n2", func(o *shell.Options) { o.Log = nil })
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}
 	sent := 0
-	spend := func(address string) time.Duration {
-		before := processorTime(b)
+	measure := func(address string) time.Duration {
+		before := cpuTime(b)
 		for range block {
 			sent++
 			post(b, client, address, fmt.Sprintf("c%d", sent), "body")
 		}
-		return processorTime(b) - before
+		return cpuTime(b) - before
 	}
-	var straight, on, off time.Duration
+	var direct, on, off time.Duration
 	blocks := 0
 	for b.Loop() {
-		straight += spend(d.workers["p1"].Address())
-		on += spend(logged.Address())
-		off += spend(silent.Address())
+		direct += measure(d.workers["p1"].Address())
+		on += measure(logged.Address())
+		off += measure(silent.Address())
 		blocks++
 	}
 	each := func(t time.Duration) float64 { return float64(t.Microseconds()) / float64(blocks*block) }
-	b.ReportMetric(each(off-straight), "node-us")
+	b.ReportMetric(each(off-direct), "node-us")
 	b.ReportMetric(each(on-off), "log-us")
-	b.ReportMetric(float64(on-off)/float64(on-straight), "log-share")
+	b.ReportMetric(float64(on-off)/float64(on-direct), "log-share")
 }
--- a/fleet/shell/latest_test.go
+++ b/fleet/shell/orderedmap_test.go
@@ -7,36 +7,36 @@
 	"pgregory.net/rapid"
 )
 
-// TestLatestIsAListWithoutRepeats: whatever is put and dropped, the values are those of a list
-// in which each key is looked for.
-func TestLatestIsAListWithoutRepeats(t *testing.T) {
+// TestOrderedMapMatchesList compares orderedMap with a list that is searched linearly, after
+// random puts and removals.
+func TestOrderedMapMatchesList(t *testing.T) {
 	type pair struct{ key, value int }
 	rapid.Check(t, func(t *rapid.T) {
-		var of orderedMap[int, pair]
+		var ordered orderedMap[int, pair]
 		var list []pair
 		for step := range rapid.IntRange(0, 40).Draw(t, "steps") {
 			key := rapid.IntRange(0, 6).Draw(t, "key")
 			at := slices.IndexFunc(list, func(p pair) bool { return p.key == key })
 			if rapid.Bool().Draw(t, "drop") {
-				of.remove(key)
+				ordered.remove(key)
 				if at >= 0 {
 					list = slices.Delete(list, at, at+1)
 				}
 			} else {
-				of.put(key, pair{key, step})
+				ordered.put(key, pair{key, step})
 				if at >= 0 {
 					list[at] = pair{key, step}
 				} else {
 					list = append(list, pair{key, step})
 				}
 			}
-			value, known := of.get(key)
+			value, known := ordered.get(key)
 			at = slices.IndexFunc(list, func(p pair) bool { return p.key == key })
 			if known != (at >= 0) || known && value != list[at] {
 				t.Fatalf("key %d: %v, %t in %v", key, value, known, list)
 			}
 		}
-		values := of.values()
+		values := ordered.values()
 		slices.SortFunc(values, func(a, b pair) int { return a.key - b.key })
 		slices.SortFunc(list, func(a, b pair) int { return a.key - b.key })
 		if !slices.Equal(values, list) {
--- a/fleet/shell/path_test.go
+++ b/fleet/shell/path_test.go
@@ -14,8 +14,9 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// TestWholePath serves a plain request and a stream along the whole path.
-func TestWholePath(t *testing.T) {
+// TestPlainRequestAndStreamAreServed guards against a request or a stream that is altered on its
+// way through the node.
+func TestPlainRequestAndStreamAreServed(t *testing.T) {
 	d := newDeployment(t)
 	plain := d.addWorker("p1", plainService, nil)
 	d.addWorker("e1", engineService, nil)
@@ -28,13 +29,14 @@
 		t.Fatalf("runs %+v, want one with the caller's body", runs)
 	}
 	stream := d.call(node, http.MethodPost, "/stream/x", "prompt", withModel("big"))
-	if stream.status != http.StatusOK || !slices.Equal(events(t, stream.body), oneTo(6)) {
+	if stream.status != http.StatusOK || !slices.Equal(eventNumbers(t, stream.body), oneTo(6)) {
 		t.Fatalf("stream %+v", stream)
 	}
 }
 
-// TestUnknownRoute is answered 404, and a route that is added is served.
-func TestUnknownRoute(t *testing.T) {
+// TestUnknownRouteIsNotFoundUntilAdded guards against an unknown route that is not answered with
+// 404, and against an added route that is not served.
+func TestUnknownRouteIsNotFoundUntilAdded(t *testing.T) {
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1")
@@ -47,10 +49,10 @@
 	})
 }
 
-// TestRejectedRequestGoesElsewhere: a request that a worker did not run may be
-// sent to another one, also when it is not repeatable; when all reject it, the
-// caller is told that it did not run and when to come back.
-func TestRejectedRequestGoesElsewhere(t *testing.T) {
+// TestRejectedRequestIsRetriedOnAnotherWorker guards against giving up on a request that a worker
+// rejected without running it. It must go to another worker even if it is not idempotent; if all
+// reject it, the caller must get 503 with Retry-After.
+func TestRejectedRequestIsRetriedOnAnotherWorker(t *testing.T) {
 	d := newDeployment(t)
 	reject := func(*http.Request) worker.Behaviour { return worker.Reject }
 	first := d.addWorker("p1", plainService, nil)
@@ -63,7 +65,7 @@
 		}
 	}
 	d.store.Remove(platform.PrefixWorkers + "p2")
-	d.eventually("a refusal says when to come back", func() bool {
+	d.eventually("a rejection has a Retry-After", func() bool {
 		got := d.call(node, http.MethodPost, "/write/", "b", func(h http.Header) { h.Set(platform.HeaderDeadline, "300") })
 		return got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 	})
@@ -72,9 +74,10 @@
 	}
 }
 
-// TestUnrepeatableRunsOnce: after a send without the worker's word the caller
-// gets 502, never a promise that nothing ran, and nothing is sent again.
-func TestUnrepeatableRunsOnce(t *testing.T) {
+// TestNonIdempotentRequestRunsOnce guards against running a non-idempotent request twice. After a
+// send without the worker's answer the caller must get 502, which does not claim that nothing
+// ran, and nothing is sent again.
+func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	d := newDeployment(t)
 	cut := func(*http.Request) worker.Behaviour { return worker.CutAfterRun }
 	first, second := d.addWorker("p1", plainService, nil), d.addWorker("p2", plainService, nil)
@@ -89,17 +92,18 @@
 	}
 }
 
-// TestIdempotentRunsAgain: a repeatable request is sent to another worker after a
-// failure, and a failure of all is passed on as the last worker gave it.
-func TestIdempotentRunsAgain(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestIdempotentRequestIsRetried guards against passing on a failure while another worker can
+// serve the idempotent request. If all workers fail, the last worker's own answer must be passed
+// on.
+func TestIdempotentRequestIsRetried(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	first := d.addWorker("p1", plainService, nil)
 	first.Behave = func(*http.Request) worker.Behaviour { return worker.FailWith500 }
 	d.addWorker("p2", plainService, nil)
 	node := d.startNode("n1")
 	for range 6 {
 		if got := d.call(node, http.MethodGet, "/read/", "", nil); got.status != http.StatusOK {
-			t.Fatalf("answer %+v, want that of the sound worker", got)
+			t.Fatalf("answer %+v, want that of the working worker", got)
 		}
 	}
 	d.store.Remove(platform.PrefixWorkers + "p2")
@@ -109,10 +113,10 @@
 	})
 }
 
-// TestStreamIsContinuedElsewhere: a stream that is cut in the middle of an event
-// goes on at another worker after the last whole event, in one answer.
-func TestStreamIsContinuedElsewhere(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestCutStreamResumesOnAnotherWorker guards against losing or repeating events of a cut stream:
+// it must resume on another worker after the last complete event, within the same answer.
+func TestCutStreamResumesOnAnotherWorker(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	first := d.addWorker("e1", engineService, nil)
 	second := d.addWorker("e2", engineService, nil)
 	cut := func(r *http.Request) worker.Behaviour {
@@ -124,7 +128,7 @@
 	first.Behave, second.Behave = cut, cut
 	node := d.startNode("n1")
 	got := d.call(node, http.MethodPost, "/stream/", "p", withModel("big"))
-	if got.err != nil || !slices.Equal(events(t, got.body), oneTo(6)) {
+	if got.err != nil || !slices.Equal(eventNumbers(t, got.body), oneTo(6)) {
 		t.Fatalf("stream %+v", got)
 	}
 	runs := append(first.Runs(), second.Runs()...)
@@ -133,33 +137,33 @@
 	}
 }
 
-// TestCutStreamDoesNotLookWhole: a stream that may not be continued ends with a
-// broken connection.
-func TestCutStreamDoesNotLookWhole(t *testing.T) {
+// TestCutStreamEndsWithBrokenConnection guards against a cut stream that looks complete to the
+// caller: a stream that can't be resumed must end with a broken connection.
+func TestCutStreamEndsWithBrokenConnection(t *testing.T) {
 	d := newDeployment(t)
 	first := d.addWorker("e1", engineService, nil)
 	first.Behave = func(*http.Request) worker.Behaviour { return worker.CutStream }
 	node := d.startNode("n1")
 	got := d.call(node, http.MethodPost, "/once/", "p", withModel("big"))
 	if got.err == nil {
-		t.Fatalf("the cut stream ended as if it were whole: %q", got.body)
+		t.Fatalf("the cut stream ended as if it were complete: %q", got.body)
 	}
-	if !slices.Equal(events(t, got.body), oneTo(3)) {
-		t.Fatalf("body %q, want the whole events before the cut", got.body)
+	if !slices.Equal(eventNumbers(t, got.body), oneTo(3)) {
+		t.Fatalf("body %q, want the complete events before the cut", got.body)
 	}
 }
 
-// TestRareModelIsLoaded: a request for a model that no engine holds has it loaded
-// in the place of an idle one, and an adapter is loaded beside its base.
-func TestRareModelIsLoaded(t *testing.T) {
+// TestMissingModelIsLoaded guards against a model that no engine holds and that is never loaded:
+// it must replace an idle model, and an adapter must be loaded with its base model.
+func TestMissingModelIsLoaded(t *testing.T) {
 	d := newDeployment(t)
 	engine := d.addWorker("e1", engineService, nil)
 	node := d.startNode("n1")
 	d.eventually("the node gives the orders", node.Holding)
-	if got := d.callAsTold(node, http.MethodPost, "/stream/", "p", withModel("rare")); got.status != http.StatusOK {
+	if got := d.callWithRetryAfter(node, http.MethodPost, "/stream/", "p", withModel("rare")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
-	if got := d.callAsTold(node, http.MethodPost, "/stream/", "p", withModel("big/a2")); got.status != http.StatusOK {
+	if got := d.callWithRetryAfter(node, http.MethodPost, "/stream/", "p", withModel("big/a2")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
 	var made []string
@@ -172,17 +176,17 @@
 	}
 }
 
-// TestDrainingWorkerGetsNothing: once the store says that a worker leaves, it gets
-// no new requests.
-func TestDrainingWorkerGetsNothing(t *testing.T) {
+// TestDrainingWorkerGetsNoRequests guards against sending requests to a worker whose entry in the
+// store says that it is draining.
+func TestDrainingWorkerGetsNoRequests(t *testing.T) {
 	d := newDeployment(t)
 	first := d.addWorker("p1", plainService, nil)
 	d.addWorker("p2", plainService, nil)
 	node := d.startNode("n1")
 	first.Drain()
-	// Changes are followed in their order: once this one is in force so is that.
+	// Changes are applied in order, so once this one is in force the earlier one is too.
 	d.configure(2, route("added", "idempotent", plainService, 2, false))
-	d.eventually("the node has learned of later changes", func() bool {
+	d.eventually("the node has applied later changes", func() bool {
 		return d.call(node, http.MethodGet, "/added/", "", nil).status == http.StatusOK
 	})
 	before := len(first.Runs())
@@ -194,9 +198,9 @@
 	}
 }
 
-// TestCallerWhoLeavesEndsTheRun: a worker's connection closes when the caller
-// leaves.
-func TestCallerWhoLeavesEndsTheRun(t *testing.T) {
+// TestCallerDisconnectCancelsRun guards against a worker that goes on running a request whose
+// caller has disconnected: the node must close the worker's connection.
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	d := newDeployment(t)
 	first := d.addWorker("p1", plainService, nil)
 	first.Behave = func(*http.Request) worker.Behaviour { return worker.Hang }
@@ -215,12 +219,12 @@
 	}()
 	d.eventually("the request runs", func() bool { return len(first.Runs()) == 1 })
 	leave()
-	d.eventually("the worker sees that its caller is gone", func() bool { return first.Abandoned() == 1 })
+	d.eventually("the worker sees that its caller disconnected", func() bool { return first.Abandoned() == 1 })
 }
 
-// TestStoreOutageKeepsServing: what is known goes on being served while the store
-// is silent, and changes are followed again once it answers.
-func TestStoreOutageKeepsServing(t *testing.T) {
+// TestNodeServesDuringStoreOutage guards against a node that stops serving while the store is
+// silent, and against one that does not follow changes afterwards.
+func TestNodeServesDuringStoreOutage(t *testing.T) {
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1")
@@ -238,32 +242,33 @@
 	})
 }
 
-// TestForgottenHistory: when the store has dropped the changes since the last
-// answer, everything is read again.
-func TestForgottenHistory(t *testing.T) {
+// TestStoreIsReadAgainAfterHistoryIsDropped guards against a node that misses changes because the
+// store has dropped its history: it must read everything again.
+func TestStoreIsReadAgainAfterHistoryIsDropped(t *testing.T) {
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1")
 	d.configure(2, route("added", "idempotent", plainService, 2, false))
 	d.store.Forget()
-	d.eventually("the change is in force though its history is gone", func() bool {
+	d.eventually("the change is in force although the history is dropped", func() bool {
 		return d.call(node, http.MethodGet, "/added/", "", nil).status == http.StatusOK
 	})
 }
 
-// TestAnotherNodeTakesOver: when the holder dies another node gives the orders,
-// under a larger token.
-func TestAnotherNodeTakesOver(t *testing.T) {
+// TestAnotherNodeTakesOrdersLease guards against a zone without orders after the lease holder
+// died: another node must take the lease with a larger fencing token.
+func TestAnotherNodeTakesOrdersLease(t *testing.T) {
 	d := newDeployment(t)
 	engine := d.addWorker("e1", engineService, nil)
 	first := d.startNode("n1")
 	d.eventually("the first node gives the orders", first.Holding)
 	second := d.startNode("n2")
 	if got := d.call(second, http.MethodPost, "/stream/", "p", withModel("rare")); got.status != http.StatusOK {
-		t.Fatalf("answer %+v by way of the first node", got)
+		t.Fatalf("answer %+v through the first node", got)
 	}
 	before := engine.Orders()
-	// A node that stood still for its lease's 0.6 s has lost it to the other.
+	// A node that was paused for the lease duration of 0.6 s may have lost the lease to the other
+	// node.
 	holder, other := first, second
 	if second.Holding() {
 		holder, other = second, first
@@ -279,10 +284,10 @@
 	}
 }
 
-// TestSameMachineOrdersAgainAtOnce: a node that starts again on the machine that
-// gave orders last removes its own old record and waits for nobody, while a node
-// on another machine waits out the pause between holders.
-func TestSameMachineOrdersAgainAtOnce(t *testing.T) {
+// TestRestartOnSameMachineGivesOrdersAtOnce guards against a restarted node that waits for its
+// own old lease, and against a node on another machine that does not wait for the pause between
+// lease holders.
+func TestRestartOnSameMachineGivesOrdersAtOnce(t *testing.T) {
 	d := newDeployment(t)
 	onMachine := func(machine string, first bool) func(*shell.Options) {
 		return func(options *shell.Options) {
@@ -293,9 +298,9 @@
 	first := d.startNode("n1", onMachine("m1", true))
 	d.eventually("the first node gives the orders", first.Holding)
 	first.Kill()
-	again := d.startNode("n2", onMachine("m1", false))
-	d.eventually("the node that started again gives the orders", again.Holding)
-	again.Kill()
+	restarted := d.startNode("n2", onMachine("m1", false))
+	d.eventually("the node that started again gives the orders", restarted.Holding)
+	restarted.Kill()
 	d.store.Remove(fleet.KeyHolder)
 	other := d.startNode("n3", onMachine("m2", false))
 	d.eventually("another machine has the lease", func() bool { return len(d.store.Keys(fleet.KeyHolder)) == 1 })
@@ -304,10 +309,10 @@
 	}
 }
 
-// TestMutedWatch: a watch that hears nothing while changes are made, and is told a
-// revision that is past them, must not go on from there: once the history is
-// forgotten everything is read again.
-func TestMutedWatch(t *testing.T) {
+// TestMutedWatchDoesNotSkipChanges guards against skipped changes: a muted watch returns no
+// changes but a later revision. The node must not continue from that revision, and must read
+// everything again once the history is dropped.
+func TestMutedWatchDoesNotSkipChanges(t *testing.T) {
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1", func(options *shell.Options) {
@@ -316,7 +321,7 @@
 	d.store.SetMuted(true)
 	d.configure(2, route("added", "idempotent", plainService, 2, false))
 	calls := d.store.Calls()
-	d.eventually("some watches were answered with nothing", func() bool { return d.store.Calls() > calls+4 })
+	d.eventually("some watches returned no changes", func() bool { return d.store.Calls() > calls+4 })
 	d.store.Forget()
 	d.store.SetMuted(false)
 	d.eventually("the change is in force", func() bool {
--- a/fleet/shell/poison_bench_test.go
+++ b/fleet/shell/poison_bench_test.go
@@ -12,9 +12,9 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// BenchmarkPoisonCost compares the processor time of a request by way of a node that knows
-// of no request that ends machines with one whose table is full, for a small body and one of
-// 1 MiB, both with the worker and the caller in it: full-ratio is what the table costs.
+// BenchmarkPoisonCost compares the CPU time of a request through a node without poison records
+// with one whose table of them is full, for a small body and one of 1 MiB. The times include the
+// worker and the caller; full-ratio is the cost of the table.
 func BenchmarkPoisonCost(b *testing.B) {
 	for _, size := range []struct{ bytes, block int }{{100, 100}, {1 << 20, 10}} {
 		b.Run(fmt.Sprintf("%d bytes", size.bytes), func(b *testing.B) {
@@ -22,19 +22,19 @@
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}
 			body := strings.Repeat("b", size.bytes)
 			sent := 0
-			spend := func(node *shell.Node) time.Duration {
-				before := processorTime(b)
+			measure := func(node *shell.Node) time.Duration {
+				before := cpuTime(b)
 				for range size.block {
 					sent++
 					post(b, client, node.Address(), fmt.Sprintf("c%d", sent), body)
 				}
-				return processorTime(b) - before
+				return cpuTime(b) - before
 			}
 			var without, with time.Duration
 			blocks := 0
 			for b.Loop() {
-				without += spend(empty)
-				with += spend(full)
+				without += measure(empty)
+				with += measure(full)
 				blocks++
 			}
 			b.ReportMetric(float64(without.Microseconds())/float64(blocks*size.block), "empty-us")
@@ -44,7 +44,7 @@
 	}
 }
 
-// poisonBenchNode starts a node whose store holds so many convictions.
+// poisonBenchNode starts a node whose store holds the given number of poison records.
 func poisonBenchNode(b *testing.B, records int) *shell.Node {
 	d := newDeployment(b)
 	d.addWorker("p1", plainService, nil)
@@ -55,6 +55,6 @@
 		}
 	}
 	node := d.startNode("n1")
-	d.eventually("the node knows of all", func() bool { return figure(node, "valveslip_poison_requests") == float64(records) })
+	d.eventually("the node knows all records", func() bool { return metric(node, "valveslip_poison_requests") == float64(records) })
 	return node
 }
--- a/fleet/shell/poison_test.go
+++ b/fleet/shell/poison_test.go
@@ -13,42 +13,36 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// What was seen: one request ended worker after worker, and each node went on sending it.
-//
-// How it came about: it ends the process of each worker that begins to run it, and comes
-// again under a new identifier, at any node.
-//
-// What caused it: a node judged each attempt by itself and told no other node.
-//
-// What proved that: three nodes before workers that end on a marked body, whose tries go
-// round the nodes; the workers see each run.
+// Guarded failure: a request crashes each worker that begins to run it, and comes again under a
+// new identifier at any node. When each node judged only its own attempts and shared nothing with
+// the others, the request crashed worker after worker.
 
-// harmfulBody ends the workers of these tests.
-const harmfulBody = "ends the worker that runs it"
+// poisonBody crashes the workers of these tests.
+const poisonBody = "crashes the worker that runs it"
 
-// endingWorkers adds workers that end when they begin to run the harmful body, and counts
-// the ends.
-func (d *deployment) endingWorkers(n int) *atomic.Int64 {
-	var ends atomic.Int64
+// addCrashingWorkers adds n workers that crash when they begin to run poisonBody, and counts the
+// crashes.
+func (d *deployment) addCrashingWorkers(n int) *atomic.Int64 {
+	var crashes atomic.Int64
 	for i := range n {
 		id := fmt.Sprintf("p%d", i)
 		w := d.addWorker(id, plainService, nil)
 		w.Behave = func(r *http.Request) worker.Behaviour {
 			body, err := io.ReadAll(r.Body)
 			r.Body = io.NopCloser(strings.NewReader(string(body)))
-			if err != nil || string(body) != harmfulBody {
+			if err != nil || string(body) != poisonBody {
 				return worker.Serve
 			}
-			ends.Add(1)
+			crashes.Add(1)
 			d.workers[id].Kill()
 			return worker.CutAfterRun
 		}
 	}
-	return &ends
+	return &crashes
 }
 
-// figure returns a figure of a node, zero when it has none of the name.
-func figure(node *shell.Node, name string) float64 {
+// metric returns the value of a node's metric; zero if there is none of that name.
+func metric(node *shell.Node, name string) float64 {
 	response, err := http.Get(node.MetricsURL())
 	if err != nil {
 		return 0
@@ -67,38 +61,39 @@
 	return 0
 }
 
-// TestPoisonRequestIsRefusedEverywhere: once a request has ended three workers, each node
-// refuses it at once, without an invitation to come back soon, and serves others.
-func TestPoisonRequestIsRefusedEverywhere(t *testing.T) {
-	for name, path := range map[string]string{"one end a try": "/write/x", "three ends in a try": "/read/x"} {
+// TestPoisonRequestIsRejectedByAllNodes guards against a request that crashes worker after
+// worker. Once it has crashed three workers every node must reject it at once with a long
+// Retry-After, and still serve other requests.
+func TestPoisonRequestIsRejectedByAllNodes(t *testing.T) {
+	for name, path := range map[string]string{"one crash per call": "/write/x", "three crashes in a call": "/read/x"} {
 		t.Run(name, func(t *testing.T) {
-			d := newDeployment(t, patient)
-			ends := d.endingWorkers(12)
+			d := newDeployment(t, withoutLatencyObjective)
+			crashes := d.addCrashingWorkers(12)
 			nodes := []*shell.Node{d.startNode("n1"), d.startNode("n2"), d.startNode("n3")}
-			tries := 0
-			for ; ends.Load() < 3; tries++ {
-				if got := d.call(nodes[tries%3], http.MethodPost, path, harmfulBody, nil); got.status == http.StatusOK {
+			calls := 0
+			for ; crashes.Load() < 3; calls++ {
+				if got := d.call(nodes[calls%3], http.MethodPost, path, poisonBody, nil); got.status == http.StatusOK {
 					t.Fatalf("answer %+v", got)
 				}
 			}
 			for i, node := range nodes {
 				d.eventually(fmt.Sprintf("node %d knows of the request", i+1), func() bool {
-					return figure(node, "valveslip_poison_requests") == 1
+					return metric(node, "valveslip_poison_requests") == 1
 				})
 			}
-			known := ends.Load()
+			known := crashes.Load()
 			for _, node := range nodes {
-				got := d.call(node, http.MethodPost, path, harmfulBody, nil)
+				got := d.call(node, http.MethodPost, path, poisonBody, nil)
 				after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 				if got.status != http.StatusServiceUnavailable || err != nil || after < 60 {
 					t.Errorf("answer %+v", got)
 				}
-				if other := d.callAsTold(node, http.MethodPost, path, "harmless", nil); other.status != http.StatusOK {
+				if other := d.callWithRetryAfter(node, http.MethodPost, path, "harmless", nil); other.status != http.StatusOK {
 					t.Errorf("another request is answered %+v", other)
 				}
 			}
-			if now := ends.Load(); now != known || known > 6 {
-				t.Errorf("%d workers ended in %d tries, %d more after all nodes knew", known, tries, now-known)
+			if now := crashes.Load(); now != known || known > 6 {
+				t.Errorf("%d workers crashed in %d calls, %d more after all nodes knew the request", known, calls, now-known)
 			}
 		})
 	}
--- a/fleet/shell/silence_test.go
+++ b/fleet/shell/silence_test.go
@@ -18,17 +18,10 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// What was seen: around a change of the configuration a node closed a connection in the
-// middle of an answer, 0.6 s after the engine had last sent an event. The engine was at
-// work, the caller's time had not passed, and no other engine was asked.
-//
-// How it came about: a node that hears nothing for twice the longest pause of the route
-// (at least 0.6 s) gave the engine up in order to continue elsewhere. Only then did it
-// look whether it may: the budget of retries was spent, or no other engine had the model
-// and room. With neither the answer ended there.
-//
-// What proved it: the same pause between events with an empty budget, and with a single
-// engine, ends the answer on loopback each time.
+// Guarded failure: a node that heard nothing from an engine for twice the longest pause of the
+// route, at least 0.6 s, abandoned the attempt to continue on another engine, and only then
+// checked whether it could. If the retry budget was spent or no other engine had the model and
+// room, it cut the answer although the engine was working and the deadline had not passed.
 
 // longPause is longer than a node waits before it looks for another engine.
 const longPause = 900 * time.Millisecond
@@ -37,15 +30,15 @@
 	options.Core.Routing.RetryRatio, options.Core.Routing.RetryExtra = 1e-9, 0
 }
 
-// TestSilentEngineIsAwaited: an engine that says nothing for a while is not given up while
-// no other may be asked.
-func TestSilentEngineIsAwaited(t *testing.T) {
-	t.Run("between events, without a budget", silentWithoutBudget)
-	t.Run("between events, the only engine", silentOnlyEngine)
-	t.Run("before the first byte, without a budget", slowWithoutBudget)
+// TestSilentEngineIsKeptWithoutAlternative guards against abandoning a silent engine while no
+// other engine may be asked.
+func TestSilentEngineIsKeptWithoutAlternative(t *testing.T) {
+	t.Run("between events, without a budget", testSilentStreamWithoutRetryBudget)
+	t.Run("between events, the only engine", testSilentOnlyEngine)
+	t.Run("before the first byte, without a budget", testSlowAnswerWithoutRetryBudget)
 }
 
-func silentWithoutBudget(t *testing.T) {
+func testSilentStreamWithoutRetryBudget(t *testing.T) {
 	d := newDeployment(t)
 	pausing := func(config *worker.Config) { config.Events, config.Pause = 3, longPause }
 	d.addWorker("e1", engineService, pausing)
@@ -53,31 +46,31 @@
 	node := d.startNode("n1", withoutRetries)
 	got := d.call(node, http.MethodPost, "/stream/", "b", withModel("big"))
 	if got.status != http.StatusOK || got.err != nil {
-		t.Fatalf("answer %+v, want the whole stream", got)
+		t.Fatalf("answer %+v, want the complete stream", got)
 	}
-	if numbers := events(t, got.body); !slices.Equal(numbers, oneTo(3)) {
+	if numbers := eventNumbers(t, got.body); !slices.Equal(numbers, oneTo(3)) {
 		t.Fatalf("events %v, want 1 to 3", numbers)
 	}
 }
 
-// silentOnlyEngine: the only engine with the model isn't left for itself, which would run
-// the request anew.
-func silentOnlyEngine(t *testing.T) {
+// testSilentOnlyEngine: the only engine with the model must not be abandoned for itself, which
+// would run the request again.
+func testSilentOnlyEngine(t *testing.T) {
 	d := newDeployment(t)
 	only := d.addWorker("e1", engineService, func(config *worker.Config) { config.Events, config.Pause = 3, longPause })
 	node := d.startNode("n1")
 	got := d.call(node, http.MethodPost, "/stream/", "b", withModel("big"))
-	if numbers := events(t, got.body); got.err != nil || !slices.Equal(numbers, oneTo(3)) {
-		t.Fatalf("answer %+v, want the whole stream", got)
+	if numbers := eventNumbers(t, got.body); got.err != nil || !slices.Equal(numbers, oneTo(3)) {
+		t.Fatalf("answer %+v, want the complete stream", got)
 	}
 	if runs := len(only.Runs()); runs != 1 {
 		t.Fatalf("the engine ran the request %d times, want once", runs)
 	}
 }
 
-// slowWithoutBudget: before the first byte a request that may be repeated is sent elsewhere
-// after 1.3 objectives, if it may be.
-func slowWithoutBudget(t *testing.T) {
+// testSlowAnswerWithoutRetryBudget: an idempotent request without a first byte is sent to another
+// worker after 1.3 latency objectives, but only if the retry budget allows it.
+func testSlowAnswerWithoutRetryBudget(t *testing.T) {
 	d := newDeployment(t)
 	slow := func(config *worker.Config) { config.Events, config.Pause = 1, longPause }
 	for _, id := range []string{"p1", "p2"} {
@@ -95,38 +88,38 @@
 	}
 }
 
-// TestSilentStreamMovesToAnotherEngine: where another engine may be asked, a caller does
-// not wait for one that says nothing.
+// TestSilentStreamMovesToAnotherEngine guards against a caller that waits for a silent engine
+// while another engine may be asked.
 func TestSilentStreamMovesToAnotherEngine(t *testing.T) {
 	d := newDeployment(t)
-	hangs := d.addWorker("e1", engineService, nil)
-	hangs.Behave = func(*http.Request) worker.Behaviour { return worker.Hang }
+	hangingEngine := d.addWorker("e1", engineService, nil)
+	hangingEngine.Behave = func(*http.Request) worker.Behaviour { return worker.Hang }
 	node := d.startNode("n1")
 	replies := make(chan reply)
 	go func() { replies <- d.call(node, http.MethodPost, "/stream/", "b", withModel("big")) }()
-	d.eventually("the first engine runs it", func() bool { return len(hangs.Runs()) == 1 })
-	serves := d.addWorker("e2", engineService, nil)
+	d.eventually("the first engine runs it", func() bool { return len(hangingEngine.Runs()) == 1 })
+	otherEngine := d.addWorker("e2", engineService, nil)
 	got := <-replies
-	if numbers := events(t, got.body); got.err != nil || !slices.Equal(numbers, oneTo(6)) {
-		t.Fatalf("answer %+v, want the whole stream", got)
+	if numbers := eventNumbers(t, got.body); got.err != nil || !slices.Equal(numbers, oneTo(6)) {
+		t.Fatalf("answer %+v, want the complete stream", got)
 	}
-	d.eventually("the first engine is given up", func() bool { return hangs.Abandoned() == 1 })
-	if len(serves.Runs()) != 1 {
-		t.Fatalf("%d runs, want 1", len(serves.Runs()))
+	d.eventually("the first engine is abandoned", func() bool { return hangingEngine.Abandoned() == 1 })
+	if len(otherEngine.Runs()) != 1 {
+		t.Fatalf("%d runs, want 1", len(otherEngine.Runs()))
 	}
 	if got.header.Get(platform.HeaderStamp) != "stamp-e2" {
-		t.Fatalf("the answer bears %q", got.header.Get(platform.HeaderStamp))
+		t.Fatalf("the answer has the stamp %q", got.header.Get(platform.HeaderStamp))
 	}
 }
 
-// TestSlowCallerIsNoSilence: an engine that sends more than its caller reads is not given
-// up for the caller's sake.
-func TestSlowCallerIsNoSilence(t *testing.T) {
-	// The first event may come late; the pauses that are meant follow it.
+// TestSlowCallerDoesNotCauseFailover guards against abandoning an engine that only seems silent
+// because its caller reads slowly.
+func TestSlowCallerDoesNotCauseFailover(t *testing.T) {
+	// The first event may come late; only the pauses after it are tested.
 	d := newDeployment(t, func(route *platform.RouteDocument) { route.AimMS = 2000 })
 	var runs atomic.Int64
 	for _, id := range []string{"e1", "e2"} {
-		d.enterFlooding(id, &runs)
+		d.registerFloodingEngine(id, &runs)
 	}
 	node := d.startNode("n1")
 	connection, err := net.Dial("tcp", node.Address())
@@ -144,7 +137,7 @@
 	if runs.Load() != 1 {
 		t.Fatalf("%d engines ran the request while its caller read nothing, want 1", runs.Load())
 	}
-	// An engine that was given up shows once what it sent before was read.
+	// If the engine was abandoned, that shows once the buffered bytes are read.
 	_ = connection.SetReadDeadline(time.Now().Add(waitLimit))
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
@@ -156,8 +149,8 @@
 	}
 }
 
-// enterFlooding enters an engine that sends large events without a pause.
-func (d *deployment) enterFlooding(id string, runs *atomic.Int64) {
+// registerFloodingEngine registers an engine that sends large events without a pause.
+func (d *deployment) registerFloodingEngine(id string, runs *atomic.Int64) {
 	d.t.Helper()
 	engine := d.addWorker(id, engineService, nil)
 	event := strings.Repeat("x", 256<<10)
@@ -179,5 +172,5 @@
 	server := httptest.NewServer(flood)
 	d.t.Cleanup(server.Close)
 	engine.SetAddress(server.Listener.Addr().String())
-	d.enter(engine)
+	d.register(engine)
 }
--- a/fleet/shell/silent_callers_test.go
+++ b/fleet/shell/silent_callers_test.go
@@ -41,12 +41,12 @@
 	return slices.ContainsFunc(w.Runs(), func(r worker.Run) bool { return r.RequestID == id })
 }
 
-// TestCallerWhoLeavesWhileModelLoads: nothing of a request reaches a worker when its
-// caller left before the model was there.
-func TestCallerWhoLeavesWhileModelLoads(t *testing.T) {
+// TestCallerDisconnectDuringModelLoadIsNotRun guards against running a request whose caller
+// disconnected while the model was being loaded.
+func TestCallerDisconnectDuringModelLoadIsNotRun(t *testing.T) {
 	d := newDeployment(t)
-	// Its load does not end, so the caller leaves before.
-	loads := d.addWorker("e1", engineService, func(config *worker.Config) { config.Held, config.LoadTime = nil, time.Hour })
+	// The load never ends, so the caller disconnects during it.
+	loadingEngine := d.addWorker("e1", engineService, func(config *worker.Config) { config.Held, config.LoadTime = nil, time.Hour })
 	node := d.startNode("n1")
 	d.eventually("the node gives the orders", node.Holding)
 	ctx, leave := context.WithCancel(context.Background())
@@ -66,7 +66,7 @@
 		left <- err
 	}()
 	d.eventually("the model is being loaded", func() bool {
-		return slices.ContainsFunc(loads.Orders(), func(o platform.OrderDocument) bool {
+		return slices.ContainsFunc(loadingEngine.Orders(), func(o platform.OrderDocument) bool {
 			return o.Operation == "load" && o.Model == "rare"
 		})
 	})
@@ -74,18 +74,18 @@
 	if err := <-left; !errors.Is(err, context.Canceled) {
 		t.Fatalf("the caller did not wait: %v", err)
 	}
-	d.eventually("the node has seen that the caller left", func() bool { return inFlight(t, node) == 0 })
-	d.store.Remove(loads.Key())
-	serves := d.addWorker("e2", engineService, nil)
-	if got := d.callAsTold(node, http.MethodPost, "/stream/", "p", withModel("rare")); got.status != http.StatusOK {
+	d.eventually("the node has noticed that the caller disconnected", func() bool { return inFlight(t, node) == 0 })
+	d.store.Remove(loadingEngine.Key())
+	readyEngine := d.addWorker("e2", engineService, nil)
+	if got := d.callWithRetryAfter(node, http.MethodPost, "/stream/", "p", withModel("rare")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
-	if ran(loads, "leaves") || ran(serves, "leaves") {
-		t.Fatal("the request of the caller who left was run")
+	if ran(loadingEngine, "leaves") || ran(readyEngine, "leaves") {
+		t.Fatal("the request of the disconnected caller was run")
 	}
 }
 
-// inFlight reads how many requests a node has that have not ended.
+// inFlight returns a node's number of requests in flight.
 func inFlight(t *testing.T, node *shell.Node) int {
 	t.Helper()
 	response, err := http.Get(node.MetricsURL())
@@ -100,12 +100,12 @@
 			return count
 		}
 	}
-	t.Fatalf("no figure of the requests in flight: %v", lines.Err())
+	t.Fatalf("no metric of the requests in flight: %v", lines.Err())
 	panic("unreachable")
 }
 
-// TestCallerWhoLeavesWithinBody: a request whose body is cut is not run.
-func TestCallerWhoLeavesWithinBody(t *testing.T) {
+// TestCallerDisconnectWithinBodyIsNotRun guards against running a request whose body was cut.
+func TestCallerDisconnectWithinBodyIsNotRun(t *testing.T) {
 	d := newDeployment(t)
 	plain := d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1")
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestCallerWhoStopsWithinBody: a caller that sends half a body and stays is answered when
-// its time is over, as not run.
-func TestCallerWhoStopsWithinBody(t *testing.T) {
+// TestIncompleteBodyTimesOutAsNotRun guards against a caller that sends half a body and stays: it
+// must get an answer at its deadline, as not run.
+func TestIncompleteBodyTimesOutAsNotRun(t *testing.T) {
 	d := newDeployment(t)
 	plain := d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1")
@@ -147,13 +147,13 @@
 	}
 }
 
-// TestCallerWhoLeavesWhileBodyIsPassedOn: a worker that reads a long body slowly sees its
-// end when the caller leaves.
-func TestCallerWhoLeavesWhileBodyIsPassedOn(t *testing.T) {
+// TestCallerDisconnectClosesConnectionOfReadingWorker guards against a worker that reads a long
+// body slowly and does not learn that the caller disconnected: its connection must be closed.
+func TestCallerDisconnectClosesConnectionOfReadingWorker(t *testing.T) {
 	d := newDeployment(t)
 	const length = 900 << 10
 	begun, ended := make(chan struct{}), make(chan error, 1)
-	address := scripted(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
+	address := startScriptedWorker(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
@@ -161,7 +161,7 @@
 		_, err := io.Copy(io.Discard, reader)
 		ended <- err
 	})
-	d.enterAddress("p1", plainService, address)
+	d.registerAddress("p1", plainService, address)
 	node := d.startNode("n1")
 	connection := d.dial(node, "/write/", "leaves", length)
 	if _, err := connection.Write(make([]byte, length)); err != nil {
@@ -176,31 +176,31 @@
 	}
 }
 
-// TestCallerWhoHalfCloses: a caller who has closed its sending half is taken to have left,
-// as net/http does: nothing tells it from one who closed both.
-func TestCallerWhoHalfCloses(t *testing.T) {
+// TestHalfClosedCallerCountsAsDisconnected checks that a caller that closed its sending half
+// counts as disconnected, as in net/http: it can't be told from one that closed both halves.
+func TestHalfClosedCallerCountsAsDisconnected(t *testing.T) {
 	d := newDeployment(t)
-	hangs := d.addWorker("p1", plainService, nil)
-	hangs.Behave = func(*http.Request) worker.Behaviour { return worker.Hang }
+	hangingWorker := d.addWorker("p1", plainService, nil)
+	hangingWorker.Behave = func(*http.Request) worker.Behaviour { return worker.Hang }
 	node := d.startNode("n1")
 	connection := d.dial(node, "/write/", "leaves", 1)
 	if _, err := connection.Write([]byte("b")); err != nil {
 		t.Fatal(err)
 	}
-	d.eventually("the request runs", func() bool { return ran(hangs, "leaves") })
+	d.eventually("the request runs", func() bool { return ran(hangingWorker, "leaves") })
 	if err := connection.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	d.eventually("the worker sees that its caller is gone", func() bool { return hangs.Abandoned() == 1 })
+	d.eventually("the worker sees that its caller disconnected", func() bool { return hangingWorker.Abandoned() == 1 })
 }
 
-// countedListener counts the connections that are open.
+// countedListener counts the open connections.
 type countedListener struct {
 	net.Listener
 	open *atomic.Int64
 }
 
-// countedConn is one of them.
+// countedConn is a connection of a countedListener.
 type countedConn struct {
 	*net.TCPConn
 	open *atomic.Int64
@@ -225,13 +225,12 @@
 	return c.TCPConn.Close()
 }
 
-// silentCallerLimit ends the wait for the end of a silent caller's connection; nothing is
-// measured by it.
-const silentCallerLimit = time.Minute
+// silentCallerWait ends the wait for the close of a silent caller's connection.
+const silentCallerWait = time.Minute
 
-// TestSilentCallersAreLeft: the connection of a caller who went silent within a body, or
-// to whom an answer is being sent, does not stay.
-func TestSilentCallersAreLeft(t *testing.T) {
+// TestSilentCallerConnectionIsClosed guards against connections that stay open after the caller
+// went silent within its body or while it is sent an answer.
+func TestSilentCallerConnectionIsClosed(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		sent int
@@ -261,7 +260,7 @@
 				t.Fatal(err)
 			}
 			close(release)
-			for limit := time.Now().Add(silentCallerLimit); open.Load() != 0; time.Sleep(10 * time.Millisecond) {
+			for limit := time.Now().Add(silentCallerWait); open.Load() != 0; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(limit) {
 					t.Fatal("the silent caller's connection is still open")
 				}
--- a/fleet/shell/silent_workers_test.go
+++ b/fleet/shell/silent_workers_test.go
@@ -10,17 +10,18 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// TestAllKeptConnectionsGoSilent: when all kept connections to the workers go silent, one
-// lost attempt at each of two workers is enough to leave them all, and a request that may be
-// run again is served by its third attempt.
-func TestAllKeptConnectionsGoSilent(t *testing.T) {
-	t.Run("two workers", func(t *testing.T) { allGoSilent(t, []string{"p1", "p2"}) })
-	t.Run("more workers than attempts", func(t *testing.T) { allGoSilent(t, []string{"p1", "p2", "p3", "p4"}) })
+// TestRequestIsServedAfterAllKeepAliveConnectionsGoSilent guards against losing an attempt to
+// each dead keep-alive connection. When all of them go silent, one lost attempt at each of two
+// workers must be enough to discard them all, so that the third attempt of an idempotent request
+// succeeds.
+func TestRequestIsServedAfterAllKeepAliveConnectionsGoSilent(t *testing.T) {
+	t.Run("two workers", func(t *testing.T) { testAllConnectionsGoSilent(t, []string{"p1", "p2"}) })
+	t.Run("more workers than attempts", func(t *testing.T) { testAllConnectionsGoSilent(t, []string{"p1", "p2", "p3", "p4"}) })
 }
 
-func allGoSilent(t *testing.T, ids []string) {
-	const each = 6
-	together := each * len(ids)
+func testAllConnectionsGoSilent(t *testing.T, ids []string) {
+	const requestsPerWorker = 6
+	totalRequests := requestsPerWorker * len(ids)
 	d := newDeployment(t)
 	var proxies []*blackhole.Proxy
 	var arrived atomic.Int64
@@ -38,19 +39,19 @@
 		}
 		t.Cleanup(func() { _ = proxy.Close() })
 		proxies = append(proxies, proxy)
-		d.enterAddress(id, plainService, proxy.Address())
+		d.registerAddress(id, plainService, proxy.Address())
 	}
 	node := d.startNode("n1")
 	var calls sync.WaitGroup
-	for range together {
+	for range totalRequests {
 		calls.Go(func() { d.call(node, http.MethodPost, "/write/", "b", nil) })
 	}
-	d.eventually("all requests run", func() bool { return arrived.Load() == int64(together) })
+	d.eventually("all requests run", func() bool { return arrived.Load() == int64(totalRequests) })
 	close(release)
 	calls.Wait()
 	for _, proxy := range proxies {
 		if n, err := proxy.Silence(); n == 0 || err != nil {
-			t.Fatalf("%d connections are kept: %v", n, err)
+			t.Fatalf("%d keep-alive connections are open: %v", n, err)
 		}
 	}
 	if got := d.call(node, http.MethodGet, "/read/", "", nil); got.status != http.StatusOK {
--- a/fleet/shell/size_bench_test.go
+++ b/fleet/shell/size_bench_test.go
@@ -19,11 +19,11 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// fleetZones is how many zones the fleets of this file are spread over.
+// fleetZones is the number of zones that the fleets of these benchmarks span.
 const fleetZones = 5
 
-// newSizedFollower returns the follower of a node that knows a configuration of models and
-// nothing else.
+// newSizedFollower returns the follower of a node that knows only a configuration with the given
+// number of models.
 func newSizedFollower(t testing.TB, models int) *follower {
 	t.Helper()
 	n := &Node{epoch: time.Unix(1_000_000, 0)}
@@ -38,7 +38,7 @@
 	n.options = n.options.withDefaults()
 	n.startTime = n.options.Now()
 	n.becameReady = make(chan struct{})
-	// No call is made: what the store holds comes from the test.
+	// The store is never called; the test supplies its content.
 	n.context, n.cancel = context.WithCancel(t.Context())
 	n.cancel()
 	n.options.Store = platform.NewStoreClient("127.0.0.1:1", time.Second)
@@ -57,7 +57,7 @@
 	return f
 }
 
-// sizedConfiguration is a configuration with a number of models.
+// sizedConfiguration returns a configuration with the given number of models.
 func sizedConfiguration(t testing.TB, models int) []byte {
 	t.Helper()
 	engine := &platform.EngineDocument{Slots: 12, CacheTokens: 58_000, WeightsMB: 200_000, AdapterSlots: 8, LoadsPerSecond: 2800}
@@ -78,7 +78,7 @@
 	return data
 }
 
-// nodeChange is the record of a node, or its end.
+// nodeChange returns the change that adds a node's record.
 func nodeChange(number int, revision int64) wire.StoreChange {
 	entry := fleet.NodeEntry{
 		ID: cluster.NodeID(fmt.Sprintf("node-%04d", number)), Machine: fmt.Sprintf("machine-%04d", number),
@@ -90,7 +90,7 @@
 	return wire.StoreChange{Key: fleet.KeyNodes + string(entry.ID), Value: entry.Encode(), Revision: revision}
 }
 
-// workerChange is the entry of an engine that holds one of the models.
+// workerChange returns the entry of an engine that holds one of the models.
 func workerChange(t testing.TB, number, models int, revision int64) wire.StoreChange {
 	t.Helper()
 	document := platform.WorkerDocument{
@@ -104,7 +104,7 @@
 	return wire.StoreChange{Key: fmt.Sprintf("%sworker-%05d", platform.PrefixWorkers, number), Value: value, Revision: revision}
 }
 
-// fleetContent is what the store holds of a fleet.
+// fleetContent returns the store's content for a fleet.
 func fleetContent(t testing.TB, nodes, workers, models int) []wire.StoreChange {
 	var pairs []wire.StoreChange
 	for i := range nodes {
@@ -116,7 +116,7 @@
 	return pairs
 }
 
-// BenchmarkFirstReading is what a node does with everything that the store holds.
+// BenchmarkFirstReading measures how a node processes the full content of the store.
 func BenchmarkFirstReading(b *testing.B) {
 	for _, size := range []int{100, 985, 1970} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// BenchmarkNodeCame is what a node does with the record of one further node.
+// BenchmarkNodeCame measures how a node processes the record of one added node.
 func BenchmarkNodeCame(b *testing.B) {
 	for _, size := range []int{100, 985, 1970} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
--- a/fleet/shell/snapshot_test.go
+++ b/fleet/shell/snapshot_test.go
@@ -12,8 +12,9 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// addMany enters workers that nobody asks for, so that the store holds more than a page.
-func (d *deployment) addMany(count int) {
+// addIdleEntries adds entries of workers that get no requests, so that the store holds more than
+// one page.
+func (d *deployment) addIdleEntries(count int) {
 	d.t.Helper()
 	for i := range count {
 		entry := platform.WorkerDocument{Service: "other", Address: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Zone: "z", Slots: 1, State: "ready"}
@@ -23,13 +24,13 @@
 	}
 }
 
-// TestNodeLearnsEverythingOfAnother: where the store holds more than a page, the first node of
-// a zone reads it and the next ones learn all of it from that one; they serve, and follow what
-// changes afterwards. When the one that read ended, another one takes its place.
-func TestNodeLearnsEverythingOfAnother(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestNodeLoadsSnapshotFromStarter guards against every node of a zone reading a large store. The
+// first node reads it as the starter and the next ones load a snapshot from that node, serve, and
+// follow later changes. After the starter died another node must take its place.
+func TestNodeLoadsSnapshotFromStarter(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	d.addWorker("p1", plainService, nil)
-	d.addMany(1200)
+	d.addIdleEntries(1200)
 	logs := map[string]*logText{}
 	start := func(id string) *shell.Node {
 		logs[id] = &logText{}
@@ -49,7 +50,7 @@
 	second := start("n2")
 	serves(second)
 	if text := logs["n2"].String(); !strings.Contains(text, "snapshot_taken from=n1") || strings.Contains(text, "starter_chosen") {
-		t.Errorf("the second node did not learn of the first:\n%s", text)
+		t.Errorf("the second node did not load a snapshot from the first:\n%s", text)
 	}
 	d.configure(2, route("added", "idempotent", plainService, 1, false))
 	d.eventually("the second node follows the configuration", func() bool {
@@ -59,16 +60,16 @@
 	third := start("n3")
 	serves(third)
 	if text := logs["n3"].String(); !strings.Contains(text, "starter_chosen") {
-		t.Errorf("the third node waited for one that had ended:\n%s", text)
+		t.Errorf("the third node waited for a dead starter:\n%s", text)
 	}
 }
 
-// TestUnreadableStarterIsReplaced: a record of the starter that another writer left holds
-// nobody up.
+// TestUnreadableStarterIsReplaced guards against a start that blocks on a starter record that
+// can't be decoded.
 func TestUnreadableStarterIsReplaced(t *testing.T) {
-	d := newDeployment(t, patient)
+	d := newDeployment(t, withoutLatencyObjective)
 	d.addWorker("p1", plainService, nil)
-	d.addMany(600)
+	d.addIdleEntries(600)
 	if err := d.store.PutBytes(fleet.KeyStarters+"z/", []byte("{")); err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/shell/storecalls_test.go
+++ b/fleet/shell/storecalls_test.go
@@ -7,12 +7,12 @@
 	"github.com/valveslip/valveslip/keyvalue/lease"
 )
 
-// TestStoreCallsAreCountedByKind: a span holds each kind of call, and the next span
-// begins empty.
+// TestStoreCallsAreCountedByKind guards against store calls that are counted under another kind,
+// or counted again in the next interval.
 func TestStoreCallsAreCountedByKind(t *testing.T) {
 	var c storeCallCounts
 	if _, called := c.takeCounts(); called {
-		t.Fatal("a span without calls is reported")
+		t.Fatal("an interval without calls is reported")
 	}
 	c.add(storePoll, nil)
 	c.add(storePoll, errors.New("away"))
@@ -24,6 +24,6 @@
 		t.Errorf("counted %+v", line)
 	}
 	if _, called := c.takeCounts(); called {
-		t.Error("counts were kept for the next span")
+		t.Error("counts were kept for the next interval")
 	}
 }
--- a/fleet/shell/suspension_test.go
+++ b/fleet/shell/suspension_test.go
@@ -15,33 +15,33 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// A suspended machine's steady clock stands and its timers with it, while leases, deadlines
-// and the age of what is known go on. These tests let a node's clock jump as the one that
-// counts suspension does, and leave its timers where they are.
+// While a machine is suspended its monotonic clock and its timers stand still, but leases,
+// deadlines and the age of knowledge advance. In these tests a node's clock jumps like one that
+// counts suspensions, and its timers don't.
 
-// jumpingClock is a clock that was suspended for a time.
-type jumpingClock struct{ suspended atomic.Int64 }
+// suspendableClock is a clock that can be advanced as by a suspension.
+type suspendableClock struct{ suspended atomic.Int64 }
 
-func (c *jumpingClock) Now() time.Time { return time.Now().Add(time.Duration(c.suspended.Load())) }
+func (c *suspendableClock) Now() time.Time { return time.Now().Add(time.Duration(c.suspended.Load())) }
 
-// suspend lets a time pass that timers don't count.
-func (c *jumpingClock) suspend(d time.Duration) { c.suspended.Add(int64(d)) }
+// suspend advances the clock by a time that timers don't count.
+func (c *suspendableClock) suspend(d time.Duration) { c.suspended.Add(int64(d)) }
 
-// suspensible starts a node with a clock that can be suspended, and its log.
-func (d *deployment) suspensible(id string) (*shell.Node, *jumpingClock, *logText) {
-	clock, lines := &jumpingClock{}, &logText{}
+// startSuspendableNode starts a node with a clock that can be suspended, and returns its log.
+func (d *deployment) startSuspendableNode(id string) (*shell.Node, *suspendableClock, *logText) {
+	clock, lines := &suspendableClock{}, &logText{}
 	node := d.startNode(id, func(o *shell.Options) {
 		o.Now, o.Log = clock.Now, eventlog.New(lines, eventlog.Options{})
 	})
 	return node, clock, lines
 }
 
-// TestWakingNodeRefreshesBeforeDispatch: the first request after a suspension is not sent
-// by what the node knew before it.
-func TestWakingNodeRefreshesBeforeDispatch(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestNodeRefreshesBeforeDispatchAfterSuspension guards against sending the first request after a
+// suspension by outdated knowledge: the pause must be detected first.
+func TestNodeRefreshesBeforeDispatchAfterSuspension(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	d.addWorker("p1", plainService, nil)
-	node, clock, lines := d.suspensible("n1")
+	node, clock, lines := d.startSuspendableNode("n1")
 	d.eventually("a request is served", func() bool {
 		return d.call(node, http.MethodGet, "/read/", "", nil).status == http.StatusOK
 	})
@@ -62,31 +62,31 @@
 	}
 }
 
-// TestSuspensionIsNoLateness: a measurement that a suspension interrupts does not make the
-// node refuse requests as one that has too much to do.
-func TestSuspensionIsNoLateness(t *testing.T) {
+// TestSuspensionIsNotCountedAsSchedulingDelay guards against rejecting requests for overload
+// after a suspension interrupted the measurement of the scheduling delay.
+func TestSuspensionIsNotCountedAsSchedulingDelay(t *testing.T) {
 	const suspended = time.Hour
-	d := newDeployment(t, patient)
-	node, clock, _ := d.suspensible("n1")
-	release := node.HoldSteps()
+	d := newDeployment(t, withoutLatencyObjective)
+	node, clock, _ := d.startSuspendableNode("n1")
+	release := node.BlockSteps()
 	defer release()
-	d.eventually("a measurement waits", func() bool { return node.Late() > 0 })
+	d.eventually("a measurement is waiting", func() bool { return node.SchedulingDelay() > 0 })
 	clock.suspend(suspended)
-	if late := node.Late(); late >= suspended {
-		t.Errorf("%v late after %v of suspension", late, suspended)
+	if late := node.SchedulingDelay(); late >= suspended {
+		t.Errorf("scheduling delay of %v after %v of suspension", late, suspended)
 	}
 }
 
-// TestWakingNodeEndsWhatIsPastItsDeadline: a request whose time ran out during a suspension
-// ends at once, though its timers have seconds left.
-func TestWakingNodeEndsWhatIsPastItsDeadline(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestRequestPastDeadlineEndsAfterSuspension guards against a request that outlives its deadline
+// because its timers did not advance during a suspension.
+func TestRequestPastDeadlineEndsAfterSuspension(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	running := make(chan struct{})
 	d.addWorker("p1", plainService, nil).Behave = func(*http.Request) worker.Behaviour {
 		close(running)
 		return worker.Hang
 	}
-	node, clock, _ := d.suspensible("n1")
+	node, clock, _ := d.startSuspendableNode("n1")
 	got := make(chan reply, 1)
 	go func() { got <- d.call(node, http.MethodPost, "/write/", "b", nil) }()
 	<-running
@@ -96,18 +96,18 @@
 	}
 }
 
-// TestWakingNodeTellsNoTimeThatIsOver: the time left that a worker is told of counts a
-// suspension between two attempts.
-func TestWakingNodeTellsNoTimeThatIsOver(t *testing.T) {
+// TestDeadlineSentToWorkerCountsSuspension guards against telling a worker more time than is left
+// after a suspension between two attempts.
+func TestDeadlineSentToWorkerCountsSuspension(t *testing.T) {
 	const suspended = 4 * time.Second
-	d := newDeployment(t, patient)
-	node, clock, _ := d.suspensible("n1")
+	d := newDeployment(t, withoutLatencyObjective)
+	node, clock, _ := d.startSuspendableNode("n1")
 	var mu sync.Mutex
-	told := map[string][]int{}
-	twice := func() []int {
+	deadlines := map[string][]int{}
+	retriedDeadlines := func() []int {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, left := range told {
+		for _, left := range deadlines {
 			if len(left) > 1 {
 				return left
 			}
@@ -122,8 +122,8 @@
 		mu.Lock()
 		defer mu.Unlock()
 		id := r.Header.Get(platform.HeaderRequestID)
-		told[id] = append(told[id], left)
-		if len(told[id]) > 1 {
+		deadlines[id] = append(deadlines[id], left)
+		if len(deadlines[id]) > 1 {
 			return worker.Serve
 		}
 		clock.suspend(suspended)
@@ -131,23 +131,24 @@
 	}
 	d.eventually("a request is run twice", func() bool {
 		d.call(node, http.MethodGet, "/read/", "", nil)
-		return twice() != nil
+		return retriedDeadlines() != nil
 	})
-	if left := twice(); left[1] > left[0]-int(suspended.Milliseconds()) {
-		t.Errorf("the first worker was told of %d ms, the second one, %s later, of %d", left[0], suspended, left[1])
+	if left := retriedDeadlines(); left[1] > left[0]-int(suspended.Milliseconds()) {
+		t.Errorf("the first worker got a deadline of %d ms, the second one, %s later, of %d ms", left[0], suspended, left[1])
 	}
 }
 
-// TestWakingHolderGivesNoOrders before it has the lease again: it was over while the machine
-// was suspended, and another node may have had it.
-func TestWakingHolderGivesNoOrders(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestLeaseHolderTakesLeaseAgainAfterSuspension guards against orders from a node whose lease
+// expired while it was suspended: another node may hold the lease, so the node must take it again
+// first.
+func TestLeaseHolderTakesLeaseAgainAfterSuspension(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	d.addWorker("e1", engineService, nil)
-	node, clock, lines := d.suspensible("n1")
+	node, clock, lines := d.startSuspendableNode("n1")
 	d.eventually("the node gives the orders", node.Holding)
 	before := len(lines.String())
 	clock.suspend(5 * time.Second)
-	if got := d.callAsTold(node, http.MethodPost, "/stream/", "b", withModel("rare")); got.status != http.StatusOK {
+	if got := d.callWithRetryAfter(node, http.MethodPost, "/stream/", "b", withModel("rare")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
 	d.eventually("the order is logged", func() bool { return strings.Contains(lines.String()[before:], "msg=order_planned") })
@@ -158,13 +159,13 @@
 	}
 }
 
-// TestWakingRelayPassesOnNothingOld: what a node that relays the store's changes read before
-// its machine was suspended does not count as read now, for itself and for its peers: all
-// follow a configuration that came meanwhile.
-func TestWakingRelayPassesOnNothingOld(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestRelayReadsStoreAgainAfterSuspension guards against a relay that treats what it read before
+// a suspension as current: the relay and its peers must follow a configuration that was written
+// meanwhile.
+func TestRelayReadsStoreAgainAfterSuspension(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	d.addWorker("p1", plainService, nil)
-	relay, clock, lines := d.suspensible("n0")
+	relay, clock, lines := d.startSuspendableNode("n0")
 	nodes := []*shell.Node{relay}
 	for _, id := range []string{"n1", "n2", "n3"} {
 		nodes = append(nodes, d.startNode(id))
@@ -177,6 +178,6 @@
 		})
 	}
 	if !strings.Contains(lines.String(), "msg=pause_noticed") {
-		t.Error("the relay did not notice that it stood still")
+		t.Error("the relay did not detect the pause")
 	}
 }
--- a/fleet/shell/systemfields_test.go
+++ b/fleet/shell/systemfields_test.go
@@ -9,9 +9,10 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// TestSystemFieldsStayBehind: what callers send in the system's fields never reaches a
-// worker, also when it is named by Connection; what is theirs does.
-func TestSystemFieldsStayBehind(t *testing.T) {
+// TestSystemHeadersAreNotForwarded guards against callers that set the system's headers: those
+// must never reach a worker, even if the Connection header names them, while the caller's own
+// headers must.
+func TestSystemHeadersAreNotForwarded(t *testing.T) {
 	d := newDeployment(t)
 	plain := d.addWorker("p1", plainService, nil)
 	var mutex sync.Mutex
@@ -48,6 +49,6 @@
 		}
 	}
 	if seen.Get("X-Other") != "kept" {
-		t.Error("a field of the caller's own was not passed on")
+		t.Error("the caller's own header was not forwarded")
 	}
 }
--- a/fleet/shell/unreadable_test.go
+++ b/fleet/shell/unreadable_test.go
@@ -14,9 +14,9 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// changed returns a worker's entry with fields set to other JSON, or left out where that is
-// empty.
-func changed(t *testing.T, entry platform.WorkerDocument, changes map[string]string) []byte {
+// withJSONFields returns a worker's entry with the given fields set to other JSON values, or
+// removed if the value is empty.
+func withJSONFields(t *testing.T, entry platform.WorkerDocument, changes map[string]string) []byte {
 	t.Helper()
 	encoded, err := json.Marshal(entry)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return encoded
 }
 
-// unreadableEntries are entries that name no worker to use, by what is wrong with them.
+// unreadableEntries returns entries that describe no usable worker, by what is wrong with them.
 func unreadableEntries(t *testing.T, entry platform.WorkerDocument) map[string][]byte {
 	t.Helper()
 	entries := map[string][]byte{
@@ -51,20 +51,20 @@
 		"sequence": {`"x"`}, "models": {`"big"`, `[{"name":""}]`},
 	} {
 		for _, value := range values {
-			entries[name+" "+value] = changed(t, entry, map[string]string{name: value})
+			entries[name+" "+value] = withJSONFields(t, entry, map[string]string{name: value})
 		}
 	}
 	return entries
 }
 
-// TestUnreadableEntryNamesNoWorker: an entry that can't be read names no worker, neither one
-// that is new nor in place of one that is known; all others hold.
-func TestUnreadableEntryNamesNoWorker(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestUnreadableEntryAddsNoWorker guards against an entry that can't be decoded and adds a worker
+// or replaces a known one; all other entries must stay in use.
+func TestUnreadableEntryAddsNoWorker(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	good := d.addWorker("p1", plainService, nil)
-	stray := d.addWorker("p2", plainService, nil)
-	d.store.Remove(stray.Key())
-	entries := unreadableEntries(t, stray.Entry())
+	removed := d.addWorker("p2", plainService, nil)
+	d.store.Remove(removed.Key())
+	entries := unreadableEntries(t, removed.Entry())
 	number := 0
 	for _, entry := range entries {
 		number++
@@ -72,12 +72,12 @@
 			t.Fatal(err)
 		}
 	}
-	if err := d.store.PutBytes(platform.PrefixWorkers, changed(t, stray.Entry(), nil)); err != nil {
+	if err := d.store.PutBytes(platform.PrefixWorkers, withJSONFields(t, removed.Entry(), nil)); err != nil {
 		t.Fatal(err)
 	}
 	node := d.startNode("n1")
 	for what, entry := range entries {
-		// Written once more, as a heartbeat is.
+		// The entry is written once more, like a heartbeat.
 		number++
 		if err := d.store.PutBytes(fmt.Sprintf("%sx%d", platform.PrefixWorkers, number), entry); err != nil {
 			t.Fatal(err)
@@ -88,18 +88,18 @@
 			}
 		}
 	}
-	if len(stray.Runs()) != 0 || len(good.Runs()) == 0 {
-		t.Fatalf("%d requests went to a worker that no entry names", len(stray.Runs()))
+	if len(removed.Runs()) != 0 || len(good.Runs()) == 0 {
+		t.Fatalf("%d requests went to a worker without a valid entry", len(removed.Runs()))
 	}
 	d.eventually("all of them are counted", func() bool {
-		return figure(node, `valveslip_records_unreadable_total{kind="worker"}`) >= float64(2*len(entries)+1)
+		return metric(node, `valveslip_records_unreadable_total{kind="worker"}`) >= float64(2*len(entries)+1)
 	})
 }
 
-// TestKnownWorkerOutlivesUnreadableEntry: what was known of a worker holds while its entry
-// can't be read, also where everything is read anew, until the entry is gone; one that was
-// known to leave, or says so in such an entry, takes no request.
-func TestKnownWorkerOutlivesUnreadableEntry(t *testing.T) {
+// TestUnreadableEntryKeepsKnownWorker guards against losing a known worker because its entry
+// can't be decoded, also after a full read of the store. The worker must stay in use until the
+// entry is deleted, unless it was known to be leaving or the unreadable entry says so.
+func TestUnreadableEntryKeepsKnownWorker(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		first string
@@ -108,74 +108,74 @@
 	}{
 		{"no JSON", "ready", func(*testing.T, platform.WorkerDocument) []byte { return []byte("{") }, true},
 		{"no state", "ready", func(t *testing.T, e platform.WorkerDocument) []byte {
-			return changed(t, e, map[string]string{"state": ""})
+			return withJSONFields(t, e, map[string]string{"state": ""})
 		}, true},
 		{"no address", "ready", func(t *testing.T, e platform.WorkerDocument) []byte {
-			return changed(t, e, map[string]string{"address": ""})
+			return withJSONFields(t, e, map[string]string{"address": ""})
 		}, true},
 		{"no slots, leaving", "ready", func(t *testing.T, e platform.WorkerDocument) []byte {
-			return changed(t, e, map[string]string{"slots": "", "state": `"draining"`})
+			return withJSONFields(t, e, map[string]string{"slots": "", "state": `"draining"`})
 		}, false},
 		{"another state", "ready", func(t *testing.T, e platform.WorkerDocument) []byte {
-			return changed(t, e, map[string]string{"state": `"asleep"`})
+			return withJSONFields(t, e, map[string]string{"state": `"asleep"`})
 		}, false},
 		{"no JSON after it left", "draining", func(*testing.T, platform.WorkerDocument) []byte { return []byte("{") }, false},
 		{"ready without slots after it left", "draining", func(t *testing.T, e platform.WorkerDocument) []byte {
-			return changed(t, e, map[string]string{"slots": "", "state": `"ready"`})
+			return withJSONFields(t, e, map[string]string{"slots": "", "state": `"ready"`})
 		}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			d := newDeployment(t, patient)
+			d := newDeployment(t, withoutLatencyObjective)
 			known := d.addWorker("p1", plainService, nil)
 			entry := known.Entry()
 			entry.State = test.first
 			if err := d.store.Put(known.Key(), entry); err != nil {
 				t.Fatal(err)
 			}
-			node, clock, _ := d.suspensible("n1")
+			node, clock, _ := d.startSuspendableNode("n1")
 			if err := d.store.PutBytes(known.Key(), test.entry(t, entry)); err != nil {
 				t.Fatal(err)
 			}
-			unread := func() float64 { return figure(node, `valveslip_records_unreadable_total{kind="worker"}`) }
+			unread := func() float64 { return metric(node, `valveslip_records_unreadable_total{kind="worker"}`) }
 			d.eventually("the entry was read", func() bool { return unread() == 1 })
 			short := func(h http.Header) { h.Set(platform.HeaderDeadline, "400") }
 			served := func() bool { return d.call(node, http.MethodPost, "/write/", "b", short).status == http.StatusOK }
-			// It is counted a moment before it counts.
-			d.eventually("the worker is used as it should be", func() bool { return served() == test.used })
-			// A node that stood still reads everything.
+			// The entry is counted shortly before it takes effect.
+			d.eventually("the worker is used as expected", func() bool { return served() == test.used })
+			// A node that detects a pause reads everything again.
 			clock.suspend(5 * time.Second)
-			d.eventually("everything was read anew", func() bool { return unread() >= 2 })
+			d.eventually("everything was read again", func() bool { return unread() >= 2 })
 			if served() != test.used {
-				t.Fatalf("after everything was read anew, the worker is used: %t", !test.used)
+				t.Fatalf("after everything was read again, the worker is used: %t", !test.used)
 			}
-			d.enter(known)
+			d.register(known)
 			d.eventually("the worker is used once its entry can be read", served)
 			if err := d.store.PutBytes(known.Key(), []byte("{")); err != nil {
 				t.Fatal(err)
 			}
 			d.store.Remove(known.Key())
-			d.eventually("it is not once the entry is gone", func() bool { return !served() })
+			d.eventually("the worker is not used once the entry is deleted", func() bool { return !served() })
 		})
 	}
 }
 
-// TestUnreadableHeartbeatsAreToldOnce: an entry that stays unreadable has one line, and one
-// count, though it is written with each heartbeat.
-func TestUnreadableHeartbeatsAreToldOnce(t *testing.T) {
+// TestUnreadableHeartbeatsAreLoggedOnce guards against a log line for each heartbeat of an entry
+// that stays unreadable: it must be logged and counted once.
+func TestUnreadableHeartbeatsAreLoggedOnce(t *testing.T) {
 	d := newDeployment(t)
 	known := d.addWorker("p1", plainService, nil)
 	output := &logText{}
 	node := d.startNode("n1", func(o *shell.Options) { o.Log = eventlog.New(output, eventlog.Options{}) })
 	for n := range 20 {
-		entry := changed(t, known.Entry(), map[string]string{"slots": `"many"`, "sequence": fmt.Sprint(n)})
+		entry := withJSONFields(t, known.Entry(), map[string]string{"slots": `"many"`, "sequence": fmt.Sprint(n)})
 		if err := d.store.PutBytes(known.Key(), entry); err != nil {
 			t.Fatal(err)
 		}
 	}
 	d.configure(2)
-	d.eventually("what follows is read", func() bool { return figure(node, "valveslip_configuration_version") == 2 })
-	if count := figure(node, `valveslip_records_unreadable_total{kind="worker"}`); count != 1 {
+	d.eventually("the later configuration is in force", func() bool { return metric(node, "valveslip_configuration_version") == 2 })
+	if count := metric(node, `valveslip_records_unreadable_total{kind="worker"}`); count != 1 {
 		t.Errorf("counted %v times", count)
 	}
 	d.eventually("the line is written", func() bool { return strings.Contains(output.String(), "config=2") })
@@ -184,10 +184,10 @@
 	}
 }
 
-// TestUnreadableNodeRecordsArePassedOver: records of nodes that can't be read, or name
-// another node than their key does, are passed over and counted.
-func TestUnreadableNodeRecordsArePassedOver(t *testing.T) {
-	d := newDeployment(t, patient)
+// TestUnreadableNodeRecordsAreSkipped guards against node records that can't be decoded, or that
+// name another node than their key, being used: they must be skipped and counted.
+func TestUnreadableNodeRecordsAreSkipped(t *testing.T) {
+	d := newDeployment(t, withoutLatencyObjective)
 	d.addWorker("p1", plainService, nil)
 	for key, value := range map[string]string{"a": "{", "b": "null", "c": `{"id":"d","address":"127.0.0.1:1"}`, "e": `{"id":7}`, "f": `{"id":"f","capacity":-1}`} {
 		if err := d.store.PutBytes(fleet.KeyNodes+key, []byte(value)); err != nil {
@@ -198,7 +198,7 @@
 	if got := d.call(node, http.MethodGet, "/read/", "", nil); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
-	if count := figure(node, `valveslip_records_unreadable_total{kind="node"}`); count != 5 {
+	if count := metric(node, `valveslip_records_unreadable_total{kind="node"}`); count != 5 {
 		t.Fatalf("%v records are counted, want 5", count)
 	}
 }
--- a/fleet/shell/worker_answers_test.go
+++ b/fleet/shell/worker_answers_test.go
@@ -7,7 +7,7 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// answerKinds are the kinds of answers by which a worker may say something of itself.
+// answerKinds are the kinds of answers in which a worker may report its own state.
 var answerKinds = []struct {
 	name, service, path string
 	answers             worker.Behaviour
@@ -21,17 +21,18 @@
 	{"stream that is cut", engineService, "/stream/", worker.CutStream},
 }
 
-// countedWorker counts the requests that reach it.
-type countedWorker struct {
+// countingWorker counts the requests that reach it.
+type countingWorker struct {
 	*worker.Worker
 	mutex   sync.Mutex
 	answers worker.Behaviour
 	arrived int
 }
 
-// addCounted starts a worker that counts, and answers in a way until it is told another.
-func (d *deployment) addCounted(id, service string, answers worker.Behaviour) *countedWorker {
-	c := &countedWorker{Worker: d.addWorker(id, service, nil), answers: answers}
+// addCountingWorker starts a worker that counts its requests and answers them as given until
+// switchToServing.
+func (d *deployment) addCountingWorker(id, service string, answers worker.Behaviour) *countingWorker {
+	c := &countingWorker{Worker: d.addWorker(id, service, nil), answers: answers}
 	c.Behave = func(*http.Request) worker.Behaviour {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -41,8 +42,9 @@
 	return c
 }
 
-// serve has the worker serve from now on, and returns how many requests reached it before.
-func (c *countedWorker) serve() int {
+// switchToServing makes the worker serve from now on and returns how many requests reached it
+// before.
+func (c *countingWorker) switchToServing() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.answers = worker.Serve
@@ -50,7 +52,7 @@
 }
 
 // arrivals returns how many requests have reached the worker.
-func (c *countedWorker) arrivals() int {
+func (c *countingWorker) arrivals() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.arrived
--- a/fleet/shell/worker_limit_test.go
+++ b/fleet/shell/worker_limit_test.go
@@ -10,43 +10,43 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// The bound on what a worker in need gets of all nodes that it has told its limit: in any time so
-// many times the limit, and so many requests beside that.
+// The bound on the requests that an overloaded worker gets from all nodes together: limitFactor
+// times the limit that it announced, and limitBurst more.
 const (
-	limitOverrun = 1.5
-	limitBeside  = 5
+	limitFactor = 1.5
+	limitBurst  = 5
 )
 
-// TestLimitOfWorkerHoldsOverNodes guards against nodes that each send a worker in need as many
-// requests as before, though it told them how many it takes of all of them together.
-func TestLimitOfWorkerHoldsOverNodes(t *testing.T) {
+// TestWorkerLimitHoldsAcrossNodes guards against nodes that each send an overloaded worker as
+// many requests as before, although it announced a limit for all nodes together.
+func TestWorkerLimitHoldsAcrossNodes(t *testing.T) {
 	for _, kind := range answerKinds {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
-			d := newDeployment(t, patient)
-			needy := d.addCounted("w1", kind.service, kind.answers)
-			needy.SetLimit(1)
+			d := newDeployment(t, withoutLatencyObjective)
+			overloaded := d.addCountingWorker("w1", kind.service, kind.answers)
+			overloaded.SetLimit(1)
 			nodes := []*shell.Node{d.startNode("n1"), d.startNode("n2")}
 			for _, node := range nodes {
-				d.call(node, http.MethodPost, kind.path, "b", limitedCall)
+				d.call(node, http.MethodPost, kind.path, "b", withShortDeadline)
 			}
-			before, began := needy.serve(), time.Now()
+			before, began := overloaded.switchToServing(), time.Now()
 			var callers sync.WaitGroup
 			for i := range 40 {
-				callers.Go(func() { d.call(nodes[i%len(nodes)], http.MethodPost, kind.path, "b", limitedCall) })
+				callers.Go(func() { d.call(nodes[i%len(nodes)], http.MethodPost, kind.path, "b", withShortDeadline) })
 			}
 			callers.Wait()
 			took := time.Since(began)
-			arrived := needy.arrivals() - before
-			if most := limitBeside + limitOverrun*took.Seconds(); float64(arrived) > most {
-				t.Errorf("%d requests in %s, at most %.1f are allowed", arrived, took, most)
+			arrived := overloaded.arrivals() - before
+			if limit := limitBurst + limitFactor*took.Seconds(); float64(arrived) > limit {
+				t.Errorf("%d requests in %s, at most %.1f are allowed", arrived, took, limit)
 			}
 		})
 	}
 }
 
-// limitedCall has little time, so that what can't be sent in time ends soon.
-func limitedCall(header http.Header) {
+// withShortDeadline sets a short deadline, so that requests that can't be sent in time end soon.
+func withShortDeadline(header http.Header) {
 	withModel("big")(header)
 	header.Set(platform.HeaderDeadline, "1500")
 }
--- a/fleet/shell/worker_rest_test.go
+++ b/fleet/shell/worker_rest_test.go
@@ -13,8 +13,9 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// shedding starts a worker that turns all away for as long as it is to, and asks for rest.
-func shedding(d *deployment, service string, rest time.Duration) (*worker.Worker, *atomic.Bool) {
+// addSheddingWorker starts a worker that rejects all requests and asks for a rest while the
+// returned flag is set.
+func addSheddingWorker(d *deployment, service string, rest time.Duration) (*worker.Worker, *atomic.Bool) {
 	var sheds atomic.Bool
 	sheds.Store(true)
 	added := d.addWorker("w1", service, nil)
@@ -28,33 +29,33 @@
 	return added, &sheds
 }
 
-var restedPaths = []struct{ name, service, path string }{
+var restPaths = []struct{ name, service, path string }{
 	{"repeatable", plainService, "/read/"},
 	{"not repeatable", plainService, "/write/"},
 	{"stream", engineService, "/stream/"},
 	{"stream that is not resumed", engineService, "/once/"},
 }
 
-// TestWorkerThatWantsRestGetsNone guards against requests that are sent, by retries or anew, to a
-// worker that turned its node away and said for how long it wants nothing, and against callers who
-// are kept waiting for it, or told to come back too soon.
-func TestWorkerThatWantsRestGetsNone(t *testing.T) {
+// TestWorkerRequestingRestGetsNoRequests guards against requests, retried or new, to a worker
+// that rejected one and asked for a rest, and against callers that are kept waiting for the
+// worker or told to retry too soon.
+func TestWorkerRequestingRestGetsNoRequests(t *testing.T) {
 	const rest = time.Minute
-	for _, c := range restedPaths {
+	for _, c := range restPaths {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d := newDeployment(t, patient)
-			needy, _ := shedding(d, c.service, rest)
+			d := newDeployment(t, withoutLatencyObjective)
+			needy, _ := addSheddingWorker(d, c.service, rest)
 			node := d.startNode("n1")
 			for range 6 {
 				got := d.call(node, http.MethodPost, c.path, "b", withModel("big"))
 				after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 				if got.status != http.StatusServiceUnavailable || err != nil || after < rest.Seconds()/2 {
-					t.Errorf("answer %+v, want a refusal until the rest is over", got)
+					t.Errorf("answer %+v, want a rejection until the rest is over", got)
 				}
 			}
 			if turned := len(needy.Turned()); turned != 1 {
-				t.Errorf("%d requests reached the worker within its rest, want the first alone", turned)
+				t.Errorf("%d requests reached the worker within its rest, want only the first", turned)
 			}
 			d.addWorker("w2", c.service, nil)
 			d.eventually("the other worker serves", func() bool {
@@ -66,43 +67,44 @@
 				}
 			}
 			if turned := len(needy.Turned()); turned != 1 {
-				t.Errorf("%d requests reached the worker beside another, want the first alone", turned)
+				t.Errorf("%d requests reached the worker while there was another, want only the first", turned)
 			}
 		})
 	}
 }
 
-// TestWorkerIsUsedAfterItsRest guards against a worker that is left alone for good, or for longer
-// than it asked for.
+// TestWorkerIsUsedAfterItsRest guards against a worker that gets no requests after its rest is
+// over.
 func TestWorkerIsUsedAfterItsRest(t *testing.T) {
-	for _, c := range restedPaths {
+	for _, c := range restPaths {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d := newDeployment(t, patient)
-			_, sheds := shedding(d, c.service, 300*time.Millisecond)
+			d := newDeployment(t, withoutLatencyObjective)
+			_, sheds := addSheddingWorker(d, c.service, 300*time.Millisecond)
 			node := d.startNode("n1")
 			d.call(node, http.MethodPost, c.path, "b", withModel("big"))
 			sheds.Store(false)
-			if got := d.callAsTold(node, http.MethodPost, c.path, "b", withModel("big")); got.status != http.StatusOK {
+			if got := d.callWithRetryAfter(node, http.MethodPost, c.path, "b", withModel("big")); got.status != http.StatusOK {
 				t.Errorf("answer %+v after the rest", got)
 			}
 		})
 	}
 }
 
-// TestRestOutlastsLearningOfRestart guards against requests to a worker that asked for rest before
-// the node knew that the worker had started again: answers don't say which start gave them.
-func TestRestOutlastsLearningOfRestart(t *testing.T) {
-	for _, c := range restedPaths {
+// TestRestContinuesAfterRestartIsLearned guards against ending a worker's rest when the node
+// learns that the worker restarted: answers don't tell which start gave them, so the worker may
+// have asked for the rest after the restart.
+func TestRestContinuesAfterRestartIsLearned(t *testing.T) {
+	for _, c := range restPaths {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d := newDeployment(t, patient)
-			needy, _ := shedding(d, c.service, time.Minute)
-			d.enterBorn(needy, 1000)
+			d := newDeployment(t, withoutLatencyObjective)
+			needy, _ := addSheddingWorker(d, c.service, time.Minute)
+			d.registerStart(needy, 1000)
 			lines := &logText{}
 			node := d.startNode("n1", func(o *shell.Options) { o.Log = eventlog.New(lines, eventlog.Options{}) })
 			d.call(node, http.MethodPost, c.path, "b", withModel("big"))
-			d.enterBorn(needy, 2000)
+			d.registerStart(needy, 2000)
 			d.eventually("the later start is known", func() bool {
 				return strings.Contains(lines.String(), "msg=worker_restarted")
 			})
@@ -110,14 +112,14 @@
 				d.call(node, http.MethodPost, c.path, "b", withModel("big"))
 			}
 			if turned := len(needy.Turned()); turned != 1 {
-				t.Errorf("%d requests reached the worker within its rest, want the first alone", turned)
+				t.Errorf("%d requests reached the worker within its rest, want only the first", turned)
 			}
 		})
 	}
 }
 
-// enterBorn enters a worker as the start that was born then.
-func (d *deployment) enterBorn(w *worker.Worker, born int64) {
+// registerStart writes a worker's entry with a start time.
+func (d *deployment) registerStart(w *worker.Worker, born int64) {
 	d.t.Helper()
 	entry := w.Entry()
 	entry.Born = &born
--- a/fleet/shell/traps_test.go
+++ b/fleet/shell/workerconn_test.go
@@ -15,8 +15,8 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// scripted serves raw connections of a worker, each by the script.
-func scripted(t testing.TB, script func(number int, connection net.Conn, reader *bufio.Reader)) string {
+// startScriptedWorker serves raw connections of a worker by a script.
+func startScriptedWorker(t testing.TB, script func(number int, connection net.Conn, reader *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,18 +38,18 @@
 	return listener.Addr().String()
 }
 
-// answerTo writes a whole answer to a request.
+// answerTo writes a complete answer to a request.
 func answerTo(out io.Writer, id, body string) {
 	_, _ = fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s",
 		platform.HeaderRequestID, id, platform.HeaderStamp, len(body), body)
 }
 
-// TestLateAnswerIsDropped: an answer to an earlier request on a kept connection is
-// never passed for the answer to the next one.
+// TestLateAnswerIsDropped guards against passing a late answer to an earlier request on a
+// keep-alive connection as the answer to the next request.
 func TestLateAnswerIsDropped(t *testing.T) {
 	d := newDeployment(t)
 	var requests atomic.Int64
-	address := scripted(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
+	address := startScriptedWorker(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
 		earlier := ""
 		for {
 			request, err := readHead(reader)
@@ -65,7 +65,7 @@
 			earlier = id
 		}
 	})
-	d.enterAddress("p1", plainService, address)
+	d.registerAddress("p1", plainService, address)
 	node := d.startNode("n1")
 	for n := 1; n <= 4; n++ {
 		got := d.call(node, http.MethodPost, "/write/", "b", nil)
@@ -78,12 +78,13 @@
 	}
 }
 
-// TestKeptConnectionThatDies: a request on a kept connection that the worker closes
-// before a byte of answer may have run, and nothing below sends it again.
-func TestKeptConnectionThatDies(t *testing.T) {
+// TestRequestOnClosedConnectionIsNotResent guards against sending a request twice: if the worker
+// closes a keep-alive connection before the first byte of the answer, the request may have run,
+// and neither the node nor net/http may send it again.
+func TestRequestOnClosedConnectionIsNotResent(t *testing.T) {
 	d := newDeployment(t)
 	var requests atomic.Int64
-	address := scripted(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
+	address := startScriptedWorker(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
 		for n := 1; n <= 2; n++ {
 			request, err := readHead(reader)
 			if err != nil {
@@ -95,7 +96,7 @@
 			}
 		}
 	})
-	d.enterAddress("p1", plainService, address)
+	d.registerAddress("p1", plainService, address)
 	node := d.startNode("n1")
 	if got := d.call(node, http.MethodPost, "/write/", "b", nil); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
@@ -108,10 +109,11 @@
 	}
 }
 
-// TestUnframedAnswerThatIsReset must not look whole.
-func TestUnframedAnswerThatIsReset(t *testing.T) {
+// TestResetUnframedAnswerIsReportedAsBroken guards against an answer without length that looks
+// complete although its connection was reset.
+func TestResetUnframedAnswerIsReportedAsBroken(t *testing.T) {
 	d := newDeployment(t)
-	address := scripted(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
+	address := startScriptedWorker(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
 		request, err := readHead(reader)
 		if err != nil {
 			return
@@ -121,23 +123,24 @@
 		time.Sleep(20 * time.Millisecond)
 		_ = connection.(*net.TCPConn).SetLinger(0)
 	})
-	d.enterAddress("p1", plainService, address)
+	d.registerAddress("p1", plainService, address)
 	node := d.startNode("n1")
 	if got := d.call(node, http.MethodPost, "/write/", "b", nil); got.status == http.StatusOK {
-		t.Fatalf("a reset answer looks whole: %+v", got)
+		t.Fatalf("a reset answer looks complete: %+v", got)
 	}
 }
 
-// TestUnframedAnswerThatEnds is whole, and its connection is not used again.
-func TestUnframedAnswerThatEnds(t *testing.T) {
+// TestUnframedAnswerEndsItsConnection guards against rejecting an answer without length that
+// ended properly, and against using its connection again.
+func TestUnframedAnswerEndsItsConnection(t *testing.T) {
 	d := newDeployment(t)
-	address := scripted(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
+	address := startScriptedWorker(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
 		if request, err := readHead(reader); err == nil {
 			_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\n\r\nwhole",
 				platform.HeaderRequestID, request.Header.Get(platform.HeaderRequestID), platform.HeaderStamp)
 		}
 	})
-	d.enterAddress("p1", plainService, address)
+	d.registerAddress("p1", plainService, address)
 	node := d.startNode("n1")
 	for range 2 {
 		if got := d.call(node, http.MethodPost, "/write/", "b", nil); got.status != http.StatusOK || got.body != "whole" {
@@ -146,15 +149,15 @@
 	}
 }
 
-// TestEarlyAnswerToLongBody: a worker that answers before it has read the body gets
-// the rest of that body and nothing else on the connection.
-func TestEarlyAnswerToLongBody(t *testing.T) {
+// TestEarlyAnswerKeepsConnectionInSync guards against a worker that answers before it has read
+// the body: the connection must carry the rest of that body and nothing else.
+func TestEarlyAnswerKeepsConnectionInSync(t *testing.T) {
 	d := newDeployment(t)
 	const length = 900 << 10
 	received := make(chan int, 4)
-	address := scripted(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
-		// A body that went into the connection whole before the answer was read may
-		// be followed by another request on it.
+	address := startScriptedWorker(t, func(_ int, connection net.Conn, reader *bufio.Reader) {
+		// If the whole body was sent before the answer was read, the connection may be used for
+		// another request.
 		for whole := true; whole; {
 			request, err := http.ReadRequest(reader)
 			if err != nil {
@@ -171,7 +174,7 @@
 			whole = len(rest) == length
 		}
 	})
-	d.enterAddress("p1", plainService, address)
+	d.registerAddress("p1", plainService, address)
 	node := d.startNode("n1")
 	for range 2 {
 		got := d.call(node, http.MethodPost, "/write/", strings.Repeat("x", length), nil)
@@ -179,17 +182,18 @@
 			t.Fatalf("answer %+v", got)
 		}
 		if n := <-received; n < 0 || n > length {
-			t.Fatalf("the connection carried %d bytes where a body of %d was due", n, length)
+			t.Fatalf("the connection carried %d bytes instead of a body of %d", n, length)
 		}
 	}
 }
 
-// TestAddressUsedAgain: another worker answers at the address of one that is gone;
-// it runs nothing, and the request goes to a worker that can be had.
-func TestAddressUsedAgain(t *testing.T) {
+// TestWorkerAtReusedAddressRunsNothing guards against running a request on another worker that
+// now has the address of a removed one: it must be rejected there and go to a worker that can run
+// it.
+func TestWorkerAtReusedAddressRunsNothing(t *testing.T) {
 	d := newDeployment(t)
 	other := d.addWorker("p9", engineService, nil)
-	d.enterAddress("p1", plainService, d.workers["p9"].Address())
+	d.registerAddress("p1", plainService, d.workers["p9"].Address())
 	d.addWorker("p2", plainService, nil)
 	node := d.startNode("n1")
 	for range 5 {
@@ -202,12 +206,13 @@
 	}
 }
 
-// admittedFor is for how long after a planned stop's beginning all requests are admitted.
-const admittedFor = 2850 * time.Millisecond
+// fullAdmission is how long after the beginning of a planned stop all requests are admitted.
+const fullAdmission = 2850 * time.Millisecond
 
-// TestPlannedStopCutsNothing: requests that come on a kept connection during a
-// planned stop are answered whole, and the answers have the caller leave.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// TestPlannedStopAnswersEveryRequest guards against requests that are cut off by a planned stop:
+// those on a keep-alive connection must get complete answers, and the answers must ask the caller
+// to close the connection.
+func TestPlannedStopAnswersEveryRequest(t *testing.T) {
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1")
@@ -218,8 +223,8 @@
 	}()
 	d.eventually("the node is not ready any more", func() bool { return status(node.ReadyURL()) != http.StatusOK })
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	told := false
-	for n := 0; !told; n++ {
+	askedToClose := false
+	for n := 0; !askedToClose; n++ {
 		request, err := http.NewRequest(http.MethodPost, "http://"+node.Address()+"/write/", strings.NewReader("b"))
 		if err != nil {
 			t.Fatal(err)
@@ -235,9 +240,9 @@
 		if err != nil || len(body) == 0 {
 			t.Fatalf("request %d got %d, %q, %v", n, response.StatusCode, body, err)
 		}
-		told = response.Close
-		// A caller who was held up comes too late for a request that may last so long.
-		refused := response.StatusCode == http.StatusServiceUnavailable && told && time.Since(began) >= admittedFor
+		askedToClose = response.Close
+		// A delayed caller comes too late for a request with such a late deadline.
+		refused := response.StatusCode == http.StatusServiceUnavailable && askedToClose && time.Since(began) >= fullAdmission
 		if response.StatusCode != http.StatusOK && !refused {
 			t.Fatalf("request %d got %d, %q", n, response.StatusCode, body)
 		}
@@ -246,9 +251,10 @@
 	<-stopped
 }
 
-// TestStoppingNodeTakesWhatEndsInTime: late in a planned stop a request that may
-// last beyond it is refused as not run, one that must end before is served.
-func TestStoppingNodeTakesWhatEndsInTime(t *testing.T) {
+// TestStoppingNodeAdmitsByDeadline guards against admitting requests late in a planned stop that
+// may outlast it: they must be rejected as not run, while those with an earlier deadline must be
+// served.
+func TestStoppingNodeAdmitsByDeadline(t *testing.T) {
 	d := newDeployment(t)
 	plain := d.addWorker("p1", plainService, nil)
 	release := make(chan struct{})
@@ -259,7 +265,7 @@
 		return worker.Serve
 	}
 	node := d.startNode("n1")
-	// While a request lasts the node stays nearly until its grace time is over.
+	// While this request runs, the node stays until its grace time is nearly over.
 	lasting := d.dial(node, "/write/", "lasting", 1)
 	if _, err := lasting.Write([]byte("b")); err != nil {
 		t.Fatal(err)
@@ -270,7 +276,7 @@
 		defer close(stopped)
 		node.Stop()
 	}()
-	d.eventually("a long request is refused and told to come back", func() bool {
+	d.eventually("a long request is rejected with Retry-After", func() bool {
 		got := d.call(node, http.MethodPost, "/write/", "b", func(h http.Header) { h.Set(platform.HeaderDeadline, "7900") })
 		return got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 	})
