--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,3 +1,4 @@
-// Package standin provides small stand-ins of the platform and of model
-// engines, with fault injection, for tests, the demo and experiments.
+// Package standin serves in-memory stand-ins of the platform's services and of
+// model engines over HTTP, with fault injection, for tests, the demo and
+// experiments.
 package standin
--- a/standin/engine/reader.go
+++ b/standin/engine/reader.go
@@ -113,7 +113,7 @@
 	written := int(skip / int64(r.format.chunkBytes()))
 	written = min(written, r.format.tokens)
 	out.skip -= int64(written * r.format.chunkBytes())
-	if order, strikes := r.server.Strike(fault.KindCutStream); strikes {
+	if order, strikes := r.server.Trigger(fault.KindCutStream); strikes {
 		r.cut = written + max(order.Tokens, 1)
 	}
 	pooled := buffers.Get().(*[]byte)
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -5,35 +5,38 @@
 	"time"
 )
 
-// Kind names a fault.
+// Kind is the type of a fault as written in an Order.
 type Kind string
 
 // The kinds of faults.
 const (
-	// KindClear ends every fault.
+	// KindClear ends all active faults.
 	KindClear Kind = "clear"
-	// KindDown closes each connection without an answer and without an effect.
+	// KindDown closes the connection of each request without executing it.
 	KindDown Kind = "down"
-	// KindSlow delays each request by Delay before its effect; the weight store
-	// slows its loads to Speed instead.
+	// KindSlow delays the execution of each request by Delay. The weight store
+	// reduces its transfer rate to Speed instead.
 	KindSlow Kind = "slow"
-	// KindLoseAnswer closes the connection after the effect.
+	// KindLoseAnswer executes the request and closes the connection without a
+	// response.
 	KindLoseAnswer Kind = "lose-answer"
-	// KindRefuse answers 429 without an effect.
+	// KindRefuse answers 429 without executing the request.
 	KindRefuse Kind = "refuse"
-	// KindDieMidLoad ends the engine's run in the middle of its next load.
+	// KindDieMidLoad crashes the engine during its next model load.
 	KindDieMidLoad Kind = "die-mid-load"
-	// KindDie ends the engine's run at once; it is back after For.
+	// KindDie crashes the engine at once; it restarts after For.
 	KindDie Kind = "die"
-	// KindCutStream drops the connection of a streamed answer after Tokens.
+	// KindCutStream closes the connection of a streamed response after Tokens
+	// tokens.
 	KindCutStream Kind = "cut-stream"
-	// KindReclaim takes a machine back after Notice.
+	// KindReclaim removes a machine after the notice period Notice.
 	KindReclaim Kind = "reclaim"
-	// KindStale freezes what the machine list or an engine's report shows.
+	// KindStale freezes the contents of the machine list or of an engine's load
+	// report.
 	KindStale Kind = "stale"
 )
 
-// Duration is a time.Duration in text form such as "250ms".
+// Duration is a time.Duration that is encoded as text such as "250ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -46,28 +49,32 @@
 	return err
 }
 
-// Order is the body of POST /faults.
+// Order is the body of POST /faults and describes one fault.
 type Order struct {
 	Kind Kind `json:"kind"`
-	// For is how long the fault lasts; zero means until cleared, unless Count
-	// bounds it.
+	// For is the duration of the fault. With zero it lasts until it is cleared
+	// or has been triggered Count times.
 	For Duration `json:"for,omitempty"`
-	// Count is how many times the fault strikes; zero means without bound.
+	// Count is the number of requests that the fault affects; zero means
+	// unlimited.
 	Count int `json:"count,omitempty"`
-	// Probability with which it strikes; zero means always.
+	// Probability is the share of requests that the fault affects, from 0 to 1;
+	// zero means all of them.
 	Probability float64 `json:"probability,omitempty"`
-	// Delay of KindSlow.
+	// Delay is added to each request by KindSlow.
 	Delay Duration `json:"delay,omitempty"`
-	// Speed of KindSlow for the weight store, 0 to 1 of full speed.
+	// Speed is the share of the full transfer rate, from 0 to 1, that KindSlow
+	// leaves the weight store.
 	Speed float64 `json:"speed,omitempty"`
-	// Tokens after which KindCutStream cuts.
+	// Tokens is the number of tokens that KindCutStream lets through.
 	Tokens int `json:"tokens,omitempty"`
-	// Machine and Notice of KindReclaim.
+	// Machine is the ID of the machine that KindReclaim removes, and Notice the
+	// time until its removal.
 	Machine string   `json:"machine,omitempty"`
 	Notice  Duration `json:"notice,omitempty"`
 }
 
-// Encode returns the JSON form.
+// Encode returns the order as JSON.
 func (o Order) Encode() []byte {
 	encoded, _ := json.Marshal(o)
 	return encoded
--- a/standin/keyvalue/watch.go
+++ b/standin/keyvalue/watch.go
@@ -67,7 +67,7 @@
 		case <-progress.C:
 			report = w.request.ProgressNotify
 		}
-		if _, down := w.server.Strike(fault.KindDown); down {
+		if _, down := w.server.Trigger(fault.KindDown); down {
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/standin/server.go
+++ b/standin/server.go
@@ -10,12 +10,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// idleTimeout of the stand-ins' connections is longer than that of the clients,
-// so that a client never writes on a connection the server is just closing.
+// idleTimeout is longer than the clients' idle timeout, so that the client
+// closes an idle connection first and never writes to one that the server is
+// closing.
 const idleTimeout = 5 * time.Minute
 
-// Server serves one stand-in on one TCP address. Kill ends it as abruptly as
-// the death of a process; Restart brings it back on the same address.
+// Server serves one stand-in on one TCP address. Kill simulates a process
+// crash; Restart listens again on the same address.
 type Server struct {
 	handler http.Handler
 
@@ -24,23 +25,25 @@
 	server  *http.Server
 }
 
-// Listen serves handler on address; port 0 lets the kernel choose.
+// Listen starts to serve handler on address. With port 0 the kernel chooses a
+// free port.
 func Listen(address string, handler http.Handler) (*Server, error) {
 	server := &Server{handler: handler, address: address}
 	return server, server.Restart()
 }
 
-// Address is the host:port being served.
+// Address returns the listener's host:port.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// URL is the base URL being served.
+// URL returns the base URL of the server.
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Restart listens again after Kill. It does nothing when already listening.
+// Restart listens again after Kill or Close. It does nothing when the server is
+// already listening.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +61,8 @@
 	return nil
 }
 
-// Kill closes the listener and every connection at once.
+// Kill closes the listener and all connections without waiting for requests in
+// flight.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +72,9 @@
 	}
 }
 
-// Close stops accepting, waits for requests in flight until ctx ends and then
-// closes what is left.
+// Close shuts the server down gracefully: it stops accepting connections, waits
+// for requests in flight until ctx ends and then closes the remaining
+// connections.
 func (s *Server) Close(ctx context.Context) error {
 	s.mu.Lock()
 	server := s.server
