--- a/standin/machines/doc.go
+++ b/standin/machines/doc.go
@@ -1,4 +1,4 @@
 // Package machines is a stand-in of the platform's machine list, which shows
-// live and leaving machines with a lag. State is the pure part; Server adds
-// HTTP and fault injection.
+// active and leaving machines with a delay. State holds the list without I/O and
+// takes the time as an argument; Server adds HTTP and fault injection.
 package machines
--- a/standin/machines/machines_test.go
+++ b/standin/machines/machines_test.go
@@ -20,7 +20,9 @@
 
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-func TestListLagsAndReclaims(t *testing.T) {
+// The list must show additions, the leaving mark and the removal only after the
+// lag, and keep its contents while it is frozen.
+func TestListShowsChangesAfterLagAndRemovesReclaimedMachines(t *testing.T) {
 	state := machines.NewState(2 * time.Second)
 	state.Put(at(0), cluster.Machine{ID: "b", Zone: "z"})
 	state.Put(at(0), cluster.Machine{ID: "a", Zone: "z"})
@@ -47,10 +49,11 @@
 	}
 }
 
-// TestReclaimReachesEngine: the list passes the reclaim on to the machine.
-func TestReclaimReachesEngine(t *testing.T) {
-	got := make(chan string, 1)
-	engine := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) { got <- request.URL.Path }))
+// An engine drains before its machine is removed only if the list forwards the
+// reclaim fault to it.
+func TestReclaimFaultIsForwardedToEngine(t *testing.T) {
+	receivedPath := make(chan string, 1)
+	engine := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) { receivedPath <- request.URL.Path }))
 	defer engine.Close()
 	server := machines.NewServer(0, 1)
 	listener := httptest.NewServer(server)
@@ -62,7 +65,7 @@
 		t.Fatalf("fault: %v, %v", answer, err)
 	}
 	_ = answer.Body.Close()
-	if path := <-got; path != fault.Path {
+	if path := <-receivedPath; path != fault.Path {
 		t.Fatalf("engine got %s", path)
 	}
 	client := platform.NewClient(listener.URL)
@@ -73,13 +76,13 @@
 	}
 }
 
-// TestUnchangedListIsNotSentAgain counts the bytes of two reads of a long list,
-// and checks that a change comes through.
-func TestUnchangedListIsNotSentAgain(t *testing.T) {
+// Polling a list of 1,600 machines must cost no body while the list is unchanged
+// (304 by ETag), and must still return the whole list after a change.
+func TestUnchangedListIsAnsweredWithoutBody(t *testing.T) {
 	server := machines.NewServer(0, 1)
-	var sent atomic.Int64
+	var bytesWritten atomic.Int64
 	listener := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		server.ServeHTTP(&countingWriter{ResponseWriter: writer, sent: &sent}, request)
+		server.ServeHTTP(&countingWriter{ResponseWriter: writer, bytesWritten: &bytesWritten}, request)
 	}))
 	defer listener.Close()
 	for i := range 1600 {
@@ -88,32 +91,32 @@
 	client := platform.NewClient(listener.URL)
 	defer client.Close()
 	read := func() (int, int64) {
-		before := sent.Load()
+		before := bytesWritten.Load()
 		list, _, err := client.List(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		return len(list), sent.Load() - before
+		return len(list), bytesWritten.Load() - before
 	}
-	if count, bytes := read(); count != 1600 || bytes == 0 {
-		t.Fatalf("first read: %d machines in %d bytes", count, bytes)
+	if count, size := read(); count != 1600 || size == 0 {
+		t.Fatalf("first read: %d machines in %d bytes", count, size)
 	}
-	if count, bytes := read(); count != 1600 || bytes != 0 {
-		t.Fatalf("second read: %d machines in %d bytes, want none sent", count, bytes)
+	if count, size := read(); count != 1600 || size != 0 {
+		t.Fatalf("second read: %d machines in %d bytes, want none sent", count, size)
 	}
 	server.Put(cluster.Machine{ID: "new", Zone: "z"})
-	if count, bytes := read(); count != 1601 || bytes == 0 {
-		t.Fatalf("after a change: %d machines in %d bytes", count, bytes)
+	if count, size := read(); count != 1601 || size == 0 {
+		t.Fatalf("after a change: %d machines in %d bytes", count, size)
 	}
 }
 
-// countingWriter counts the bytes of bodies.
+// countingWriter counts the bytes of response bodies.
 type countingWriter struct {
 	http.ResponseWriter
-	sent *atomic.Int64
+	bytesWritten *atomic.Int64
 }
 
 func (w *countingWriter) Write(data []byte) (int, error) {
-	w.sent.Add(int64(len(data)))
+	w.bytesWritten.Add(int64(len(data)))
 	return w.ResponseWriter.Write(data)
 }
--- a/standin/machines/server.go
+++ b/standin/machines/server.go
@@ -14,12 +14,14 @@
 	"github.com/valveslip/valveslip/standin/fault"
 )
 
-// forwardTimeout bounds telling an engine that its machine is reclaimed.
-const forwardTimeout = 2 * time.Second
+// reclaimForwardTimeout limits the request that tells an engine that its machine
+// is being reclaimed.
+const reclaimForwardTimeout = 2 * time.Second
 
-// Server serves a State at platform/machines.PathMachines. POST there adds or
-// changes a machine. A KindReclaim fault marks the machine as leaving and
-// passes the fault on to the engine at the machine's address.
+// Server serves a State at machines.PathMachines: GET returns the list, POST
+// adds or updates a machine. A fault.KindReclaim marks the machine as leaving
+// and is forwarded to the engine at the machine's address. Server is safe for
+// concurrent use.
 type Server struct {
 	*fault.Injector
 	http.Handler
@@ -28,30 +30,32 @@
 	state *State
 }
 
-// NewServer returns an empty list with the given lag.
+// NewServer returns a server with an empty list that shows changes after lag.
+// seed initializes the random numbers of the fault injector.
 func NewServer(lag time.Duration, seed uint64) *Server {
 	server := &Server{state: NewState(lag)}
 	server.Injector = fault.NewInjector(seed, server.inject)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+machines.PathMachines, server.list)
-	mux.HandleFunc("POST "+machines.PathMachines, server.put)
+	mux.HandleFunc("GET "+machines.PathMachines, server.serveList)
+	mux.HandleFunc("POST "+machines.PathMachines, server.servePut)
 	server.Handler = server.Wrap(mux)
 	return server
 }
 
-// Do runs a function on the state under the server's lock.
+// Do calls function with the current time and the state while it holds the
+// server's lock.
 func (s *Server) Do(function func(now time.Time, state *State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	function(time.Now(), s.state)
 }
 
-// Put adds a machine or changes its entry.
+// Put adds or updates a machine.
 func (s *Server) Put(machine cluster.Machine) {
 	s.Do(func(now time.Time, state *State) { state.Put(now, machine) })
 }
 
-func (s *Server) list(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) serveList(writer http.ResponseWriter, request *http.Request) {
 	var answer machines.List
 	s.Do(func(now time.Time, state *State) { answer.Machines, answer.Version = state.List(now) })
 	tag := strconv.Quote(strconv.FormatUint(answer.Version, 10))
@@ -64,7 +68,7 @@
 	_ = json.NewEncoder(writer).Encode(answer)
 }
 
-func (s *Server) put(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) servePut(writer http.ResponseWriter, request *http.Request) {
 	var machine cluster.Machine
 	if err := json.NewDecoder(request.Body).Decode(&machine); err != nil || machine.ID == "" {
 		http.Error(writer, "a machine with an ID is needed", http.StatusBadRequest)
@@ -74,7 +78,8 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// inject carries out the faults that concern the list itself.
+// inject implements the faults of the machine list itself. It returns false for
+// other kinds, and for a reclaim of an unknown machine.
 func (s *Server) inject(order fault.Order) bool {
 	switch order.Kind {
 	case fault.KindClear:
@@ -94,7 +99,8 @@
 	return true
 }
 
-// reclaim marks the machine and tells its engine.
+// reclaim marks the machine as leaving and notifies its engine. It returns false
+// if the machine isn't listed.
 func (s *Server) reclaim(order fault.Order) bool {
 	var machine cluster.Machine
 	var found bool
@@ -102,14 +108,15 @@
 		machine, found = state.Reclaim(now, cluster.MachineID(order.Machine), time.Duration(order.Notice))
 	})
 	if found {
-		go forward(machine, order)
+		go forwardReclaim(machine, order)
 	}
 	return found
 }
 
-// forward passes a fault on to an engine; a dead engine need not hear of it.
-func forward(machine cluster.Machine, order fault.Order) {
-	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
+// forwardReclaim sends the fault to the machine's engine. Errors are ignored,
+// because an engine that is down has nothing to drain.
+func forwardReclaim(machine cluster.Machine, order fault.Order) {
+	ctx, cancel := context.WithTimeout(context.Background(), reclaimForwardTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+machine.Address+fault.Path, bytes.NewReader(order.Encode()))
 	if err != nil {
--- a/standin/machines/state.go
+++ b/standin/machines/state.go
@@ -7,39 +7,42 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// change is one change of the list.
+// change is one update of the list: an added or updated machine, or a removal.
 type change struct {
-	at      time.Time
-	machine cluster.Machine
-	gone    bool
+	effectiveAt time.Time
+	machine     cluster.Machine
+	removed     bool
 }
 
 // State is the machine list. It is not safe for concurrent use.
 type State struct {
-	lag     time.Duration
+	lag time.Duration
+	// changes is sorted by effectiveAt.
 	changes []change
-	// frozenAt, when set, is the time whose list is shown until Thaw.
+	// frozenAt, if not zero, is the time as of which List shows the machines
+	// until Thaw is called.
 	frozenAt time.Time
 }
 
-// NewState returns an empty list that shows changes lag after they happen.
+// NewState returns an empty list that shows each change lag after it took
+// effect.
 func NewState(lag time.Duration) *State { return &State{lag: lag} }
 
-// Put adds a machine or changes its entry.
+// Put adds or updates a machine.
 func (s *State) Put(now time.Time, machine cluster.Machine) {
-	s.record(change{at: now, machine: machine})
+	s.insertChange(change{effectiveAt: now, machine: machine})
 }
 
-// Remove takes a machine off the list.
+// Remove removes a machine from the list.
 func (s *State) Remove(now time.Time, id cluster.MachineID) {
-	s.record(change{at: now, machine: cluster.Machine{ID: id}, gone: true})
+	s.insertChange(change{effectiveAt: now, machine: cluster.Machine{ID: id}, removed: true})
 }
 
-// Reclaim marks a machine as leaving and takes it off the list after notice. It
-// answers the machine, or false when there is none.
+// Reclaim marks a machine as leaving and removes it from the list after notice.
+// It returns the updated machine, or false if the machine isn't listed.
 func (s *State) Reclaim(now time.Time, id cluster.MachineID, notice time.Duration) (cluster.Machine, bool) {
 	var found cluster.Machine
-	for _, machine := range s.at(now) {
+	for _, machine := range s.machinesAt(now) {
 		if machine.ID == id {
 			found = machine
 		}
@@ -53,38 +56,39 @@
 	return found, true
 }
 
-// record keeps changes in the order of their times.
-func (s *State) record(entry change) {
-	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].at.After(entry.at) })
+// insertChange adds a change in the order of effectiveAt, because a removal can
+// be recorded before it takes effect.
+func (s *State) insertChange(entry change) {
+	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].effectiveAt.After(entry.effectiveAt) })
 	s.changes = append(s.changes, change{})
 	copy(s.changes[i+1:], s.changes[i:])
 	s.changes[i] = entry
 }
 
-// Freeze shows the list as of now until Thaw.
+// Freeze makes List return what it shows now until Thaw is called.
 func (s *State) Freeze(now time.Time) { s.frozenAt = now.Add(-s.lag) }
 
-// Thaw ends Freeze.
+// Thaw ends the effect of Freeze.
 func (s *State) Thaw() { s.frozenAt = time.Time{} }
 
-// List returns the machines as they were lag ago, sorted by ID, and the number
-// of changes up to then.
+// List returns the machines as they were lag before now, sorted by ID, and the
+// list's version, which is the number of changes up to that time.
 func (s *State) List(now time.Time) ([]cluster.Machine, uint64) {
-	shown := now.Add(-s.lag)
+	asOf := now.Add(-s.lag)
 	if !s.frozenAt.IsZero() {
-		shown = s.frozenAt
+		asOf = s.frozenAt
 	}
-	version := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].at.After(shown) })
-	return s.at(shown), uint64(version)
+	version := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].effectiveAt.After(asOf) })
+	return s.machinesAt(asOf), uint64(version)
 }
 
-// at returns the machines as they are at a time.
-func (s *State) at(when time.Time) []cluster.Machine {
+// machinesAt returns the machines at a time, without the lag, sorted by ID.
+func (s *State) machinesAt(asOf time.Time) []cluster.Machine {
 	byID := map[cluster.MachineID]cluster.Machine{}
 	for _, entry := range s.changes {
 		switch {
-		case entry.at.After(when):
-		case entry.gone:
+		case entry.effectiveAt.After(asOf):
+		case entry.removed:
 			delete(byID, entry.machine.ID)
 		default:
 			byID[entry.machine.ID] = entry.machine
--- a/standin/metadata/server.go
+++ b/standin/metadata/server.go
@@ -17,37 +17,38 @@
 )
 
 const (
-	// pageItems bounds one page of a range.
-	pageItems = 500
-	// longestWatch is how long a watch may be held.
-	longestWatch = 30 * time.Second
+	// maxPageItems limits the items in one page of a range response.
+	maxPageItems = 500
+	// maxWatchWait is the longest wait that a watch request may ask for.
+	maxWatchWait = 30 * time.Second
 )
 
-// Server serves the store. It is safe for concurrent use. Faults are injected
-// through the embedded server.
+// Server is an HTTP handler for the store's API. It is safe for concurrent use.
+// Faults are injected through the embedded server.
 type Server struct {
 	*standin.Server
 	handler http.Handler
-	// silent stores take calls and never answer them.
-	silent atomic.Bool
-	// muted stores tell watches of no change, only of the revision.
-	muted atomic.Bool
-	calls atomic.Int64
-	// Rewrite changes the value of an item that a range or a watch shows; nil shows
-	// all as they are. It is set before the first call.
+	// unresponsive makes the store accept requests and never answer them.
+	unresponsive atomic.Bool
+	// eventsSuppressed makes watch responses carry the revision but no events.
+	eventsSuppressed atomic.Bool
+	calls            atomic.Int64
+	// Rewrite replaces the value of an item in range and watch responses; nil
+	// leaves all values unchanged. It must be set before the first request.
 	Rewrite func(key string, value []byte) []byte
 }
 
-// New returns a store that is empty.
+// New returns an empty store. seed initializes the random numbers of the fault
+// injector.
 func New(seed uint64) *Server {
 	s := &Server{Server: standin.NewServer(standin.Config{}, seed)}
 	router := chi.NewRouter()
-	router.Get(platform.PathRange, s.rangeItems)
-	router.Get(platform.PathWatch, s.watch)
-	router.Post(platform.PathTxn, s.txn)
-	router.Post(platform.PathLease, s.grant)
-	router.Post(platform.PathKeep+"{id}", s.keep)
-	router.Delete(platform.PathLeaseEnd+"{id}", s.end)
+	router.Get(platform.PathRange, s.serveRange)
+	router.Get(platform.PathWatch, s.serveWatch)
+	router.Post(platform.PathTxn, s.applyTransaction)
+	router.Post(platform.PathLease, s.grantLease)
+	router.Post(platform.PathKeep+"{id}", s.keepLeaseAlive)
+	router.Delete(platform.PathLeaseEnd+"{id}", s.revokeLease)
 	s.handler = s.Wrap(router)
 	return s
 }
@@ -55,23 +56,23 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
-	if s.silent.Load() {
+	if s.unresponsive.Load() {
 		<-r.Context().Done()
 		return
 	}
 	s.handler.ServeHTTP(w, r)
 }
 
-// SetSilent has the store take calls without ever answering them.
-func (s *Server) SetSilent(silent bool) { s.silent.Store(silent) }
+// SetSilent sets whether the store accepts requests without ever answering them.
+func (s *Server) SetSilent(silent bool) { s.unresponsive.Store(silent) }
 
-// SetMuted has watches hear nothing while changes are made.
-func (s *Server) SetMuted(muted bool) { s.muted.Store(muted) }
+// SetMuted sets whether watches receive no events while the store changes.
+func (s *Server) SetMuted(muted bool) { s.eventsSuppressed.Store(muted) }
 
-// Calls counts the calls made.
+// Calls returns the number of requests received.
 func (s *Server) Calls() int64 { return s.calls.Load() }
 
-// Put writes a pair without a condition, as the operator and workers do.
+// Put writes value as JSON without a precondition, as operators and workers do.
 func (s *Server) Put(key string, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -80,7 +81,8 @@
 	return s.PutBytes(key, encoded)
 }
 
-// PutBytes writes a pair whose value may be anything.
+// PutBytes writes arbitrary bytes, which need not be valid JSON, without a
+// precondition.
 func (s *Server) PutBytes(key string, value []byte) (err error) {
 	s.Do(func(now time.Time, state *standin.State) {
 		_, err = state.Txn(now, keyvalue.Transaction{Operations: []keyvalue.Operation{{Key: key, Value: value}}})
@@ -88,19 +90,19 @@
 	return err
 }
 
-// Remove deletes a pair.
+// Remove deletes a key without a precondition.
 func (s *Server) Remove(key string) {
 	s.Do(func(now time.Time, state *standin.State) {
 		_, _ = state.Txn(now, keyvalue.Transaction{Operations: []keyvalue.Operation{{Key: key, Delete: true}}})
 	})
 }
 
-// Forget drops the history, as a compaction does.
+// Forget compacts the history up to the current revision.
 func (s *Server) Forget() {
 	s.Do(func(_ time.Time, state *standin.State) { state.Compact(state.Revision()) })
 }
 
-// Keys lists the keys below a prefix.
+// Keys returns the sorted keys with a prefix.
 func (s *Server) Keys(prefix string) []string {
 	var keys []string
 	s.Do(func(now time.Time, state *standin.State) {
@@ -112,27 +114,27 @@
 	return keys
 }
 
-// shown is an item as ranges and watches show it.
-func (s *Server) shown(pair keyvalue.KeyValue) platform.Item {
-	changed := item(pair)
+// visibleItem returns a pair as range and watch responses show it.
+func (s *Server) visibleItem(pair keyvalue.KeyValue) platform.Item {
+	changed := toItem(pair)
 	if s.Rewrite != nil {
 		changed.Value = s.Rewrite(changed.Key, changed.Value)
 	}
 	return changed
 }
 
-func item(pair keyvalue.KeyValue) platform.Item {
+func toItem(pair keyvalue.KeyValue) platform.Item {
 	return platform.Item{Key: pair.Key, Value: pair.Value, Changed: pair.ModRevision, Made: pair.CreateRevision, Lease: pair.Lease}
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// rangeItems answers one page of the items below a prefix.
-func (s *Server) rangeItems(w http.ResponseWriter, r *http.Request) {
+// serveRange answers with one page of the items with a prefix.
+func (s *Server) serveRange(w http.ResponseWriter, r *http.Request) {
 	var page platform.RangeAnswer
 	after := r.URL.Query().Get("after")
 	s.Do(func(now time.Time, state *standin.State) {
@@ -143,44 +145,45 @@
 			if pair.Key <= after && after != "" {
 				continue
 			}
-			if len(page.Items) == pageItems {
+			if len(page.Items) == maxPageItems {
 				page.More = true
 				return
 			}
-			page.Items = append(page.Items, s.shown(pair))
+			page.Items = append(page.Items, s.visibleItem(pair))
 		}
 	})
-	answer(w, http.StatusOK, page)
+	writeJSON(w, http.StatusOK, page)
 }
 
-// watch holds the call until something changed.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
+// serveWatch is a long poll: it answers as soon as there are events after the
+// given revision, and without events when the requested wait ends.
+func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	wait, waitErr := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	if err != nil || waitErr != nil || time.Duration(wait)*time.Millisecond > longestWatch {
-		answer(w, http.StatusBadRequest, struct{}{})
+	if err != nil || waitErr != nil || time.Duration(wait)*time.Millisecond > maxWatchWait {
+		writeJSON(w, http.StatusBadRequest, struct{}{})
 		return
 	}
 	deadline := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer deadline.Stop()
 	for {
 		changed := s.Changed()
-		batch := s.events(r.URL.Query().Get("path_prefix"), after)
-		if s.muted.Load() {
+		batch := s.eventsAfter(r.URL.Query().Get("path_prefix"), after)
+		if s.eventsSuppressed.Load() {
 			batch.Compacted, batch.Events, changed = false, nil, nil
 		}
 		if batch.Compacted {
-			answer(w, http.StatusGone, struct{}{})
+			writeJSON(w, http.StatusGone, struct{}{})
 			return
 		}
 		if len(batch.Events) > 0 {
-			answer(w, http.StatusOK, s.watchAnswer(&batch))
+			writeJSON(w, http.StatusOK, s.toWatchAnswer(&batch))
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			answer(w, http.StatusOK, s.watchAnswer(&batch))
+			writeJSON(w, http.StatusOK, s.toWatchAnswer(&batch))
 			return
 		case <-r.Context().Done():
 			return
@@ -188,26 +191,27 @@
 	}
 }
 
-func (s *Server) events(prefix string, after int64) (batch keyvalue.WatchBatch) {
+func (s *Server) eventsAfter(prefix string, after int64) (batch keyvalue.WatchBatch) {
 	s.Do(func(now time.Time, state *standin.State) { batch = state.EventsSince(now, prefix, after+1) })
 	return batch
 }
 
-func (s *Server) watchAnswer(batch *keyvalue.WatchBatch) platform.WatchAnswer {
+func (s *Server) toWatchAnswer(batch *keyvalue.WatchBatch) platform.WatchAnswer {
 	changes := platform.WatchAnswer{At: batch.Revision, Events: []platform.Item{}}
 	for _, event := range batch.Events {
-		changed := s.shown(event.KeyValue)
+		changed := s.visibleItem(event.KeyValue)
 		changed.Gone = event.Deleted
 		changes.Events = append(changes.Events, changed)
 	}
 	return changes
 }
 
-// txn applies a transaction.
-func (s *Server) txn(w http.ResponseWriter, r *http.Request) {
+// applyTransaction serves a conditional write. If a condition isn't met, the
+// response has the current items of the compared keys.
+func (s *Server) applyTransaction(w http.ResponseWriter, r *http.Request) {
 	var request platform.TxnRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
-		answer(w, http.StatusBadRequest, struct{}{})
+		writeJSON(w, http.StatusBadRequest, struct{}{})
 		return
 	}
 	transaction := keyvalue.Transaction{}
@@ -216,8 +220,8 @@
 		transaction.Reads = append(transaction.Reads, expected.Key)
 	}
 	for _, put := range request.Put {
-		if forbidden(put.Key) {
-			answer(w, http.StatusForbidden, struct{}{})
+		if isReadOnlyKey(put.Key) {
+			writeJSON(w, http.StatusForbidden, struct{}{})
 			return
 		}
 		transaction.Operations = append(transaction.Operations, keyvalue.Operation{Key: put.Key, Value: put.Value, Lease: put.Lease})
@@ -230,58 +234,59 @@
 	s.Do(func(now time.Time, state *standin.State) { result, err = state.Txn(now, transaction) })
 	switch {
 	case errors.Is(err, keyvalue.ErrLeaseNotFound):
-		answer(w, http.StatusNotFound, struct{}{})
+		writeJSON(w, http.StatusNotFound, struct{}{})
 	case err != nil:
-		answer(w, http.StatusBadRequest, struct{}{})
+		writeJSON(w, http.StatusBadRequest, struct{}{})
 	case !result.Succeeded:
-		unmet := platform.TxnAnswer{}
+		failure := platform.TxnAnswer{}
 		for _, pair := range result.Found {
-			unmet.Items = append(unmet.Items, item(pair))
+			failure.Items = append(failure.Items, toItem(pair))
 		}
-		answer(w, http.StatusPreconditionFailed, unmet)
+		writeJSON(w, http.StatusPreconditionFailed, failure)
 	default:
-		answer(w, http.StatusOK, platform.TxnAnswer{Revision: result.Revision})
+		writeJSON(w, http.StatusOK, platform.TxnAnswer{Revision: result.Revision})
 	}
 }
 
-// forbidden reports whether a key is not for the system to write.
-func forbidden(key string) bool {
+// isReadOnlyKey reports whether a key belongs to the workers or the operator, so
+// that the serving system may not write it.
+func isReadOnlyKey(key string) bool {
 	return strings.HasPrefix(key, platform.PrefixWorkers) || key == platform.KeyConfiguration
 }
 
-func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Server) grantLease(w http.ResponseWriter, r *http.Request) {
 	var request platform.LeaseBody
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMillis <= 0 {
-		answer(w, http.StatusBadRequest, struct{}{})
+		writeJSON(w, http.StatusBadRequest, struct{}{})
 		return
 	}
 	var id int64
 	ttl := time.Duration(request.TTLMillis) * time.Millisecond
 	s.Do(func(now time.Time, state *standin.State) { id = state.Grant(now, ttl) })
-	answer(w, http.StatusOK, platform.LeaseBody{Lease: id, TTLMillis: request.TTLMillis})
+	writeJSON(w, http.StatusOK, platform.LeaseBody{Lease: id, TTLMillis: request.TTLMillis})
 }
 
-func (s *Server) keep(w http.ResponseWriter, r *http.Request) {
+func (s *Server) keepLeaseAlive(w http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseInt(chi.URLParam(r, "id"), 10, 64)
 	var ttl time.Duration
 	if err == nil {
 		s.Do(func(now time.Time, state *standin.State) { ttl, err = state.KeepAlive(now, id) })
 	}
 	if err != nil {
-		answer(w, http.StatusNotFound, struct{}{})
+		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
-	answer(w, http.StatusOK, platform.LeaseBody{TTLMillis: ttl.Milliseconds()})
+	writeJSON(w, http.StatusOK, platform.LeaseBody{TTLMillis: ttl.Milliseconds()})
 }
 
-func (s *Server) end(w http.ResponseWriter, r *http.Request) {
+func (s *Server) revokeLease(w http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseInt(chi.URLParam(r, "id"), 10, 64)
 	if err == nil {
 		s.Do(func(now time.Time, state *standin.State) { err = state.Revoke(now, id) })
 	}
 	if err != nil {
-		answer(w, http.StatusNotFound, struct{}{})
+		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
-	answer(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
