--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -18,7 +18,7 @@
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// mustStart begins a load that may not be refused.
+// mustStart starts a load and fails the test if the store refuses it.
 func mustStart(t *testing.T, state *weights.State, now time.Time, id string, bytes int64) {
 	t.Helper()
 	if _, ok := state.Start(now, id, bytes); !ok {
@@ -26,20 +26,22 @@
 	}
 }
 
-func TestConcurrencySharesBandwidth(t *testing.T) {
+// Loads beyond the concurrency limit must share the total bandwidth, and speed
+// up when another load finishes.
+func TestLoadsBeyondConcurrencyShareBandwidth(t *testing.T) {
 	state := weights.NewState(weights.Config{Concurrency: 2, BytesPerSecond: 100})
 	for _, id := range []string{"a", "b", "c", "d"} {
 		mustStart(t, state, at(0), id, 100)
 	}
 	mustStart(t, state, at(0), "small", 25)
-	// Five loads share two loads' bandwidth: 40 bytes a second each.
+	// Five loads share the bandwidth of two: 40 bytes per second each.
 	if speed := state.Status(at(0)).Speed; speed != 0.4 {
 		t.Fatalf("speed %v", speed)
 	}
 	if done := state.Advance(at(0.626)); fmt.Sprint(done) != "[small]" {
 		t.Fatalf("done %v", done)
 	}
-	// Then four share it: 75 bytes left at 50 a second.
+	// The other four share it then: 75 bytes remain at 50 bytes per second.
 	if done := state.Advance(at(2.12)); len(done) != 0 {
 		t.Fatalf("done early %v", done)
 	}
@@ -51,7 +53,9 @@
 	}
 }
 
-func TestStartsAreLimited(t *testing.T) {
+// A start beyond the burst must be refused with the time until the next start
+// token, and must succeed after that time.
+func TestStartBeyondRateIsRefusedWithRetryDelay(t *testing.T) {
 	state := weights.NewState(weights.Config{StartsPerSecond: 2, BytesPerSecond: 1})
 	mustStart(t, state, at(0), "a", 10)
 	mustStart(t, state, at(0), "b", 10)
@@ -62,7 +66,9 @@
 	mustStart(t, state, at(0).Add(wait), "c", 10)
 }
 
-func TestSlowDownAndAbort(t *testing.T) {
+// A change of the transfer rate must apply to loads that are running, an aborted
+// load must not finish, and at speed zero no finish may be announced.
+func TestSpeedChangeAndAbortAdjustFinishTimes(t *testing.T) {
 	state := weights.NewState(weights.Config{BytesPerSecond: 100})
 	mustStart(t, state, at(0), "a", 100)
 	mustStart(t, state, at(0), "b", 100)
@@ -84,13 +90,16 @@
 	}
 }
 
-func TestFetchWaitsForItsStart(t *testing.T) {
+// The client must retry starts that the store refuses, and cancelling a fetch
+// must abort its load in the store; otherwise the load would keep its share of
+// the bandwidth.
+func TestFetchRetriesRefusedStartsAndAbortsOnCancel(t *testing.T) {
 	server := weights.NewServer(weights.Config{StartsPerSecond: 50, BytesPerSecond: 1e9}, 1)
 	listener := httptest.NewServer(server)
 	defer listener.Close()
 	client, reader := weights.NewClient(listener.URL), platform.NewClient(listener.URL)
 	defer reader.Close()
-	for i := range 60 { // ten more than may start at once
+	for i := range 60 { // ten more than the burst of 50 starts
 		if err := client.Fetch(context.Background(), weights.LoadRequest{ID: fmt.Sprint(i), Bytes: 1000}); err != nil {
 			t.Fatal(err)
 		}
@@ -115,7 +124,7 @@
 	if err := <-ended; err == nil {
 		t.Fatal("a cancelled fetch succeeded")
 	}
-	for active := 1; active != 0; { // the abort frees the store
+	for active := 1; active != 0; { // wait until the store has aborted the load
 		status, err := reader.Status(context.Background())
 		if err != nil {
 			t.Fatal(err)
