--- a/standin/worker/notices.go
+++ b/standin/worker/notices.go
@@ -9,54 +9,56 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// Turned is one request that the worker turned away, asking for rest.
+// Turned is one request that the worker shed. Rest is the time for which it
+// asked the sending node for no further requests.
 type Turned struct {
 	RequestID string
 	At        time.Time
 	Rest      time.Duration
 }
 
-// SetLimit has the worker name in all its answers how many requests a second it takes from all
-// nodes together; zero has it name none. It takes more all the same.
+// SetLimit sets the limit that the worker advertises in all its responses, in requests per second
+// from all nodes together; zero advertises none. The worker doesn't enforce it.
 func (w *Worker) SetLimit(perSecond float64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.limit = perSecond
+	w.advertisedLimit = perSecond
 }
 
-// SetRest sets for how long the worker wants nothing from a node whose request it sheds.
+// SetRest sets for how long a node whose request was shed is asked to send no further requests.
 func (w *Worker) SetRest(rest time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.rest = rest
+	w.shedPause = rest
 }
 
-// Turned lists the requests that were shed.
+// Turned returns the requests that were shed.
 func (w *Worker) Turned() []Turned {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return slices.Clone(w.turned)
+	return slices.Clone(w.shedRequests)
 }
 
-// shed turns a request away.
-func (w *Worker) shed(out http.ResponseWriter, id string) {
+// shedRequest refuses a request without running it and asks the node to pause.
+func (w *Worker) shedRequest(out http.ResponseWriter, id string) {
 	w.mutex.Lock()
-	rest := w.rest
-	w.turned = append(w.turned, Turned{RequestID: id, At: time.Now(), Rest: rest})
+	rest := w.shedPause
+	w.shedRequests = append(w.shedRequests, Turned{RequestID: id, At: time.Now(), Rest: rest})
 	w.mutex.Unlock()
 	out.Header().Set(platform.HeaderNotExecuted, "1")
 	out.Header().Set(platform.HeaderRest, strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
 	out.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// describe says in an answer's head what all answers of the worker say of it.
-func (w *Worker) describe(header http.Header) {
+// setStatusHeaders sets the headers that every response of the worker has: whether it leaves, and
+// its advertised limit.
+func (w *Worker) setStatusHeaders(header http.Header) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.leaving {
 		header.Set(platform.HeaderLeaving, "1")
 	}
-	if w.limit > 0 {
-		header.Set(platform.HeaderLimit, strconv.FormatFloat(w.limit, 'f', -1, 64))
+	if w.advertisedLimit > 0 {
+		header.Set(platform.HeaderLimit, strconv.FormatFloat(w.advertisedLimit, 'f', -1, 64))
 	}
 }
--- a/standin/worker/orders.go
+++ b/standin/worker/orders.go
@@ -9,16 +9,16 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// TakenOrder is an order that the worker took.
+// TakenOrder is an order that the worker accepted at the time At.
 type TakenOrder struct {
 	platform.OrderDocument
 	At time.Time
-	// Load is set when the order loads a whole model, Overfills when it needs more
-	// memory than there is.
+	// Load is set if the order loads a model rather than an adapter, Overfills if
+	// that load exceeds the worker's memory.
 	Load, Overfills bool
 }
 
-// Orders lists the orders that were taken.
+// Orders returns the accepted orders.
 func (w *Worker) Orders() []platform.OrderDocument {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -29,23 +29,24 @@
 	return orders
 }
 
-// TakenOrders lists the orders that were taken with their times.
+// TakenOrders returns the accepted orders with the time and effect of each.
 func (w *Worker) TakenOrders() []TakenOrder {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.orders)
 }
 
-// DelayOrders has orders wait before they are looked at, whether or not their
-// sender still waits for the answer.
+// DelayOrders delays the processing of each order, also if its sender no longer
+// waits for the response.
 func (w *Worker) DelayOrders(delay time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.orderDelay = delay
 }
 
-// takeOrder takes an order under its conditions.
-func (w *Worker) takeOrder(out http.ResponseWriter, r *http.Request) {
+// acceptOrder accepts an order if its fencing token isn't older than the highest
+// one seen, its expected sequence number is current and no load is in progress.
+func (w *Worker) acceptOrder(out http.ResponseWriter, r *http.Request) {
 	var order platform.OrderDocument
 	if json.NewDecoder(r.Body).Decode(&order) != nil || order.Holder == "" {
 		out.WriteHeader(http.StatusBadRequest)
@@ -58,56 +59,58 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	switch {
-	case order.Fence < w.fence && !w.config.Unfenced:
+	case order.Fence < w.highestFence && !w.config.Unfenced:
 		out.WriteHeader(http.StatusPreconditionFailed)
 		return
 	case w.busy || order.Expected != w.sequence:
 		out.WriteHeader(http.StatusConflict)
 		return
 	}
-	w.fence = max(w.fence, order.Fence)
+	w.highestFence = max(w.highestFence, order.Fence)
 	w.sequence++
 	w.orders = append(w.orders, TakenOrder{
-		OrderDocument: order, At: time.Now(), Load: loadsModel(&order), Overfills: w.overfills(&order),
+		OrderDocument: order, At: time.Now(), Load: loadsModel(&order), Overfills: w.exceedsMemory(&order),
 	})
 	w.busy = order.Adapter == ""
 	out.WriteHeader(http.StatusAccepted)
-	go w.carryOut(order)
+	go w.executeOrder(order)
 }
 
-// loadsModel reports whether an order loads a whole model.
+// loadsModel reports whether an order loads a model rather than an adapter.
 func loadsModel(order *platform.OrderDocument) bool {
 	return order.Operation == "load" && order.Adapter == ""
 }
 
-// overfills reports whether a load needs more memory than there is. One load runs
-// at a time.
-func (w *Worker) overfills(order *platform.OrderDocument) bool {
+// exceedsMemory reports whether a load needs more memory than the worker has,
+// together with the loaded models. No other load needs to be counted, because one
+// load runs at a time.
+func (w *Worker) exceedsMemory(order *platform.OrderDocument) bool {
 	if !loadsModel(order) {
 		return false
 	}
-	sum := w.config.Models[order.Model].Bytes
-	for _, held := range w.held {
-		if held.Name != order.Model {
-			sum += w.config.Models[held.Name].Bytes
+	requiredBytes := w.config.Models[order.Model].Bytes
+	for _, loaded := range w.loadedModels {
+		if loaded.Name != order.Model {
+			requiredBytes += w.config.Models[loaded.Name].Bytes
 		}
 	}
-	return w.config.MemoryBytes > 0 && sum > w.config.MemoryBytes
+	return w.config.MemoryBytes > 0 && requiredBytes > w.config.MemoryBytes
 }
 
-// carryOut loads or unloads after the load time.
-func (w *Worker) carryOut(order platform.OrderDocument) {
+// executeOrder applies an accepted order after the load time and publishes the
+// worker's entry.
+func (w *Worker) executeOrder(order platform.OrderDocument) {
 	time.Sleep(w.config.LoadTime)
 	w.mutex.Lock()
-	at := slices.IndexFunc(w.held, func(h platform.HeldModelDocument) bool { return h.Name == order.Model })
+	index := slices.IndexFunc(w.loadedModels, func(loaded platform.HeldModelDocument) bool { return loaded.Name == order.Model })
 	switch {
-	case order.Operation == "unload" && order.Adapter == "" && at >= 0:
-		w.held = slices.Delete(slices.Clone(w.held), at, at+1)
-	case order.Operation == "load" && order.Adapter == "" && at < 0:
-		w.held = append(slices.Clone(w.held), platform.HeldModelDocument{Name: order.Model, Version: 1, Adapters: []string{}})
-	case order.Operation == "load" && at >= 0:
-		w.held = slices.Clone(w.held)
-		w.held[at].Adapters = append(slices.Clone(w.held[at].Adapters), order.Adapter)
+	case order.Operation == "unload" && order.Adapter == "" && index >= 0:
+		w.loadedModels = slices.Delete(slices.Clone(w.loadedModels), index, index+1)
+	case order.Operation == "load" && order.Adapter == "" && index < 0:
+		w.loadedModels = append(slices.Clone(w.loadedModels), platform.HeldModelDocument{Name: order.Model, Version: 1, Adapters: []string{}})
+	case order.Operation == "load" && index >= 0:
+		w.loadedModels = slices.Clone(w.loadedModels)
+		w.loadedModels[index].Adapters = append(slices.Clone(w.loadedModels[index].Adapters), order.Adapter)
 	}
 	if order.Adapter == "" {
 		w.busy = false
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -19,120 +19,129 @@
 type Config struct {
 	ID, Service, Address, Zone string
 	Slots                      int
-	// Models of the engine by name; nil for a service without models.
+	// Models has the models that the worker can load, by name; nil for a service
+	// without models.
 	Models map[string]catalog.ModelSpec
-	// Held models at the start.
+	// Held has the names of the models that are loaded at the start.
 	Held []string
-	// Events of each stream, and the pause between two of them.
+	// Events is the number of events of each stream, and Pause the time between
+	// two of them. With zero Events, answers are not streamed.
 	Events int
 	Pause  time.Duration
-	// LoadTime of every load.
+	// LoadTime is the duration of every load and unload.
 	LoadTime time.Duration
-	// RunTime is how long a request that is no stream runs.
+	// RunTime is the execution time of a request that isn't streamed.
 	RunTime time.Duration
-	// Unfenced workers take orders under older fences than one they have seen.
+	// Unfenced workers accept orders with an older fencing token than one they
+	// have seen.
 	Unfenced bool
-	// MemoryBytes bounds the models held at once; zero sets no bound.
+	// MemoryBytes is the memory for loaded models; zero means unlimited. Orders
+	// beyond it are recorded as TakenOrder.Overfills.
 	MemoryBytes int64
-	// Born is when the worker starts, in Unix milliseconds; it says nothing of that if zero.
+	// Born is the start time that the worker reports, in Unix milliseconds; zero
+	// reports none.
 	Born int64
 }
 
-// Behaviour is what a worker does with one request besides running it.
+// Behaviour selects how a worker handles one request.
 type Behaviour uint8
 
-// The behaviours.
+// The behaviours of a worker.
 const (
-	// Serve runs the request and answers.
+	// Serve runs the request and returns its answer.
 	Serve Behaviour = iota
-	// Reject answers that it did not run the request.
+	// Reject answers 503 with the header that the request was not executed.
 	Reject
 	// FailWith500 runs the request and answers 500.
 	FailWith500
-	// CutAfterRun runs the request and closes the connection.
+	// CutAfterRun runs the request and closes the connection without a response.
 	CutAfterRun
-	// CutStream breaks a stream off in the middle of an event, halfway.
+	// CutStream closes the connection in the middle of an event, after half of the
+	// events.
 	CutStream
-	// Hang runs the request and never answers.
+	// Hang runs the request and sends no response until the caller disconnects.
 	Hang
-	// Cross runs the request and gives the answer to another one.
+	// Cross runs the request and returns the answer of another request.
 	Cross
-	// Shed answers that it did not run the request, and for how long it wants nothing more.
+	// Shed does as Reject and asks the node for a pause in addition.
 	Shed
-	// CutBody runs the request and breaks the answer off halfway.
+	// CutBody runs the request and closes the connection after half of the body.
 	CutBody
 )
 
-// crossedID is the request that a crossed answer belongs to.
-const crossedID = "another-request"
+// misroutedAnswerID is the request ID in the answers of Cross.
+const misroutedAnswerID = "another-request"
 
-// Run is one request that the worker began.
+// Run is one request that the worker started to run.
 type Run struct {
 	RequestID, Model, LastEvent, Body string
 	At                                time.Time
 }
 
-// StreamText is the whole stream that answers a request after an event.
+// StreamText returns the stream that answers a request, from the event after
+// number after up to number events.
 func StreamText(id string, after, events int) string {
 	var text strings.Builder
 	for number := after + 1; number <= events; number++ {
-		text.WriteString(event(id, number))
+		text.WriteString(eventText(id, number))
 	}
 	return text.String()
 }
 
-func event(id string, number int) string {
+func eventText(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: piece %d of %s\n\n", number, number, id)
 }
 
-// AnswerText is the whole answer of a worker to a request that is no stream.
+// AnswerText returns the complete answer of a worker to a request that isn't
+// streamed.
 func AnswerText(id, worker string) string { return fmt.Sprintf("answer to %s from %s", id, worker) }
 
-// Stamp signs the answers of a worker.
+// Stamp returns the value that a worker sets in the stamp header of its answers.
 func Stamp(worker string) string { return "stamp-" + worker }
 
-// Worker serves requests. It is safe for concurrent use.
+// Worker is an HTTP handler for requests, orders and reports. It is safe for
+// concurrent use.
 type Worker struct {
 	config Config
-	// Behave chooses the behaviour for a request; nil serves all.
+	// Behave selects the behaviour for a request; nil means Serve for all.
 	Behave func(r *http.Request) Behaviour
-	// Publish is called with the worker's entry when it has changed.
+	// Publish is called with the worker's key and entry when the entry has changed;
+	// nil publishes nothing.
 	Publish func(key string, entry platform.WorkerDocument)
 
 	mutex sync.Mutex
-	// draining is what the worker's entry says, leaving what its answers do.
+	// draining is shown in the worker's entry, leaving in its response headers.
 	draining, leaving bool
 	runs              []Run
-	held              []platform.HeldModelDocument
+	loadedModels      []platform.HeldModelDocument
 	sequence          int64
-	fence             uint64
+	highestFence      uint64
 	busy              bool
 	orders            []TakenOrder
-	// rest is for how long the worker wants nothing from a node whose request it sheds, turned are
-	// those that it shed.
-	rest   time.Duration
-	turned []Turned
-	// limit that the worker names in its answers, in requests a second; zero names none.
-	limit float64
-	// orderDelay is how late orders are looked at.
+	// shedPause is the time for which a node whose request was shed is asked to send nothing.
+	shedPause    time.Duration
+	shedRequests []Turned
+	// advertisedLimit is sent in response headers, in requests per second; zero sends none.
+	advertisedLimit float64
+	// orderDelay is the time that an order waits before it is processed.
 	orderDelay time.Duration
-	// abandoned counts the hanging requests whose connection closed.
-	abandoned int
+	// abandonedRequests counts the requests under Hang whose caller disconnected.
+	abandonedRequests int
 }
 
-// New returns a worker.
+// New returns a worker that has loaded the models config.Held.
 func New(config Config) *Worker {
 	w := &Worker{config: config}
 	for _, name := range config.Held {
-		w.held = append(w.held, platform.HeldModelDocument{Name: name, Version: 1, Adapters: []string{}})
+		w.loadedModels = append(w.loadedModels, platform.HeldModelDocument{Name: name, Version: 1, Adapters: []string{}})
 	}
 	return w
 }
 
-// Key is the worker's key in the store.
+// Key returns the key of the worker's entry in the metadata store.
 func (w *Worker) Key() string { return platform.PrefixWorkers + w.config.ID }
 
-// Entry is the worker's entry in the store.
+// Entry returns the worker's entry for the metadata store.
 func (w *Worker) Entry() platform.WorkerDocument {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -142,37 +151,39 @@
 	}
 	return platform.WorkerDocument{
 		Service: w.config.Service, Address: w.config.Address, Zone: w.config.Zone, Version: "v1",
-		Slots: w.config.Slots, State: state, Models: slices.Clone(w.held), Born: w.born(),
+		Slots: w.config.Slots, State: state, Models: slices.Clone(w.loadedModels), Born: w.startTimeMillis(),
 	}
 }
 
-// born is what the worker says of its start.
-func (w *Worker) born() *int64 {
+// startTimeMillis returns the start time that the worker reports, in Unix
+// milliseconds, or nil if it reports none.
+func (w *Worker) startTimeMillis() *int64 {
 	if w.config.Born == 0 {
 		return nil
 	}
 	return &w.config.Born
 }
 
-// Draining reports whether the worker says that it leaves.
+// Draining reports whether the worker's entry says that it is draining.
 func (w *Worker) Draining() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.draining
 }
 
-// SetAddress sets where the worker is served.
+// SetAddress sets the address in the worker's entry. It must be called before
+// the worker serves requests.
 func (w *Worker) SetAddress(address string) { w.config.Address = address }
 
-// Leave has the worker say in all its answers that it leaves, and nothing in its entry, as while
-// the store is away.
+// Leave announces in all responses, but not in the entry, that the worker leaves, as happens while
+// the metadata store is unavailable.
 func (w *Worker) Leave() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.leaving = true
 }
 
-// Drain has the worker say that it leaves, in its entry and in its answers.
+// Drain announces in the worker's entry and in all responses that it leaves.
 func (w *Worker) Drain() {
 	w.mutex.Lock()
 	w.draining, w.leaving = true, true
@@ -186,23 +197,23 @@
 	}
 }
 
-// Runs lists the requests that were begun.
+// Runs returns the requests that the worker started to run.
 func (w *Worker) Runs() []Run {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.runs)
 }
 
-// Abandoned counts the hanging requests whose connection closed.
+// Abandoned returns the number of requests under Hang whose caller disconnected.
 func (w *Worker) Abandoned() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.abandoned
+	return w.abandonedRequests
 }
 
 // ServeHTTP implements http.Handler.
 func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
-	w.describe(out.Header())
+	w.setStatusHeaders(out.Header())
 	if expected := r.Header.Get(platform.HeaderExpectInstance); expected != "" && expected != w.config.ID {
 		out.Header().Set(platform.HeaderInstance, w.config.ID)
 		out.WriteHeader(http.StatusMisdirectedRequest)
@@ -210,16 +221,16 @@
 	}
 	switch r.URL.Path {
 	case platform.PathOrder:
-		w.takeOrder(out, r)
+		w.acceptOrder(out, r)
 	case platform.PathReport:
-		w.report(out)
+		w.serveReport(out)
 	default:
-		w.serve(out, r)
+		w.serveRequest(out, r)
 	}
 }
 
-// serve runs a request.
-func (w *Worker) serve(out http.ResponseWriter, r *http.Request) {
+// serveRequest runs a request with the behaviour that Behave selects.
+func (w *Worker) serveRequest(out http.ResponseWriter, r *http.Request) {
 	behaviour := Serve
 	if w.Behave != nil {
 		behaviour = w.Behave(r)
@@ -233,9 +244,9 @@
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case behaviour == Shed:
-		w.shed(out, id)
+		w.shedRequest(out, id)
 		return
-	case w.config.Models != nil && !w.holds(model):
+	case w.config.Models != nil && !w.hasLoaded(model):
 		out.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -254,17 +265,17 @@
 	case Hang:
 		<-r.Context().Done()
 		w.mutex.Lock()
-		w.abandoned++
+		w.abandonedRequests++
 		w.mutex.Unlock()
 		return
 	}
 	out.Header().Set(platform.HeaderStamp, Stamp(w.config.ID))
 	if behaviour == Cross {
-		id = crossedID
+		id = misroutedAnswerID
 		out.Header().Set(platform.HeaderRequestID, id)
 	}
 	if w.config.Events > 0 {
-		w.stream(out, r, id, behaviour)
+		w.serveStream(out, r, id, behaviour)
 		return
 	}
 	if behaviour == FailWith500 {
@@ -281,18 +292,18 @@
 	_, _ = io.WriteString(out, text)
 }
 
-// stream sends events after the last one that the caller has.
-func (w *Worker) stream(out http.ResponseWriter, r *http.Request, id string, behaviour Behaviour) {
+// serveStream sends the events after the last one that the caller received.
+func (w *Worker) serveStream(out http.ResponseWriter, r *http.Request, id string, behaviour Behaviour) {
 	out.Header().Set("Content-Type", "text/event-stream")
-	first, _ := strconv.Atoi(r.Header.Get(platform.HeaderLastEvent))
+	lastReceived, _ := strconv.Atoi(r.Header.Get(platform.HeaderLastEvent))
 	flusher := http.NewResponseController(out)
-	for number := first + 1; number <= w.config.Events; number++ {
+	for number := lastReceived + 1; number <= w.config.Events; number++ {
 		if (behaviour == CutStream || behaviour == CutBody) && number > w.config.Events/2 {
 			_, _ = fmt.Fprintf(out, "id: %d\nda", number)
 			_ = flusher.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = io.WriteString(out, event(id, number))
+		_, _ = io.WriteString(out, eventText(id, number))
 		if flusher.Flush() != nil {
 			return
 		}
@@ -304,27 +315,27 @@
 	}
 }
 
-// holds reports whether a model, with its adapter, is loaded.
-func (w *Worker) holds(model string) bool {
-	name, adapter := split(model)
+// hasLoaded reports whether a model is loaded, and its adapter if it names one.
+func (w *Worker) hasLoaded(model string) bool {
+	name, adapter := splitModel(model)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, held := range w.held {
-		if held.Name == name {
-			return adapter == "" || slices.Contains(held.Adapters, adapter)
+	for _, loaded := range w.loadedModels {
+		if loaded.Name == name {
+			return adapter == "" || slices.Contains(loaded.Adapters, adapter)
 		}
 	}
 	return false
 }
 
-func split(model string) (name, adapter string) {
+func splitModel(model string) (name, adapter string) {
 	_, name, adapter = catalog.Split(catalog.ModelID("s", model))
 	return name, adapter
 }
 
-// report answers the worker's report.
-func (w *Worker) report(out http.ResponseWriter) {
+// serveReport answers with the loaded models and the state of the orders.
+func (w *Worker) serveReport(out http.ResponseWriter) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	_ = json.NewEncoder(out).Encode(platform.ReportDocument{Models: w.held, Busy: w.busy, Sequence: w.sequence, Born: w.born()})
+	_ = json.NewEncoder(out).Encode(platform.ReportDocument{Models: w.loadedModels, Busy: w.busy, Sequence: w.sequence, Born: w.startTimeMillis()})
 }
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -13,9 +13,9 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// ask sends a request to a worker and returns the answer; the error is that of
-// reading its body.
-func ask(t *testing.T, w *Worker, path, body string) (*http.Response, string, error) {
+// sendRequest sends a request to a worker and returns the response, its body and
+// the error of reading the body.
+func sendRequest(t *testing.T, w *Worker, path, body string) (*http.Response, string, error) {
 	t.Helper()
 	server := httptest.NewServer(w)
 	t.Cleanup(server.Close)
@@ -34,35 +34,37 @@
 	return response, string(data), err
 }
 
-// behaving returns a plain worker that treats every request alike.
-func behaving(b Behaviour) *Worker {
+// workerWithBehaviour returns a worker that handles every request with behaviour b.
+func workerWithBehaviour(b Behaviour) *Worker {
 	w := New(Config{ID: "w1"})
 	w.Behave = func(*http.Request) Behaviour { return b }
 	return w
 }
 
-func TestAnswersAreWholeUnlessToldOtherwise(t *testing.T) {
-	_, body, err := ask(t, behaving(Serve), "/", "b")
+// Tests rely on detecting crossed and cut answers, so the worker must return its
+// own complete answer under Serve only.
+func TestAnswersAreCompleteAndOwnUnlessBehaviourSaysOtherwise(t *testing.T) {
+	_, body, err := sendRequest(t, workerWithBehaviour(Serve), "/", "b")
 	if err != nil || body != AnswerText("r1", "w1") {
 		t.Errorf("served %q, %v", body, err)
 	}
-	response, body, err := ask(t, behaving(Cross), "/", "b")
+	response, body, err := sendRequest(t, workerWithBehaviour(Cross), "/", "b")
 	if err != nil || response.Header.Get(platform.HeaderRequestID) == "r1" || body == AnswerText("r1", "w1") {
 		t.Errorf("crossed %q, %v", body, err)
 	}
-	if _, body, err = ask(t, behaving(CutBody), "/", "b"); err == nil {
+	if _, body, err = sendRequest(t, workerWithBehaviour(CutBody), "/", "b"); err == nil {
 		t.Errorf("a cut answer %q looks whole", body)
 	}
 }
 
-// order returns the text of an order to load a model.
-func order(t *testing.T, model string, expected int64) string {
+// loadOrder returns an order to load a model as JSON.
+func loadOrder(t *testing.T, model string, expected int64) string {
 	t.Helper()
-	return encoded(t, platform.OrderDocument{Model: model, Expected: expected, Holder: "h", Fence: 1})
+	return encodeLoadOrder(t, platform.OrderDocument{Model: model, Expected: expected, Holder: "h", Fence: 1})
 }
 
-// encoded returns the text of an order to load.
-func encoded(t *testing.T, order platform.OrderDocument) string {
+// encodeLoadOrder returns the order as JSON, with the operation set to load.
+func encodeLoadOrder(t *testing.T, order platform.OrderDocument) string {
 	t.Helper()
 	order.Operation = "load"
 	text, err := json.Marshal(order)
@@ -72,34 +74,38 @@
 	return string(text)
 }
 
-func TestOrdersThatOverfillAreNoted(t *testing.T) {
+// A load that exceeds the memory must be recorded as such, because soak checks
+// find overfilled workers by this record.
+func TestLoadBeyondMemoryIsRecordedAsOverfill(t *testing.T) {
 	w := New(Config{ID: "w1", MemoryBytes: 100, Held: []string{"a"}, Models: map[string]catalog.ModelSpec{"a": {Bytes: 60}, "b": {Bytes: 60}}})
-	ask(t, w, platform.PathOrder, order(t, "b", 0))
+	sendRequest(t, w, platform.PathOrder, loadOrder(t, "b", 0))
 	if taken := w.TakenOrders(); len(taken) != 1 || !taken[0].Load || !taken[0].Overfills {
 		t.Errorf("%+v", taken)
 	}
 }
 
-// TestOlderFences are refused, but not by workers that don't check them.
-func TestOlderFences(t *testing.T) {
+// An order with an older fencing token comes from a controller that lost its
+// lease. It must be refused, except by workers that don't check the token.
+func TestOlderFenceIsRefusedUnlessWorkerIsUnfenced(t *testing.T) {
 	for unfenced, want := range map[bool]int{false: 1, true: 2} {
 		w := New(Config{ID: "w1", Unfenced: unfenced, Models: map[string]catalog.ModelSpec{"a": {}}})
-		ask(t, w, platform.PathOrder, encoded(t, platform.OrderDocument{Model: "a", Adapter: "a1", Holder: "h", Fence: 2}))
-		ask(t, w, platform.PathOrder, encoded(t, platform.OrderDocument{Model: "a", Adapter: "a2", Holder: "g", Fence: 1, Expected: 1}))
+		sendRequest(t, w, platform.PathOrder, encodeLoadOrder(t, platform.OrderDocument{Model: "a", Adapter: "a1", Holder: "h", Fence: 2}))
+		sendRequest(t, w, platform.PathOrder, encodeLoadOrder(t, platform.OrderDocument{Model: "a", Adapter: "a2", Holder: "g", Fence: 1, Expected: 1}))
 		if taken := w.TakenOrders(); len(taken) != want {
 			t.Errorf("unfenced %t: %+v", unfenced, taken)
 		}
 	}
 }
 
-// TestDelayedOrdersComeLate: they are looked at once the delay is over.
-func TestDelayedOrdersComeLate(t *testing.T) {
+// A delayed order must be processed only after the delay, as an order that is
+// held up in the network.
+func TestDelayedOrderIsAcceptedAfterDelay(t *testing.T) {
 	const delay = 50 * time.Millisecond
 	w := New(Config{ID: "w1", Models: map[string]catalog.ModelSpec{"a": {}}})
 	w.DelayOrders(delay)
-	began := time.Now()
-	ask(t, w, platform.PathOrder, order(t, "a", 0))
-	if taken := w.TakenOrders(); len(taken) != 1 || taken[0].At.Sub(began) < delay {
+	sentAt := time.Now()
+	sendRequest(t, w, platform.PathOrder, loadOrder(t, "a", 0))
+	if taken := w.TakenOrders(); len(taken) != 1 || taken[0].At.Sub(sentAt) < delay {
 		t.Errorf("%+v", taken)
 	}
 }
