--- a/standin/keyvalue/apply.go
+++ b/standin/keyvalue/apply.go
@@ -9,19 +9,19 @@
 	"github.com/valveslip/valveslip/keyvalue/gateway"
 )
 
-// errInvalid says that a gateway request names an unknown target, result or
-// operation.
-var errInvalid = errors.New("invalid transaction")
+// errInvalidTransaction means that a gateway request has an unknown compare
+// target, compare result or operation.
+var errInvalidTransaction = errors.New("invalid transaction")
 
-// Apply applies a transaction in the gateway's form, which allows more than
-// package kv needs: compares of any target and result, and writes and reads on
-// both branches. All writes of a branch take one revision; its reads see them
-// when they come after.
+// Apply applies a transaction in the gateway's form. It allows more than the
+// client in package keyvalue uses: compares of any target and result, and writes
+// and reads in both branches. All writes of a branch share one revision and are
+// applied before its reads.
 func (s *State) Apply(now time.Time, request gateway.TxnRequest) (gateway.TxnResponse, error) {
 	s.Expire(now)
 	succeeded := true
 	for _, compare := range request.Compare {
-		holds, err := s.holds(compare)
+		holds, err := s.evaluateCompare(compare)
 		if err != nil {
 			return gateway.TxnResponse{}, err
 		}
@@ -32,22 +32,22 @@
 		branch = request.Failure
 	}
 	response := gateway.TxnResponse{Succeeded: succeeded}
-	writes, deleted, err := s.writesOf(branch)
+	writes, deleted, err := s.collectWrites(branch)
 	if err != nil {
 		return response, err
 	}
-	if err := s.write(writes); err != nil {
+	if err := s.applyOperations(writes); err != nil {
 		return response, err
 	}
-	response.Header = s.header()
+	response.Header = s.responseHeader()
 	for i, operation := range branch {
-		response.Responses = append(response.Responses, s.answer(operation, deleted[i]))
+		response.Responses = append(response.Responses, s.operationResponse(operation, deleted[i]))
 	}
 	return response, nil
 }
 
-// holds evaluates one compare.
-func (s *State) holds(compare gateway.Compare) (bool, error) {
+// evaluateCompare reports whether a compare is true.
+func (s *State) evaluateCompare(compare gateway.Compare) (bool, error) {
 	pair := s.pairs[string(compare.Key)]
 	var order int
 	switch compare.Target {
@@ -58,7 +58,7 @@
 	case gateway.TargetVersion, "":
 		order = cmp.Compare(pair.Version, int64(compare.Version))
 	default:
-		return false, errInvalid
+		return false, errInvalidTransaction
 	}
 	switch compare.Result {
 	case gateway.ResultEqual, "":
@@ -70,13 +70,13 @@
 	case gateway.ResultLess:
 		return order < 0, nil
 	default:
-		return false, errInvalid
+		return false, errInvalidTransaction
 	}
 }
 
-// writesOf lists the writes of a branch, ranges of deletes resolved to keys,
-// and the number of keys each operation deletes.
-func (s *State) writesOf(branch []gateway.RequestOperation) ([]keyvalue.Operation, []int, error) {
+// collectWrites returns the writes of a branch, with range deletes resolved to
+// single keys, and the number of keys that each operation deletes.
+func (s *State) collectWrites(branch []gateway.RequestOperation) ([]keyvalue.Operation, []int, error) {
 	var writes []keyvalue.Operation
 	deleted := make([]int, len(branch))
 	for i, operation := range branch {
@@ -86,35 +86,35 @@
 				Key: string(operation.Put.Key), Value: operation.Put.Value, Lease: int64(operation.Put.Lease),
 			})
 		case operation.DeleteRange != nil:
-			pairs := s.between(string(operation.DeleteRange.Key), string(operation.DeleteRange.RangeEnd))
+			pairs := s.pairsInRange(string(operation.DeleteRange.Key), string(operation.DeleteRange.RangeEnd))
 			deleted[i] = len(pairs)
 			for _, pair := range pairs {
 				writes = append(writes, keyvalue.Operation{Key: pair.Key, Delete: true})
 			}
 		case operation.Range == nil:
-			return nil, nil, errInvalid
+			return nil, nil, errInvalidTransaction
 		}
 	}
 	return writes, deleted, nil
 }
 
-// answer builds the answer to one operation of an applied branch.
-func (s *State) answer(operation gateway.RequestOperation, deleted int) gateway.ResponseOperation {
+// operationResponse returns the response to one operation of an applied branch.
+func (s *State) operationResponse(operation gateway.RequestOperation, deleted int) gateway.ResponseOperation {
 	switch {
 	case operation.Put != nil:
-		return gateway.ResponseOperation{Put: &gateway.PutResponse{Header: s.header()}}
+		return gateway.ResponseOperation{Put: &gateway.PutResponse{Header: s.responseHeader()}}
 	case operation.DeleteRange != nil:
-		return gateway.ResponseOperation{DeleteRange: &gateway.DeleteRangeResponse{Header: s.header(), Deleted: gateway.Int64(deleted)}}
+		return gateway.ResponseOperation{DeleteRange: &gateway.DeleteRangeResponse{Header: s.responseHeader(), Deleted: gateway.Int64(deleted)}}
 	default:
 		response := s.rangeResponse(*operation.Range)
 		return gateway.ResponseOperation{Range: &response}
 	}
 }
 
-// rangeResponse answers a range in the gateway's form.
+// rangeResponse returns the response to a range request.
 func (s *State) rangeResponse(request gateway.RangeRequest) gateway.RangeResponse {
-	pairs := s.between(string(request.Key), string(request.RangeEnd))
-	response := gateway.RangeResponse{Header: s.header(), Count: gateway.Int64(len(pairs))}
+	pairs := s.pairsInRange(string(request.Key), string(request.RangeEnd))
+	response := gateway.RangeResponse{Header: s.responseHeader(), Count: gateway.Int64(len(pairs))}
 	if limit := int(request.Limit); limit > 0 && len(pairs) > limit {
 		pairs, response.More = pairs[:limit], true
 	}
@@ -124,11 +124,11 @@
 	return response
 }
 
-func (s *State) header() gateway.Header {
+func (s *State) responseHeader() gateway.Header {
 	return gateway.Header{Revision: gateway.Int64(s.revision)}
 }
 
-// toGateway writes one pair in the gateway's form.
+// toGateway converts a pair to the gateway's type.
 func toGateway(pair keyvalue.KeyValue) gateway.KeyValue {
 	return gateway.KeyValue{
 		Key: []byte(pair.Key), Value: pair.Value,
--- a/standin/keyvalue/doc.go
+++ b/standin/keyvalue/doc.go
@@ -1,8 +1,8 @@
 // Package keyvalue is a stand-in of the platform's key-value service: an
-// in-memory store with etcd's semantics for one global revision, transactions,
-// leases, watches with a start revision, and compaction.
+// in-memory store with the semantics of etcd for a global revision,
+// transactions, leases, watches with a start revision, and compaction.
 //
-// State is the pure part: time comes in with each call and there is no
-// goroutine, so simulations and tests use it directly. Server adds the etcd v3
+// State holds the store without I/O or goroutines and takes the time as an
+// argument, so simulations and tests can use it directly. Server adds the etcd v3
 // HTTP/JSON gateway and fault injection.
 package keyvalue
--- a/standin/keyvalue/fuzz_test.go
+++ b/standin/keyvalue/fuzz_test.go
@@ -11,8 +11,9 @@
 	"github.com/valveslip/valveslip/standin/keyvalue"
 )
 
-// FuzzGatewayBody sends any body to every unary path: the answer is JSON, never
-// a server error, and a refused request leaves the revision as it was.
+// FuzzGatewayBody sends arbitrary bodies to the unary paths. The response must
+// be JSON without a server error, and a refused request must leave the revision
+// unchanged.
 func FuzzGatewayBody(f *testing.F) {
 	paths := []string{
 		gateway.PathRange, gateway.PathTxn, gateway.PathCompaction,
--- a/standin/keyvalue/server.go
+++ b/standin/keyvalue/server.go
@@ -11,47 +11,50 @@
 	"github.com/valveslip/valveslip/standin/fault"
 )
 
-// maxBodyBytes bounds a request, as etcd's default does.
+// maxBodyBytes limits the size of a request body, as etcd does by default.
 const maxBodyBytes = 2 << 20
 
-// progressInterval is how often an idle watch reports its progress.
+// progressInterval is the time between progress notifications of an idle watch.
 const progressInterval = time.Second
 
-// maxTTLSeconds of a lease, as in etcd.
+// maxTTLSeconds is the longest TTL of a lease, the same as in etcd.
 const maxTTLSeconds = 9_000_000_000
 
-// Server serves a State through the gateway. It is safe for concurrent use.
+// Server serves a State through the etcd HTTP/JSON gateway. It is safe for
+// concurrent use.
 type Server struct {
 	*fault.Injector
 	http.Handler
 
-	mu      sync.Mutex
-	state   *State
-	changed chan struct{}
-	expiry  *time.Timer
+	mu              sync.Mutex
+	state           *State
+	revisionChanged chan struct{}
+	expiryTimer     *time.Timer
 }
 
-// NewServer returns a Server; seed drives the chances of injected faults.
+// NewServer returns a server with an empty store. seed initializes the random
+// numbers of the fault injector.
 func NewServer(config Config, seed uint64) *Server {
 	server := &Server{
-		Injector: fault.NewInjector(seed, nil),
-		state:    NewState(config),
-		changed:  make(chan struct{}),
+		Injector:        fault.NewInjector(seed, nil),
+		state:           NewState(config),
+		revisionChanged: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
-	handle(mux, server, gateway.PathRange, server.rangeKeys)
-	handle(mux, server, gateway.PathTxn, server.txn)
-	handle(mux, server, gateway.PathCompaction, server.compact)
-	handle(mux, server, gateway.PathLeaseGrant, server.grant)
-	handle(mux, server, gateway.PathLeaseRevoke, server.revoke)
-	handle(mux, server, gateway.PathKVLeaseRevoke, server.revoke)
-	handle(mux, server, gateway.PathLeaseKeepAlive, server.keepAlive)
-	mux.HandleFunc("POST "+gateway.PathWatch, server.watch)
+	handleUnary(mux, server, gateway.PathRange, server.rangeKeys)
+	handleUnary(mux, server, gateway.PathTxn, server.applyTransaction)
+	handleUnary(mux, server, gateway.PathCompaction, server.compact)
+	handleUnary(mux, server, gateway.PathLeaseGrant, server.grantLease)
+	handleUnary(mux, server, gateway.PathLeaseRevoke, server.revokeLease)
+	handleUnary(mux, server, gateway.PathKVLeaseRevoke, server.revokeLease)
+	handleUnary(mux, server, gateway.PathLeaseKeepAlive, server.keepLeaseAlive)
+	mux.HandleFunc("POST "+gateway.PathWatch, server.serveWatch)
 	server.Handler = server.Wrap(mux)
 	return server
 }
 
-// Do runs a function on the state under the server's lock and wakes watches.
+// Do expires leases, then calls function with the current time and the state
+// while it holds the server's lock. It notifies watches if the revision changed.
 func (s *Server) Do(function func(now time.Time, state *State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,50 +62,52 @@
 	now := time.Now()
 	s.state.Expire(now)
 	function(now, s.state)
-	s.wake(before)
-	s.schedule(now)
+	s.notifyWatches(before)
+	s.scheduleExpiry(now)
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the revision next changes.
 func (s *Server) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changed
+	return s.revisionChanged
 }
 
-// wake tells the watches when the revision has moved since before.
-func (s *Server) wake(before int64) {
-	if s.state.Revision() != before {
-		close(s.changed)
-		s.changed = make(chan struct{})
+// notifyWatches wakes the watches if the revision is no longer previousRevision.
+func (s *Server) notifyWatches(previousRevision int64) {
+	if s.state.Revision() != previousRevision {
+		close(s.revisionChanged)
+		s.revisionChanged = make(chan struct{})
 	}
 }
 
-// schedule arranges that the next lease ends on time.
-func (s *Server) schedule(now time.Time) {
+// scheduleExpiry sets the timer for the next lease that expires.
+func (s *Server) scheduleExpiry(now time.Time) {
 	next, ok := s.state.NextExpiry()
-	if s.expiry != nil {
-		s.expiry.Stop()
+	if s.expiryTimer != nil {
+		s.expiryTimer.Stop()
 	}
 	if ok {
-		s.expiry = time.AfterFunc(next.Sub(now), func() { s.Do(func(time.Time, *State) {}) })
+		s.expiryTimer = time.AfterFunc(next.Sub(now), func() { s.Do(func(time.Time, *State) {}) })
 	}
 }
 
-// Close stops the server's timer.
+// Close stops the lease timer.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.expiry != nil {
-		s.expiry.Stop()
+	if s.expiryTimer != nil {
+		s.expiryTimer.Stop()
 	}
 }
 
-// handle serves one unary call: rate limit, decode, run under the lock, encode.
-func handle[Request, Response any](mux *http.ServeMux, server *Server, path string, run func(time.Time, Request) (Response, error)) {
+// handleUnary registers a handler for a unary call, which applies the rate
+// limit, decodes the request, calls run under the server's lock and encodes the
+// response.
+func handleUnary[Request, Response any](mux *http.ServeMux, server *Server, path string, run func(time.Time, Request) (Response, error)) {
 	mux.HandleFunc("POST "+path, func(writer http.ResponseWriter, incoming *http.Request) {
 		var request Request
-		if !server.admit(writer) || !decode(writer, incoming, &request) {
+		if !server.checkRateLimit(writer) || !decodeRequest(writer, incoming, &request) {
 			return
 		}
 		var response Response
@@ -117,8 +122,9 @@
 	})
 }
 
-// admit applies the rate limit.
-func (s *Server) admit(writer http.ResponseWriter) bool {
+// checkRateLimit takes a token from the rate limiter. Without one it answers 429
+// and returns false.
+func (s *Server) checkRateLimit(writer http.ResponseWriter) bool {
 	s.mu.Lock()
 	allowed := s.state.Allow(time.Now())
 	s.mu.Unlock()
@@ -129,8 +135,9 @@
 	return allowed
 }
 
-// decode reads the body of one request strictly.
-func decode(writer http.ResponseWriter, incoming *http.Request, request any) bool {
+// decodeRequest decodes a request body. On malformed JSON or unknown fields it
+// answers 400 and returns false.
+func decodeRequest(writer http.ResponseWriter, incoming *http.Request, request any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(request); err != nil {
@@ -140,7 +147,8 @@
 	return true
 }
 
-// writeError answers with the gateway's form of an error of State.
+// writeError answers with the status, code and text that the gateway has for an
+// error of State.
 func writeError(writer http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, ErrLeaseNotFound):
@@ -165,7 +173,7 @@
 	return s.state.rangeResponse(request), nil
 }
 
-func (s *Server) txn(now time.Time, request gateway.TxnRequest) (gateway.TxnResponse, error) {
+func (s *Server) applyTransaction(now time.Time, request gateway.TxnRequest) (gateway.TxnResponse, error) {
 	return s.state.Apply(now, request)
 }
 
@@ -174,28 +182,29 @@
 		return gateway.CompactionResponse{}, ErrFuture
 	}
 	s.state.Compact(int64(request.Revision))
-	return gateway.CompactionResponse{Header: s.state.header()}, nil
+	return gateway.CompactionResponse{Header: s.state.responseHeader()}, nil
 }
 
-func (s *Server) grant(now time.Time, request gateway.LeaseGrantRequest) (gateway.LeaseGrantResponse, error) {
+func (s *Server) grantLease(now time.Time, request gateway.LeaseGrantRequest) (gateway.LeaseGrantResponse, error) {
 	if request.TTL > maxTTLSeconds {
 		return gateway.LeaseGrantResponse{}, ErrLeaseTTL
 	}
 	ttl := time.Duration(max(request.TTL, 1)) * time.Second
 	id, err := s.state.GrantID(now, ttl, int64(request.ID))
-	return gateway.LeaseGrantResponse{Header: s.state.header(), ID: gateway.Int64(id), TTL: gateway.Int64(ttl / time.Second)}, err
+	return gateway.LeaseGrantResponse{Header: s.state.responseHeader(), ID: gateway.Int64(id), TTL: gateway.Int64(ttl / time.Second)}, err
 }
 
-func (s *Server) revoke(now time.Time, request gateway.LeaseRequest) (gateway.LeaseRevokeResponse, error) {
+func (s *Server) revokeLease(now time.Time, request gateway.LeaseRequest) (gateway.LeaseRevokeResponse, error) {
 	err := s.state.Revoke(now, int64(request.ID))
-	return gateway.LeaseRevokeResponse{Header: s.state.header()}, err
+	return gateway.LeaseRevokeResponse{Header: s.state.responseHeader()}, err
 }
 
-// keepAlive answers an unknown lease with TTL zero, as etcd does.
-func (s *Server) keepAlive(now time.Time, request gateway.LeaseRequest) (gateway.LeaseKeepAliveResponse, error) {
+// keepLeaseAlive extends a lease. For an unknown lease it returns TTL zero, as
+// etcd does.
+func (s *Server) keepLeaseAlive(now time.Time, request gateway.LeaseRequest) (gateway.LeaseKeepAliveResponse, error) {
 	var response gateway.LeaseKeepAliveResponse
 	ttl, _ := s.state.KeepAlive(now, int64(request.ID))
-	response.Result.Header = s.state.header()
+	response.Result.Header = s.state.responseHeader()
 	response.Result.ID = request.ID
 	response.Result.TTL = gateway.Int64(ttl / time.Second)
 	return response, nil
--- a/standin/keyvalue/server_test.go
+++ b/standin/keyvalue/server_test.go
@@ -13,8 +13,9 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// start serves an empty store on a kernel-chosen port.
-func start(t *testing.T, config standin.Config) (*standin.Server, *keyvalue.Client) {
+// startServer serves an empty store on a port that the kernel chooses and
+// returns it with a client.
+func startServer(t *testing.T, config standin.Config) (*standin.Server, *keyvalue.Client) {
 	t.Helper()
 	server := standin.NewServer(config, 1)
 	listener := httptest.NewServer(server)
@@ -28,7 +29,8 @@
 	return server, client
 }
 
-func put(t *testing.T, client *keyvalue.Client, key, value string, expect int64) keyvalue.TransactionResult {
+// compareAndPut writes a key if its mod revision is expect, and reads it if not.
+func compareAndPut(t *testing.T, client *keyvalue.Client, key, value string, expect int64) keyvalue.TransactionResult {
 	t.Helper()
 	result, err := client.Txn(context.Background(), keyvalue.Transaction{
 		Compares:   []keyvalue.Compare{{Key: key, ModRevision: expect}},
@@ -41,17 +43,19 @@
 	return result
 }
 
-func TestCompareAndSwapOverGateway(t *testing.T) {
-	_, client := start(t, standin.Config{})
-	first := put(t, client, "/a", "one", 0)
+// Lost updates are prevented only if a write with an old mod revision fails and
+// returns the current value.
+func TestCompareAndSwapFailsOnStaleRevision(t *testing.T) {
+	_, client := startServer(t, standin.Config{})
+	first := compareAndPut(t, client, "/a", "one", 0)
 	if !first.Succeeded {
 		t.Fatal("create of an absent key failed")
 	}
-	second := put(t, client, "/a", "two", 0)
+	second := compareAndPut(t, client, "/a", "two", 0)
 	if second.Succeeded || len(second.Found) != 1 || string(second.Found[0].Value) != "one" {
 		t.Fatalf("stale compare: %+v", second)
 	}
-	third := put(t, client, "/a", "two", first.Revision)
+	third := compareAndPut(t, client, "/a", "two", first.Revision)
 	if !third.Succeeded || third.Revision != first.Revision+1 {
 		t.Fatalf("swap: %+v", third)
 	}
@@ -61,8 +65,10 @@
 	}
 }
 
-func TestLostAnswerTookEffect(t *testing.T) {
-	server, client := start(t, standin.Config{})
+// If the response is lost after the write, the client can't know the outcome. It
+// must report that the request may have run.
+func TestLostAnswerIsReportedAsMayHaveRun(t *testing.T) {
+	server, client := startServer(t, standin.Config{})
 	server.Inject(fault.Order{Kind: fault.KindLoseAnswer, Count: 1})
 	_, err := client.Txn(context.Background(), keyvalue.Transaction{Operations: []keyvalue.Operation{{Key: "/a", Value: []byte("v")}}})
 	if err == nil || verdict.Of(err) != verdict.MayHaveRun {
@@ -74,8 +80,10 @@
 	}
 }
 
-func TestRefusalsAreNotRun(t *testing.T) {
-	server, client := start(t, standin.Config{RequestsPerSecond: 1e-9, Burst: 1})
+// A request that the rate limit or a fault refuses, or that finds no listener,
+// must be reported as not run, so that the caller may retry it.
+func TestRefusedRequestsAreReportedAsNotRun(t *testing.T) {
+	server, client := startServer(t, standin.Config{RequestsPerSecond: 1e-9, Burst: 1})
 	if _, err := client.Grant(context.Background(), time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -92,11 +100,11 @@
 	}
 }
 
-// TestWatchResumesAfterBreak: a watch broken by an outage resumes after its
-// last batch and sees each change once, in order.
-func TestWatchResumesAfterBreak(t *testing.T) {
-	server, client := start(t, standin.Config{})
-	first := put(t, client, "/a", "1", 0)
+// An outage ends the watch. A new watch from the revision after the last batch
+// must deliver the changes made in between exactly once and in order.
+func TestWatchResumesAfterOutageWithoutLossOrRepeat(t *testing.T) {
+	server, client := startServer(t, standin.Config{})
+	first := compareAndPut(t, client, "/a", "1", 0)
 	seen := make(chan keyvalue.WatchBatch, 16)
 	ended := make(chan error, 1)
 	watch := func(ctx context.Context, from int64) {
@@ -130,9 +138,11 @@
 	}
 }
 
-func TestWatchFromCompactedRevision(t *testing.T) {
-	server, client := start(t, standin.Config{})
-	last := put(t, client, "/a", "1", 0)
+// A watch from a compacted revision would miss events. It must report the
+// compaction and the revision from which events are available.
+func TestWatchFromCompactedRevisionReportsCompaction(t *testing.T) {
+	server, client := startServer(t, standin.Config{})
+	last := compareAndPut(t, client, "/a", "1", 0)
 	server.Do(func(_ time.Time, state *standin.State) { state.Compact(last.Revision) })
 	var got keyvalue.WatchBatch
 	err := client.Watch(context.Background(), "/", 1, func(batch keyvalue.WatchBatch) { got = batch })
@@ -141,8 +151,10 @@
 	}
 }
 
-func TestExpiredLeaseOverGateway(t *testing.T) {
-	_, client := start(t, standin.Config{})
+// The gateway has whole seconds, so a TTL is rounded up. A keep-alive after the
+// lease ended must fail with ErrLeaseNotFound instead of returning TTL zero.
+func TestRevokedLeaseIsNotFoundOverGateway(t *testing.T) {
+	_, client := startServer(t, standin.Config{})
 	lease, err := client.Grant(context.Background(), 1500*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
--- a/standin/keyvalue/state.go
+++ b/standin/keyvalue/state.go
@@ -9,9 +9,9 @@
 	"github.com/valveslip/valveslip/keyvalue"
 )
 
-// Errors of State.
+// Errors of State, with the texts of etcd.
 var (
-	// ErrLeaseNotFound is a keyvalue.ErrLeaseNotFound.
+	// ErrLeaseNotFound wraps keyvalue.ErrLeaseNotFound.
 	ErrLeaseNotFound = fmt.Errorf("requested %w", keyvalue.ErrLeaseNotFound)
 	ErrDuplicateKey  = errors.New("duplicate key given in txn request")
 	ErrEmptyKey      = errors.New("key is not provided")
@@ -20,44 +20,46 @@
 	ErrLeaseTTL      = errors.New("too large lease TTL")
 )
 
-// Config of a State. The zero value has no rate limit.
+// Config configures a State. The zero value has no rate limit.
 type Config struct {
-	// RequestsPerSecond limits requests; zero means unlimited.
+	// RequestsPerSecond is the rate limit; zero means unlimited.
 	RequestsPerSecond float64
-	// Burst is how many requests may come at once; at least 1 when limited.
+	// Burst is the size of the rate limiter's token bucket, at least 1.
 	Burst int
-	// HistoryLength bounds the changes kept for watches; older ones are
-	// compacted. The default is 10,000.
+	// HistoryLength is the number of events kept for watches. Older events are
+	// compacted once there are twice as many. The default is 10,000.
 	HistoryLength int
 }
 
 const defaultHistoryLength = 10_000
 
-// lease is a granted lease.
+// lease is a granted lease with the keys attached to it.
 type lease struct {
-	ttl     time.Duration
-	expires time.Time
-	keys    map[string]struct{}
+	ttl       time.Duration
+	expiresAt time.Time
+	keys      map[string]struct{}
 }
 
-// State is the whole service. It is not safe for concurrent use.
+// State is the in-memory store. It is not safe for concurrent use.
 //
-// Invariants: the revision grows by one with every transaction that changes
-// something; history holds every change after compacted, in order; a key names
-// a lease exactly when that lease lists the key.
+// Invariants: the revision grows by one with every transaction or lease end that
+// changes a key; history holds every event from compactedRevision on, in order;
+// a pair refers to a lease if and only if that lease lists the pair's key.
 type State struct {
-	config    Config
-	revision  int64
-	compacted int64
-	pairs     map[string]keyvalue.KeyValue
-	history   []keyvalue.Event
-	leases    map[int64]*lease
-	nextLease int64
-	allowance float64
-	refilled  time.Time
+	config   Config
+	revision int64
+	// compactedRevision is the oldest revision whose events are kept.
+	compactedRevision int64
+	pairs             map[string]keyvalue.KeyValue
+	history           []keyvalue.Event
+	leases            map[int64]*lease
+	nextLeaseID       int64
+	// requestTokens are the tokens of the rate limiter's bucket, as of refilledAt.
+	requestTokens float64
+	refilledAt    time.Time
 }
 
-// NewState returns an empty service at revision 1.
+// NewState returns an empty store at revision 1.
 func NewState(config Config) *State {
 	if config.HistoryLength <= 0 {
 		config.HistoryLength = defaultHistoryLength
@@ -67,43 +69,46 @@
 	}
 	return &State{
 		config: config, revision: 1, pairs: map[string]keyvalue.KeyValue{},
-		leases: map[int64]*lease{}, nextLease: 1, allowance: float64(config.Burst),
+		leases: map[int64]*lease{}, nextLeaseID: 1, requestTokens: float64(config.Burst),
 	}
 }
 
-// Revision is the global revision.
+// Revision returns the global revision.
 func (s *State) Revision() int64 { return s.revision }
 
-// CompactedRevision is the revision up to which the history is gone.
-func (s *State) CompactedRevision() int64 { return s.compacted }
+// CompactedRevision returns the oldest revision whose events are kept, or zero
+// if the history was never compacted.
+func (s *State) CompactedRevision() int64 { return s.compactedRevision }
 
-// Allow takes one request from the rate limit and reports whether it may pass.
+// Allow takes a token from the rate limiter's bucket and reports whether there
+// was one.
 func (s *State) Allow(now time.Time) bool {
 	if s.config.RequestsPerSecond <= 0 {
 		return true
 	}
-	if !s.refilled.IsZero() && now.After(s.refilled) {
-		s.allowance += now.Sub(s.refilled).Seconds() * s.config.RequestsPerSecond
+	if !s.refilledAt.IsZero() && now.After(s.refilledAt) {
+		s.requestTokens += now.Sub(s.refilledAt).Seconds() * s.config.RequestsPerSecond
 	}
-	s.allowance = min(s.allowance, float64(s.config.Burst))
-	s.refilled = now
-	if s.allowance < 1 {
+	s.requestTokens = min(s.requestTokens, float64(s.config.Burst))
+	s.refilledAt = now
+	if s.requestTokens < 1 {
 		return false
 	}
-	s.allowance--
+	s.requestTokens--
 	return true
 }
 
-// Range returns the pairs below prefix, sorted by key, and the revision.
+// Range returns the pairs whose keys have the prefix, sorted by key, and the
+// global revision.
 func (s *State) Range(now time.Time, prefix string) ([]keyvalue.KeyValue, int64) {
 	s.Expire(now)
 	first, end := prefixBounds(prefix)
-	return s.between(first, end), s.revision
+	return s.pairsInRange(first, end), s.revision
 }
 
-// between returns the pairs with first <= key < end, sorted; an empty end
-// means first alone and "\x00" no bound.
-func (s *State) between(first, end string) []keyvalue.KeyValue {
+// pairsInRange returns the pairs with first <= key < end, sorted by key. An empty
+// end selects the key first alone, and "\x00" means no upper bound.
+func (s *State) pairsInRange(first, end string) []keyvalue.KeyValue {
 	if end == "" {
 		if pair, ok := s.pairs[first]; ok {
 			return []keyvalue.KeyValue{pair}
@@ -112,7 +117,7 @@
 	}
 	var found []keyvalue.KeyValue
 	for key, pair := range s.pairs {
-		if inside(key, first, end) {
+		if inRange(key, first, end) {
 			found = append(found, pair)
 		}
 	}
@@ -120,46 +125,47 @@
 	return found
 }
 
-// inside reports whether key lies in the range that the gateway writes as key
-// and range end.
-func inside(key, first, end string) bool {
+// inRange reports whether key is in the range from first to end, with the
+// special values of end that pairsInRange has.
+func inRange(key, first, end string) bool {
 	if end == "" {
 		return key == first
 	}
 	return key >= first && (end == "\x00" || key < end)
 }
 
-// Grant creates a lease.
+// Grant creates a lease and returns its ID.
 func (s *State) Grant(now time.Time, ttl time.Duration) int64 {
 	id, _ := s.GrantID(now, ttl, 0)
 	return id
 }
 
-// GrantID creates a lease with the given id, or a free one when id is zero.
+// GrantID creates a lease with the given ID, or with an unused one if id is zero,
+// and returns its ID.
 func (s *State) GrantID(now time.Time, ttl time.Duration, id int64) (int64, error) {
 	s.Expire(now)
 	if id == 0 {
-		for s.leases[s.nextLease] != nil {
-			s.nextLease++
+		for s.leases[s.nextLeaseID] != nil {
+			s.nextLeaseID++
 		}
-		id = s.nextLease
-		s.nextLease++
+		id = s.nextLeaseID
+		s.nextLeaseID++
 	}
 	if s.leases[id] != nil {
 		return 0, ErrLeaseExists
 	}
-	s.leases[id] = &lease{ttl: ttl, expires: now.Add(ttl), keys: map[string]struct{}{}}
+	s.leases[id] = &lease{ttl: ttl, expiresAt: now.Add(ttl), keys: map[string]struct{}{}}
 	return id, nil
 }
 
-// KeepAlive extends a lease by its TTL.
+// KeepAlive extends a lease to its full TTL from now and returns the TTL.
 func (s *State) KeepAlive(now time.Time, id int64) (time.Duration, error) {
 	s.Expire(now)
 	granted := s.leases[id]
 	if granted == nil {
 		return 0, ErrLeaseNotFound
 	}
-	granted.expires = now.Add(granted.ttl)
+	granted.expiresAt = now.Add(granted.ttl)
 	return granted.ttl, nil
 }
 
@@ -169,40 +175,40 @@
 	if s.leases[id] == nil {
 		return ErrLeaseNotFound
 	}
-	s.end(id)
+	s.endLease(id)
 	return nil
 }
 
-// NextExpiry returns when the next lease expires.
+// NextExpiry returns when the next lease expires, or false if there is no lease.
 func (s *State) NextExpiry() (time.Time, bool) {
 	var next time.Time
 	for _, granted := range s.leases {
-		if next.IsZero() || granted.expires.Before(next) {
-			next = granted.expires
+		if next.IsZero() || granted.expiresAt.Before(next) {
+			next = granted.expiresAt
 		}
 	}
 	return next, !next.IsZero()
 }
 
-// Expire ends the leases that are past their time, the earliest first.
+// Expire ends the expired leases, the earliest first.
 func (s *State) Expire(now time.Time) {
 	var due []int64
 	for id, granted := range s.leases {
-		if !granted.expires.After(now) {
+		if !granted.expiresAt.After(now) {
 			due = append(due, id)
 		}
 	}
 	sort.Slice(due, func(i, j int) bool {
-		left, right := s.leases[due[i]].expires, s.leases[due[j]].expires
+		left, right := s.leases[due[i]].expiresAt, s.leases[due[j]].expiresAt
 		return left.Before(right) || left.Equal(right) && due[i] < due[j]
 	})
 	for _, id := range due {
-		s.end(id)
+		s.endLease(id)
 	}
 }
 
-// end removes a lease and its keys.
-func (s *State) end(id int64) {
+// endLease removes a lease and deletes its keys at one revision.
+func (s *State) endLease(id int64) {
 	keys := make([]string, 0, len(s.leases[id].keys))
 	for key := range s.leases[id].keys {
 		keys = append(keys, key)
@@ -214,6 +220,6 @@
 	}
 	s.revision++
 	for _, key := range keys {
-		s.remove(key)
+		s.removeKey(key)
 	}
 }
--- a/standin/keyvalue/state_test.go
+++ b/standin/keyvalue/state_test.go
@@ -17,14 +17,16 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// model is the simplest thing that behaves like the service without leases.
-type model struct {
+// referenceModel is a simple implementation of the store without leases, which
+// the property test compares with State.
+type referenceModel struct {
 	revision int64
 	pairs    map[string]keyvalue.KeyValue
 }
 
-// apply is the model's transaction.
-func (m *model) apply(transaction keyvalue.Transaction) bool {
+// apply applies a transaction to the model and reports whether its compares were
+// true.
+func (m *referenceModel) apply(transaction keyvalue.Transaction) bool {
 	for _, compare := range transaction.Compares {
 		if m.pairs[compare.Key].ModRevision != compare.ModRevision {
 			return false
@@ -55,8 +57,9 @@
 
 var keys = []string{"/a", "/a/b", "/b", "/c"}
 
-// drawTransaction draws compares that often hold and writes of distinct keys.
-func drawTransaction(t *rapid.T, m *model) keyvalue.Transaction {
+// drawTransaction draws a transaction with writes of distinct keys and compares
+// of which most are true.
+func drawTransaction(t *rapid.T, m *referenceModel) keyvalue.Transaction {
 	var transaction keyvalue.Transaction
 	for _, key := range rapid.SliceOfNDistinct(rapid.SampledFrom(keys), 0, 2, rapid.ID).Draw(t, "compared") {
 		expected := m.pairs[key].ModRevision
@@ -80,12 +83,12 @@
 		a.ModRevision == b.ModRevision && a.Version == b.Version && a.Lease == b.Lease
 }
 
-// TestTransactionsMatchModel checks results, contents and the watch history
-// after every transaction, and that a replay of the history gives the contents.
-func TestTransactionsMatchModel(t *testing.T) {
+// Random transactions must give the same results and contents as the reference
+// model, and a replay of the watch history must give the final contents.
+func TestTransactionsMatchReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := standin.NewState(standin.Config{})
-		m := &model{revision: 1, pairs: map[string]keyvalue.KeyValue{}}
+		m := &referenceModel{revision: 1, pairs: map[string]keyvalue.KeyValue{}}
 		for range rapid.IntRange(1, 30).Draw(t, "transactions") {
 			transaction := drawTransaction(t, m)
 			want := m.apply(transaction)
@@ -113,7 +116,9 @@
 	})
 }
 
-func write(t *testing.T, state *standin.State, now time.Time, key string, lease int64) int64 {
+// mustWrite writes a key under a lease, or none if it is zero, and returns the
+// revision.
+func mustWrite(t *testing.T, state *standin.State, now time.Time, key string, lease int64) int64 {
 	t.Helper()
 	result, err := state.Txn(now, keyvalue.Transaction{Operations: []keyvalue.Operation{{Key: key, Value: []byte("v"), Lease: lease}}})
 	if err != nil {
@@ -122,44 +127,49 @@
 	return result.Revision
 }
 
-func TestLeaseLapse(t *testing.T) {
+// A kept-alive lease must keep its key; an expired lease must delete it with an
+// event for watches, and must not be revived by a late keep-alive.
+func TestLeaseExpiresUnlessKeptAlive(t *testing.T) {
 	state := standin.NewState(standin.Config{})
 	lease := state.Grant(epoch, 10*time.Second)
-	write(t, state, epoch, "/held", lease)
+	mustWrite(t, state, epoch, "/held", lease)
 	if _, err := state.KeepAlive(epoch.Add(9*time.Second), lease); err != nil {
 		t.Fatal(err)
 	}
 	if pairs, _ := state.Range(epoch.Add(18*time.Second), "/"); len(pairs) != 1 {
-		t.Fatalf("the kept lease lapsed: %+v", pairs)
+		t.Fatalf("the lease expired despite its keep-alive: %+v", pairs)
 	}
 	before := state.Revision()
 	if pairs, _ := state.Range(epoch.Add(19*time.Second), "/"); len(pairs) != 0 {
-		t.Fatalf("the lapsed lease kept its key: %+v", pairs)
+		t.Fatalf("the expired lease kept its key: %+v", pairs)
 	}
 	if _, err := state.KeepAlive(epoch.Add(19*time.Second), lease); !errors.Is(err, keyvalue.ErrLeaseNotFound) {
-		t.Fatalf("keep-alive after the lapse: %v", err)
+		t.Fatalf("keep-alive after the expiry: %v", err)
 	}
 	batch := state.EventsSince(epoch.Add(19*time.Second), "/", before+1)
 	if len(batch.Events) != 1 || !batch.Events[0].Deleted {
-		t.Fatalf("watch of the lapse: %+v", batch)
+		t.Fatalf("events of the expiry: %+v", batch)
 	}
 }
 
-// TestLeaseFollowsLastWrite: a key written again without the lease outlives it.
-func TestLeaseFollowsLastWrite(t *testing.T) {
+// A key belongs to the lease of its last write. One that was written again
+// without a lease must not be deleted when the old lease expires.
+func TestKeyRewrittenWithoutLeaseOutlivesLease(t *testing.T) {
 	state := standin.NewState(standin.Config{})
 	lease := state.Grant(epoch, time.Second)
-	write(t, state, epoch, "/a", lease)
-	write(t, state, epoch, "/a", 0)
+	mustWrite(t, state, epoch, "/a", lease)
+	mustWrite(t, state, epoch, "/a", 0)
 	if pairs, _ := state.Range(epoch.Add(time.Hour), "/"); len(pairs) != 1 {
 		t.Fatalf("contents %+v", pairs)
 	}
 }
 
-func TestCompactionEndsOldWatches(t *testing.T) {
+// A watch from a compacted revision must be told so; one from the compacted
+// revision itself must get every event from there on.
+func TestEventsBeforeCompactedRevisionAreGone(t *testing.T) {
 	state := standin.NewState(standin.Config{HistoryLength: 4})
 	for range 20 {
-		write(t, state, epoch, "/a", 0)
+		mustWrite(t, state, epoch, "/a", 0)
 	}
 	if batch := state.EventsSince(epoch, "/", 2); !batch.Compacted || batch.Revision != state.CompactedRevision() {
 		t.Fatalf("watch from a compacted revision: %+v", batch)
@@ -171,7 +181,9 @@
 	}
 }
 
-func TestRefusedTransactionsChangeNothing(t *testing.T) {
+// An invalid operation must fail the whole transaction with etcd's error; a
+// partial write would break the atomicity that callers rely on.
+func TestInvalidTransactionsChangeNothing(t *testing.T) {
 	put := func(key string, lease gateway.Int64) gateway.RequestOperation {
 		return gateway.RequestOperation{Put: &gateway.PutRequest{Key: []byte(key), Lease: lease}}
 	}
@@ -196,10 +208,12 @@
 	}
 }
 
-func TestCompareTargets(t *testing.T) {
+// Each compare target must use its own revision or version, and each result its
+// own relation.
+func TestCompareEvaluatesTargetAndResult(t *testing.T) {
 	state := standin.NewState(standin.Config{})
-	write(t, state, epoch, "/a", 0) // create revision 2
-	write(t, state, epoch, "/a", 0) // mod revision 3, version 2
+	mustWrite(t, state, epoch, "/a", 0) // create revision 2
+	mustWrite(t, state, epoch, "/a", 0) // mod revision 3, version 2
 	cases := []struct {
 		compare gateway.Compare
 		want    bool
--- a/standin/keyvalue/transaction.go
+++ b/standin/keyvalue/transaction.go
@@ -7,7 +7,8 @@
 	"github.com/valveslip/valveslip/keyvalue/gateway"
 )
 
-// Txn applies a transaction in the form of package keyvalue.
+// Txn applies a transaction of package keyvalue. If a compare fails, nothing is
+// written and the result has the pairs of transaction.Reads.
 func (s *State) Txn(now time.Time, transaction keyvalue.Transaction) (keyvalue.TransactionResult, error) {
 	s.Expire(now)
 	result := keyvalue.TransactionResult{Succeeded: true}
@@ -17,21 +18,22 @@
 		}
 	}
 	if result.Succeeded {
-		if err := s.write(transaction.Operations); err != nil {
+		if err := s.applyOperations(transaction.Operations); err != nil {
 			return keyvalue.TransactionResult{}, err
 		}
 	} else {
 		for _, key := range transaction.Reads {
-			result.Found = append(result.Found, s.between(key, "")...)
+			result.Found = append(result.Found, s.pairsInRange(key, "")...)
 		}
 	}
 	result.Revision = s.revision
 	return result, nil
 }
 
-// write applies all operations in one revision, or none.
-func (s *State) write(operations []keyvalue.Operation) error {
-	if err := s.check(operations); err != nil {
+// applyOperations applies all operations at one new revision, or none if one of
+// them is invalid. The revision stays if nothing changes.
+func (s *State) applyOperations(operations []keyvalue.Operation) error {
+	if err := s.validateOperations(operations); err != nil {
 		return err
 	}
 	next := s.revision + 1
@@ -46,17 +48,17 @@
 			s.revision, changed = next, true
 		}
 		if operation.Delete {
-			s.remove(operation.Key)
+			s.removeKey(operation.Key)
 		} else {
-			s.put(operation)
+			s.putKey(operation)
 		}
 	}
 	return nil
 }
 
-// check refuses what etcd refuses: two puts of one key, an empty key, an
-// unknown lease.
-func (s *State) check(operations []keyvalue.Operation) error {
+// validateOperations returns the error that etcd has for an empty key, two
+// operations on one key or an unknown lease.
+func (s *State) validateOperations(operations []keyvalue.Operation) error {
 	seen := make(map[string]struct{}, len(operations))
 	for _, operation := range operations {
 		if operation.Key == "" {
@@ -73,10 +75,10 @@
 	return nil
 }
 
-// put writes one key at the current revision.
-func (s *State) put(operation keyvalue.Operation) {
+// putKey writes one key at the current revision.
+func (s *State) putKey(operation keyvalue.Operation) {
 	pair := s.pairs[operation.Key]
-	s.detach(pair)
+	s.detachFromLease(pair)
 	if pair.Version == 0 {
 		pair.Key, pair.CreateRevision = operation.Key, s.revision
 	}
@@ -88,48 +90,50 @@
 		s.leases[pair.Lease].keys[pair.Key] = struct{}{}
 	}
 	s.pairs[pair.Key] = pair
-	s.record(keyvalue.Event{KeyValue: pair})
+	s.appendEvent(keyvalue.Event{KeyValue: pair})
 }
 
-// remove deletes one existing key at the current revision.
-func (s *State) remove(key string) {
-	s.detach(s.pairs[key])
+// removeKey deletes an existing key at the current revision.
+func (s *State) removeKey(key string) {
+	s.detachFromLease(s.pairs[key])
 	delete(s.pairs, key)
-	s.record(keyvalue.Event{KeyValue: keyvalue.KeyValue{Key: key, ModRevision: s.revision}, Deleted: true})
+	s.appendEvent(keyvalue.Event{KeyValue: keyvalue.KeyValue{Key: key, ModRevision: s.revision}, Deleted: true})
 }
 
-// detach takes a pair off its lease.
-func (s *State) detach(pair keyvalue.KeyValue) {
+// detachFromLease removes a pair's key from its lease, if it has one.
+func (s *State) detachFromLease(pair keyvalue.KeyValue) {
 	if granted := s.leases[pair.Lease]; granted != nil {
 		delete(granted.keys, pair.Key)
 	}
 }
 
-// record keeps a change for watches and compacts what is too old. Compaction
-// never splits a revision.
-func (s *State) record(event keyvalue.Event) {
+// appendEvent adds an event to the history. At twice HistoryLength it compacts
+// the history to about HistoryLength events; events of one revision are kept or
+// dropped together.
+func (s *State) appendEvent(event keyvalue.Event) {
 	s.history = append(s.history, event)
 	if len(s.history) >= 2*s.config.HistoryLength {
 		s.Compact(s.history[len(s.history)-s.config.HistoryLength].KeyValue.ModRevision)
 	}
 }
 
-// Compact drops the changes before revision.
+// Compact drops the events before revision. It does nothing if revision is
+// already compacted or in the future.
 func (s *State) Compact(revision int64) {
-	if revision <= s.compacted || revision > s.revision {
+	if revision <= s.compactedRevision || revision > s.revision {
 		return
 	}
-	s.compacted = revision
-	kept := 0
-	for kept < len(s.history) && s.history[kept].KeyValue.ModRevision < revision {
-		kept++
+	s.compactedRevision = revision
+	firstKept := 0
+	for firstKept < len(s.history) && s.history[firstKept].KeyValue.ModRevision < revision {
+		firstKept++
 	}
-	s.history = append([]keyvalue.Event(nil), s.history[kept:]...)
+	s.history = append([]keyvalue.Event(nil), s.history[firstKept:]...)
 }
 
-// EventsSince returns the changes below prefix from startRevision on. The batch
-// is Compacted when startRevision is gone; its Revision is always the global
-// one otherwise.
+// EventsSince returns the events on keys with the prefix from startRevision on.
+// If startRevision is compacted, the batch is marked Compacted and its Revision
+// is the compacted revision; otherwise its Revision is the global one.
 func (s *State) EventsSince(now time.Time, prefix string, startRevision int64) keyvalue.WatchBatch {
 	s.Expire(now)
 	first, end := prefixBounds(prefix)
@@ -137,21 +141,21 @@
 }
 
 func (s *State) eventsBetween(first, end string, startRevision int64) keyvalue.WatchBatch {
-	if startRevision < s.compacted {
-		return keyvalue.WatchBatch{Revision: s.compacted, Compacted: true}
+	if startRevision < s.compactedRevision {
+		return keyvalue.WatchBatch{Revision: s.compactedRevision, Compacted: true}
 	}
 	batch := keyvalue.WatchBatch{Revision: s.revision}
-	for i := s.firstAt(startRevision); i < len(s.history); i++ {
-		if inside(s.history[i].KeyValue.Key, first, end) {
+	for i := s.historyIndex(startRevision); i < len(s.history); i++ {
+		if inRange(s.history[i].KeyValue.Key, first, end) {
 			batch.Events = append(batch.Events, s.history[i])
 		}
 	}
 	return batch
 }
 
-// firstAt returns the index of the first change at or after revision. Watches
-// mostly ask for the newest, so it searches from the end.
-func (s *State) firstAt(revision int64) int {
+// historyIndex returns the index of the first event at or after revision. It
+// searches from the end, because most watches ask for the newest events.
+func (s *State) historyIndex(revision int64) int {
 	i := len(s.history)
 	for i > 0 && s.history[i-1].KeyValue.ModRevision >= revision {
 		i--
@@ -159,7 +163,8 @@
 	return i
 }
 
-// prefixBounds returns the range that covers every key below prefix.
+// prefixBounds returns the range of all keys with the prefix, as first key and
+// range end.
 func prefixBounds(prefix string) (first, end string) {
 	if prefix == "" {
 		return "\x00", "\x00"
--- a/standin/keyvalue/watch.go
+++ b/standin/keyvalue/watch.go
@@ -10,11 +10,11 @@
 	"github.com/valveslip/valveslip/standin/fault"
 )
 
-// watch streams the changes of one range until the caller leaves, the history
-// is compacted under it, or the service is down.
-func (s *Server) watch(writer http.ResponseWriter, incoming *http.Request) {
+// serveWatch streams the events of one range until the caller disconnects, the
+// next revision is compacted, or a KindDown fault closes the connection.
+func (s *Server) serveWatch(writer http.ResponseWriter, incoming *http.Request) {
 	var request gateway.WatchRequest
-	if !s.admit(writer) || !decode(writer, incoming, &request) {
+	if !s.checkRateLimit(writer) || !decodeRequest(writer, incoming, &request) {
 		return
 	}
 	if request.CreateRequest == nil {
@@ -26,22 +26,23 @@
 	stream.run(incoming)
 }
 
-// watchStream is one watch.
+// watchStream is an active watch. nextRevision is the first revision that has
+// not been sent.
 type watchStream struct {
-	server  *Server
-	request gateway.WatchCreateRequest
-	encoder *json.Encoder
-	flush   func() error
-	next    int64
+	server       *Server
+	request      gateway.WatchCreateRequest
+	encoder      *json.Encoder
+	flush        func() error
+	nextRevision int64
 }
 
 func (w *watchStream) run(incoming *http.Request) {
-	w.next = int64(w.request.StartRevision)
+	w.nextRevision = int64(w.request.StartRevision)
 	created := gateway.WatchResult{Created: true}
 	w.server.Do(func(_ time.Time, state *State) {
-		created.Header = state.header()
-		if w.next == 0 {
-			w.next = state.Revision() + 1
+		created.Header = state.responseHeader()
+		if w.nextRevision == 0 {
+			w.nextRevision = state.Revision() + 1
 		}
 	})
 	if !w.send(created) {
@@ -49,23 +50,23 @@
 	}
 	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
-	report := false
+	reportProgress := false
 	for {
-		batch, changed := w.collect()
+		batch, changed := w.nextBatch()
 		if batch.Compacted {
 			w.send(gateway.WatchResult{Canceled: true, CompactRevision: gateway.Int64(batch.Revision)})
 			return
 		}
-		if (len(batch.Events) > 0 || report) && !w.send(result(batch)) {
+		if (len(batch.Events) > 0 || reportProgress) && !w.send(toWatchResult(batch)) {
 			return
 		}
 		select {
 		case <-incoming.Context().Done():
 			return
 		case <-changed:
-			report = false
+			reportProgress = false
 		case <-progress.C:
-			report = w.request.ProgressNotify
+			reportProgress = w.request.ProgressNotify
 		}
 		if _, down := w.server.Trigger(fault.KindDown); down {
 			panic(http.ErrAbortHandler)
@@ -73,23 +74,23 @@
 	}
 }
 
-// collect returns what the watch has not seen and a channel that closes when
-// there may be more.
-func (w *watchStream) collect() (keyvalue.WatchBatch, chan struct{}) {
+// nextBatch returns the events that have not been sent and a channel that is
+// closed when the revision next changes.
+func (w *watchStream) nextBatch() (keyvalue.WatchBatch, chan struct{}) {
 	var batch keyvalue.WatchBatch
 	var changed chan struct{}
 	w.server.Do(func(_ time.Time, state *State) {
-		batch = state.eventsBetween(string(w.request.Key), string(w.request.RangeEnd), w.next)
-		if w.next <= batch.Revision {
-			w.next = batch.Revision + 1
+		batch = state.eventsBetween(string(w.request.Key), string(w.request.RangeEnd), w.nextRevision)
+		if w.nextRevision <= batch.Revision {
+			w.nextRevision = batch.Revision + 1
 		}
-		changed = w.server.changed
+		changed = w.server.revisionChanged
 	})
 	return batch, changed
 }
 
-// result writes a batch in the gateway's form.
-func result(batch keyvalue.WatchBatch) gateway.WatchResult {
+// toWatchResult converts a batch to the gateway's type.
+func toWatchResult(batch keyvalue.WatchBatch) gateway.WatchResult {
 	answer := gateway.WatchResult{Header: gateway.Header{Revision: gateway.Int64(batch.Revision)}}
 	for _, event := range batch.Events {
 		written := gateway.Event{KV: toGateway(event.KeyValue)}
