--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -8,11 +8,11 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// tokenBytes is the length of every token of an answer.
+// tokenBytes is the length of every token of an answer in bytes.
 const tokenBytes = 8
 
-// Seed identifies a prompt to a model. For chat, prompt is the text of
-// platform/engine.ChatPrompt.
+// Seed returns the hash that identifies a prompt to a model. For chat, prompt is
+// the text that ChatPrompt of package valveslip/engine returns.
 func Seed(model cluster.ModelID, prompt string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -22,8 +22,8 @@
 	return digest.Sum64()
 }
 
-// AppendToken appends token number index, from 0, of the answer to the prompt
-// with the seed: seven hexadecimal digits and a space.
+// AppendToken appends one token of the answer to the prompt with the seed: seven
+// hexadecimal digits and a space. index counts the tokens from 0.
 func AppendToken(text []byte, seed uint64, index int) []byte {
 	const digits = "0123456789abcdef"
 	var key [16]byte
@@ -37,7 +37,8 @@
 	return append(text, ' ')
 }
 
-// AnswerText returns the whole answer of the given number of tokens.
+// AnswerText returns the complete answer to a prompt, with the given number of
+// tokens.
 func AnswerText(model cluster.ModelID, prompt string, tokens int) string {
 	seed := Seed(model, prompt)
 	text := make([]byte, 0, tokens*tokenBytes)
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -7,7 +7,7 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Status of an attempt.
+// Status is the state of an attempt.
 type Status uint8
 
 // The statuses. Only StatusPrefilling and StatusDecoding hold a slot.
@@ -17,13 +17,13 @@
 	StatusPrefilling
 	StatusDecoding
 	StatusFinished
-	// StatusFailed attempts started and were given up; StatusRefused ones never
-	// started.
+	// StatusFailed attempts were aborted after their start; StatusRefused ones
+	// never started.
 	StatusFailed
 	StatusRefused
 )
 
-// Submission asks to run one attempt.
+// Submission is a request to run one attempt.
 type Submission struct {
 	Key          Key
 	Model        cluster.ModelID
@@ -32,11 +32,11 @@
 	Seed         uint64
 	PromptTokens int
 	MaxTokens    int
-	// Prefixes is the chain of the prompt's prefix blocks.
+	// Prefixes has the hash of each prefix of the prompt, in whole blocks.
 	Prefixes []uint64
 }
 
-// Refusal says why an attempt was not started.
+// Refusal is the reason why an attempt was not started.
 type Refusal string
 
 // The refusals.
@@ -49,70 +49,73 @@
 	RefusedCancelled    Refusal = "cancelled before the start"
 )
 
-// View is what a reader of an answer sees.
+// View is the progress of an attempt at one time.
 type View struct {
 	Status Status
-	// Refusal of StatusRefused.
+	// Refusal is the reason of StatusRefused.
 	Refusal Refusal
-	// Generated tokens so far, and when the next one comes while decoding.
+	// Generated is the number of tokens so far. NextToken is the time of the next
+	// one while decoding, and zero otherwise.
 	Generated int
 	NextToken time.Time
-	// CachedTokens of the prompt.
+	// CachedTokens is the number of prompt tokens found in the prefix cache.
 	CachedTokens int
 }
 
 // attempt is a submitted attempt.
 type attempt struct {
 	Submission
-	status   Status
-	refusal  Refusal
-	arrival  uint64
-	replica  *replica
-	cached   int
-	work     time.Duration // of the prefill
-	ready    time.Time     // end of the prefill, once it has begun
-	start    int64         // step at which decoding began
-	produced int           // tokens when it ended
-	endedAt  time.Time
-	// abandonAt is set while nobody reads the answer.
+	status          Status
+	refusal         Refusal
+	arrival         uint64
+	replica         *replica
+	cachedTokens    int
+	prefillTime     time.Duration // duration of the prefill
+	prefillEnd      time.Time     // end of the prefill, once it has begun
+	decodeStartStep int64         // step at which decoding began
+	producedTokens  int           // number of tokens when the attempt ended
+	endedAt         time.Time
+	// abandonAt is the time at which the attempt is aborted, and zero while a
+	// connection reads the answer.
 	abandonAt time.Time
 }
 
-// stepClock counts the decoding steps of the whole batch. Between changes of
-// the batch each step takes the same time, so the count at any time follows
-// from when it was last set.
+// stepClock counts the decoding steps of the batch. While the batch doesn't
+// change, each step takes the same time, so the count follows from the count at
+// the last change and the time since then.
 type stepClock struct {
-	base   int64
-	since  time.Time
-	period time.Duration
+	baseStep int64
+	baseTime time.Time
+	stepTime time.Duration
 }
 
-func (c *stepClock) at(now time.Time) int64 {
-	if c.period <= 0 {
-		return c.base
+func (c *stepClock) stepAt(now time.Time) int64 {
+	if c.stepTime <= 0 {
+		return c.baseStep
 	}
-	return c.base + int64(now.Sub(c.since)/c.period)
+	return c.baseStep + int64(now.Sub(c.baseTime)/c.stepTime)
 }
 
-func (c *stepClock) when(step int64) time.Time {
-	return c.since.Add(time.Duration(step-c.base) * c.period)
+func (c *stepClock) timeOfStep(step int64) time.Time {
+	return c.baseTime.Add(time.Duration(step-c.baseStep) * c.stepTime)
 }
 
-// setPeriod changes the step time; the step in progress keeps its share done.
+// setPeriod changes the step time. The completed share of the step in progress
+// stays the same.
 func (c *stepClock) setPeriod(now time.Time, period time.Duration) {
-	if period == c.period {
+	if period == c.stepTime {
 		return
 	}
-	steps := c.at(now)
+	steps := c.stepAt(now)
 	var done time.Duration
-	if c.period > 0 {
-		done = time.Duration(float64(now.Sub(c.when(steps))) / float64(c.period) * float64(period))
+	if c.stepTime > 0 {
+		done = time.Duration(float64(now.Sub(c.timeOfStep(steps))) / float64(c.stepTime) * float64(period))
 	}
-	c.base, c.since, c.period = steps, now.Add(-done), period
+	c.baseStep, c.baseTime, c.stepTime = steps, now.Add(-done), period
 }
 
-// Submit queues an attempt and starts it when a slot is free. The result is
-// empty when it was accepted.
+// Submit queues an attempt and starts it when a slot is free. It returns the
+// reason of a refusal, or an empty string if the attempt was accepted.
 func (s *State) Submit(now time.Time, submission Submission) Refusal {
 	s.Advance(now)
 	if _, known := s.attempts[submission.Key]; known {
@@ -122,24 +125,26 @@
 	if holder == nil || holder.State != cluster.ReplicaLoaded {
 		return RefusedModelMissing
 	}
-	if len(s.slots) >= s.config.Slots && len(s.queue) >= s.config.QueueLength {
+	if len(s.batch) >= s.config.Slots && len(s.queue) >= s.config.QueueLength {
 		return RefusedFull
 	}
-	if !s.leaving.IsZero() {
-		s.counters.LatestStartAfterLeaving = max(s.counters.LatestStartAfterLeaving, now.Sub(s.leaving))
+	if !s.leavingSince.IsZero() {
+		s.counters.LatestStartAfterLeaving = max(s.counters.LatestStartAfterLeaving, now.Sub(s.leavingSince))
 	}
 	s.arrivals++
 	entry := &attempt{Submission: submission, status: StatusQueued, arrival: s.arrivals, replica: holder}
 	s.attempts[submission.Key] = entry
 	s.queue = append(s.queue, entry)
-	s.fill()
+	s.fillSlots()
 	s.Advance(now)
 	return ""
 }
 
-// fill starts queued attempts while slots are free.
-func (s *State) fill() {
-	for len(s.slots) < s.config.Slots && len(s.queue) > 0 {
+// fillSlots starts queued attempts while slots are free, the highest priority
+// first and in order of arrival within a priority. Attempts past their deadline
+// are refused.
+func (s *State) fillSlots() {
+	for len(s.batch) < s.config.Slots && len(s.queue) > 0 {
 		best := 0
 		for i, entry := range s.queue {
 			if entry.Priority > s.queue[best].Priority {
@@ -149,58 +154,59 @@
 		entry := s.queue[best]
 		s.queue = append(s.queue[:best], s.queue[best+1:]...)
 		if !entry.Deadline.IsZero() && !entry.Deadline.After(s.now) {
-			s.end(entry, StatusRefused, RefusedDeadline)
+			s.endAttempt(entry, StatusRefused, RefusedDeadline)
 			continue
 		}
-		s.begin(entry)
+		s.startAttempt(entry)
 	}
 }
 
-// begin gives an attempt its slot. Prompts are prefilled one after another.
-func (s *State) begin(entry *attempt) {
+// startAttempt gives an attempt a slot and queues its prefill. Prompts are
+// prefilled one after another.
+func (s *State) startAttempt(entry *attempt) {
 	entry.status = StatusPrefilling
-	entry.replica.running++
-	s.slots = append(s.slots, entry)
+	entry.replica.runningAttempts++
+	s.batch = append(s.batch, entry)
 	s.counters.Runs++
 	if s.config.Recorder != nil {
 		s.config.Recorder.Ran(entry.Key.Request, entry.Key.Attempt, entry.Seed)
 	}
 	matched := s.prefixes.match(entry.Model, entry.Prefixes)
 	if len(entry.Prefixes) > 0 {
-		entry.cached = matched * blockTokens
+		entry.cachedTokens = matched * tokensPerBlock
 	}
-	entry.work = timeFor(float64(max(entry.PromptTokens-entry.cached, 0)), s.config.PrefillTokensPerSecond)
-	s.prefills = append(s.prefills, entry)
-	if len(s.prefills) == 1 {
-		entry.ready = s.now.Add(entry.work)
+	entry.prefillTime = durationAtSpeed(float64(max(entry.PromptTokens-entry.cachedTokens, 0)), s.config.PrefillTokensPerSecond)
+	s.prefillQueue = append(s.prefillQueue, entry)
+	if len(s.prefillQueue) == 1 {
+		entry.prefillEnd = s.now.Add(entry.prefillTime)
 	}
 	s.prefixes.insert(s.now, entry.Model, entry.Prefixes)
-	s.changed(entry)
+	s.markChanged(entry)
 }
 
-// leavePrefill takes an attempt out of the prefills; the next one begins when
-// it was the one under way.
-func (s *State) leavePrefill(entry *attempt) {
-	first := s.prefills[0] == entry
-	s.prefills = slices.DeleteFunc(s.prefills, func(other *attempt) bool { return other == entry })
-	if first && len(s.prefills) > 0 {
-		s.prefills[0].ready = s.now.Add(s.prefills[0].work)
+// removeFromPrefill removes an attempt from the prefill queue. If its prefill was
+// in progress, the next one begins.
+func (s *State) removeFromPrefill(entry *attempt) {
+	first := s.prefillQueue[0] == entry
+	s.prefillQueue = slices.DeleteFunc(s.prefillQueue, func(other *attempt) bool { return other == entry })
+	if first && len(s.prefillQueue) > 0 {
+		s.prefillQueue[0].prefillEnd = s.now.Add(s.prefillQueue[0].prefillTime)
 	}
 }
 
-// decode ends the prefill of an attempt.
-func (s *State) decode(entry *attempt) {
-	s.leavePrefill(entry)
+// startDecoding ends the prefill of an attempt and adds it to the decoding batch.
+func (s *State) startDecoding(entry *attempt) {
+	s.removeFromPrefill(entry)
 	entry.status = StatusDecoding
-	s.pace()
-	entry.start = s.steps.at(s.now)
-	s.changed(entry)
+	s.updateStepTime()
+	entry.decodeStartStep = s.steps.stepAt(s.now)
+	s.markChanged(entry)
 }
 
-// pace sets the step time by the size of the batch.
-func (s *State) pace() {
+// updateStepTime sets the step time for the number of decoding attempts.
+func (s *State) updateStepTime() {
 	decoding := 0
-	for _, entry := range s.slots {
+	for _, entry := range s.batch {
 		if entry.status == StatusDecoding {
 			decoding++
 		}
@@ -212,74 +218,76 @@
 	s.steps.setPeriod(s.now, period)
 }
 
-// generated tokens of an attempt by now.
-func (s *State) generated(entry *attempt) int {
+// generatedTokens returns the number of tokens of an attempt so far.
+func (s *State) generatedTokens(entry *attempt) int {
 	switch {
 	case entry.status != StatusDecoding:
-		return entry.produced
-	case s.steps.period <= 0:
+		return entry.producedTokens
+	case s.steps.stepTime <= 0:
 		return entry.MaxTokens
 	default:
-		return min(int(s.steps.at(s.now)-entry.start), entry.MaxTokens)
+		return min(int(s.steps.stepAt(s.now)-entry.decodeStartStep), entry.MaxTokens)
 	}
 }
 
-// end takes an attempt out of its slot and keeps its answer for a while.
-func (s *State) end(entry *attempt, status Status, refusal Refusal) {
-	entry.produced = s.generated(entry)
+// endAttempt sets the final status of an attempt and frees its slot if it has
+// one. The answer can be resumed until evictEndedAttempts removes it.
+func (s *State) endAttempt(entry *attempt, status Status, refusal Refusal) {
+	entry.producedTokens = s.generatedTokens(entry)
 	if status == StatusFinished {
-		entry.produced = entry.MaxTokens
+		entry.producedTokens = entry.MaxTokens
 	}
 	inSlot := entry.status == StatusPrefilling || entry.status == StatusDecoding
 	if entry.status == StatusPrefilling {
-		s.leavePrefill(entry)
+		s.removeFromPrefill(entry)
 	}
 	entry.status, entry.refusal, entry.endedAt = status, refusal, s.now
-	s.kept = append(s.kept, entry)
-	s.changed(entry)
+	s.endedAttempts = append(s.endedAttempts, entry)
+	s.markChanged(entry)
 	if !inSlot {
 		return
 	}
-	for i, other := range s.slots {
+	for i, other := range s.batch {
 		if other == entry {
-			s.slots = append(s.slots[:i], s.slots[i+1:]...)
+			s.batch = append(s.batch[:i], s.batch[i+1:]...)
 			break
 		}
 	}
-	entry.replica.running--
-	s.finishDrain(entry.replica)
-	s.pace()
-	s.fill()
+	entry.replica.runningAttempts--
+	s.startUnloadIfIdle(entry.replica)
+	s.updateStepTime()
+	s.fillSlots()
 }
 
-func (s *State) changed(entry *attempt) {
+func (s *State) markChanged(entry *attempt) {
 	s.effects.Changed = append(s.effects.Changed, entry.Key)
 }
 
-// Cancel gives up an attempt. It reports whether the attempt was known.
+// Cancel aborts an attempt. It reports whether the attempt was known.
 func (s *State) Cancel(now time.Time, key Key) bool {
 	s.Advance(now)
 	entry := s.attempts[key]
 	if entry == nil {
 		return false
 	}
-	s.giveUp(entry, RefusedCancelled)
+	s.abortAttempt(entry, RefusedCancelled)
 	s.Advance(now)
 	return true
 }
 
-// giveUp ends an attempt that has not ended.
-func (s *State) giveUp(entry *attempt, refusal Refusal) {
+// abortAttempt refuses a queued attempt for the given reason and fails one that
+// has a slot. An attempt that has ended stays as it is.
+func (s *State) abortAttempt(entry *attempt, refusal Refusal) {
 	switch entry.status {
 	case StatusQueued:
-		s.unqueue(entry)
-		s.end(entry, StatusRefused, refusal)
+		s.removeFromQueue(entry)
+		s.endAttempt(entry, StatusRefused, refusal)
 	case StatusPrefilling, StatusDecoding:
-		s.end(entry, StatusFailed, "")
+		s.endAttempt(entry, StatusFailed, "")
 	}
 }
 
-func (s *State) unqueue(entry *attempt) {
+func (s *State) removeFromQueue(entry *attempt) {
 	for i, other := range s.queue {
 		if other == entry {
 			s.queue = append(s.queue[:i], s.queue[i+1:]...)
@@ -288,57 +296,59 @@
 	}
 }
 
-// refuseQueued refuses the queued attempts of a model.
+// refuseQueued refuses the queued attempts of a model that is being unloaded.
 func (s *State) refuseQueued(model cluster.ModelID) {
 	for _, entry := range append([]*attempt(nil), s.queue...) {
 		if entry.Model == model {
-			s.giveUp(entry, RefusedUnloading)
+			s.abortAttempt(entry, RefusedUnloading)
 		}
 	}
 }
 
-// cutRunning gives up what a draining replica still runs.
-func (s *State) cutRunning(entry *replica) {
-	for _, running := range append([]*attempt(nil), s.slots...) {
+// abortRunning aborts the running attempts of a replica whose drain time is over.
+func (s *State) abortRunning(entry *replica) {
+	for _, running := range append([]*attempt(nil), s.batch...) {
 		if running.replica == entry {
-			s.giveUp(running, "")
+			s.abortAttempt(running, "")
 		}
 	}
-	s.finishDrain(entry)
+	s.startUnloadIfIdle(entry)
 }
 
-// considerAttempts offers what is due of each attempt.
-func (s *State) considerAttempts(next *due) {
-	for _, entry := range s.slots {
+// considerAttemptEvents keeps in next the earliest event of any attempt if it is
+// earlier than next.
+func (s *State) considerAttemptEvents(next *scheduledEvent) {
+	for _, entry := range s.batch {
 		switch {
 		case entry.status == StatusDecoding:
-			next.earlier(due{when: s.finishAt(entry), kind: dueFinish, attempt: entry})
-		case entry == s.prefills[0]:
-			next.earlier(due{when: entry.ready, kind: dueDecode, attempt: entry})
+			next.keepEarlier(scheduledEvent{dueAt: s.decodeEnd(entry), kind: eventDecodeEnd, attempt: entry})
+		case entry == s.prefillQueue[0]:
+			next.keepEarlier(scheduledEvent{dueAt: entry.prefillEnd, kind: eventPrefillEnd, attempt: entry})
 		}
 		if !entry.abandonAt.IsZero() {
-			next.earlier(due{when: entry.abandonAt, kind: dueAbandon, attempt: entry})
+			next.keepEarlier(scheduledEvent{dueAt: entry.abandonAt, kind: eventAbandoned, attempt: entry})
 		}
 	}
 	for _, entry := range s.queue {
 		if !entry.Deadline.IsZero() {
-			next.earlier(due{when: entry.Deadline, kind: dueDeadline, attempt: entry})
+			next.keepEarlier(scheduledEvent{dueAt: entry.Deadline, kind: eventQueueDeadline, attempt: entry})
 		}
 		if !entry.abandonAt.IsZero() {
-			next.earlier(due{when: entry.abandonAt, kind: dueAbandon, attempt: entry})
+			next.keepEarlier(scheduledEvent{dueAt: entry.abandonAt, kind: eventAbandoned, attempt: entry})
 		}
 	}
 }
 
-// finishAt is when a decoding attempt has all its tokens.
-func (s *State) finishAt(entry *attempt) time.Time {
-	if s.steps.period <= 0 {
+// decodeEnd returns when a decoding attempt has generated all its tokens.
+func (s *State) decodeEnd(entry *attempt) time.Time {
+	if s.steps.stepTime <= 0 {
 		return s.now
 	}
-	return s.steps.when(entry.start + int64(entry.MaxTokens))
+	return s.steps.timeOfStep(entry.decodeStartStep + int64(entry.MaxTokens))
 }
 
-// Attach says that somebody reads the answer, Detach that nobody does.
+// Attach records that a connection reads the attempt's answer, which stops the
+// time that Detach started.
 func (s *State) Attach(now time.Time, key Key) {
 	s.Advance(now)
 	if entry := s.attempts[key]; entry != nil {
@@ -346,7 +356,8 @@
 	}
 }
 
-// Detach begins the time after which an unread attempt is given up.
+// Detach records that no connection reads the attempt's answer. The attempt is
+// aborted after Config.AbandonAfter unless Attach is called.
 func (s *State) Detach(now time.Time, key Key) {
 	s.Advance(now)
 	if entry := s.attempts[key]; entry != nil {
@@ -354,27 +365,29 @@
 	}
 }
 
-// View returns what a reader of the attempt sees.
+// View returns the progress of an attempt; its Status is StatusUnknown for an
+// attempt that isn't known or no longer kept.
 func (s *State) View(now time.Time, key Key) View {
 	s.Advance(now)
 	entry := s.attempts[key]
 	if entry == nil {
 		return View{}
 	}
-	view := View{Status: entry.status, Refusal: entry.refusal, Generated: s.generated(entry), CachedTokens: entry.cached}
-	if entry.status == StatusDecoding && s.steps.period > 0 {
-		view.NextToken = s.steps.when(entry.start + int64(view.Generated) + 1)
+	view := View{Status: entry.status, Refusal: entry.refusal, Generated: s.generatedTokens(entry), CachedTokens: entry.cachedTokens}
+	if entry.status == StatusDecoding && s.steps.stepTime > 0 {
+		view.NextToken = s.steps.timeOfStep(entry.decodeStartStep + int64(view.Generated) + 1)
 	}
 	return view
 }
 
-// forget drops answers that have been kept long enough.
-func (s *State) forget() {
+// evictEndedAttempts drops ended attempts that are older than Config.KeepAnswers
+// or beyond maxKeptAnswers.
+func (s *State) evictEndedAttempts() {
 	drop := 0
-	for drop < len(s.kept) && (len(s.kept)-drop > maxKeptAnswers || s.now.Sub(s.kept[drop].endedAt) > s.config.KeepAnswers) {
-		delete(s.attempts, s.kept[drop].Key)
-		s.kept[drop] = nil
+	for drop < len(s.endedAttempts) && (len(s.endedAttempts)-drop > maxKeptAnswers || s.now.Sub(s.endedAttempts[drop].endedAt) > s.config.KeepAnswers) {
+		delete(s.attempts, s.endedAttempts[drop].Key)
+		s.endedAttempts[drop] = nil
 		drop++
 	}
-	s.kept = s.kept[drop:]
+	s.endedAttempts = s.endedAttempts[drop:]
 }
--- a/standin/engine/bench_test.go
+++ b/standin/engine/bench_test.go
@@ -12,9 +12,8 @@
 	standin "github.com/valveslip/valveslip/standin/engine"
 )
 
-// BenchmarkDirect calls the engine stand-in without a node in between, as the
-// measure that the routed path is compared with. The engine takes no time of
-// its own.
+// BenchmarkDirect calls the engine stand-in without a node in between, as a
+// baseline for the routed path. The engine is configured to take no time.
 func BenchmarkDirect(b *testing.B) {
 	for _, variant := range []struct {
 		name   string
@@ -22,15 +21,16 @@
 		stream bool
 	}{{"small", 8, false}, {"stream", 256, true}} {
 		b.Run(variant.name, func(b *testing.B) {
-			_, address := start(b, standin.ServerConfig{Engine: standin.Config{Slots: 256, QueueLength: 4096}})
-			caller := client(b)
-			load(b, caller, address, "m", 10)
+			_, address := startServer(b, standin.ServerConfig{Engine: standin.Config{Slots: 256, QueueLength: 4096}})
+			caller := newClient(b)
+			loadReplica(b, caller, address, "m", 10)
 			benchmarkCalls(b, caller, address, variant.tokens, variant.stream)
 		})
 	}
 }
 
-// benchmarkCalls runs calls in parallel and reports their rates.
+// benchmarkCalls runs calls in parallel and reports requests and tokens per
+// second.
 func benchmarkCalls(b *testing.B, caller *engine.Client, address string, tokens int, stream bool) {
 	var count atomic.Int64
 	b.ReportAllocs()
@@ -38,7 +38,7 @@
 	b.RunParallel(func(parallel *testing.PB) {
 		for parallel.Next() {
 			id := strconv.FormatInt(count.Add(1), 10)
-			answer, err := caller.Run(context.Background(), call(address, fmt.Sprintf("%s-%d", id, b.N), tokens, stream))
+			answer, err := caller.Run(context.Background(), chatCall(address, fmt.Sprintf("%s-%d", id, b.N), tokens, stream))
 			if err != nil {
 				b.Error(err)
 				return
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -6,63 +6,70 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Config of a State. Zero speeds and times mean that the step takes no time.
+// Config configures a State. A speed or time of zero means that the operation
+// takes no time.
 type Config struct {
 	Machine cluster.MachineID
-	// Epoch precedes that of the first run. A Server takes the time of its start
-	// when it is zero, so that a process that takes another's place has a later
-	// one.
+	// Epoch is the number before the epoch of the first run. If it is zero, a
+	// Server uses its start time, so that a process that replaces another one has
+	// a later epoch.
 	Epoch uint64
-	// MemoryBytes for replicas. Orders beyond it are carried out and counted.
+	// MemoryBytes is the memory for replicas. Loads beyond it are executed and
+	// counted in Counters.Overcommitted.
 	MemoryBytes  int64
 	Accelerators int
-	// Slots is how many requests run at once; the default is 8.
+	// Slots is the number of attempts that run at the same time; the default is 8.
 	Slots int
-	// QueueLength bounds waiting requests; the default is four times Slots.
+	// QueueLength limits the queued attempts; the default is four times Slots.
 	QueueLength int
 	Pool        string
 
-	// Cached checkpoints at the start.
+	// Cached has the cache tier of each model whose checkpoint is cached at the
+	// start.
 	Cached map[cluster.ModelID]cluster.Tier
-	// HostCacheBytes bounds checkpoints cached in host memory, and DiskBytes
-	// those on disk; zero means unlimited.
+	// HostCacheBytes limits the checkpoints in host memory, and DiskBytes those on
+	// disk; zero means unlimited.
 	HostCacheBytes, DiskBytes int64
 	// MemoryBytesPerSecond, DiskBytesPerSecond and RemoteBytesPerSecond are the
-	// speeds of loading from each tier. With StoreFetch, remote loads are
-	// handed out as Fetch effects instead of taking RemoteBytesPerSecond.
+	// load speeds from each tier. With StoreFetch, remote loads become Fetch
+	// effects and RemoteBytesPerSecond isn't used.
 	MemoryBytesPerSecond, DiskBytesPerSecond, RemoteBytesPerSecond float64
 	StoreFetch                                                     bool
-	// LoadOverhead is added to each load; UnloadTime is taken by each unload.
+	// LoadOverhead is added to the time of each load. UnloadTime is the time of
+	// each unload after its drain.
 	LoadOverhead, UnloadTime time.Duration
 
-	// PrefillTokensPerSecond of prompt tokens that are not cached.
+	// PrefillTokensPerSecond is the prefill speed for prompt tokens that aren't
+	// cached.
 	PrefillTokensPerSecond float64
-	// StepTime is the time of one token of every running request, to which
-	// StepTimePerRequest is added for each of them.
+	// A decoding step generates one token for each decoding attempt. It takes
+	// StepTime plus StepTimePerRequest for each of these attempts.
 	StepTime, StepTimePerRequest time.Duration
 
-	// PrefixBlocks bounds the prefix cache; zero means none.
+	// PrefixBlocks is the size of the prefix cache in blocks; zero disables it.
 	PrefixBlocks int
-	// CacheEventDelay until a cache event is published; each CacheEventGap-th
-	// event is lost, none when zero.
+	// CacheEventDelay is the time until a cache event is published. Each event
+	// whose sequence number is a multiple of CacheEventGap is lost; with zero,
+	// none is.
 	CacheEventDelay time.Duration
 	CacheEventGap   int
 
-	// ReportInterval between load samples and the lag until one is shown.
+	// ReportInterval is the shortest time between load samples; the default is
+	// 250 ms. ReportLag is the time until a sample is reported.
 	ReportInterval, ReportLag time.Duration
 
-	// KeepAnswers is how long a finished answer can be resumed, and
-	// AbandonAfter how long a running one may be without a reader before it is
-	// given up; the defaults are 30 s and 10 s.
+	// KeepAnswers is the time for which the answer of an ended attempt can be
+	// resumed; the default is 30 s. AbandonAfter is the time after which an attempt
+	// whose answer no connection reads is aborted; the default is 10 s.
 	KeepAnswers, AbandonAfter time.Duration
 
-	// Recorder hears of each request that starts to run; nil for none.
+	// Recorder is notified of each attempt that starts to run; it may be nil.
 	Recorder Recorder
 }
 
-// Recorder hears of each request that starts to run.
+// Recorder is notified of each attempt that starts to run.
 type Recorder interface {
-	// Ran is called when an attempt gets its slot. Seed identifies the prompt.
+	// Ran is called when an attempt gets a slot. seed identifies the prompt.
 	Ran(request cluster.RequestID, attempt cluster.Attempt, seed uint64)
 }
 
@@ -71,17 +78,18 @@
 	defaultKeepAnswers    = 30 * time.Second
 	defaultAbandonAfter   = 10 * time.Second
 	defaultReportInterval = 250 * time.Millisecond
-	// maxKeptAnswers bounds the finished answers that can be resumed.
+	// maxKeptAnswers limits the ended attempts whose answers can be resumed.
 	maxKeptAnswers = 8192
-	// maxKeptOrders bounds the order IDs that are known as done.
+	// maxKeptOrders limits the IDs of applied orders by which repeated orders are
+	// recognized.
 	maxKeptOrders = 4096
-	// maxCacheEvents bounds the cache events that can be read.
+	// maxCacheEvents is the number of cache events that stay readable.
 	maxCacheEvents = 4096
-	// maxSamples bounds the load samples kept for the lag.
+	// maxSamples limits the load samples that are kept for the report lag.
 	maxSamples = 64
 )
 
-// withDefaults fills in the documented defaults.
+// withDefaults returns the configuration with the documented defaults.
 func (c Config) withDefaults() Config {
 	if c.Slots <= 0 {
 		c.Slots = defaultSlots
@@ -101,9 +109,9 @@
 	return c
 }
 
-// DefaultConfig is an engine of ordinary speed: 80 GiB of memory on one
-// accelerator, loads at 16 GiB/s from memory, 4 GiB/s from disk and 1 GiB/s
-// remotely, and 50 tokens a second a request.
+// DefaultConfig returns the configuration of a typical engine: 80 GiB of memory
+// on one accelerator, loads at 16 GiB/s from host memory, 4 GiB/s from disk and
+// 1 GiB/s from the weight store, and about 50 tokens per second per request.
 func DefaultConfig(machine cluster.MachineID) Config {
 	const gibibyte = 1 << 30
 	return Config{
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -10,17 +10,17 @@
 	"github.com/valveslip/valveslip/engine"
 )
 
-// PathCounters takes GET and answers Counters as JSON.
+// PathCounters accepts GET and answers with Counters as JSON.
 const PathCounters = "/standin/v1/counters"
 
-// PathRuns takes POST of a JSON list of prompt seeds and answers how many times
-// each ran; 404 when the engine's Recorder is no Ledger.
+// PathRuns accepts POST with a JSON list of prompt seeds and answers with the
+// number of runs of each, or 404 if the engine's Recorder isn't a Ledger.
 const PathRuns = "/standin/v1/runs"
 
-// maxControlBytes bounds a body of the control API.
+// maxControlBytes limits the size of a request body.
 const maxControlBytes = 16 << 20
 
-// decode reads a JSON body or answers 400.
+// decode decodes a JSON body. If that fails, it answers 400 and returns false.
 func decode(writer http.ResponseWriter, request *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxControlBytes))
 	if err := decoder.Decode(into); err != nil {
@@ -36,8 +36,8 @@
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-// answerOrder writes an inventory or a refusal.
-func answerOrder(writer http.ResponseWriter, status int, inventory cluster.Inventory, refused *engine.OrderRefusal) {
+// writeOrderResult answers with the inventory, or with 409 and the refusal.
+func writeOrderResult(writer http.ResponseWriter, status int, inventory cluster.Inventory, refused *engine.OrderRefusal) {
 	if refused != nil {
 		writeJSON(writer, http.StatusConflict, refused)
 		return
@@ -53,7 +53,7 @@
 	var inventory cluster.Inventory
 	var refused *engine.OrderRefusal
 	s.Do(func(now time.Time, state *State) { inventory, refused = state.Seal(now, body.Token) })
-	answerOrder(writer, http.StatusOK, inventory, refused)
+	writeOrderResult(writer, http.StatusOK, inventory, refused)
 }
 
 func (s *Server) order(writer http.ResponseWriter, request *http.Request) {
@@ -65,12 +65,12 @@
 	var refused *engine.OrderRefusal
 	s.Do(func(now time.Time, state *State) {
 		inventory, refused = state.Order(now, order)
-		if refused == nil && order.Kind == cluster.OrderLoad && s.dieNext {
-			s.dieNext = false
-			s.dieSoon()
+		if refused == nil && order.Kind == cluster.OrderLoad && s.crashOnNextLoad {
+			s.crashOnNextLoad = false
+			s.crashDuringLoad()
 		}
 	})
-	answerOrder(writer, http.StatusAccepted, inventory, refused)
+	writeOrderResult(writer, http.StatusAccepted, inventory, refused)
 }
 
 func (s *Server) inventory(writer http.ResponseWriter, _ *http.Request) {
@@ -90,11 +90,11 @@
 	writeJSON(writer, http.StatusOK, events)
 }
 
-func (s *Server) countersPage(writer http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveCounters(writer http.ResponseWriter, _ *http.Request) {
 	writeJSON(writer, http.StatusOK, s.Counters())
 }
 
-func (s *Server) runsPage(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) serveRuns(writer http.ResponseWriter, request *http.Request) {
 	ledger, ok := s.config.Engine.Recorder.(*Ledger)
 	if !ok {
 		writer.WriteHeader(http.StatusNotFound)
@@ -106,14 +106,15 @@
 	}
 }
 
-// kvCache is the body of an export and an import.
-type kvCache struct {
+// kvCacheBody is the body of an export response and of an import request.
+type kvCacheBody struct {
 	Model    cluster.ModelID
 	Prefixes []uint64
 }
 
-// kvCall reads what a call of engine.PathKV names.
-func kvCall(request *http.Request) engine.KVCache {
+// parseKVCache returns the model, version and token in the URL of a request to
+// engine.PathKV.
+func parseKVCache(request *http.Request) engine.KVCache {
 	query := request.URL.Query()
 	token, _ := strconv.ParseUint(query.Get("token"), 10, 64)
 	return engine.KVCache{
@@ -122,8 +123,8 @@
 }
 
 func (s *Server) exportKV(writer http.ResponseWriter, request *http.Request) {
-	named := kvCall(request)
-	cache := kvCache{Model: named.Model}
+	named := parseKVCache(request)
+	cache := kvCacheBody{Model: named.Model}
 	var refused *engine.OrderRefusal
 	s.Do(func(now time.Time, state *State) { cache.Prefixes, refused = state.ExportKV(now, named) })
 	if refused != nil {
@@ -134,12 +135,14 @@
 }
 
 func (s *Server) importKV(writer http.ResponseWriter, request *http.Request) {
-	var cache kvCache
+	var cache kvCacheBody
 	if !decode(writer, request, &cache) {
 		return
 	}
 	var refused *engine.OrderRefusal
-	s.Do(func(now time.Time, state *State) { refused = state.ImportKV(now, kvCall(request), cache.Prefixes) })
+	s.Do(func(now time.Time, state *State) {
+		refused = state.ImportKV(now, parseKVCache(request), cache.Prefixes)
+	})
 	if refused != nil {
 		writeJSON(writer, http.StatusConflict, refused)
 		return
@@ -160,7 +163,7 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// pathKey reads the attempt named by a path.
+// pathKey returns the attempt key in a request path, or false if it is invalid.
 func pathKey(request *http.Request) (Key, bool) {
 	attempt, err := strconv.ParseUint(request.PathValue("attempt"), 10, 32)
 	return Key{Request: cluster.RequestID(request.PathValue("request")), Attempt: cluster.Attempt(attempt)}, err == nil
--- a/standin/engine/format.go
+++ b/standin/engine/format.go
@@ -7,91 +7,92 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// format writes the answer of one attempt. Its bytes depend on nothing but the
+// answerFormat encodes the answer of one attempt. The bytes depend only on the
 // attempt, so an answer can be resumed at any byte.
-type format struct {
+type answerFormat struct {
 	model        cluster.ModelID
 	seed         uint64
 	tokens       int
 	promptTokens int
 	stream       bool
-	usage        bool
+	includeUsage bool
 	chat         bool
-	// before and after enclose the token in a streamed chunk.
-	before, after []byte
-	id            string
-	created       int64
+	// chunkPrefix and chunkSuffix enclose the token in a streamed chunk.
+	chunkPrefix, chunkSuffix []byte
+	id                       string
+	created                  int64
 }
 
-// createdAt is the constant creation time of every answer, which keeps answers
-// a function of the attempt.
+// createdAt is the creation time in every answer, in Unix seconds. It is constant
+// so that the bytes of an answer depend only on the attempt.
 const createdAt = 1_700_000_000
 
-func newFormat(key Key, body *inferenceRequest, prompt string, chat bool) *format {
-	f := &format{
+func newAnswerFormat(key Key, body *inferenceRequest, prompt string, chat bool) *answerFormat {
+	f := &answerFormat{
 		model: body.Model, seed: Seed(body.Model, prompt), tokens: body.maxTokens(),
 		promptTokens: len(prompt)/bytesPerToken + 1,
-		stream:       body.Stream, usage: body.StreamOptions.IncludeUsage, chat: chat,
+		stream:       body.Stream, includeUsage: body.StreamOptions.IncludeUsage, chat: chat,
 		id: "cmpl-" + string(key.Request), created: createdAt,
 	}
 	if chat {
 		f.id = "chat" + f.id
 	}
 	if f.stream {
-		f.encloseTokens()
+		f.prepareChunk()
 	}
 	return f
 }
 
-// usageObject is OpenAI's usage object.
+// usageObject is the usage object of the OpenAI API.
 type usageObject struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-func (f *format) usageObject() *usageObject {
+func (f *answerFormat) usageObject() *usageObject {
 	return &usageObject{PromptTokens: f.promptTokens, CompletionTokens: f.tokens, TotalTokens: f.promptTokens + f.tokens}
 }
 
-// encloseTokens prepares the constant parts of a chunk. The token itself has no
-// character that JSON escapes.
-func (f *format) encloseTokens() {
+// prepareChunk sets the constant parts of a chunk. A token needs no JSON escapes,
+// so it can be inserted as it is.
+func (f *answerFormat) prepareChunk() {
 	id, _ := json.Marshal(f.id)
 	model, _ := json.Marshal(f.model)
-	object, choice, end := "text_completion", `"text":"`, `","finish_reason":null,"logprobs":null}]}`
+	object, choice, suffix := "text_completion", `"text":"`, `","finish_reason":null,"logprobs":null}]}`
 	if f.chat {
-		object, choice, end = "chat.completion.chunk", `"delta":{"content":"`, `"},"finish_reason":null}]}`
+		object, choice, suffix = "chat.completion.chunk", `"delta":{"content":"`, `"},"finish_reason":null}]}`
 	}
-	before := append([]byte(`data: {"id":`), id...)
-	before = append(before, `,"object":"`+object+`","created":`...)
-	before = strconv.AppendInt(before, f.created, 10)
-	before = append(before, `,"model":`...)
-	before = append(before, model...)
-	f.before = append(before, `,"choices":[{"index":0,`+choice...)
-	f.after = []byte(end + "\n\n")
-}
-
-// appendTokens appends the chunks of tokens first up to but not with end.
-func (f *format) appendTokens(out []byte, first, end int) []byte {
+	prefix := append([]byte(`data: {"id":`), id...)
+	prefix = append(prefix, `,"object":"`+object+`","created":`...)
+	prefix = strconv.AppendInt(prefix, f.created, 10)
+	prefix = append(prefix, `,"model":`...)
+	prefix = append(prefix, model...)
+	f.chunkPrefix = append(prefix, `,"choices":[{"index":0,`+choice...)
+	f.chunkSuffix = []byte(suffix + "\n\n")
+}
+
+// appendTokens appends the chunks of the tokens from first up to, but not
+// including, end.
+func (f *answerFormat) appendTokens(out []byte, first, end int) []byte {
 	for i := first; i < end; i++ {
-		out = append(out, f.before...)
+		out = append(out, f.chunkPrefix...)
 		out = AppendToken(out, f.seed, i)
-		out = append(out, f.after...)
+		out = append(out, f.chunkSuffix...)
 	}
 	return out
 }
 
-// chunkBytes is the length of every token's chunk.
-func (f *format) chunkBytes() int { return len(f.before) + tokenBytes + len(f.after) }
+// chunkBytes returns the length of a token's chunk in bytes.
+func (f *answerFormat) chunkBytes() int { return len(f.chunkPrefix) + tokenBytes + len(f.chunkSuffix) }
 
-// delta of the chunk that ends a chat answer.
+// delta is the delta object in the last chunk of a streamed chat answer.
 type delta struct {
 	Content *string `json:"content,omitempty"`
 	Role    string  `json:"role,omitempty"`
 }
 
-// message of a whole chat answer.
+// message is the message object of a chat answer that isn't streamed.
 type message struct {
 	Role    string  `json:"role"`
 	Content string  `json:"content"`
@@ -116,11 +117,13 @@
 	Usage   *usageObject    `json:"usage,omitempty"`
 }
 
-// finishReason: answers have exactly the tokens asked for.
+// finishReason is the same for all answers, because they always have as many
+// tokens as the request allows.
 const finishReason = "length"
 
-// appendEnd appends what follows the last token of a stream.
-func (f *format) appendEnd(out []byte) []byte {
+// appendEnd appends the chunks after the last token of a stream: the finish
+// reason, the usage if the request asks for it, and the end marker.
+func (f *answerFormat) appendEnd(out []byte) []byte {
 	last := completion{ID: f.id, Object: "text_completion", Created: f.created, Model: f.model}
 	final := choice{FinishReason: finishReason}
 	if f.chat {
@@ -130,7 +133,7 @@
 	}
 	last.Choices = []choice{final}
 	out = appendData(out, last)
-	if f.usage {
+	if f.includeUsage {
 		last.Choices, last.Usage = []choice{}, f.usageObject()
 		out = appendData(out, last)
 	}
@@ -144,8 +147,8 @@
 	return append(out, "\n\n"...)
 }
 
-// whole returns the answer that is not streamed.
-func (f *format) whole() []byte {
+// completeBody returns the body of an answer that isn't streamed.
+func (f *answerFormat) completeBody() []byte {
 	text := make([]byte, 0, f.tokens*tokenBytes)
 	for i := range f.tokens {
 		text = AppendToken(text, f.seed, i)
@@ -163,26 +166,27 @@
 	return append(encoded, '\n')
 }
 
-// formats keeps the formats of the latest attempts, so that their answers can
-// be resumed.
-type formats struct {
-	byKey map[Key]*format
+// formatCache keeps the formats of the latest attempts, so that their answers can
+// be resumed. Beyond maxFormats it drops the oldest one.
+type formatCache struct {
+	byKey map[Key]*answerFormat
 	ring  []Key
 	next  int
 }
 
-// maxFormats bounds the attempts in progress and the kept answers.
+// maxFormats limits the kept formats. It leaves room for attempts in progress in
+// addition to the kept answers.
 const maxFormats = 2 * maxKeptAnswers
 
-func newFormats() *formats {
-	return &formats{byKey: map[Key]*format{}, ring: make([]Key, maxFormats)}
+func newFormatCache() *formatCache {
+	return &formatCache{byKey: map[Key]*answerFormat{}, ring: make([]Key, maxFormats)}
 }
 
-func (f *formats) add(key Key, added *format) {
+func (f *formatCache) add(key Key, added *answerFormat) {
 	delete(f.byKey, f.ring[f.next])
 	f.ring[f.next] = key
 	f.next = (f.next + 1) % len(f.ring)
 	f.byKey[key] = added
 }
 
-func (f *formats) get(key Key) *format { return f.byKey[key] }
+func (f *formatCache) get(key Key) *answerFormat { return f.byKey[key] }
--- a/standin/engine/inference.go
+++ b/standin/engine/inference.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// defaultMaxTokens of an answer when the request does not say.
+	// defaultMaxTokens is the length of an answer in tokens if the request doesn't
+	// set one.
 	defaultMaxTokens = 16
-	// maxMaxTokens bounds what a request may ask for.
-	maxMaxTokens = 1 << 17
-	// maxPrefixBlocks of a prompt that are looked up in the cache.
+	// maxRequestedTokens limits the answer length that a request may ask for.
+	maxRequestedTokens = 1 << 17
+	// maxPrefixBlocks limits the blocks of a prompt that use the prefix cache.
 	maxPrefixBlocks = 256
 )
 
-// errorObject is OpenAI's error object.
+// errorObject is the error object of the OpenAI API.
 type errorObject struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -34,7 +35,8 @@
 	Error errorObject `json:"error"`
 }
 
-// inferenceRequest is the part of OpenAI's request bodies that matters here.
+// inferenceRequest has the fields that the engine uses of the OpenAI API's chat
+// and completion requests.
 type inferenceRequest struct {
 	Model               cluster.ModelID `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -52,8 +54,9 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// text reads a string or the text parts of an array.
-func text(raw json.RawMessage) (string, bool) {
+// contentText returns the text of a JSON string, or joins an array of text parts
+// or of strings. It returns false for other JSON, and the empty text for none.
+func contentText(raw json.RawMessage) (string, bool) {
 	var plain string
 	if len(raw) == 0 || json.Unmarshal(raw, &plain) == nil {
 		return plain, true
@@ -75,14 +78,15 @@
 	return strings.Join(list, ""), true
 }
 
-// prompt is the text that the answer follows from.
-func (r *inferenceRequest) prompt(chat bool) (string, bool) {
+// promptText returns the text of the prompt, which determines the answer. It
+// returns false if the prompt is invalid or a chat has no message.
+func (r *inferenceRequest) promptText(chat bool) (string, bool) {
 	if !chat {
-		return text(r.Prompt)
+		return contentText(r.Prompt)
 	}
 	messages := make([]engine.Message, 0, len(r.Messages))
 	for _, message := range r.Messages {
-		content, ok := text(message.Content)
+		content, ok := contentText(message.Content)
 		if !ok {
 			return "", false
 		}
@@ -91,7 +95,7 @@
 	return engine.ChatPrompt(messages), len(messages) > 0
 }
 
-// maxTokens is how many tokens the answer will have.
+// maxTokens returns the number of tokens that the answer will have.
 func (r *inferenceRequest) maxTokens() int {
 	switch {
 	case r.MaxCompletionTokens != nil:
@@ -103,45 +107,45 @@
 	}
 }
 
-func (s *Server) chat(writer http.ResponseWriter, request *http.Request) {
-	s.infer(writer, request, true)
+func (s *Server) serveChat(writer http.ResponseWriter, request *http.Request) {
+	s.serveInference(writer, request, true)
 }
 
-func (s *Server) complete(writer http.ResponseWriter, request *http.Request) {
-	s.infer(writer, request, false)
+func (s *Server) serveCompletion(writer http.ResponseWriter, request *http.Request) {
+	s.serveInference(writer, request, false)
 }
 
-// infer runs one request.
-func (s *Server) infer(writer http.ResponseWriter, request *http.Request, chat bool) {
+// serveInference runs one request and writes its answer.
+func (s *Server) serveInference(writer http.ResponseWriter, request *http.Request, chat bool) {
 	var body inferenceRequest
-	if err := readBody(writer, request, &body); err != nil {
-		refuse(writer, http.StatusBadRequest, "invalid_request_error", err.Error())
+	if err := decodeInferenceBody(writer, request, &body); err != nil {
+		writeNotRunError(writer, http.StatusBadRequest, "invalid_request_error", err.Error())
 		return
 	}
-	prompt, ok := body.prompt(chat)
-	if tokens := body.maxTokens(); !ok || body.Model == "" || tokens < 1 || tokens > maxMaxTokens {
-		refuse(writer, http.StatusBadRequest, "invalid_request_error", "model, prompt or max_tokens is missing or invalid")
+	prompt, ok := body.promptText(chat)
+	if tokens := body.maxTokens(); !ok || body.Model == "" || tokens < 1 || tokens > maxRequestedTokens {
+		writeNotRunError(writer, http.StatusBadRequest, "invalid_request_error", "model, prompt or max_tokens is missing or invalid")
 		return
 	}
-	key := s.ownKey(request)
+	key := s.attemptKey(request)
 	writer.Header()[engine.HeaderRequestID] = []string{string(key.Request)}
 	writer.Header()[engine.HeaderAttempt] = []string{strconv.FormatUint(uint64(key.Attempt), 10)}
-	reader := &reader{server: s, key: key, wake: make(chan struct{}, 1), format: newFormat(key, &body, prompt, chat)}
-	if refusal := s.submit(request, reader, prompt); refusal != "" {
+	answer := &answerWriter{server: s, key: key, wake: make(chan struct{}, 1), format: newAnswerFormat(key, &body, prompt, chat)}
+	if refusal := s.submitAttempt(request, answer, prompt); refusal != "" {
 		writeRefusal(writer, refusal)
 		return
 	}
-	reader.serve(writer, request, 0)
+	answer.serve(writer, request, 0)
 }
 
-// bodies are buffers for request bodies.
-var bodies = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+// bodyBuffers are reused buffers for request bodies.
+var bodyBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// readBody decodes a request body. What it decodes into shares no memory with
-// the buffer.
-func readBody(writer http.ResponseWriter, request *http.Request, into *inferenceRequest) error {
-	buffer := bodies.Get().(*bytes.Buffer)
-	defer bodies.Put(buffer)
+// decodeInferenceBody decodes a request body. The result doesn't share memory
+// with the pooled buffer.
+func decodeInferenceBody(writer http.ResponseWriter, request *http.Request, into *inferenceRequest) error {
+	buffer := bodyBuffers.Get().(*bytes.Buffer)
+	defer bodyBuffers.Put(buffer)
 	buffer.Reset()
 	if _, err := buffer.ReadFrom(http.MaxBytesReader(writer, request.Body, maxControlBytes)); err != nil {
 		return err
@@ -149,11 +153,12 @@
 	return json.Unmarshal(buffer.Bytes(), into)
 }
 
-// submit hands an attempt to the state and registers its reader.
-func (s *Server) submit(request *http.Request, reader *reader, prompt string) (refusal Refusal) {
+// submitAttempt submits an attempt to the state and, if it is accepted, registers
+// its answer writer.
+func (s *Server) submitAttempt(request *http.Request, answer *answerWriter, prompt string) (refusal Refusal) {
 	submission := Submission{
-		Key: reader.key, Model: reader.format.model, Seed: reader.format.seed,
-		PromptTokens: reader.format.promptTokens, MaxTokens: reader.format.tokens,
+		Key: answer.key, Model: answer.format.model, Seed: answer.format.seed,
+		PromptTokens: answer.format.promptTokens, MaxTokens: answer.format.tokens,
 	}
 	submission.Priority, _ = strconv.Atoi(request.Header.Get(engine.HeaderPriority))
 	submission.Deadline, _ = time.Parse(time.RFC3339Nano, request.Header.Get(engine.HeaderDeadline))
@@ -162,36 +167,37 @@
 	}
 	s.Do(func(now time.Time, state *State) {
 		if refusal = state.Submit(now, submission); refusal == "" {
-			s.waiting[reader.key] = reader.wake
-			s.formats.add(reader.key, reader.format)
-			reader.view = state.View(now, reader.key)
+			s.wakeChannels[answer.key] = answer.wake
+			s.formats.add(answer.key, answer.format)
+			answer.view = state.View(now, answer.key)
 		}
 	})
 	return refusal
 }
 
-// refuse answers with an error object and a not-run verdict.
-func refuse(writer http.ResponseWriter, status int, kind, message string) {
+// writeNotRunError answers with an error object and the not-run verdict.
+func writeNotRunError(writer http.ResponseWriter, status int, kind, message string) {
 	writer.Header().Set(engine.HeaderVerdict, verdict.NotRun.String())
 	writeJSON(writer, status, errorBody{Error: errorObject{Message: message, Type: kind}})
 }
 
-// writeRefusal answers an attempt that was not started.
+// writeRefusal answers a request whose attempt was not started. A duplicate has
+// no not-run verdict, because the first submission may have run.
 func writeRefusal(writer http.ResponseWriter, refusal Refusal) {
 	switch refusal {
 	case RefusedModelMissing, RefusedUnloading:
-		refuse(writer, http.StatusNotFound, "model_not_loaded", string(refusal))
+		writeNotRunError(writer, http.StatusNotFound, "model_not_loaded", string(refusal))
 	case RefusedDuplicate:
 		writeJSON(writer, http.StatusConflict, errorBody{Error: errorObject{Message: string(refusal), Type: "conflict"}})
 	case RefusedDeadline:
-		refuse(writer, http.StatusGatewayTimeout, "deadline_exceeded", string(refusal))
+		writeNotRunError(writer, http.StatusGatewayTimeout, "deadline_exceeded", string(refusal))
 	default:
 		writer.Header().Set("Retry-After", "1")
-		refuse(writer, http.StatusServiceUnavailable, "overloaded", string(refusal))
+		writeNotRunError(writer, http.StatusServiceUnavailable, "overloaded", string(refusal))
 	}
 }
 
-// modelEntry is one entry of the model list.
+// modelEntry is a model object of the OpenAI API.
 type modelEntry struct {
 	ID      cluster.ModelID `json:"id"`
 	Object  string          `json:"object"`
@@ -199,7 +205,7 @@
 	OwnedBy string          `json:"owned_by"`
 }
 
-func (s *Server) models(writer http.ResponseWriter, _ *http.Request) {
+func (s *Server) listModels(writer http.ResponseWriter, _ *http.Request) {
 	list := struct {
 		Object string       `json:"object"`
 		Data   []modelEntry `json:"data"`
--- a/standin/engine/ledger.go
+++ b/standin/engine/ledger.go
@@ -6,7 +6,7 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Ledger counts how many times each prompt really ran, over all the engines
+// Ledger is a Recorder that counts the runs of each prompt over all the engines
 // that share it. It is safe for concurrent use.
 type Ledger struct {
 	mu   sync.Mutex
@@ -23,14 +23,14 @@
 	l.runs[seed]++
 }
 
-// Runs returns how many times the prompt with the seed ran.
+// Runs returns the number of runs of the prompt with the seed.
 func (l *Ledger) Runs(seed uint64) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[seed]
 }
 
-// Count returns how many times each prompt ran, in the order of the seeds.
+// Count returns the number of runs of each prompt, in the order of the seeds.
 func (l *Ledger) Count(seeds []uint64) []int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	return counts
 }
 
-// Total returns how many runs there were.
+// Total returns the number of runs of all prompts.
 func (l *Ledger) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/engine/openai_test.go
+++ b/standin/engine/openai_test.go
@@ -13,8 +13,8 @@
 	standin "github.com/valveslip/valveslip/standin/engine"
 )
 
-// official returns the official client of the engine at address.
-func official(address string) openai.Client {
+// officialClient returns the official OpenAI client for the engine at address.
+func officialClient(address string) openai.Client {
 	return openai.NewClient(option.WithBaseURL("http://"+address+"/v1"), option.WithAPIKey("unused"), option.WithMaxRetries(0))
 }
 
@@ -26,13 +26,15 @@
 	}
 }
 
-func TestOfficialClient(t *testing.T) {
-	_, address := start(t, standin.ServerConfig{})
-	load(t, client(t), address, "m", 10)
-	official, ctx := official(address), context.Background()
+// The engine's chat, streamed chat, completion and model list must have the form
+// that the official OpenAI client accepts.
+func TestOfficialClientReadsAllAnswerForms(t *testing.T) {
+	_, address := startServer(t, standin.ServerConfig{})
+	loadReplica(t, newClient(t), address, "m", 10)
+	official, ctx := officialClient(address), context.Background()
 
 	whole, err := official.Chat.Completions.New(ctx, chatParams("p", 20))
-	if err != nil || whole.Choices[0].Message.Content != wanted("p", 20) || whole.Usage.CompletionTokens != 20 {
+	if err != nil || whole.Choices[0].Message.Content != wantedAnswer("p", 20) || whole.Usage.CompletionTokens != 20 {
 		t.Fatalf("chat: %+v, %v", whole, err)
 	}
 	params := chatParams("p", 20)
@@ -44,7 +46,7 @@
 			t.Fatalf("chunk does not fit: %+v", stream.Current())
 		}
 	}
-	if stream.Err() != nil || all.Choices[0].Message.Content != wanted("p", 20) || all.Usage.CompletionTokens != 20 || all.Choices[0].FinishReason != "length" {
+	if stream.Err() != nil || all.Choices[0].Message.Content != wantedAnswer("p", 20) || all.Usage.CompletionTokens != 20 || all.Choices[0].FinishReason != "length" {
 		t.Fatalf("chat stream: %+v, %v", all.ChatCompletion, stream.Err())
 	}
 	text, err := official.Completions.New(ctx, openai.CompletionNewParams{
@@ -59,9 +61,11 @@
 	}
 }
 
-func TestOfficialClientErrors(t *testing.T) {
-	_, address := start(t, standin.ServerConfig{})
-	official := official(address)
+// A missing model and an invalid request must reach the official client as API
+// errors with status, type and verdict, not as malformed responses.
+func TestOfficialClientReadsErrors(t *testing.T) {
+	_, address := startServer(t, standin.ServerConfig{})
+	official := officialClient(address)
 	_, err := official.Chat.Completions.New(context.Background(), chatParams("p", 5))
 	var failure *openai.Error
 	if !errors.As(err, &failure) || failure.StatusCode != http.StatusNotFound || failure.Type != "model_not_loaded" {
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -8,29 +8,32 @@
 	"github.com/valveslip/valveslip/engine"
 )
 
-// replica is a replica with what the engine knows of it.
+// replica is a replica with the engine's state of its load and unload.
 type replica struct {
 	cluster.Replica
 	base     cluster.ModelID
-	order    string
+	orderID  string
 	fetching bool
-	// readyAt ends a load that takes its own time; goneAt ends an unload that
-	// has nothing left to run, and drainUntil cuts what still runs.
-	readyAt, goneAt, drainUntil time.Time
-	running                     int
+	// readyAt is the end of a load whose duration is known. unloadedAt is the end
+	// of an unload after its last attempt ended. At drainDeadline the attempts
+	// that still run on an unloading replica are aborted.
+	readyAt, unloadedAt, drainDeadline time.Time
+	runningAttempts                    int
 }
 
-// Seal raises the fencing token.
+// Seal raises the engine's fencing token, or refuses a token that is older than
+// the current one.
 func (s *State) Seal(now time.Time, token cluster.FencingToken) (cluster.Inventory, *engine.OrderRefusal) {
 	s.Advance(now)
-	if refused := s.fence(token); refused != nil {
+	if refused := s.acceptToken(token); refused != nil {
 		return cluster.Inventory{}, refused
 	}
 	return s.Inventory(now), nil
 }
 
-// fence accepts a token or refuses it as stale.
-func (s *State) fence(token cluster.FencingToken) *engine.OrderRefusal {
+// acceptToken makes token the engine's fencing token, or refuses it as stale if
+// it is older than the current one.
+func (s *State) acceptToken(token cluster.FencingToken) *engine.OrderRefusal {
 	if token < s.token {
 		s.counters.StaleOrders++
 		return &engine.OrderRefusal{Reason: engine.ReasonStaleToken, Token: s.token}
@@ -42,30 +45,30 @@
 	return nil
 }
 
-// Order carries out a fenced order. An order whose ID it has seen has no second
-// effect.
+// Order applies an order under its fencing token. An order whose ID was applied
+// before has no further effect.
 func (s *State) Order(now time.Time, order cluster.Order) (cluster.Inventory, *engine.OrderRefusal) {
 	s.Advance(now)
-	if refused := s.admitOrder(&order); refused != nil {
+	if refused := s.validateOrder(&order); refused != nil {
 		return cluster.Inventory{}, refused
 	}
-	if s.orders.has(order.ID) {
+	if s.appliedOrders.has(order.ID) {
 		return s.Inventory(now), nil
 	}
-	if reason := s.apply(order); reason != "" {
+	if reason := s.applyOrder(order); reason != "" {
 		return cluster.Inventory{}, &engine.OrderRefusal{Reason: reason, Token: s.token}
 	}
-	s.orders.add(order.ID)
+	s.appliedOrders.add(order.ID)
 	s.Advance(now)
 	return s.Inventory(now), nil
 }
 
-// admitOrder refuses orders of any token but the one the engine was last sealed
-// with, and orders for another run of its process.
-func (s *State) admitOrder(order *cluster.Order) *engine.OrderRefusal {
+// validateOrder refuses orders with another token than the one that the engine
+// was last sealed with, and orders for another epoch of the engine.
+func (s *State) validateOrder(order *cluster.Order) *engine.OrderRefusal {
 	switch {
 	case order.Token < s.token:
-		return s.fence(order.Token)
+		return s.acceptToken(order.Token)
 	case order.Token > s.token || s.token == 0:
 		return &engine.OrderRefusal{Reason: engine.ReasonNotSealed, Token: s.token}
 	case order.Epoch != s.epoch:
@@ -74,16 +77,17 @@
 	return nil
 }
 
-// apply returns the reason of a refusal, empty when the order took effect.
-func (s *State) apply(order cluster.Order) string {
+// applyOrder applies an order. It returns the reason if it refuses the order, and
+// an empty string otherwise.
+func (s *State) applyOrder(order cluster.Order) string {
 	if order.Machine != s.config.Machine || order.ID == "" {
 		return engine.ReasonInvalid
 	}
 	switch order.Kind {
 	case cluster.OrderLoad:
-		return s.load(order)
+		return s.loadReplica(order)
 	case cluster.OrderUnload:
-		return s.unload(order)
+		return s.unloadReplica(order)
 	case cluster.OrderSetPool:
 		s.pool = order.Pool
 		s.sequence++
@@ -93,8 +97,9 @@
 	}
 }
 
-// load begins to load a replica.
-func (s *State) load(order cluster.Order) string {
+// loadReplica begins to load a replica. A load beyond the memory is counted but
+// not refused. It returns the reason of a refusal.
+func (s *State) loadReplica(order cluster.Order) string {
 	if present := s.find(order.Model); present != nil {
 		if present.State != cluster.ReplicaUnloading && present.Version == order.Version {
 			return ""
@@ -110,11 +115,11 @@
 			return engine.ReasonUnknownModelBase
 		}
 	}
-	entry := &replica{base: order.Base, order: order.ID, Replica: cluster.Replica{
+	entry := &replica{base: order.Base, orderID: order.ID, Replica: cluster.Replica{
 		Model: order.Model, Version: order.Version, State: cluster.ReplicaLoading, Bytes: order.Bytes, Since: s.now,
 	}}
-	s.insert(entry)
-	if s.used > s.config.MemoryBytes {
+	s.insertReplica(entry)
+	if s.usedBytes > s.config.MemoryBytes {
 		s.counters.Overcommitted++
 	}
 	s.sequence++
@@ -122,9 +127,10 @@
 	return ""
 }
 
-// startLoad picks the fastest tier that holds the checkpoint.
+// startLoad computes the end of a load from the fastest tier that has the
+// checkpoint, or requests a fetch from the weight store.
 func (s *State) startLoad(entry *replica) {
-	tier := s.cached.tier(entry.Model, entry.Version)
+	tier := s.cachedCheckpoints.tier(entry.Model, entry.Version)
 	speed := s.config.RemoteBytesPerSecond
 	switch tier {
 	case cluster.TierMemory:
@@ -134,17 +140,18 @@
 	}
 	if tier == cluster.TierRemote && s.config.StoreFetch {
 		entry.fetching = true
-		s.effects.Fetches = append(s.effects.Fetches, Fetch{Order: entry.order, Model: entry.Model, Bytes: entry.Bytes})
+		s.effects.Fetches = append(s.effects.Fetches, Fetch{Order: entry.orderID, Model: entry.Model, Bytes: entry.Bytes})
 		return
 	}
-	entry.readyAt = s.now.Add(s.config.LoadOverhead + timeFor(float64(entry.Bytes), speed))
+	entry.readyAt = s.now.Add(s.config.LoadOverhead + durationAtSpeed(float64(entry.Bytes), speed))
 }
 
-// FetchDone says that the fetch of an order's checkpoint has ended.
-func (s *State) FetchDone(now time.Time, order string, whole bool) {
+// FinishFetch reports the end of the fetch for an order. If the checkpoint is not
+// whole, the replica is dropped.
+func (s *State) FinishFetch(now time.Time, order string, whole bool) {
 	s.Advance(now)
 	for _, entry := range s.replicas {
-		if entry.order != order || !entry.fetching {
+		if entry.orderID != order || !entry.fetching {
 			continue
 		}
 		entry.fetching = false
@@ -158,8 +165,10 @@
 	}
 }
 
-// unload begins to unload a replica; absent ones are unloaded already.
-func (s *State) unload(order cluster.Order) string {
+// unloadReplica begins to unload a replica: it refuses queued attempts and drains
+// running ones. Nothing is done for a replica that is absent or unloading. It
+// returns the reason of a refusal.
+func (s *State) unloadReplica(order cluster.Order) string {
 	entry := s.find(order.Model)
 	if entry == nil || entry.State == cluster.ReplicaUnloading {
 		return ""
@@ -171,72 +180,74 @@
 	}
 	if entry.fetching {
 		entry.fetching = false
-		s.effects.Aborted = append(s.effects.Aborted, entry.order)
+		s.effects.Aborted = append(s.effects.Aborted, entry.orderID)
 	}
 	wasLoaded := entry.State == cluster.ReplicaLoaded
 	entry.State, entry.Since = cluster.ReplicaUnloading, s.now
 	entry.readyAt = time.Time{}
-	entry.drainUntil = s.now.Add(order.DrainTime)
+	entry.drainDeadline = s.now.Add(order.DrainTime)
 	s.sequence++
 	s.refuseQueued(order.Model)
 	if wasLoaded {
-		s.cached.put(entry.Model, entry.Version, entry.Bytes, cluster.TierMemory)
+		s.cachedCheckpoints.put(entry.Model, entry.Version, entry.Bytes, cluster.TierMemory)
 	}
-	s.finishDrain(entry)
+	s.startUnloadIfIdle(entry)
 	return ""
 }
 
-// finishDrain begins the last part of an unload once nothing runs.
-func (s *State) finishDrain(entry *replica) {
-	if entry.State == cluster.ReplicaUnloading && entry.running == 0 && entry.goneAt.IsZero() {
-		entry.goneAt = s.now.Add(s.config.UnloadTime)
+// startUnloadIfIdle schedules the end of an unload once no attempt runs on the
+// replica.
+func (s *State) startUnloadIfIdle(entry *replica) {
+	if entry.State == cluster.ReplicaUnloading && entry.runningAttempts == 0 && entry.unloadedAt.IsZero() {
+		entry.unloadedAt = s.now.Add(s.config.UnloadTime)
 	}
 }
 
-// loaded ends a load.
-func (s *State) loaded(entry *replica) {
+// finishLoad marks a replica as loaded and caches its checkpoint on disk.
+func (s *State) finishLoad(entry *replica) {
 	entry.readyAt = time.Time{}
 	entry.State, entry.Since = cluster.ReplicaLoaded, s.now
-	s.cached.put(entry.Model, entry.Version, entry.Bytes, cluster.TierDisk)
+	s.cachedCheckpoints.put(entry.Model, entry.Version, entry.Bytes, cluster.TierDisk)
 	s.counters.Loads++
 	s.sequence++
 }
 
-// insert adds a replica in the order of models.
-func (s *State) insert(entry *replica) {
+// insertReplica adds a replica in the order of the model IDs.
+func (s *State) insertReplica(entry *replica) {
 	at := 0
 	for at < len(s.replicas) && s.replicas[at].Model < entry.Model {
 		at++
 	}
 	s.replicas = slices.Insert(s.replicas, at, entry)
-	s.used += entry.Bytes
+	s.usedBytes += entry.Bytes
 }
 
-// dropReplica frees a replica's memory.
+// dropReplica removes a replica, its memory and its cached prefixes.
 func (s *State) dropReplica(entry *replica) {
 	s.replicas = slices.DeleteFunc(s.replicas, func(other *replica) bool { return other == entry })
-	s.used -= entry.Bytes
+	s.usedBytes -= entry.Bytes
 	s.prefixes.dropModel(s.now, entry.Model)
 	s.sequence++
 }
 
-// considerReplicas offers what is due of each replica.
-func (s *State) considerReplicas(next *due) {
+// considerReplicaEvents keeps in next the earliest event of any replica if it is
+// earlier than next.
+func (s *State) considerReplicaEvents(next *scheduledEvent) {
 	for _, entry := range s.replicas {
 		switch {
 		case !entry.readyAt.IsZero():
-			next.earlier(due{when: entry.readyAt, kind: dueLoaded, replica: entry})
-		case !entry.goneAt.IsZero():
-			next.earlier(due{when: entry.goneAt, kind: dueGone, replica: entry})
+			next.keepEarlier(scheduledEvent{dueAt: entry.readyAt, kind: eventLoadEnd, replica: entry})
+		case !entry.unloadedAt.IsZero():
+			next.keepEarlier(scheduledEvent{dueAt: entry.unloadedAt, kind: eventUnloadEnd, replica: entry})
 		case entry.State == cluster.ReplicaUnloading:
-			next.earlier(due{when: entry.drainUntil, kind: dueDrained, replica: entry})
+			next.keepEarlier(scheduledEvent{dueAt: entry.drainDeadline, kind: eventDrainDeadline, replica: entry})
 		}
 	}
 }
 
-// timeFor is how long amount takes at a speed a second; zero speed means no
-// time.
-func timeFor(amount, speed float64) time.Duration {
+// durationAtSpeed returns the time that amount takes at a speed per second, or
+// zero for a speed that isn't positive.
+func durationAtSpeed(amount, speed float64) time.Duration {
 	if speed <= 0 {
 		return 0
 	}
--- a/standin/engine/reader.go
+++ b/standin/engine/reader.go
@@ -10,27 +10,28 @@
 	"github.com/valveslip/valveslip/standin/fault"
 )
 
-// flushBytes is how much of a stream is written at once when many tokens are
-// due.
+// flushBytes limits the size of one write to a stream when many tokens are
+// available.
 const flushBytes = 32 << 10
 
-// reader writes one attempt's answer to one connection.
-type reader struct {
+// answerWriter writes the answer of one attempt to one connection.
+type answerWriter struct {
 	server *Server
 	key    Key
 	wake   chan struct{}
-	format *format
+	format *answerFormat
 	view   View
-	// cut ends the connection at that token of the answer; zero means never.
-	cut int
+	// cutAtToken is the number of tokens after which a KindCutStream fault closes
+	// the connection; zero means never.
+	cutAtToken int
 }
 
-// serve waits for the attempt to start and writes its answer from the byte
-// offset on.
-func (r *reader) serve(writer http.ResponseWriter, request *http.Request, offset int64) {
-	defer r.leave()
+// serve waits until the attempt has started, or has ended if the answer isn't
+// streamed, and writes the answer from the byte offset on.
+func (r *answerWriter) serve(writer http.ResponseWriter, request *http.Request, offset int64) {
+	defer r.detach()
 	for r.view.Status == StatusQueued || (!r.format.stream && r.running()) {
-		if !r.wait(request) {
+		if !r.waitForChange(request) {
 			return
 		}
 	}
@@ -42,7 +43,7 @@
 	case r.format.stream:
 		r.serveStream(writer, request, offset)
 	default:
-		body := r.format.whole()
+		body := r.format.completeBody()
 		body = body[min(offset, int64(len(body))):]
 		writer.Header().Set("Content-Type", "application/json")
 		writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -50,15 +51,16 @@
 	}
 }
 
-func (r *reader) running() bool {
+func (r *answerWriter) running() bool {
 	return r.view.Status == StatusPrefilling || r.view.Status == StatusDecoding
 }
 
-// leave says that this connection reads no more.
-func (r *reader) leave() {
+// detach unregisters the connection and, if the attempt has not ended and no
+// other connection reads it, marks it as unread.
+func (r *answerWriter) detach() {
 	if r.running() || r.view.Status == StatusQueued {
 		r.server.Do(func(now time.Time, state *State) {
-			if r.forget() {
+			if r.unregister() {
 				state.Detach(now, r.key)
 			}
 		})
@@ -66,22 +68,22 @@
 	}
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	r.forget()
+	r.unregister()
 }
 
-// forget takes the reader off the list of those to wake. It answers false when
-// another connection reads the attempt.
-func (r *reader) forget() bool {
-	current := r.server.waiting[r.key] == r.wake
+// unregister removes the wake-up channel of this connection. It returns false if
+// another connection reads the attempt by now.
+func (r *answerWriter) unregister() bool {
+	current := r.server.wakeChannels[r.key] == r.wake
 	if current {
-		delete(r.server.waiting, r.key)
+		delete(r.server.wakeChannels, r.key)
 	}
 	return current
 }
 
-// wait sleeps until the attempt has changed or its next token is due. It
-// answers false when the caller has gone.
-func (r *reader) wait(request *http.Request) bool {
+// waitForChange waits until the attempt has changed or its next token is
+// available. It returns false if the caller disconnected.
+func (r *answerWriter) waitForChange(request *http.Request) bool {
 	var due <-chan time.Time
 	if r.format.stream && r.view.Status == StatusDecoding && !r.view.NextToken.IsZero() {
 		timer := time.NewTimer(time.Until(r.view.NextToken))
@@ -94,44 +96,44 @@
 	case <-request.Context().Done():
 		return false
 	}
-	r.look()
+	r.refreshView()
 	return true
 }
 
-// look reads the attempt's state.
-func (r *reader) look() {
+// refreshView updates the view of the attempt.
+func (r *answerWriter) refreshView() {
 	r.server.Do(func(now time.Time, state *State) { r.view = state.View(now, r.key) })
 }
 
-// serveStream writes tokens as they come. skip bytes of the answer were
-// delivered before.
-func (r *reader) serveStream(writer http.ResponseWriter, request *http.Request, skip int64) {
+// serveStream writes tokens as they are generated. It leaves out the first skip
+// bytes of the stream, which the caller has received before.
+func (r *answerWriter) serveStream(writer http.ResponseWriter, request *http.Request, skip int64) {
 	writer.Header()["Content-Type"] = []string{"text/event-stream"}
 	writer.Header()["Cache-Control"] = []string{"no-cache"}
-	out := &skippingWriter{to: writer, skip: skip}
+	out := &skippingWriter{target: writer, skip: skip}
 	flush := http.NewResponseController(writer).Flush
 	written := int(skip / int64(r.format.chunkBytes()))
 	written = min(written, r.format.tokens)
 	out.skip -= int64(written * r.format.chunkBytes())
 	if order, strikes := r.server.Trigger(fault.KindCutStream); strikes {
-		r.cut = written + max(order.Tokens, 1)
+		r.cutAtToken = written + max(order.Tokens, 1)
 	}
-	pooled := buffers.Get().(*[]byte)
+	pooled := streamBuffers.Get().(*[]byte)
 	buffer := (*pooled)[:0]
 	defer func() {
 		*pooled = buffer
-		buffers.Put(pooled)
+		streamBuffers.Put(pooled)
 	}()
 	for {
-		for written < r.visible() {
-			end := min(r.visible(), written+max(1, flushBytes/r.format.chunkBytes()))
+		for written < r.availableTokens() {
+			end := min(r.availableTokens(), written+max(1, flushBytes/r.format.chunkBytes()))
 			buffer = r.format.appendTokens(buffer[:0], written, end)
 			if out.write(buffer) != nil {
 				return
 			}
 			written = end
 		}
-		r.cutAfter(written, flush)
+		r.cutConnectionAfter(written, flush)
 		switch {
 		case r.view.Status == StatusFinished:
 			_ = out.write(r.format.appendEnd(buffer[:0]))
@@ -140,38 +142,39 @@
 			_ = flush()
 			panic(http.ErrAbortHandler)
 		}
-		if flush() != nil || !r.wait(request) {
+		if flush() != nil || !r.waitForChange(request) {
 			return
 		}
 	}
 }
 
-// buffers hold the part of a stream that is written at once.
-var buffers = sync.Pool{New: func() any {
+// streamBuffers are reused buffers for one write to a stream.
+var streamBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, 0, flushBytes+flushBytes/8)
 	return &buffer
 }}
 
-// visible is how many tokens may be written.
-func (r *reader) visible() int {
-	if r.cut > 0 {
-		return min(r.view.Generated, r.cut)
+// availableTokens returns the number of tokens that may be written.
+func (r *answerWriter) availableTokens() int {
+	if r.cutAtToken > 0 {
+		return min(r.view.Generated, r.cutAtToken)
 	}
 	return r.view.Generated
 }
 
-// cutAfter drops the connection when the fault says so.
-func (r *reader) cutAfter(written int, flush func() error) {
-	if r.cut > 0 && written >= r.cut {
+// cutConnectionAfter closes the connection once the tokens before a cut are
+// written.
+func (r *answerWriter) cutConnectionAfter(written int, flush func() error) {
+	if r.cutAtToken > 0 && written >= r.cutAtToken {
 		_ = flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// skippingWriter leaves out the first bytes.
+// skippingWriter writes to target without the first skip bytes.
 type skippingWriter struct {
-	to   http.ResponseWriter
-	skip int64
+	target http.ResponseWriter
+	skip   int64
 }
 
 func (w *skippingWriter) write(data []byte) error {
@@ -183,11 +186,11 @@
 	if len(data) == 0 {
 		return nil
 	}
-	_, err := w.to.Write(data)
+	_, err := w.target.Write(data)
 	return err
 }
 
-// resume serves the rest of an attempt's answer.
+// resume serves an attempt's answer from a byte offset on.
 func (s *Server) resume(writer http.ResponseWriter, request *http.Request) {
 	key, ok := pathKey(request)
 	offset, err := strconv.ParseInt(request.URL.Query().Get("offset"), 10, 64)
@@ -195,20 +198,20 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	reader := &reader{server: s, key: key, wake: make(chan struct{}, 1)}
+	answer := &answerWriter{server: s, key: key, wake: make(chan struct{}, 1)}
 	s.Do(func(now time.Time, state *State) {
-		reader.view = state.View(now, key)
-		reader.format = s.formats.get(key)
-		if reader.view.Status != StatusUnknown && reader.format != nil {
-			s.waiting[key] = reader.wake
+		answer.view = state.View(now, key)
+		answer.format = s.formats.get(key)
+		if answer.view.Status != StatusUnknown && answer.format != nil {
+			s.wakeChannels[key] = answer.wake
 			state.Attach(now, key)
 		}
 	})
-	if reader.view.Status == StatusUnknown || reader.format == nil {
+	if answer.view.Status == StatusUnknown || answer.format == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
 	writer.Header()[engine.HeaderRequestID] = []string{string(key.Request)}
 	writer.Header()[engine.HeaderAttempt] = []string{strconv.FormatUint(uint64(key.Attempt), 10)}
-	reader.serve(writer, request, offset)
+	answer.serve(writer, request, offset)
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -13,18 +13,19 @@
 	"github.com/valveslip/valveslip/standin/fault"
 )
 
-// Fetcher fetches one checkpoint from the weight store. It returns nil when the
-// checkpoint has arrived whole.
+// Fetcher fetches one checkpoint from the weight store. It returns nil if the
+// checkpoint was loaded completely.
 type Fetcher func(ctx context.Context, fetch Fetch) error
 
-// ServerConfig of a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Engine Config
-	// Fetch serves remote loads; nil makes them take RemoteBytesPerSecond.
+	// Fetch fetches checkpoints of remote loads. With nil, the duration of remote
+	// loads follows from Config.RemoteBytesPerSecond.
 	Fetch Fetcher
-	// FaultSeed drives the chances of injected faults.
+	// FaultSeed initializes the random numbers of the fault injector.
 	FaultSeed uint64
-	// RestartAfter is how long a killed engine stays away; the default is 1 s.
+	// RestartAfter is the time until a crashed engine restarts; the default is 1 s.
 	RestartAfter time.Duration
 }
 
@@ -38,20 +39,22 @@
 
 	config ServerConfig
 
-	mu       sync.Mutex
-	state    *State
-	waiting  map[Key]chan struct{}
-	formats  *formats
-	fetches  map[string]context.CancelFunc
-	timer    *time.Timer
-	timerAt  time.Time
-	dieNext  bool
-	closed   bool
-	listener *standin.Server
-	lives    uint64 // attempts named by the server itself
+	mu    sync.Mutex
+	state *State
+	// wakeChannels has the channel of each waiting answer writer.
+	wakeChannels map[Key]chan struct{}
+	formats      *formatCache
+	// fetchCancels has the cancel function of each fetch by order ID.
+	fetchCancels     map[string]context.CancelFunc
+	timer            *time.Timer
+	timerAt          time.Time
+	crashOnNextLoad  bool
+	closed           bool
+	listener         *standin.Server
+	assignedRequests uint64 // number of request IDs that the server assigned
 }
 
-// NewServer returns an engine that holds nothing and does not listen yet.
+// NewServer returns an engine without replicas, which doesn't listen yet.
 func NewServer(config ServerConfig) *Server {
 	if config.RestartAfter <= 0 {
 		config.RestartAfter = defaultRestartAfter
@@ -62,19 +65,19 @@
 	}
 	server := &Server{
 		config: config, state: NewState(config.Engine),
-		waiting: map[Key]chan struct{}{}, formats: newFormats(), fetches: map[string]context.CancelFunc{},
+		wakeChannels: map[Key]chan struct{}{}, formats: newFormatCache(), fetchCancels: map[string]context.CancelFunc{},
 	}
 	server.Injector = fault.NewInjector(config.FaultSeed, server.inject)
 	server.Handler = server.Wrap(server.routes())
 	return server
 }
 
-// routes of the engine.
+// routes returns the handler of all the engine's paths except the fault endpoint.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/models", s.models)
-	mux.HandleFunc("POST /v1/chat/completions", s.chat)
-	mux.HandleFunc("POST /v1/completions", s.complete)
+	mux.HandleFunc("GET /v1/models", s.listModels)
+	mux.HandleFunc("POST /v1/chat/completions", s.serveChat)
+	mux.HandleFunc("POST /v1/completions", s.serveCompletion)
 	mux.HandleFunc("POST "+engine.PathSeal, s.seal)
 	mux.HandleFunc("GET "+engine.PathInventory, s.inventory)
 	mux.HandleFunc("POST "+engine.PathOrders, s.order)
@@ -84,13 +87,13 @@
 	mux.HandleFunc("DELETE "+engine.PathStreams+"/{request}/{attempt}", s.cancel)
 	mux.HandleFunc("GET "+engine.PathKV+"/{model}", s.exportKV)
 	mux.HandleFunc("PUT "+engine.PathKV+"/{model}", s.importKV)
-	mux.HandleFunc("GET "+PathCounters, s.countersPage)
-	mux.HandleFunc("POST "+PathRuns, s.runsPage)
+	mux.HandleFunc("GET "+PathCounters, s.serveCounters)
+	mux.HandleFunc("POST "+PathRuns, s.serveRuns)
 	return mux
 }
 
-// Listen serves the engine on address; port 0 lets the kernel choose. It
-// returns the address being served.
+// Listen starts to serve the engine on address and returns the listener's
+// address. With port 0 the kernel chooses a free port.
 func (s *Server) Listen(address string) (string, error) {
 	listener, err := standin.Listen(address, s)
 	if err != nil {
@@ -102,22 +105,23 @@
 	return listener.Address(), nil
 }
 
-// Do runs a function on the state under the server's lock and carries out the
-// effects.
+// Do calls function with the current time and the state while it holds the
+// server's lock. It then applies the effects and schedules the next event.
 func (s *Server) Do(function func(now time.Time, state *State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	function(now, s.state)
 	s.state.Advance(now)
-	s.carryOut(s.state.Take())
-	s.schedule(now)
+	s.applyEffects(s.state.Take())
+	s.scheduleAdvance(now)
 }
 
-// carryOut wakes readers and starts and stops fetches.
-func (s *Server) carryOut(effects Effects) {
+// applyEffects wakes the answer writers of changed attempts, cancels aborted
+// fetches and starts new ones.
+func (s *Server) applyEffects(effects Effects) {
 	for _, key := range effects.Changed {
-		if wake := s.waiting[key]; wake != nil {
+		if wake := s.wakeChannels[key]; wake != nil {
 			select {
 			case wake <- struct{}{}:
 			default:
@@ -125,7 +129,7 @@
 		}
 	}
 	for _, order := range effects.Aborted {
-		if cancel := s.fetches[order]; cancel != nil {
+		if cancel := s.fetchCancels[order]; cancel != nil {
 			cancel()
 		}
 	}
@@ -134,26 +138,26 @@
 	}
 }
 
-// startFetch fetches a checkpoint in the background.
+// startFetch fetches a checkpoint in a goroutine.
 func (s *Server) startFetch(fetch Fetch) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s.fetches[fetch.Order] = cancel
-	if s.dieNext {
-		s.dieNext = false
-		go s.dieSoon()
+	s.fetchCancels[fetch.Order] = cancel
+	if s.crashOnNextLoad {
+		s.crashOnNextLoad = false
+		go s.crashDuringLoad()
 	}
 	go func() {
 		err := s.config.Fetch(ctx, fetch)
 		cancel()
 		s.Do(func(now time.Time, state *State) {
-			delete(s.fetches, fetch.Order)
-			state.FetchDone(now, fetch.Order, err == nil)
+			delete(s.fetchCancels, fetch.Order)
+			state.FinishFetch(now, fetch.Order, err == nil)
 		})
 	}()
 }
 
-// schedule arranges that the state advances when something is due.
-func (s *Server) schedule(now time.Time) {
+// scheduleAdvance sets the timer for the state's next event.
+func (s *Server) scheduleAdvance(now time.Time) {
 	next, ok := s.state.Next()
 	if !ok || s.closed {
 		if !s.timerAt.IsZero() {
@@ -173,7 +177,7 @@
 	s.timer.Reset(next.Sub(now))
 }
 
-// Counters returns what the engine counted so far.
+// Counters returns the engine's counters.
 func (s *Server) Counters() Counters {
 	var counters Counters
 	s.Do(func(now time.Time, state *State) {
@@ -183,14 +187,15 @@
 	return counters
 }
 
-// Inventory returns the engine's account of itself.
+// Inventory returns the engine's inventory.
 func (s *Server) Inventory() cluster.Inventory {
 	var inventory cluster.Inventory
 	s.Do(func(now time.Time, state *State) { inventory = state.Inventory(now) })
 	return inventory
 }
 
-// Kill ends the engine as abruptly as the death of its process.
+// Kill simulates a crash of the engine's process: connections are closed and the
+// state in memory is lost.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	listener := s.listener
@@ -201,7 +206,8 @@
 	s.Do(func(now time.Time, state *State) { state.Crash(now) })
 }
 
-// Restart brings a killed engine back at its address, holding nothing.
+// Restart serves a killed engine at its address again, without replicas. It does
+// nothing after Close.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	listener, closed := s.listener, s.closed
@@ -212,7 +218,7 @@
 	return listener.Restart()
 }
 
-// Close ends the engine for good. Requests in flight may end until ctx does.
+// Close shuts the engine down. It waits for requests in flight until ctx ends.
 func (s *Server) Close(ctx context.Context) error {
 	s.mu.Lock()
 	s.closed = true
@@ -226,31 +232,35 @@
 	return err
 }
 
-// die kills the engine and restarts it after a while.
-func (s *Server) die(away time.Duration) {
+// crashAndRestart kills the engine and restarts it after downtime, or after
+// RestartAfter if downtime isn't positive.
+func (s *Server) crashAndRestart(downtime time.Duration) {
 	s.Kill()
-	if away <= 0 {
-		away = s.config.RestartAfter
+	if downtime <= 0 {
+		downtime = s.config.RestartAfter
 	}
-	time.AfterFunc(away, func() { _ = s.Restart() })
+	time.AfterFunc(downtime, func() { _ = s.Restart() })
 }
 
-// dieMidLoadAfter is how far into a load KindDieMidLoad strikes.
-const dieMidLoadAfter = 50 * time.Millisecond
+// crashDelayAfterLoadStart is the time from the start of a load to the crash by
+// KindDieMidLoad.
+const crashDelayAfterLoadStart = 50 * time.Millisecond
 
-func (s *Server) dieSoon() { time.AfterFunc(dieMidLoadAfter, func() { s.die(0) }) }
+func (s *Server) crashDuringLoad() {
+	time.AfterFunc(crashDelayAfterLoadStart, func() { s.crashAndRestart(0) })
+}
 
-// inject carries out the faults that concern engines alone.
+// inject implements the faults of engines. It returns false for other kinds.
 func (s *Server) inject(order fault.Order) bool {
 	switch order.Kind {
 	case fault.KindDieMidLoad:
 		s.mu.Lock()
-		s.dieNext = true
+		s.crashOnNextLoad = true
 		s.mu.Unlock()
 	case fault.KindDie:
-		go s.die(time.Duration(order.For))
+		go s.crashAndRestart(time.Duration(order.For))
 	case fault.KindStale:
-		s.freeze(time.Duration(order.For))
+		s.freezeReport(time.Duration(order.For))
 	case fault.KindClear:
 		s.Do(func(now time.Time, state *State) { state.ThawReport() })
 	case fault.KindReclaim:
@@ -262,23 +272,25 @@
 	return true
 }
 
-// freeze holds the load report for a while, or until the faults are cleared.
-func (s *Server) freeze(lasting time.Duration) {
+// freezeReport freezes the load report for a duration, or until the faults are
+// cleared if it is zero.
+func (s *Server) freezeReport(duration time.Duration) {
 	s.Do(func(now time.Time, state *State) { state.FreezeReport(now) })
-	if lasting > 0 {
-		time.AfterFunc(lasting, func() {
+	if duration > 0 {
+		time.AfterFunc(duration, func() {
 			s.Do(func(_ time.Time, state *State) { state.ThawReport() })
 		})
 	}
 }
 
-// ownKey names an attempt whose caller did not.
-func (s *Server) ownKey(request *http.Request) Key {
+// attemptKey returns the attempt key in the request's headers. Without a request
+// ID it assigns one, and without a valid attempt number it uses 1.
+func (s *Server) attemptKey(request *http.Request) Key {
 	id := request.Header.Get(engine.HeaderRequestID)
 	if id == "" {
 		s.mu.Lock()
-		s.lives++
-		id = string(s.config.Engine.Machine) + "-" + strconv.FormatUint(s.lives, 10)
+		s.assignedRequests++
+		id = string(s.config.Engine.Machine) + "-" + strconv.FormatUint(s.assignedRequests, 10)
 		s.mu.Unlock()
 	}
 	attempt, err := strconv.ParseUint(request.Header.Get(engine.HeaderAttempt), 10, 32)
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -20,8 +20,8 @@
 
 const machine = cluster.MachineID("m1")
 
-// start serves an engine on a kernel-chosen port.
-func start(t testing.TB, config standin.ServerConfig) (*standin.Server, string) {
+// startServer serves an engine on a port that the kernel chooses.
+func startServer(t testing.TB, config standin.ServerConfig) (*standin.Server, string) {
 	t.Helper()
 	config.Engine.Machine = machine
 	config.Engine.MemoryBytes = 100
@@ -35,14 +35,15 @@
 	return server, address
 }
 
-func client(t testing.TB) *engine.Client {
+func newClient(t testing.TB) *engine.Client {
 	client := engine.NewClient()
 	t.Cleanup(client.Close)
 	return client
 }
 
-// load orders a model that takes no time to load.
-func load(t testing.TB, control *engine.Client, address string, model cluster.ModelID, bytes int64) cluster.Inventory {
+// loadReplica seals the engine with token 5 and orders a model, which takes no
+// time to load.
+func loadReplica(t testing.TB, control *engine.Client, address string, model cluster.ModelID, bytes int64) cluster.Inventory {
 	t.Helper()
 	sealed, err := control.Seal(context.Background(), address, 5)
 	if err != nil {
@@ -57,18 +58,19 @@
 	return inventory
 }
 
-func call(address, id string, tokens int, stream bool) engine.Call {
+func chatCall(address, id string, tokens int, stream bool) engine.Call {
 	body := fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":"%s"}],"max_tokens":%d,"stream":%v}`, id, tokens, stream)
 	return engine.Call{Request: cluster.RequestID(id), Attempt: 1, Address: address, Path: "/v1/chat/completions", Body: []byte(body)}
 }
 
-// wanted is the text of the answer to call.
-func wanted(id string, tokens int) string {
+// wantedAnswer returns the expected text of the answer to chatCall.
+func wantedAnswer(id string, tokens int) string {
 	return standin.AnswerText("m", engine.ChatPrompt([]engine.Message{{Role: "user", Content: id}}), tokens)
 }
 
-// streamed joins the tokens of a stream and reports whether it ended whole.
-func streamed(t testing.TB, body string) (string, bool) {
+// parseStream returns the text of a stream and reports whether it has the end
+// marker.
+func parseStream(t testing.TB, body string) (string, bool) {
 	t.Helper()
 	var text strings.Builder
 	lines := bufio.NewScanner(strings.NewReader(body))
@@ -93,13 +95,15 @@
 	return text.String(), false
 }
 
-func TestAnswersAreWholeAndOwn(t *testing.T) {
-	_, address := start(t, standin.ServerConfig{})
-	control := client(t)
-	load(t, control, address, "m", 10)
+// Callers check an answer by its text, so the engine must return the complete
+// text for the request's own prompt, streamed or not.
+func TestAnswersAreCompleteAndMatchTheirRequest(t *testing.T) {
+	_, address := startServer(t, standin.ServerConfig{})
+	control := newClient(t)
+	loadReplica(t, control, address, "m", 10)
 	for _, stream := range []bool{false, true} {
 		id := fmt.Sprintf("r-%v", stream)
-		answer, err := control.Run(context.Background(), call(address, id, 40, stream))
+		answer, err := control.Run(context.Background(), chatCall(address, id, 40, stream))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,21 +113,23 @@
 			t.Fatal(err)
 		}
 		if stream {
-			if text, whole := streamed(t, string(body)); !whole || text != wanted(id, 40) {
+			if text, whole := parseStream(t, string(body)); !whole || text != wantedAnswer(id, 40) {
 				t.Fatalf("stream: whole %v, text %q", whole, text)
 			}
-		} else if !strings.Contains(string(body), wanted(id, 40)) {
+		} else if !strings.Contains(string(body), wantedAnswer(id, 40)) {
 			t.Fatalf("answer %s", body)
 		}
 	}
 }
 
-func TestResumeAfterCut(t *testing.T) {
-	server, address := start(t, standin.ServerConfig{})
-	control := client(t)
-	load(t, control, address, "m", 10)
+// A caller whose stream is cut must get the remaining bytes from any offset, and
+// resuming must not run the request again.
+func TestResumeAfterCutContinuesWithoutSecondRun(t *testing.T) {
+	server, address := startServer(t, standin.ServerConfig{})
+	control := newClient(t)
+	loadReplica(t, control, address, "m", 10)
 	server.Inject(fault.Order{Kind: fault.KindCutStream, Count: 1, Tokens: 7})
-	cut := call(address, "r", 30, true)
+	cut := chatCall(address, "r", 30, true)
 	answer, err := control.Run(context.Background(), cut)
 	if err != nil {
 		t.Fatal(err)
@@ -141,8 +147,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, whole := streamed(t, string(first[:len(first)-drop])+string(second))
-		if !whole || text != wanted("r", 30) {
+		text, whole := parseStream(t, string(first[:len(first)-drop])+string(second))
+		if !whole || text != wantedAnswer("r", 30) {
 			t.Fatalf("resumed with %d bytes less: whole %v, text %q", drop, whole, text)
 		}
 	}
@@ -151,23 +157,27 @@
 	}
 }
 
-func TestRefusalsAreNotRun(t *testing.T) {
-	_, address := start(t, standin.ServerConfig{})
-	control := client(t)
-	_, err := control.Run(context.Background(), call(address, "r", 3, false))
+// A call for a missing model or to a closed port did nothing and must be reported
+// as not run, so that it can be retried elsewhere.
+func TestRefusedCallsAreReportedAsNotRun(t *testing.T) {
+	_, address := startServer(t, standin.ServerConfig{})
+	control := newClient(t)
+	_, err := control.Run(context.Background(), chatCall(address, "r", 3, false))
 	if verdict.Of(err) != verdict.NotRun || !errors.Is(err, engine.ErrModelMissing) {
 		t.Fatalf("model missing: %v", err)
 	}
-	_, err = control.Run(context.Background(), call("127.0.0.1:1", "r", 3, false))
+	_, err = control.Run(context.Background(), chatCall("127.0.0.1:1", "r", 3, false))
 	if verdict.Of(err) != verdict.NotRun {
 		t.Fatalf("dial refused: %v", err)
 	}
 }
 
-func TestFencingOverHTTP(t *testing.T) {
-	_, address := start(t, standin.ServerConfig{})
-	control := client(t)
-	load(t, control, address, "m", 10)
+// After a newer controller sealed the engine, an order with the older token must
+// fail and leave the replicas unchanged.
+func TestStaleOrderIsRefusedWithoutEffect(t *testing.T) {
+	_, address := startServer(t, standin.ServerConfig{})
+	control := newClient(t)
+	loadReplica(t, control, address, "m", 10)
 	if _, err := control.Seal(context.Background(), address, 9); err != nil {
 		t.Fatal(err)
 	}
@@ -182,25 +192,27 @@
 	}
 }
 
+// Checks find overcommitted machines by the counter, so a load beyond the memory
+// must be executed and counted once, also if its order is repeated.
 func TestOvercommitIsCountedNotRefused(t *testing.T) {
-	server, address := start(t, standin.ServerConfig{})
-	control := client(t)
-	load(t, control, address, "a", 60)
+	server, address := startServer(t, standin.ServerConfig{})
+	control := newClient(t)
+	loadReplica(t, control, address, "a", 60)
 	if count := server.Counters().Overcommitted; count != 0 {
 		t.Fatalf("%d before", count)
 	}
-	load(t, control, address, "b", 60)
-	inventory := load(t, control, address, "b", 60) // the same order again
+	loadReplica(t, control, address, "b", 60)
+	inventory := loadReplica(t, control, address, "b", 60) // the same order again
 	if count := server.Counters().Overcommitted; count != 1 || inventory.UsedBytes() != 120 {
 		t.Fatalf("%d after, %d bytes", count, inventory.UsedBytes())
 	}
 }
 
-// TestDeathMidLoad: the engine dies while it loads and comes back empty, with
-// its token and a later epoch.
-func TestDeathMidLoad(t *testing.T) {
+// An engine that crashes during a load must restart without replicas, with the
+// same fencing token and a later epoch.
+func TestCrashDuringLoadRestartsEmptyWithLaterEpoch(t *testing.T) {
 	fetching := make(chan struct{})
-	server, address := start(t, standin.ServerConfig{
+	server, address := startServer(t, standin.ServerConfig{
 		RestartAfter: time.Millisecond,
 		Fetch: func(ctx context.Context, _ standin.Fetch) error {
 			close(fetching)
@@ -208,14 +220,14 @@
 			return ctx.Err()
 		},
 	})
-	control := client(t)
+	control := newClient(t)
 	server.Inject(fault.Order{Kind: fault.KindDieMidLoad})
-	before := load(t, control, address, "m", 10)
+	before := loadReplica(t, control, address, "m", 10)
 	<-fetching
 	for {
 		after, err := control.Inventory(context.Background(), address)
 		if err != nil || after.Epoch == before.Epoch {
-			continue // it is still dying, or away
+			continue // the engine has not crashed yet or is down
 		}
 		if len(after.Replicas) != 0 || after.Token != before.Token || after.Epoch < before.Epoch {
 			t.Fatalf("after %+v, before %+v", after, before)
@@ -224,27 +236,29 @@
 	}
 }
 
-// TestKVMoves: prefixes cached on one engine help on another after a move.
-func TestKVMoves(t *testing.T) {
+// Cached prefixes must move to another engine only for a loaded model and version
+// and under the current token of both engines; the cache of another version would
+// give wrong answers.
+func TestKVCacheMovesOnlyUnderCurrentTokenAndVersion(t *testing.T) {
 	config := standin.ServerConfig{Engine: standin.Config{PrefixBlocks: 100}}
-	_, from := start(t, config)
-	to, target := start(t, config)
-	control, ctx := client(t), context.Background()
-	load(t, control, from, "m", 10)
-	load(t, control, target, "m", 10)
-	long := call(from, strings.Repeat("x", 3*engine.PrefixBlockBytes), 1, false)
+	_, from := startServer(t, config)
+	to, target := startServer(t, config)
+	control, ctx := newClient(t), context.Background()
+	loadReplica(t, control, from, "m", 10)
+	loadReplica(t, control, target, "m", 10)
+	long := chatCall(from, strings.Repeat("x", 3*engine.PrefixBlockBytes), 1, false)
 	if answer, err := control.Run(ctx, long); err != nil || answer.Body.Close() != nil {
 		t.Fatal(err)
 	}
 	cache := engine.KVCache{Model: "m", Version: "1", Token: 5}
-	held := func() (prefixes []uint64) {
+	cachedPrefixes := func() (prefixes []uint64) {
 		to.Do(func(now time.Time, state *standin.State) { prefixes, _ = state.ExportKV(now, cache) })
 		return prefixes
 	}
 	stale, other, absent := cache, cache, cache
 	stale.Token, other.Version, absent.Model = 4, "2", "n"
 	for _, wrong := range []engine.KVCache{stale, other, absent} {
-		if err := control.MoveKV(ctx, from, target, wrong); err == nil || len(held()) != 0 {
+		if err := control.MoveKV(ctx, from, target, wrong); err == nil || len(cachedPrefixes()) != 0 {
 			t.Fatalf("%+v was moved: %v", wrong, err)
 		}
 	}
@@ -252,22 +266,24 @@
 		t.Fatal(err)
 	}
 	if err := control.MoveKV(ctx, from, target, cache); err == nil {
-		t.Fatal("a lapsed controller moved a cache to a machine that follows a later one")
+		t.Fatal("a controller with a stale token moved a cache to a machine sealed with a newer one")
 	}
 	if _, err := control.Seal(ctx, from, 6); err != nil {
 		t.Fatal(err)
 	}
 	cache.Token = 6
-	if err := control.MoveKV(ctx, from, target, cache); err != nil || len(held()) != 3 {
-		t.Fatalf("%d prefixes moved: %v", len(held()), err)
+	if err := control.MoveKV(ctx, from, target, cache); err != nil || len(cachedPrefixes()) != 3 {
+		t.Fatalf("%d prefixes moved: %v", len(cachedPrefixes()), err)
 	}
 }
 
-func TestCancelStopsARun(t *testing.T) {
-	server, address := start(t, standin.ServerConfig{Engine: standin.Config{StepTime: time.Hour}})
-	control, ctx := client(t), context.Background()
-	load(t, control, address, "m", 10)
-	running := call(address, "r", 5, true)
+// Cancelling must end a running attempt and cut its stream; otherwise the attempt
+// would keep its slot. Cancelling an unknown attempt is not an error.
+func TestCancelEndsRunningAttemptAsFailed(t *testing.T) {
+	server, address := startServer(t, standin.ServerConfig{Engine: standin.Config{StepTime: time.Hour}})
+	control, ctx := newClient(t), context.Background()
+	loadReplica(t, control, address, "m", 10)
+	running := chatCall(address, "r", 5, true)
 	answer, err := control.Run(ctx, running)
 	if err != nil {
 		t.Fatal(err)
@@ -276,14 +292,14 @@
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(answer.Body); err == nil {
-		t.Fatal("the cancelled stream ended as if whole")
+		t.Fatal("the cancelled stream ended without an error")
 	}
 	server.Do(func(now time.Time, state *standin.State) {
 		if view := state.View(now, standin.Key{Request: "r", Attempt: 1}); view.Status != standin.StatusFailed {
 			t.Errorf("%+v", view)
 		}
 	})
-	unknown := call(address, "unknown", 5, true)
+	unknown := chatCall(address, "unknown", 5, true)
 	if err := control.Cancel(ctx, unknown); err != nil {
 		t.Fatalf("cancel of an unknown attempt: %v", err)
 	}
--- a/standin/engine/state.go
+++ b/standin/engine/state.go
@@ -7,34 +7,35 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Key names one attempt of a request.
+// Key identifies one attempt of a request.
 type Key struct {
 	Request cluster.RequestID
 	Attempt cluster.Attempt
 }
 
-// Fetch asks the shell to fetch a checkpoint from the weight store and to call
-// FetchDone with the order's ID.
+// Fetch asks the caller of State to fetch a checkpoint from the weight store and
+// to call FinishFetch with the order's ID.
 type Fetch struct {
 	Order string
 	Model cluster.ModelID
 	Bytes int64
 }
 
-// Effects are what the shell must do after a call.
+// Effects are the actions that the caller of State must take after a call.
 type Effects struct {
-	// Changed lists attempts whose status changed.
+	// Changed has the attempts whose status changed.
 	Changed []Key
-	// Fetches to start, and orders whose fetch is to be given up.
+	// Fetches has the fetches to start, and Aborted the IDs of the orders whose
+	// fetch must be cancelled.
 	Fetches []Fetch
 	Aborted []string
 }
 
-// State is one engine. It is not safe for concurrent use.
+// State models one engine. It is not safe for concurrent use.
 //
-// Invariants: running counts the attempts in a slot and never exceeds Slots;
-// a replica's running counts those of its model; used is the sum of the bytes
-// of all replicas.
+// Invariants: batch has the attempts with a slot and is never longer than Slots;
+// a replica's runningAttempts counts those of its model; usedBytes is the sum of
+// the bytes of all replicas.
 type State struct {
 	config Config
 	now    time.Time
@@ -43,120 +44,128 @@
 	// tokenEpoch is the epoch in which the token was accepted.
 	tokenEpoch uint64
 	token      cluster.FencingToken
-	sequence   uint64
-	pool       string
-	leaving    time.Time
+	// sequence grows with every change of the inventory within an epoch.
+	sequence uint64
+	pool     string
+	// leavingSince is zero unless the machine is leaving.
+	leavingSince time.Time
 
 	// replicas is sorted by model.
-	replicas []*replica
-	used     int64
-	cached   *checkpoints
-	orders   *recent[string]
+	replicas          []*replica
+	usedBytes         int64
+	cachedCheckpoints *checkpointCache
+	appliedOrders     *recentSet[string]
 
 	attempts map[Key]*attempt
-	kept     []*attempt
-	queue    []*attempt
-	slots    []*attempt
+	// endedAttempts has the attempts whose answers can be resumed, the one that
+	// ended first in front.
+	endedAttempts []*attempt
+	queue         []*attempt
+	// batch has the attempts with a slot.
+	batch []*attempt
+	// arrivals counts the accepted attempts.
 	arrivals uint64
 	steps    stepClock
-	// prefills are the attempts in prefill, the one under way first.
-	prefills []*attempt
+	// prefillQueue has the attempts in prefill, the one in progress first.
+	prefillQueue []*attempt
 
-	prefixes *prefixCache
-	samples  []cluster.LoadReport
-	frozen   *cluster.LoadReport
-	effects  Effects
-	counters Counters
+	prefixes    *prefixCache
+	loadSamples []cluster.LoadReport
+	// frozenReport, if not nil, is what Report returns.
+	frozenReport *cluster.LoadReport
+	effects      Effects
+	counters     Counters
 }
 
-// Counters are what the engine counts over all its epochs.
+// Counters has totals over all epochs of the engine.
 type Counters struct {
 	// Overcommitted counts loads that exceeded the machine's memory.
 	Overcommitted int
 	// Runs counts attempts that got a slot.
 	Runs int
-	// StaleOrders counts refused orders and seals.
+	// StaleOrders counts orders and seals that were refused for a stale token.
 	StaleOrders int
 	// Loads counts finished loads.
 	Loads int
-	// LatestStartAfterLeaving is the largest time between the announcement that
-	// the machine leaves and the arrival of new work.
+	// LatestStartAfterLeaving is the longest time from the announcement that the
+	// machine leaves to the arrival of a new attempt.
 	LatestStartAfterLeaving time.Duration
-	// IdleAcceleratorSeconds is the accelerator time held by replicas that run
-	// nothing, by their share of the machine's memory; BusyAcceleratorSeconds
-	// that of replicas with work.
+	// IdleAcceleratorSeconds is the accelerator time of replicas without running
+	// attempts, in proportion to their share of the machine's memory, and
+	// BusyAcceleratorSeconds that of replicas with running attempts.
 	IdleAcceleratorSeconds, BusyAcceleratorSeconds float64
 }
 
-// NewState returns an engine that holds nothing.
+// NewState returns an engine without replicas.
 func NewState(config Config) *State {
 	config = config.withDefaults()
 	state := &State{config: config, pool: config.Pool, epoch: config.Epoch}
-	state.cached = newCheckpoints(config)
+	state.cachedCheckpoints = newCheckpointCache(config)
 	state.reset()
 	return state
 }
 
-// reset begins a new epoch.
+// reset begins a new epoch without replicas and attempts.
 func (s *State) reset() {
 	s.epoch++
 	s.sequence = 1
 	s.replicas = nil
-	s.used = 0
-	s.orders = newRecent[string](maxKeptOrders)
+	s.usedBytes = 0
+	s.appliedOrders = newRecentSet[string](maxKeptOrders)
 	s.attempts = map[Key]*attempt{}
-	s.kept, s.queue, s.slots = nil, nil, nil
+	s.endedAttempts, s.queue, s.batch = nil, nil, nil
 	s.steps = stepClock{}
-	s.prefills = nil
+	s.prefillQueue = nil
 	s.prefixes = newPrefixCache(s.config)
-	s.samples = nil
+	s.loadSamples = nil
 }
 
-// Crash ends the engine's process and starts a new one: replicas, requests and
-// host memory are gone. Checkpoints on disk and the fencing token, which an
-// engine keeps on its disk, stay.
+// Crash simulates a crash and restart of the engine's process. Replicas, attempts
+// and checkpoints in host memory are lost; checkpoints on disk and the fencing
+// token, which an engine stores on disk, are kept.
 func (s *State) Crash(now time.Time) {
 	s.Advance(now)
 	for _, entry := range s.replicas {
 		if entry.fetching {
-			s.effects.Aborted = append(s.effects.Aborted, entry.order)
+			s.effects.Aborted = append(s.effects.Aborted, entry.orderID)
 		}
 	}
 	for key := range s.attempts {
 		s.effects.Changed = append(s.effects.Changed, key)
 	}
 	sortKeys(s.effects.Changed)
-	s.cached.dropMemory()
+	s.cachedCheckpoints.dropMemory()
 	s.reset()
 }
 
-// Take returns the effects since the last call.
+// Take returns the effects since the last call of Take.
 func (s *State) Take() Effects {
 	effects := s.effects
 	s.effects = Effects{}
 	return effects
 }
 
-// Counters returns what was counted so far.
+// Counters returns the totals so far.
 func (s *State) Counters() Counters { return s.counters }
 
-// SetLeaving announces that the machine leaves.
+// SetLeaving marks the machine as leaving in the inventory.
 func (s *State) SetLeaving(now time.Time) {
 	s.Advance(now)
-	if s.leaving.IsZero() {
-		s.leaving = now
+	if s.leavingSince.IsZero() {
+		s.leavingSince = now
 		s.sequence++
 	}
 }
 
-// Inventory is the engine's account of itself.
+// Inventory returns the engine's replicas, capacity, cached checkpoints and
+// fencing token.
 func (s *State) Inventory(now time.Time) cluster.Inventory {
 	s.Advance(now)
 	inventory := cluster.Inventory{
 		Machine: s.config.Machine, Token: s.token, Sequence: s.sequence, Epoch: s.epoch, TokenEpoch: s.tokenEpoch,
 		MemoryBytes: s.config.MemoryBytes, Accelerators: s.config.Accelerators,
-		Slots: s.config.Slots, Pool: s.pool, Leaving: !s.leaving.IsZero(),
-		Cached: s.cached.tiers(),
+		Slots: s.config.Slots, Pool: s.pool, Leaving: !s.leavingSince.IsZero(),
+		Cached: s.cachedCheckpoints.tiers(),
 	}
 	for _, entry := range s.replicas {
 		inventory.Replicas = append(inventory.Replicas, entry.Replica)
@@ -174,32 +183,34 @@
 	return nil
 }
 
-// Advance carries out everything due up to now, in the order of its time.
+// Advance moves the engine's clock to now and handles all events up to then in
+// the order of their times.
 func (s *State) Advance(now time.Time) {
 	if s.now.IsZero() {
 		s.now = now
 	}
 	for {
-		next := s.nextDue()
-		if next.kind == dueNothing || next.when.After(now) {
+		next := s.nextEvent()
+		if next.kind == eventNone || next.dueAt.After(now) {
 			break
 		}
-		s.pass(next.when)
-		s.act(next)
+		s.advanceClock(next.dueAt)
+		s.handleEvent(next)
 	}
-	s.pass(now)
-	s.forget()
-	s.sample()
+	s.advanceClock(now)
+	s.evictEndedAttempts()
+	s.recordSample()
 }
 
-// Next returns when Advance has something to do next.
+// Next returns the time of the next event, or false if there is none.
 func (s *State) Next() (time.Time, bool) {
-	next := s.nextDue()
-	return next.when, next.kind != dueNothing
+	next := s.nextEvent()
+	return next.dueAt, next.kind != eventNone
 }
 
-// pass moves the clock and accounts for the accelerator time.
-func (s *State) pass(now time.Time) {
+// advanceClock moves the clock and adds the elapsed accelerator time to the
+// counters.
+func (s *State) advanceClock(now time.Time) {
 	elapsed := now.Sub(s.now)
 	if elapsed <= 0 {
 		return
@@ -210,7 +221,7 @@
 	}
 	var idle, busy int64
 	for _, entry := range s.replicas {
-		if entry.running == 0 {
+		if entry.runningAttempts == 0 {
 			idle += entry.Bytes
 		} else {
 			busy += entry.Bytes
@@ -221,61 +232,63 @@
 	s.counters.BusyAcceleratorSeconds += float64(busy) * perByte
 }
 
-// dueKind is what an attempt or a replica is due for.
-type dueKind uint8
+// eventKind is the type of a scheduled event of a replica or an attempt.
+type eventKind uint8
 
 const (
-	dueNothing dueKind = iota
-	dueLoaded
-	dueGone
-	dueDrained
-	dueDecode
-	dueFinish
-	dueDeadline
-	dueAbandon
+	eventNone eventKind = iota
+	eventLoadEnd
+	eventUnloadEnd
+	eventDrainDeadline
+	eventPrefillEnd
+	eventDecodeEnd
+	eventQueueDeadline
+	eventAbandoned
 )
 
-// due is something that happens at a time by itself.
-type due struct {
-	when    time.Time
-	kind    dueKind
+// scheduledEvent is an event that occurs at a time without a call.
+type scheduledEvent struct {
+	dueAt   time.Time
+	kind    eventKind
 	replica *replica
 	attempt *attempt
 }
 
-// earlier keeps the earlier of two; ties go to the one found first.
-func (d *due) earlier(other due) {
-	if d.kind == dueNothing || other.when.Before(d.when) {
+// keepEarlier replaces the event by other if other is earlier. At the same time
+// the event that was found first stays.
+func (d *scheduledEvent) keepEarlier(other scheduledEvent) {
+	if d.kind == eventNone || other.dueAt.Before(d.dueAt) {
 		*d = other
 	}
 }
 
-// nextDue returns the earliest thing to do. Ties go to replicas by model, then
-// to running attempts, then to queued ones.
-func (s *State) nextDue() due {
-	var next due
-	s.considerReplicas(&next)
-	s.considerAttempts(&next)
+// nextEvent returns the earliest event. At the same time, events of replicas come
+// first, ordered by model, then those of running attempts, then those of queued
+// ones.
+func (s *State) nextEvent() scheduledEvent {
+	var next scheduledEvent
+	s.considerReplicaEvents(&next)
+	s.considerAttemptEvents(&next)
 	return next
 }
 
-// act does what is due.
-func (s *State) act(next due) {
+// handleEvent applies the effect of an event.
+func (s *State) handleEvent(next scheduledEvent) {
 	switch next.kind {
-	case dueLoaded:
-		s.loaded(next.replica)
-	case dueGone:
+	case eventLoadEnd:
+		s.finishLoad(next.replica)
+	case eventUnloadEnd:
 		s.dropReplica(next.replica)
-	case dueDrained:
-		s.cutRunning(next.replica)
-	case dueDecode:
-		s.decode(next.attempt)
-	case dueFinish:
-		s.end(next.attempt, StatusFinished, "")
-	case dueDeadline:
-		s.giveUp(next.attempt, RefusedDeadline)
-	case dueAbandon:
-		s.giveUp(next.attempt, RefusedCancelled)
+	case eventDrainDeadline:
+		s.abortRunning(next.replica)
+	case eventPrefillEnd:
+		s.startDecoding(next.attempt)
+	case eventDecodeEnd:
+		s.endAttempt(next.attempt, StatusFinished, "")
+	case eventQueueDeadline:
+		s.abortAttempt(next.attempt, RefusedDeadline)
+	case eventAbandoned:
+		s.abortAttempt(next.attempt, RefusedCancelled)
 	}
 }
 
--- a/standin/engine/verdict_test.go
+++ b/standin/engine/verdict_test.go
@@ -16,14 +16,14 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// TestNotRunIsTrue calls an engine that drops connections, refuses and loses
-// answers, with callers that leave at any moment. Whatever comes of a call, one
-// whose error says not-run has not run, also when all is over.
-func TestNotRunIsTrue(t *testing.T) {
+// A call that is reported as not run gets retried, so it must not have run, not
+// even after the error was returned. The engine drops connections, refuses calls
+// and loses answers, and callers time out at random moments.
+func TestCallsReportedAsNotRunDidNotRun(t *testing.T) {
 	ledger := standin.NewLedger()
-	server, address := start(t, standin.ServerConfig{Engine: standin.Config{Slots: 4, QueueLength: 4, Recorder: ledger}})
-	caller := client(t)
-	load(t, caller, address, "m", 10)
+	server, address := startServer(t, standin.ServerConfig{Engine: standin.Config{Slots: 4, QueueLength: 4, Recorder: ledger}})
+	caller := newClient(t)
+	loadReplica(t, caller, address, "m", 10)
 	for _, kind := range []fault.Kind{fault.KindDown, fault.KindLoseAnswer, fault.KindRefuse} {
 		server.Inject(fault.Order{Kind: kind, Probability: 0.1})
 	}
@@ -32,11 +32,11 @@
 	var calls errgroup.Group
 	calls.SetLimit(32)
 	for i := range verdicts {
-		patience := time.Duration(random.IntN(3000)) * time.Microsecond
+		callTimeout := time.Duration(random.IntN(3000)) * time.Microsecond
 		calls.Go(func() error {
-			ctx, leave := context.WithTimeout(context.Background(), patience)
-			defer leave()
-			answer, err := caller.Run(ctx, call(address, fmt.Sprint(i), 1, false))
+			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+			defer cancel()
+			answer, err := caller.Run(ctx, chatCall(address, fmt.Sprint(i), 1, false))
 			if err != nil {
 				verdicts[i] = verdict.Of(err)
 				return nil
@@ -65,17 +65,17 @@
 	}
 }
 
-// TestNoConnectionIsNotRun: the listener's queue takes the connection, but the
-// caller leaves before anything could be written.
-func TestNoConnectionIsNotRun(t *testing.T) {
+// The kernel accepts the connection into the listener's backlog, but the caller
+// cancels before it writes the request. Such a call has not run.
+func TestCallCancelledBeforeWriteIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	ctx, leave := context.WithCancel(context.Background())
-	leave()
-	_, err = client(t).Run(ctx, call(listener.Addr().String(), "r", 1, false))
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	_, err = newClient(t).Run(ctx, chatCall(listener.Addr().String(), "r", 1, false))
 	if verdict.Of(err) != verdict.NotRun {
 		t.Errorf("%v", err)
 	}
