--- a/fleet/core.go
+++ b/fleet/core.go
@@ -204,7 +204,7 @@
 		return DispatchCounts{}
 	}
 	counts := c.dispatchClient.counts
-	counts.Known = c.dispatchClient.dispatcher.Known()
+	counts.Known = c.dispatchClient.dispatcher.TrackedAttempts()
 	return counts
 }
 
@@ -262,7 +262,7 @@
 		c.pacer.step(pacing.MessageReceived{Message: message})
 	case wire.EngineRequest, wire.EngineAnswer, wire.EngineNews:
 		if c.dispatchClient != nil {
-			c.dispatchClient.step(dispatch.Received{Message: message})
+			c.dispatchClient.step(dispatch.MessageReceived{Message: message})
 		}
 	}
 }
--- a/fleet/dispatch/config.go
+++ b/fleet/dispatch/config.go
@@ -44,8 +44,8 @@
 	Self Peer
 	// CacheTokens returns the prompt cache capacity, in tokens, of the engines that serve a model.
 	CacheTokens func(model cluster.ModelID) int
-	// Fetches is true if engines can fetch cached prefixes from each other.
-	Fetches bool
+	// FetchesCachedPrefixes is true if engines can fetch cached prefixes from each other.
+	FetchesCachedPrefixes bool
 	// Work configures the estimators of engine speed.
 	Work work.Config
 }
--- a/fleet/dispatch/core.go
+++ b/fleet/dispatch/core.go
@@ -64,19 +64,19 @@
 	switch e := event.(type) {
 	case PeersChanged:
 		c.updatePeers(e.Peers)
-	case Asked:
+	case PlacementRequested:
 		c.requestPlacement(&e)
-	case Sent:
+	case AttemptSent:
 		c.recordSend(&e)
-	case Began:
+	case FirstEventReceived:
 		c.recordFirstEvent(e.Number)
-	case Ended:
+	case AttemptEnded:
 		c.recordEnd(&e)
-	case EngineGone:
+	case EngineRemoved:
 		c.tracker.removeEngine(e.Machine)
-	case Unloaded:
+	case ModelUnloaded:
 		c.tracker.dropModel(e.Machine, e.Model)
-	case Received:
+	case MessageReceived:
 		c.handleMessage(e.Message)
 	}
 	c.expireRequests()
@@ -102,11 +102,11 @@
 	return next
 }
 
-// Known returns the number of attempts, of all nodes, that this node tracks as the dispatcher.
-func (c *Core) Known() int { return len(c.tracker.attempts) }
+// TrackedAttempts returns the number of attempts, of all nodes, that this node tracks as the dispatcher.
+func (c *Core) TrackedAttempts() int { return len(c.tracker.attempts) }
 
-// UnderWay returns the number of attempts of this node that have not ended.
-func (c *Core) UnderWay() int { return len(c.ownAttempts) }
+// OwnAttempts returns the number of attempts of this node that have not ended.
+func (c *Core) OwnAttempts() int { return len(c.ownAttempts) }
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
--- a/fleet/dispatch/dispatch_test.go
+++ b/fleet/dispatch/dispatch_test.go
@@ -52,17 +52,17 @@
 }
 
 // placeAndSend requests a placement and sends the attempt where and when the answer says.
-func (f *localDispatcher) placeAndSend(w wire.EngineWork, ids ...cluster.MachineID) Answered {
+func (f *localDispatcher) placeAndSend(w wire.EngineWork, ids ...cluster.MachineID) PlacementAnswered {
 	f.t.Helper()
 	f.lastNumber++
-	for _, effect := range f.core.Step(f.now, Asked{Number: f.lastNumber, Work: w, Candidates: candidates(ids...)}) {
-		if answered, ok := effect.(Answered); ok {
-			f.core.Step(f.now.Add(answered.Delay), Sent{Number: f.lastNumber, Machine: answered.Machine, Answered: answered.Machine, Work: w})
+	for _, effect := range f.core.Step(f.now, PlacementRequested{Number: f.lastNumber, Work: w, Candidates: candidates(ids...)}) {
+		if answered, ok := effect.(PlacementAnswered); ok {
+			f.core.Step(f.now.Add(answered.Delay), AttemptSent{Number: f.lastNumber, Machine: answered.Machine, Answered: answered.Machine, Work: w})
 			return answered
 		}
 	}
 	f.t.Fatal("no answer")
-	return Answered{}
+	return PlacementAnswered{}
 }
 
 // startChats starts the given number of chats at an engine and their streams.
@@ -70,7 +70,7 @@
 	for range count {
 		f.placeAndSend(chat(), engine)
 		f.advance(30 * time.Millisecond)
-		f.core.Step(f.now, Began{Number: f.lastNumber})
+		f.core.Step(f.now, FirstEventReceived{Number: f.lastNumber})
 	}
 }
 
@@ -151,7 +151,7 @@
 	f := newLocalDispatcher(t)
 	plan := longPrompt()
 	plan.LongestPause = 0
-	var placed Answered
+	var placed PlacementAnswered
 	for range 5 {
 		placed = f.placeAndSend(plan, "a")
 	}
@@ -160,7 +160,7 @@
 	}
 	f.advance(800 * time.Millisecond)
 	for number := int64(1); number <= 2; number++ {
-		f.core.Step(f.now, Began{Number: number})
+		f.core.Step(f.now, FirstEventReceived{Number: number})
 	}
 	if next := f.placeAndSend(plan, "a"); next.Forecast.Background || next.Forecast.Expected > 800*time.Millisecond {
 		t.Errorf("next plan is expected after %s, behind plans that are late anyway", next.Forecast.Expected)
@@ -175,13 +175,13 @@
 	shared.Prefixes = []wire.PromptPrefix{{Hash: 1, Tokens: 2500}, {Hash: 2, Tokens: 6300}}
 	first := f.placeAndSend(shared, "a", "b", "c", "d")
 	f.advance(400 * time.Millisecond)
-	f.core.Step(f.now, Began{Number: f.lastNumber})
+	f.core.Step(f.now, FirstEventReceived{Number: f.lastNumber})
 	f.advance(time.Second)
 	second := f.placeAndSend(shared, "a", "b", "c", "d")
 	if second.Machine != first.Machine || second.Forecast.Kept != 6300 {
 		t.Errorf("placed at %s with %d cached tokens, want %s with 6300", second.Machine, second.Forecast.Kept, first.Machine)
 	}
-	f.core.Step(f.now, Unloaded{Machine: first.Machine, Model: shared.Model})
+	f.core.Step(f.now, ModelUnloaded{Machine: first.Machine, Model: shared.Model})
 	if third := f.placeAndSend(shared, first.Machine); third.Forecast.Kept != 0 {
 		t.Errorf("%d cached tokens of an unloaded model", third.Forecast.Kept)
 	}
@@ -193,12 +193,12 @@
 func TestCachedPrefixIsFetchedFromBusyEngine(t *testing.T) {
 	for _, fetches := range []bool{true, false} {
 		f := newLocalDispatcher(t)
-		f.core.cfg.Fetches = fetches
+		f.core.cfg.FetchesCachedPrefixes = fetches
 		shared := longPrompt()
 		shared.Prefixes = []wire.PromptPrefix{{Hash: 1, Tokens: 2500}, {Hash: 2, Tokens: 6300}}
 		f.placeAndSend(shared, "a")
 		f.advance(400 * time.Millisecond)
-		f.core.Step(f.now, Began{Number: f.lastNumber})
+		f.core.Step(f.now, FirstEventReceived{Number: f.lastNumber})
 		f.startChats("a", 6)
 		f.placeAndSend(longPrompt(), "a")
 		placed := f.placeAndSend(shared, "a", "b")
@@ -225,7 +225,7 @@
 			t.Errorf("chat placed at an engine that did not respond for 600 ms")
 		}
 		f.advance(10 * time.Millisecond)
-		f.core.Step(f.now, Began{Number: f.lastNumber})
+		f.core.Step(f.now, FirstEventReceived{Number: f.lastNumber})
 	}
 }
 
@@ -244,8 +244,8 @@
 			counts[placed.Machine]++
 		}
 		f.advance(placed.Delay + took)
-		f.core.Step(f.now, Began{Number: number})
-		f.core.Step(f.now, Ended{Number: number, Read: true})
+		f.core.Step(f.now, FirstEventReceived{Number: number})
+		f.core.Step(f.now, AttemptEnded{Number: number, Read: true})
 	}
 	if counts["slow"] > 10 {
 		t.Errorf("sends %v, want at most 10 to the slow engine", counts)
@@ -270,8 +270,8 @@
 	for range 5 {
 		f.placeAndSend(longPrompt(), "a")
 	}
-	f.core.Step(f.now, EngineGone{Machine: "a"})
-	if known := f.core.Known(); known != 0 {
+	f.core.Step(f.now, EngineRemoved{Machine: "a"})
+	if known := f.core.TrackedAttempts(); known != 0 {
 		t.Errorf("%d attempts tracked at a removed engine", known)
 	}
 	if placed := f.placeAndSend(chat(), "a"); placed.Forecast.Backlog != 0 {
@@ -286,7 +286,7 @@
 	f.placeAndSend(longPrompt(), "a")
 	f.advance(5*time.Second + sweepInterval)
 	f.placeAndSend(chat(), "b")
-	if known := f.core.Known(); known != 1 {
+	if known := f.core.TrackedAttempts(); known != 1 {
 		t.Errorf("%d attempts tracked, want only the last one", known)
 	}
 }
@@ -300,7 +300,7 @@
 		w.Prefixes = []wire.PromptPrefix{{Hash: uint64(i), Tokens: 1}}
 		f.placeAndSend(w, cluster.MachineID(fmt.Sprint("engine-", i%100)))
 	}
-	if known := f.core.Known(); known > maxTrackedAttempts {
+	if known := f.core.TrackedAttempts(); known > maxTrackedAttempts {
 		t.Errorf("%d attempts tracked, bound %d", known, maxTrackedAttempts)
 	}
 	for _, e := range f.core.tracker.engines {
@@ -320,11 +320,11 @@
 	list := candidates(ids...)
 	for i := range b.N {
 		number := int64(i + 1)
-		core.Step(now, Asked{Number: number, Work: chat(), Candidates: list})
+		core.Step(now, PlacementRequested{Number: number, Work: chat(), Candidates: list})
 		now = now.Add(5 * time.Millisecond)
 		if i > 100 {
-			core.Step(now, Began{Number: number - 50})
-			core.Step(now, Ended{Number: number - 100, Read: true})
+			core.Step(now, FirstEventReceived{Number: number - 50})
+			core.Step(now, AttemptEnded{Number: number - 100, Read: true})
 		}
 	}
 }
--- a/fleet/dispatch/dispatchers_test.go
+++ b/fleet/dispatch/dispatchers_test.go
@@ -16,14 +16,14 @@
 	peers []Peer
 	// dead nodes neither send nor receive messages.
 	dead    map[cluster.NodeID]bool
-	answers map[cluster.NodeID][]Answered
+	answers map[cluster.NodeID][]PlacementAnswered
 	changes map[cluster.NodeID][]DispatcherChanged
 }
 
 func newTestCluster(t *testing.T, ids ...cluster.NodeID) *testCluster {
 	g := &testCluster{
 		t: t, now: time.Unix(1_000_000, 0), cores: map[cluster.NodeID]*Core{}, dead: map[cluster.NodeID]bool{},
-		answers: map[cluster.NodeID][]Answered{}, changes: map[cluster.NodeID][]DispatcherChanged{},
+		answers: map[cluster.NodeID][]PlacementAnswered{}, changes: map[cluster.NodeID][]DispatcherChanged{},
 	}
 	for i, id := range ids {
 		peer := Peer{ID: id, Address: string(id), Machine: "machine-" + string(id), Capacity: float64(len(ids) - i)}
@@ -45,8 +45,8 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Send:
-			g.step(cluster.NodeID(e.Address), Received{Message: e.Message})
-		case Answered:
+			g.step(cluster.NodeID(e.Address), MessageReceived{Message: e.Message})
+		case PlacementAnswered:
 			g.answers[id] = append(g.answers[id], e)
 		case DispatcherChanged:
 			g.changes[id] = append(g.changes[id], e)
@@ -66,10 +66,10 @@
 
 // placeAndSend requests a placement and sends the attempt to the machine in the answer, or to
 // fallback if the answer names none.
-func (g *testCluster) placeAndSend(id cluster.NodeID, number int64, w wire.EngineWork, fallback cluster.MachineID, machines ...cluster.MachineID) Answered {
+func (g *testCluster) placeAndSend(id cluster.NodeID, number int64, w wire.EngineWork, fallback cluster.MachineID, machines ...cluster.MachineID) PlacementAnswered {
 	g.t.Helper()
 	before := len(g.answers[id])
-	g.step(id, Asked{Number: number, Work: w, Candidates: candidates(machines...)})
+	g.step(id, PlacementRequested{Number: number, Work: w, Candidates: candidates(machines...)})
 	if len(g.answers[id]) == before {
 		g.advance(answerTimeout)
 	}
@@ -81,7 +81,7 @@
 	if machine == "" {
 		machine = fallback
 	}
-	g.step(id, Sent{Number: number, Machine: machine, Answered: answered.Machine, Work: w})
+	g.step(id, AttemptSent{Number: number, Machine: machine, Answered: answered.Machine, Work: w})
 	return answered
 }
 
@@ -113,7 +113,7 @@
 	if next.Dispatcher != "b" || next.Machine != "z" {
 		t.Errorf("%s chose %s, want b to choose z, the only engine without a prompt", next.Dispatcher, next.Machine)
 	}
-	if known := g.cores["b"].Known(); known != 3 {
+	if known := g.cores["b"].TrackedAttempts(); known != 3 {
 		t.Errorf("next dispatcher tracks %d attempts, want 3", known)
 	}
 }
@@ -125,14 +125,14 @@
 	g.placeAndSend("c", 1, longPrompt(), "", "x")
 	g.dead["a"] = true
 	g.placeAndSend("c", 2, chat(), "x", "x")
-	g.step("c", Ended{Number: 1, Read: true})
+	g.step("c", AttemptEnded{Number: 1, Read: true})
 	g.dead["a"] = false
 	g.advance(unresponsiveBackoff)
 	if back := g.placeAndSend("c", 3, chat(), "", "x"); back.Dispatcher != "a" {
 		t.Errorf("dispatcher %s, want a again", back.Dispatcher)
 	}
 	g.advance(unreportedGrace + fullReportInterval)
-	if known := g.cores["a"].Known(); known != 2 {
+	if known := g.cores["a"].TrackedAttempts(); known != 2 {
 		t.Errorf("dispatcher tracks %d attempts, want the 2 that have not ended", known)
 	}
 }
@@ -159,10 +159,10 @@
 	g.placeAndSend("b", 1, w, "", "x")
 	g.placeAndSend("b", 2, w, "", "x")
 	// The message about the end is lost.
-	g.cores["b"].Step(g.now, Ended{Number: 1, Read: true})
+	g.cores["b"].Step(g.now, AttemptEnded{Number: 1, Read: true})
 	g.cores["b"].progress = nil
 	g.advance(fullReportInterval + progressDelay)
-	if known := g.cores["a"].Known(); known != 1 {
+	if known := g.cores["a"].TrackedAttempts(); known != 1 {
 		t.Errorf("%d attempts tracked, want 1", known)
 	}
 }
@@ -175,7 +175,7 @@
 	g.placeAndSend("c", 1, longPrompt(), "", "x")
 	g.dead["b"] = true
 	g.step("a", PeersChanged{Peers: []Peer{g.peers[0], g.peers[2]}})
-	if known := g.cores["a"].Known(); known != 1 {
+	if known := g.cores["a"].TrackedAttempts(); known != 1 {
 		t.Errorf("%d attempts tracked, want only the one of the live node", known)
 	}
 }
@@ -184,8 +184,8 @@
 // another machine than it answered.
 func TestDispatcherLearnsOfDifferentMachine(t *testing.T) {
 	g := newTestCluster(t, "a", "b")
-	g.step("b", Asked{Number: 1, Work: longPrompt(), Candidates: candidates("x")})
-	g.step("b", Sent{Number: 1, Machine: "y", Answered: "x", Work: longPrompt()})
+	g.step("b", PlacementRequested{Number: 1, Work: longPrompt(), Candidates: candidates("x")})
+	g.step("b", AttemptSent{Number: 1, Machine: "y", Answered: "x", Work: longPrompt()})
 	if placed := g.placeAndSend("b", 2, chat(), "", "x", "y"); placed.Machine != "x" {
 		t.Errorf("chat placed at %s, want x: the prompt went to y", placed.Machine)
 	}
@@ -195,8 +195,8 @@
 // that waits for its prefill.
 func TestResumedAttemptAddsNoPrefill(t *testing.T) {
 	g := newTestCluster(t, "a", "b")
-	g.step("b", Asked{Number: 1, Work: longPrompt(), Candidates: candidates("x")})
-	g.step("b", Sent{Number: 1, Machine: "x", Answered: "x", Work: longPrompt(), Resumed: true})
+	g.step("b", PlacementRequested{Number: 1, Work: longPrompt(), Candidates: candidates("x")})
+	g.step("b", AttemptSent{Number: 1, Machine: "x", Answered: "x", Work: longPrompt(), Resumed: true})
 	g.advance(2 * time.Second)
 	if placed := g.placeAndSend("b", 2, chat(), "", "x"); placed.Forecast.Backlog > 0 {
 		t.Errorf("backlog of %s at an engine without prefills", placed.Forecast.Backlog)
--- a/fleet/dispatch/events.go
+++ b/fleet/dispatch/events.go
@@ -17,55 +17,55 @@
 // PeersChanged carries all live nodes.
 type PeersChanged struct{ Peers []Peer }
 
-// Asked requests a placement for an attempt. A number is never used twice.
-type Asked struct {
+// PlacementRequested requests a placement for an attempt. A number is never used twice.
+type PlacementRequested struct {
 	Number     int64
 	Work       wire.EngineWork
 	Candidates []wire.EngineCandidate
 }
 
-// Sent reports that an attempt is being sent to Machine. Answered is the machine that the
+// AttemptSent reports that an attempt is being sent to Machine. Answered is the machine that the
 // dispatcher chose, empty if no answer came.
-type Sent struct {
+type AttemptSent struct {
 	Number            int64
 	Machine, Answered cluster.MachineID
 	Work              wire.EngineWork
-	// Resumed is true if the attempt continues an answer that has already begun: no Began follows.
+	// Resumed is true if the attempt continues an answer that has already begun: no FirstEventReceived follows.
 	Resumed bool
 }
 
-// Began reports the first event of the answer of an attempt.
-type Began struct{ Number int64 }
+// FirstEventReceived reports the first event of the answer of an attempt.
+type FirstEventReceived struct{ Number int64 }
 
-// Ended reports that an attempt no longer uses its machine or was never sent. Read is false if the
+// AttemptEnded reports that an attempt no longer uses its machine or was never sent. Read is false if the
 // machine did not run the attempt. The dispatcher doesn't use Read yet: the prompt of an attempt
 // that was not run still counts as cached.
-type Ended struct {
+type AttemptEnded struct {
 	Number int64
 	Read   bool
 }
 
-// EngineGone reports that an engine has ended.
-type EngineGone struct{ Machine cluster.MachineID }
+// EngineRemoved reports that an engine has ended.
+type EngineRemoved struct{ Machine cluster.MachineID }
 
-// Unloaded reports that an engine has unloaded a model and lost its cached prefixes.
-type Unloaded struct {
+// ModelUnloaded reports that an engine has unloaded a model and lost its cached prefixes.
+type ModelUnloaded struct {
 	Machine cluster.MachineID
 	Model   cluster.ModelID
 }
 
-// Received carries a message from another node.
-type Received struct{ Message wire.Message }
+// MessageReceived carries a message from another node.
+type MessageReceived struct{ Message wire.Message }
 
-func (Tick) dispatchEvent()         {}
-func (PeersChanged) dispatchEvent() {}
-func (Asked) dispatchEvent()        {}
-func (Sent) dispatchEvent()         {}
-func (Began) dispatchEvent()        {}
-func (Ended) dispatchEvent()        {}
-func (EngineGone) dispatchEvent()   {}
-func (Unloaded) dispatchEvent()     {}
-func (Received) dispatchEvent()     {}
+func (Tick) dispatchEvent()               {}
+func (PeersChanged) dispatchEvent()       {}
+func (PlacementRequested) dispatchEvent() {}
+func (AttemptSent) dispatchEvent()        {}
+func (FirstEventReceived) dispatchEvent() {}
+func (AttemptEnded) dispatchEvent()       {}
+func (EngineRemoved) dispatchEvent()      {}
+func (ModelUnloaded) dispatchEvent()      {}
+func (MessageReceived) dispatchEvent()    {}
 
 // Effect is an output of Core.Step.
 type Effect interface{ dispatchEffect() }
@@ -76,9 +76,9 @@
 	Message wire.Message
 }
 
-// Answered carries the placement of an attempt. An empty Machine means that no dispatcher answered
+// PlacementAnswered carries the placement of an attempt. An empty Machine means that no dispatcher answered
 // or found an engine, and the node places the attempt itself.
-type Answered struct {
+type PlacementAnswered struct {
 	Number int64
 	// Dispatcher is the node that answered, empty if none did.
 	Dispatcher cluster.NodeID
@@ -97,5 +97,5 @@
 }
 
 func (Send) dispatchEffect()              {}
-func (Answered) dispatchEffect()          {}
+func (PlacementAnswered) dispatchEffect() {}
 func (DispatcherChanged) dispatchEffect() {}
--- a/fleet/dispatch/faults_test.go
+++ b/fleet/dispatch/faults_test.go
@@ -16,7 +16,7 @@
 	g := newTestCluster(t, "a", "b")
 	g.dead["a"] = true
 	g.placeAndSend("b", 1, chat(), "x", "x")
-	g.step("b", Received{Message: wire.EngineAnswer{From: "a", Number: 1, Machine: "x"}})
+	g.step("b", MessageReceived{Message: wire.EngineAnswer{From: "a", Number: 1, Machine: "x"}})
 	if next := g.placeAndSend("b", 2, chat(), "x", "x"); next.Dispatcher != "b" {
 		t.Errorf("dispatcher %q placed the next request, want b without a timeout", next.Dispatcher)
 	}
@@ -27,7 +27,7 @@
 func TestPrefillOfRemovedNodeEnds(t *testing.T) {
 	g := newTestCluster(t, "a", "b", "c")
 	g.placeAndSend("b", 1, chat(), "", "x")
-	g.step("b", Began{Number: 1})
+	g.step("b", FirstEventReceived{Number: 1})
 	g.advance(4 * progressDelay)
 	g.placeAndSend("c", 1, longPrompt(), "", "x")
 	g.step("a", PeersChanged{Peers: g.peers[:2]})
@@ -60,7 +60,7 @@
 	for i := range 100 {
 		engine := cluster.MachineID(fmt.Sprint("e", i))
 		f.placeAndSend(chat(), engine)
-		f.core.Step(f.now, Ended{Number: f.lastNumber, Read: true})
+		f.core.Step(f.now, AttemptEnded{Number: f.lastNumber, Read: true})
 	}
 	f.advance(2 * engineIdleTimeout)
 	f.placeAndSend(chat(), "x")
@@ -76,7 +76,7 @@
 	g.placeAndSend("b", 1, longPrompt(), "", "x")
 	g.step("b", PeersChanged{Peers: g.peers[1:]})
 	g.advance(longPrompt().Left + 2*sweepInterval)
-	if known := g.cores["a"].Known(); known != 0 {
+	if known := g.cores["a"].TrackedAttempts(); known != 0 {
 		t.Errorf("%d expired attempts still tracked", known)
 	}
 }
@@ -86,16 +86,16 @@
 func TestUnknownBacklogIsNotObserved(t *testing.T) {
 	f := newLocalDispatcher(t)
 	f.placeAndSend(chat(), "x")
-	f.core.Step(f.now, Ended{Number: f.lastNumber, Read: true})
+	f.core.Step(f.now, AttemptEnded{Number: f.lastNumber, Read: true})
 	learned := f.core.tracker.estimator("pool/plan")
 	prompt := work.Prompt{Tokens: 9200}
 	before := learned.ReadTime("x", "pool/plan", prompt)
 	for range 30 {
 		f.lastNumber++
-		f.core.Step(f.now, Sent{Number: f.lastNumber, Machine: "x", Work: longPrompt()})
+		f.core.Step(f.now, AttemptSent{Number: f.lastNumber, Machine: "x", Work: longPrompt()})
 		f.advance(3 * time.Second)
-		f.core.Step(f.now, Began{Number: f.lastNumber})
-		f.core.Step(f.now, Ended{Number: f.lastNumber, Read: true})
+		f.core.Step(f.now, FirstEventReceived{Number: f.lastNumber})
+		f.core.Step(f.now, AttemptEnded{Number: f.lastNumber, Read: true})
 	}
 	if after := learned.ReadTime("x", "pool/plan", prompt); after != before {
 		t.Errorf("estimated prefill time is %s, was %s before", after, before)
--- a/fleet/dispatch/fetch.go
+++ b/fleet/dispatch/fetch.go
@@ -30,7 +30,7 @@
 // value if none does or engines cannot fetch from each other.
 func (t *attemptTracker) findCacheSource(w *wire.EngineWork, candidates []wire.EngineCandidate) cacheSource {
 	var best cacheSource
-	if !t.cfg.Fetches || len(w.Prefixes) == 0 {
+	if !t.cfg.FetchesCachedPrefixes || len(w.Prefixes) == 0 {
 		return best
 	}
 	for i := range candidates {
--- a/fleet/dispatch/reports.go
+++ b/fleet/dispatch/reports.go
@@ -10,10 +10,10 @@
 
 // requestPlacement asks the dispatcher where to send an attempt. If the dispatcher is this node,
 // the answer is emitted at once.
-func (c *Core) requestPlacement(e *Asked) {
+func (c *Core) requestPlacement(e *PlacementRequested) {
 	dispatcher, found := c.pickDispatcher()
 	if !found {
-		c.emit(Answered{Number: e.Number})
+		c.emit(PlacementAnswered{Number: e.Number})
 		return
 	}
 	if dispatcher.ID == c.cfg.Self.ID {
@@ -41,8 +41,8 @@
 }
 
 // answeredEvent converts the answer of a dispatcher to the effect for this node.
-func answeredEvent(m *wire.EngineAnswer) Answered {
-	return Answered{
+func answeredEvent(m *wire.EngineAnswer) PlacementAnswered {
+	return PlacementAnswered{
 		Number: m.Number, Dispatcher: m.From, Machine: m.Machine, Delay: m.Delay,
 		Forecast: routing.Forecast{Dispatcher: m.From, Expected: m.Expected, Backlog: m.Backlog, Read: m.Read, Kept: m.Kept, Speed: m.Speed, Background: m.Background, Fetch: m.Fetch},
 	}
@@ -64,13 +64,13 @@
 	for _, number := range expired {
 		c.unresponsiveUntil[c.pendingRequests[number].dispatcher] = c.now.Add(unresponsiveBackoff)
 		delete(c.pendingRequests, number)
-		c.emit(Answered{Number: number})
+		c.emit(PlacementAnswered{Number: number})
 	}
 }
 
 // recordSend records an attempt that is being sent to a machine, and reports it to the dispatcher
 // if the dispatcher could not expect it.
-func (c *Core) recordSend(e *Sent) {
+func (c *Core) recordSend(e *AttemptSent) {
 	delete(c.pendingRequests, e.Number)
 	c.ownAttempts[e.Number] = &ownAttempt{machine: e.Machine, sentAt: c.now, firstEventSeen: e.Resumed, work: e.Work}
 	if c.fullReportDue.IsZero() {
@@ -83,7 +83,7 @@
 
 // reportSend reports an attempt that goes to another machine than the dispatcher answered, or that
 // resumes an answer which has already begun.
-func (c *Core) reportSend(e *Sent) {
+func (c *Core) reportSend(e *AttemptSent) {
 	to, known := c.rankedPeer(c.dispatcher)
 	if !known {
 		return
@@ -114,7 +114,7 @@
 }
 
 // recordEnd records that an attempt has ended or will not be sent.
-func (c *Core) recordEnd(e *Ended) {
+func (c *Core) recordEnd(e *AttemptEnded) {
 	delete(c.pendingRequests, e.Number)
 	delete(c.ownAttempts, e.Number)
 	if len(c.ownAttempts) == 0 {
--- a/fleet/dispatch/strategies_test.go
+++ b/fleet/dispatch/strategies_test.go
@@ -125,7 +125,7 @@
 type delayedRequest struct {
 	sendAt   time.Duration
 	request  *simRequest
-	answered Answered
+	answered PlacementAnswered
 }
 
 func newCentralDispatch() *centralDispatch {
@@ -153,7 +153,7 @@
 			_, _ = fmt.Sscan(e.Address, &to)
 			d.messages = append(d.messages, queuedMessage{p.now + simNetworkDelay, to, e.Message})
 			p.messages++
-		case Answered:
+		case PlacementAnswered:
 			d.delayed = append(d.delayed, delayedRequest{p.now + e.Delay, d.requests[e.Number], e})
 		}
 	}
@@ -161,22 +161,22 @@
 
 func (d *centralDispatch) place(p *simulation, r *simRequest) {
 	d.requests[r.number] = r
-	d.step(p, r.node, Asked{Number: r.number, Work: simEngineWork(p, r), Candidates: simCandidates(p, r)})
+	d.step(p, r.node, PlacementRequested{Number: r.number, Work: simEngineWork(p, r), Candidates: simCandidates(p, r)})
 }
 
 func (d *centralDispatch) onEvent(p *simulation, r *simRequest) {
 	if r.remainingEvents > 0 {
-		d.step(p, r.node, Began{Number: r.number})
+		d.step(p, r.node, FirstEventReceived{Number: r.number})
 		return
 	}
-	d.step(p, r.node, Ended{Number: r.number, Read: true})
+	d.step(p, r.node, AttemptEnded{Number: r.number, Read: true})
 }
 
 func (d *centralDispatch) onTick(p *simulation) {
 	for len(d.messages) > 0 && d.messages[0].deliverAt <= p.now {
 		next := d.messages[0]
 		d.messages = d.messages[1:]
-		d.step(p, next.to, Received{Message: next.message})
+		d.step(p, next.to, MessageReceived{Message: next.message})
 	}
 	for node, core := range d.cores {
 		if due := core.NextDue(); !due.IsZero() && !simClock(p.now).Before(due) {
@@ -202,7 +202,7 @@
 		_, _ = fmt.Sscanf(string(h.answered.Machine), "e%d", &engine)
 	}
 	p.send(r, engine)
-	d.step(p, r.node, Sent{Number: r.number, Machine: simEngineID(engine), Answered: h.answered.Machine, Work: simEngineWork(p, r)})
+	d.step(p, r.node, AttemptSent{Number: r.number, Machine: simEngineID(engine), Answered: h.answered.Machine, Work: simEngineWork(p, r)})
 }
 
 // TestDispatcherHasFewestLateAnswers compares the strategies by the number of late answers, whose
--- a/fleet/dispatch_client.go
+++ b/fleet/dispatch_client.go
@@ -45,7 +45,7 @@
 	number  int64
 	askedAt time.Time
 	// answer is the dispatcher's answer, and sendAt the time at which the attempt is to be sent.
-	answer dispatch.Answered
+	answer dispatch.PlacementAnswered
 	sendAt time.Time
 	// sent is set once the attempt goes to its machine, answerBegun once the caller has received
 	// the first byte.
@@ -65,7 +65,7 @@
 		core: core, requests: map[cluster.RequestID]*placedRequest{}, pending: map[int64]*placedRequest{},
 		held: map[cluster.RequestID]*placedRequest{},
 	}
-	d.dispatcher = dispatch.New(dispatch.Config{Self: core.config.Self.dispatchPeer(), CacheTokens: d.cacheTokens, Fetches: core.config.Fetches, Work: core.config.Work})
+	d.dispatcher = dispatch.New(dispatch.Config{Self: core.config.Self.dispatchPeer(), CacheTokens: d.cacheTokens, FetchesCachedPrefixes: core.config.Fetches, Work: core.config.Work})
 	return d
 }
 
@@ -121,7 +121,7 @@
 	for i, a := range decided.Alternatives {
 		candidates[i] = wire.EngineCandidate{Machine: a.Machine, Penalty: a.Penalty}
 	}
-	d.step(dispatch.Asked{Number: p.number, Work: d.engineWork(p), Candidates: candidates})
+	d.step(dispatch.PlacementRequested{Number: p.number, Work: d.engineWork(p), Candidates: candidates})
 	return true
 }
 
@@ -157,7 +157,7 @@
 // recordSend reports an attempt that is sent to its machine now.
 func (d *dispatchClient) recordSend(p *placedRequest, decided *routing.Dispatch) {
 	p.sent = true
-	d.step(dispatch.Sent{Number: p.number, Machine: decided.Machine, Answered: p.answer.Machine, Work: d.engineWork(p), Resumed: p.answerBegun})
+	d.step(dispatch.AttemptSent{Number: p.number, Machine: decided.Machine, Answered: p.answer.Machine, Work: d.engineWork(p), Resumed: p.answerBegun})
 }
 
 // step hands an event to the dispatching core and carries out its effects.
@@ -167,7 +167,7 @@
 		switch e := effect.(type) {
 		case dispatch.Send:
 			d.core.send(e.Address, e.Message)
-		case dispatch.Answered:
+		case dispatch.PlacementAnswered:
 			d.handleAnswer(&e)
 		case dispatch.DispatcherChanged:
 			d.core.log(eventlog.DispatcherChanged{Dispatcher: e.Dispatcher, Silent: e.Silent, InFlight: len(d.requests)})
@@ -176,7 +176,7 @@
 }
 
 // handleAnswer handles the answer to a question and holds the attempt until its send time.
-func (d *dispatchClient) handleAnswer(e *dispatch.Answered) {
+func (d *dispatchClient) handleAnswer(e *dispatch.PlacementAnswered) {
 	p := d.pending[e.Number]
 	if p == nil {
 		return
@@ -254,7 +254,7 @@
 func (d *dispatchClient) firstByteSent(id cluster.RequestID) {
 	if p := d.requests[id]; p != nil && p.sent {
 		p.answerBegun = true
-		d.step(dispatch.Began{Number: p.number})
+		d.step(dispatch.FirstEventReceived{Number: p.number})
 	}
 }
 
@@ -273,7 +273,7 @@
 	}
 	delete(d.pending, p.number)
 	delete(d.held, p.request.ID)
-	d.step(dispatch.Ended{Number: p.number, Read: promptRead})
+	d.step(dispatch.AttemptEnded{Number: p.number, Read: promptRead})
 	p.number, p.sent = 0, false
 }
 
@@ -288,6 +288,6 @@
 // modelUnloaded reports to the dispatching core that an engine has unloaded a model.
 func (c *Core) modelUnloaded(machine cluster.MachineID, model cluster.ModelID) {
 	if c.dispatchClient != nil {
-		c.dispatchClient.step(dispatch.Unloaded{Machine: machine, Model: model})
+		c.dispatchClient.step(dispatch.ModelUnloaded{Machine: machine, Model: model})
 	}
 }
--- a/fleet/dispatch_client_test.go
+++ b/fleet/dispatch_client_test.go
@@ -26,13 +26,13 @@
 func TestCallerGoneWhileHeldCancelsAttempt(t *testing.T) {
 	n := newEngineNode(t, "e1")
 	held := n.sendUntilHeld()
-	known := n.core.dispatchClient.dispatcher.Known()
+	known := n.core.dispatchClient.dispatcher.TrackedAttempts()
 	n.step(RoutingInput{Event: routing.CallerGone{Request: held}})
 	n.advance(4 * time.Second)
 	if machine, sent := n.sent[held]; sent {
 		t.Errorf("sent to %s although the caller is gone", machine)
 	}
-	if after := n.core.dispatchClient.dispatcher.Known(); after != known-1 {
+	if after := n.core.dispatchClient.dispatcher.TrackedAttempts(); after != known-1 {
 		t.Errorf("%d attempts are booked, %d before the caller left", after, known)
 	}
 }
--- a/fleet/held_attempt_test.go
+++ b/fleet/held_attempt_test.go
@@ -16,7 +16,7 @@
 		n := newEngineNode(t, "e1")
 		held := n.sendUntilHeld()
 		n.putEngines(false, "e2")
-		known := n.core.dispatchClient.dispatcher.Known()
+		known := n.core.dispatchClient.dispatcher.TrackedAttempts()
 		if gone {
 			known = 0
 			n.step(WorkersRead{Gone: []cluster.MachineID{"e1"}})
@@ -26,7 +26,7 @@
 		if n.sent[held] != "e2" {
 			t.Errorf("gone=%t: sent to %q at once, want e2", gone, n.sent[held])
 		}
-		if after := n.core.dispatchClient.dispatcher.Known(); after != max(known, 1) {
+		if after := n.core.dispatchClient.dispatcher.TrackedAttempts(); after != max(known, 1) {
 			t.Errorf("gone=%t: %d attempts are booked, want %d", gone, after, max(known, 1))
 		}
 	}
@@ -129,8 +129,8 @@
 	}
 	n.advance(20 * time.Second)
 	d := n.core.dispatchClient
-	if left := len(d.requests) + len(d.pending) + len(d.held) + d.dispatcher.Known() + d.dispatcher.UnderWay(); left != 0 {
+	if left := len(d.requests) + len(d.pending) + len(d.held) + d.dispatcher.TrackedAttempts() + d.dispatcher.OwnAttempts(); left != 0 {
 		t.Errorf("%d requests, %d asked, %d held, %d booked, %d under way",
-			len(d.requests), len(d.pending), len(d.held), d.dispatcher.Known(), d.dispatcher.UnderWay())
+			len(d.requests), len(d.pending), len(d.held), d.dispatcher.TrackedAttempts(), d.dispatcher.OwnAttempts())
 	}
 }
--- a/fleet/store_events.go
+++ b/fleet/store_events.go
@@ -48,7 +48,7 @@
 		c.view.remove(id)
 		c.controller.feedLedger(sequence.MachineGone{Machine: id})
 		if c.dispatchClient != nil {
-			c.dispatchClient.step(dispatch.EngineGone{Machine: id})
+			c.dispatchClient.step(dispatch.EngineRemoved{Machine: id})
 			c.dispatchClient.releaseHeldFor(id)
 		}
 	}
