--- a/fleet/feed/backup_relay.go
+++ b/fleet/feed/backup_relay.go
@@ -44,7 +44,7 @@
 	}
 	c.backupRelay = backupRelay{id: relays[index].ID, askedAt: c.now}
 	c.nextCallAt = c.now.Add(backupRelayTimeout)
-	c.emit(Ask{Address: relays[index].Address, Request: wire.StoreChangesRequest{
+	c.emit(RequestChanges{Address: relays[index].Address, Request: wire.StoreChangesRequest{
 		From: c.cfg.Self.ID, FromAddress: c.cfg.Self.Address, After: c.revision, Always: true,
 	}})
 	return true
--- a/fleet/feed/calls.go
+++ b/fleet/feed/calls.go
@@ -49,7 +49,7 @@
 		c.emit(Read{Known: c.revision, OnePage: c.revision == 0 && c.startup.phase == phaseReadFirstPage})
 		return
 	}
-	c.emit(Poll{After: c.revision, Most: c.contents.maxHistoryBytes()})
+	c.emit(Poll{After: c.revision, MaxBytes: c.contents.maxHistoryBytes()})
 }
 
 // pollsInsteadOfRead reports whether a node that needs a full read polls for changes instead. It
@@ -113,9 +113,9 @@
 
 func (c *Core) pollInterval() time.Duration {
 	if c.tree.forwards() {
-		return c.cfg.RelayInterval
+		return c.cfg.RelayPollInterval
 	}
-	return c.cfg.Interval
+	return c.cfg.PollInterval
 }
 
 func (c *Core) readDone(e ReadDone) {
@@ -128,7 +128,7 @@
 		c.sendKeepAlive()
 		return
 	}
-	if e.Large {
+	if e.MorePages {
 		c.firstPageIncomplete()
 		return
 	}
--- a/fleet/feed/calls_test.go
+++ b/fleet/feed/calls_test.go
@@ -26,7 +26,7 @@
 	before := s.totalCalls()
 	s.runFor(30 * time.Second)
 	calls := s.totalCalls() - before
-	if limit := int(30*time.Second/defaultRelayInterval) + 5; calls > limit {
+	if limit := int(30*time.Second/defaultRelayPollInterval) + 5; calls > limit {
 		t.Errorf("%d calls in 30 s, want at most the %d of a root", calls, limit)
 	}
 }
--- a/fleet/feed/config.go
+++ b/fleet/feed/config.go
@@ -27,15 +27,15 @@
 // a poll after that whose update is lost, the timeout of the last leaf of a group and its own call
 // fit into 2 s.
 const (
-	defaultInterval         = 400 * time.Millisecond
-	defaultRelayInterval    = 300 * time.Millisecond
-	defaultSourceTimeout    = 540 * time.Millisecond
-	defaultRelayTimeoutStep = 20 * time.Millisecond
-	defaultLeafTimeoutStep  = 8 * time.Millisecond
-	defaultMinZoneNodes     = 4
-	defaultMaxGroupNodes    = 32
-	defaultMinRelaysForRoot = 3
-	defaultMaxValueBytes    = 1 << 20
+	defaultPollInterval      = 400 * time.Millisecond
+	defaultRelayPollInterval = 300 * time.Millisecond
+	defaultSourceTimeout     = 540 * time.Millisecond
+	defaultRelayTimeoutStep  = 20 * time.Millisecond
+	defaultLeafTimeoutStep   = 8 * time.Millisecond
+	defaultMinZoneNodes      = 4
+	defaultMaxGroupNodes     = 32
+	defaultMinRelaysForRoot  = 3
+	defaultMaxValueBytes     = 1 << 20
 )
 
 // Config tunes a Core; a zero field takes its default.
@@ -43,13 +43,13 @@
 	Self Peer
 	// Machine is the name of the machine that the node runs on, empty where it has none.
 	Machine string
-	// Interval is the pause between two polls of a node without a source, RelayInterval that of a
+	// PollInterval is the pause between two polls of a node without a source, RelayPollInterval that of a
 	// relay. Defaults 400 and 300 ms.
-	Interval, RelayInterval time.Duration
-	// Silence is the time without an update from its source after which a node polls the store
+	PollInterval, RelayPollInterval time.Duration
+	// SourceTimeout is the time without an update from its source after which a node polls the store
 	// itself. Default 540 ms.
-	Silence time.Duration
-	// LeafSourceTimeout replaces Silence for a leaf whose relay has a root, so that updates of a
+	SourceTimeout time.Duration
+	// LeafSourceTimeout replaces SourceTimeout for a leaf whose relay has a root, so that updates of a
 	// relay that takes over from the root arrive first. Default a third of Within.
 	LeafSourceTimeout time.Duration
 	// RelayTimeoutStep and LeafTimeoutStep are added to the timeout for each node that comes before
@@ -73,9 +73,9 @@
 
 // withDefaults returns c with its zero fields filled.
 func (c Config) withDefaults() Config {
-	c.Interval = cmp.Or(c.Interval, defaultInterval)
-	c.RelayInterval = cmp.Or(c.RelayInterval, defaultRelayInterval)
-	c.Silence = cmp.Or(c.Silence, defaultSourceTimeout)
+	c.PollInterval = cmp.Or(c.PollInterval, defaultPollInterval)
+	c.RelayPollInterval = cmp.Or(c.RelayPollInterval, defaultRelayPollInterval)
+	c.SourceTimeout = cmp.Or(c.SourceTimeout, defaultSourceTimeout)
 	if c.Within >= minDelayWithRoot {
 		c.LeafSourceTimeout = cmp.Or(c.LeafSourceTimeout, c.Within/leafTimeoutDivisor)
 		c.LeafTimeoutStep = cmp.Or(c.LeafTimeoutStep, c.Within/leafStepDivisor)
@@ -110,5 +110,5 @@
 // Filter tells changes that carry news from those that only repeat a heartbeat. Core calls it once
 // for every change, in order.
 type Filter interface {
-	News(c *wire.StoreChange) bool
+	IsNews(c *wire.StoreChange) bool
 }
--- a/fleet/feed/contents_test.go
+++ b/fleet/feed/contents_test.go
@@ -19,12 +19,12 @@
 	large := wire.StoreChange{Key: "k", Revision: 10, Value: make([]byte, 1<<20)}
 	c.Step(at(0), ReadDone{Began: at(0), Revision: 10, Pairs: []wire.StoreChange{large}})
 	poll := onlyEffect[Poll](t, c.Step(at(time.Second), Tick{}))
-	if want := int64(historyBytesFactor * (1<<20 + 1)); poll.After != 10 || poll.Most != want {
+	if want := int64(historyBytesFactor * (1<<20 + 1)); poll.After != 10 || poll.MaxBytes != want {
 		t.Fatalf("polled with %+v, want at most %d bytes after revision 10", poll, want)
 	}
 	onlyEffect[Read](t, c.Step(at(time.Second), PollDone{Began: at(time.Second), TooLong: true}))
 	c.Step(at(2*time.Second), ReadDone{Began: at(time.Second), Revision: 20})
-	if poll = onlyEffect[Poll](t, c.Step(at(3*time.Second), Tick{})); poll.After != 20 || poll.Most != minHistoryBytes {
+	if poll = onlyEffect[Poll](t, c.Step(at(3*time.Second), Tick{})); poll.After != 20 || poll.MaxBytes != minHistoryBytes {
 		t.Fatalf("polled with %+v, want the least limit after revision 20", poll)
 	}
 }
--- a/fleet/feed/core.go
+++ b/fleet/feed/core.go
@@ -108,7 +108,7 @@
 		c.keyProven(e.Key)
 	case VerifyDone:
 		c.verifyDone(e)
-	case ClockHeard:
+	case ClockReceived:
 		c.clockReceived(e.Told)
 	}
 	c.serveWaiting()
@@ -150,13 +150,13 @@
 	position := time.Duration(c.tree.position)
 	switch {
 	case c.hasSnapshotSource() && !c.tree.hasSource():
-		return max(c.cfg.LeafSourceTimeout, c.cfg.Silence)
+		return max(c.cfg.LeafSourceTimeout, c.cfg.SourceTimeout)
 	case c.tree.role == leaf && c.tree.hasRoot:
 		return c.cfg.LeafSourceTimeout + position*c.cfg.LeafTimeoutStep
 	case c.tree.role == leaf:
-		return c.cfg.Silence + position*c.cfg.LeafTimeoutStep
+		return c.cfg.SourceTimeout + position*c.cfg.LeafTimeoutStep
 	}
-	return c.cfg.Silence + position*c.cfg.RelayTimeoutStep
+	return c.cfg.SourceTimeout + position*c.cfg.RelayTimeoutStep
 }
 
 // sourceIsCurrent reports whether the source's newest read is younger than the source timeout.
@@ -185,7 +185,7 @@
 func (c *Core) selectNews(changes []wire.StoreChange) []wire.StoreChange {
 	var news []wire.StoreChange
 	for i := range changes {
-		if c.filter.News(&changes[i]) {
+		if c.filter.IsNews(&changes[i]) {
 			news = append(news, changes[i])
 		}
 	}
--- a/fleet/feed/cutoff_test.go
+++ b/fleet/feed/cutoff_test.go
@@ -93,9 +93,9 @@
 }
 
 // firstAsk returns the first request for changes among the effects, or nil.
-func firstAsk(effects []Effect) *Ask {
+func firstAsk(effects []Effect) *RequestChanges {
 	for _, e := range effects {
-		if ask, ok := e.(Ask); ok {
+		if ask, ok := e.(RequestChanges); ok {
 			return &ask
 		}
 	}
--- a/fleet/feed/events.go
+++ b/fleet/feed/events.go
@@ -21,10 +21,10 @@
 	Began    time.Time
 	Revision int64
 	Pairs    []wire.StoreChange
-	// Large is set if the first page did not hold everything and OnePage was set. Pairs are left
+	// MorePages is set if the first page did not hold everything and OnePage was set. Pairs are left
 	// out then.
-	Large bool
-	Err   error
+	MorePages bool
+	Err       error
 }
 
 // StarterRead is the outcome of a ReadStarter: the record of the node that last became the starter
@@ -36,7 +36,7 @@
 	Err      error
 }
 
-// StarterClaimed is the outcome of a ClaimStart. Won reports whether this node wrote the record;
+// StarterClaimed is the outcome of a ClaimStarter. Won reports whether this node wrote the record;
 // Starter and Revision are what the record holds.
 type StarterClaimed struct {
 	Won      bool
@@ -96,12 +96,12 @@
 // ReadStarter asks for the record of the starter of this node's zone.
 type ReadStarter struct{}
 
-// ClaimStart writes this node into the starter's record if the record still has Revision, zero for
+// ClaimStarter writes this node into the starter's record if the record still has Revision, zero for
 // no record.
-type ClaimStart struct{ Revision int64 }
+type ClaimStarter struct{ Revision int64 }
 
-// Replace delivers the contents of the store at Revision, as another node's snapshot held them.
-type Replace struct {
+// ReplaceContents delivers the contents of the store at Revision, as another node's snapshot held them.
+type ReplaceContents struct {
 	Revision int64
 	Pairs    []wire.StoreChange
 	// From is the node that sent the snapshot. Took is the time since this node began to start up;
@@ -110,8 +110,8 @@
 	Took time.Duration
 }
 
-// AskSnapshot sends a request for a snapshot to a node; the message may be lost.
-type AskSnapshot struct {
+// RequestSnapshot sends a request for a snapshot to a node; the message may be lost.
+type RequestSnapshot struct {
 	Address string
 	Request wire.StoreSnapshotRequest
 }
@@ -122,8 +122,8 @@
 	Part    wire.StoreSnapshot
 }
 
-// Poll asks the store for the changes after a revision, unless they have more than Most bytes.
-type Poll struct{ After, Most int64 }
+// Poll asks the store for the changes after a revision, unless they have more than MaxBytes bytes.
+type Poll struct{ After, MaxBytes int64 }
 
 // Apply delivers changes, in order, that bring what is known up to Revision.
 type Apply struct {
@@ -133,14 +133,14 @@
 	Relay string
 }
 
-// Send sends an update to a peer; the message may be lost.
-type Send struct {
+// SendUpdate sends an update to a peer; the message may be lost.
+type SendUpdate struct {
 	Address string
 	Update  wire.StoreChanges
 }
 
-// Ask sends a request for missing changes to a node; the message may be lost.
-type Ask struct {
+// RequestChanges sends a request for missing changes to a node; the message may be lost.
+type RequestChanges struct {
 	Address string
 	Request wire.StoreChangesRequest
 }
@@ -152,17 +152,17 @@
 	Silent time.Duration
 }
 
-func (Read) feedEffect()          {}
-func (ReadStarter) feedEffect()   {}
-func (ClaimStart) feedEffect()    {}
-func (Replace) feedEffect()       {}
-func (AskSnapshot) feedEffect()   {}
-func (SendSnapshot) feedEffect()  {}
-func (Poll) feedEffect()          {}
-func (Apply) feedEffect()         {}
-func (Send) feedEffect()          {}
-func (Ask) feedEffect()           {}
-func (SourceChanged) feedEffect() {}
+func (Read) feedEffect()            {}
+func (ReadStarter) feedEffect()     {}
+func (ClaimStarter) feedEffect()    {}
+func (ReplaceContents) feedEffect() {}
+func (RequestSnapshot) feedEffect() {}
+func (SendSnapshot) feedEffect()    {}
+func (Poll) feedEffect()            {}
+func (Apply) feedEffect()           {}
+func (SendUpdate) feedEffect()      {}
+func (RequestChanges) feedEffect()  {}
+func (SourceChanged) feedEffect()   {}
 
 // Source is where a node learns of changes.
 type Source uint8
--- a/fleet/feed/fallback_peer.go
+++ b/fleet/feed/fallback_peer.go
@@ -40,7 +40,7 @@
 		index = (index + 1) % len(others)
 	}
 	c.fallbackPeer = fallbackPeer{id: others[index].ID, askedAt: c.now}
-	c.emit(Ask{Address: others[index].Address, Request: wire.StoreChangesRequest{
+	c.emit(RequestChanges{Address: others[index].Address, Request: wire.StoreChangesRequest{
 		From: c.cfg.Self.ID, FromAddress: c.cfg.Self.Address, After: c.revision,
 	}})
 }
@@ -63,7 +63,7 @@
 		if known || id == c.cfg.Self.ID || c.cfg.relayCount(nodes[p.Zone]) > 0 || !c.tree.introduces(&c.cfg.Self, &p) {
 			continue
 		}
-		c.emit(Ask{Address: p.Address, Request: wire.StoreChangesRequest{
+		c.emit(RequestChanges{Address: p.Address, Request: wire.StoreChangesRequest{
 			From: c.cfg.Self.ID, FromAddress: c.cfg.Self.Address, After: c.revision,
 		}})
 	}
--- a/fleet/feed/history_test.go
+++ b/fleet/feed/history_test.go
@@ -23,7 +23,7 @@
 // changes that the leaf applied.
 func deliverUpdates(now time.Time, to *Core, effects []Effect) (applied int) {
 	for _, effect := range effects {
-		send, ok := effect.(Send)
+		send, ok := effect.(SendUpdate)
 		if !ok || send.Address != "leaf" {
 			continue
 		}
@@ -71,7 +71,7 @@
 	relay.Step(now, PollDone{Began: now, Revision: 3030, Changes: changes})
 	sent := relay.Step(now, ChangesRequested{Request: wire.StoreChangesRequest{From: "leaf", FromAddress: "leaf", After: 30}})
 	for i, effect := range sent {
-		update := effect.(Send).Update
+		update := effect.(SendUpdate).Update
 		bytes := 0
 		for j := range update.Changes {
 			bytes += len(update.Changes[j].Value)
@@ -130,7 +130,7 @@
 	relay.Step(now, Invalidated{})
 	effects := relay.Step(now, ReadDone{Began: now, Revision: 60, Pairs: pairs})
 	forwarded := slices.ContainsFunc(effects, func(e Effect) bool {
-		sent, ok := e.(Send)
+		sent, ok := e.(SendUpdate)
 		return ok && sent.Update.Revision == 60 && slices.ContainsFunc(sent.Update.Changes, func(c wire.StoreChange) bool { return c.Revision == aheadRevision })
 	})
 	if !forwarded {
@@ -185,7 +185,7 @@
 // asksPeer reports whether a node requests changes from the address.
 func asksPeer(effects []Effect, address string) bool {
 	return slices.ContainsFunc(effects, func(e Effect) bool {
-		ask, ok := e.(Ask)
+		ask, ok := e.(RequestChanges)
 		return ok && ask.Address == address
 	})
 }
@@ -237,7 +237,7 @@
 	taken := false
 	for _, part := range partsSentTo(effects, "leaf") {
 		for _, effect := range to.Step(now, SnapshotReceived{Part: part}) {
-			_, ok := effect.(Replace)
+			_, ok := effect.(ReplaceContents)
 			taken = taken || ok
 		}
 	}
--- a/fleet/feed/isolation_test.go
+++ b/fleet/feed/isolation_test.go
@@ -86,7 +86,7 @@
 			now = now.Add(failedCallDuration)
 			c.lastMessageAt = now
 			for _, answer := range c.Step(now, PollDone{Began: now, Err: errors.New("no answer")}) {
-				if _, sends := answer.(Send); sends && (len(sentAt) == 0 || sentAt[len(sentAt)-1] != now) {
+				if _, sends := answer.(SendUpdate); sends && (len(sentAt) == 0 || sentAt[len(sentAt)-1] != now) {
 					sentAt = append(sentAt, now)
 				}
 			}
--- a/fleet/feed/proof.go
+++ b/fleet/feed/proof.go
@@ -75,12 +75,12 @@
 	Err   error
 }
 
-// ClockHeard is the clock of a node that this one forwards changes to.
-type ClockHeard struct{ Told wire.ClockTold }
+// ClockReceived is the clock of a node that this one forwards changes to.
+type ClockReceived struct{ Told wire.ClockTold }
 
-func (KeyProven) feedEvent()  {}
-func (VerifyDone) feedEvent() {}
-func (ClockHeard) feedEvent() {}
+func (KeyProven) feedEvent()     {}
+func (VerifyDone) feedEvent()    {}
+func (ClockReceived) feedEvent() {}
 
 // Verify asks the store whether the newest value of a key still has the given revision.
 type Verify struct {
@@ -95,15 +95,15 @@
 	Revision int64
 }
 
-// TellClock sends this node's clock to another node.
-type TellClock struct {
+// SendClock sends this node's clock to another node.
+type SendClock struct {
 	Address string
 	Told    wire.ClockTold
 }
 
 func (Verify) feedEffect()    {}
 func (Proven) feedEffect()    {}
-func (TellClock) feedEffect() {}
+func (SendClock) feedEffect() {}
 
 // keyProven starts or ends the proof of a key. The full read that brought the first value of the
 // key proves it, so that a node that learns from that read which key to prove needs no further
@@ -234,7 +234,7 @@
 		clear(c.proof.clockSentAt)
 	}
 	c.proof.clockSentAt[u.From] = c.now
-	c.emit(TellClock{Address: peer.Address, Told: wire.ClockTold{From: c.cfg.Self.ID, Sent: c.now.UnixNano()}})
+	c.emit(SendClock{Address: peer.Address, Told: wire.ClockTold{From: c.cfg.Self.ID, Sent: c.now.UnixNano()}})
 }
 
 // clockReceived records another node's clock.
--- a/fleet/feed/relaying.go
+++ b/fleet/feed/relaying.go
@@ -34,7 +34,7 @@
 	if !known {
 		return false
 	}
-	c.emit(Ask{Address: peer.Address, Request: wire.StoreChangesRequest{
+	c.emit(RequestChanges{Address: peer.Address, Request: wire.StoreChangesRequest{
 		From: c.cfg.Self.ID, FromAddress: c.cfg.Self.Address, After: c.revision,
 	}})
 	return true
@@ -60,7 +60,7 @@
 		return
 	}
 	for _, update := range c.buildUpdates(r.After, changes) {
-		c.emit(Send{Address: r.FromAddress, Update: c.attachProof(r.From, update)})
+		c.emit(SendUpdate{Address: r.FromAddress, Update: c.attachProof(r.From, update)})
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	for _, p := range peers {
 		for _, update := range updates {
-			c.emit(Send{Address: p.Address, Update: c.attachProof(p.ID, update)})
+			c.emit(SendUpdate{Address: p.Address, Update: c.attachProof(p.ID, update)})
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		c.startup.partialSnapshots = nil
 	}
 	c.apply(news, string(u.From))
-	if len(news) > 0 || c.knownAt.Sub(c.lastRelayedReadAt) >= c.cfg.RelayInterval/2 {
+	if len(news) > 0 || c.knownAt.Sub(c.lastRelayedReadAt) >= c.cfg.RelayPollInterval/2 {
 		c.forward(after, news, false)
 	}
 }
--- a/fleet/feed/simulation_test.go
+++ b/fleet/feed/simulation_test.go
@@ -72,8 +72,8 @@
 	slowLink *slowLink
 }
 
-// News implements Filter: keys that begin with "beat" are heartbeats.
-func (p *simulatedPeer) News(c *wire.StoreChange) bool { return c.Key[:4] != "beat" }
+// IsNews implements Filter: keys that begin with "beat" are heartbeats.
+func (p *simulatedPeer) IsNews(c *wire.StoreChange) bool { return c.Key[:4] != "beat" }
 
 // simulation runs nodes on virtual time.
 type simulation struct {
@@ -238,20 +238,20 @@
 		s.callStore(p, func() Event { return s.poll(e, began) }, func(err error) Event { return PollDone{Began: began, Err: err} })
 	case Apply:
 		s.apply(p, e.Changes)
-	case Send:
+	case SendUpdate:
 		s.send(p, e)
 	case SendSnapshot:
 		s.deliver(p, e.Address, SnapshotReceived{Part: e.Part})
-	case Replace:
+	case ReplaceContents:
 		s.replace(p, e.Pairs)
-	case Ask:
+	case RequestChanges:
 		s.deliver(p, e.Address, ChangesRequested{Request: e.Request})
 	case Verify:
 		p.verifies++
 		began := s.clock(p)
 		s.callStore(p, func() Event { return s.verify(e, began) }, func(err error) Event { return VerifyDone{Began: began, Err: err} })
-	case TellClock:
-		s.deliver(p, e.Address, ClockHeard{Told: e.Told})
+	case SendClock:
+		s.deliver(p, e.Address, ClockReceived{Told: e.Told})
 	}
 }
 
@@ -303,7 +303,7 @@
 	for i := range changes {
 		bytes += int64(len(changes[i].Value))
 	}
-	if bytes > e.Most {
+	if bytes > e.MaxBytes {
 		return PollDone{Began: began, TooLong: true}
 	}
 	return PollDone{Began: began, Revision: end, Changes: changes}
@@ -328,7 +328,7 @@
 	}
 }
 
-func (s *simulation) send(p *simulatedPeer, e Send) {
+func (s *simulation) send(p *simulatedPeer, e SendUpdate) {
 	if s.hideGaps {
 		e.Update.After = 0
 	}
--- a/fleet/feed/slow_link_test.go
+++ b/fleet/feed/slow_link_test.go
@@ -23,7 +23,7 @@
 }
 
 // queueUpdate queues an update, and sends it if the link to the peer is free.
-func (s *simulation) queueUpdate(p *simulatedPeer, e Send) {
+func (s *simulation) queueUpdate(p *simulatedPeer, e SendUpdate) {
 	slow := p.slowLink
 	slow.queued[e.Address] = append(slow.queued[e.Address], queuedUpdate{e.Update, s.now})
 	s.sendNext(p, e.Address)
--- a/fleet/feed/snapshots.go
+++ b/fleet/feed/snapshots.go
@@ -71,7 +71,7 @@
 // maxSnapshotAge returns the age above which what a node knows is not sent as a snapshot. Relays
 // may be silent for that long. A node that starts from older data could serve by a configuration
 // that is no longer in force.
-func (c *Config) maxSnapshotAge() time.Duration { return max(c.LeafSourceTimeout, 2*c.Silence) }
+func (c *Config) maxSnapshotAge() time.Duration { return max(c.LeafSourceTimeout, 2*c.SourceTimeout) }
 
 // stateIsFresh reports whether what this node knows may be sent as a snapshot.
 func (c *Core) stateIsFresh() bool {
@@ -198,7 +198,7 @@
 	}
 	if changes, whole := c.history.since(s.revision); whole && c.revision > s.revision {
 		for _, update := range c.buildUpdates(s.revision, changes) {
-			c.emit(Send{Address: address, Update: update})
+			c.emit(SendUpdate{Address: address, Update: update})
 		}
 	}
 }
--- a/fleet/feed/snapshots_test.go
+++ b/fleet/feed/snapshots_test.go
@@ -51,13 +51,13 @@
 	}
 	starting := New(Config{Self: Peer{ID: "starting", Address: "asker-1"}}, acceptAll{}, 1)
 	starting.Step(now, Tick{})
-	starting.Step(now, ReadDone{Began: now, Large: true})
+	starting.Step(now, ReadDone{Began: now, MorePages: true})
 	starting.Step(now, StarterRead{Starter: Starter{ID: "knowing", Address: "k"}, Revision: 5})
 	slices.Reverse(parts)
-	var replaced *Replace
+	var replaced *ReplaceContents
 	for _, part := range append(parts[:1:1], parts...) {
 		for _, effect := range starting.Step(now.Add(2*time.Second), SnapshotReceived{Part: part}) {
-			if e, ok := effect.(Replace); ok {
+			if e, ok := effect.(ReplaceContents); ok {
 				replaced = &e
 			}
 		}
@@ -109,14 +109,14 @@
 	}
 	starting := New(Config{Self: Peer{ID: "starting", Address: "asker-1"}}, acceptAll{}, 1)
 	starting.Step(now, Tick{})
-	starting.Step(now, ReadDone{Began: now, Large: true})
+	starting.Step(now, ReadDone{Began: now, MorePages: true})
 	starting.Step(now, StarterRead{Starter: Starter{ID: "knowing", Address: "k"}, Revision: 5})
 	var effects []Effect
 	for _, part := range parts {
 		part.Age += 20 * time.Second
 		effects = append(effects, starting.Step(now, SnapshotReceived{Part: part})...)
 	}
-	if starting.Revision() != 0 || !slices.Contains(effects, Effect(ClaimStart{Revision: 5})) {
+	if starting.Revision() != 0 || !slices.Contains(effects, Effect(ClaimStarter{Revision: 5})) {
 		t.Errorf("at revision %d with effects %+v, want a claim of the starter's record", starting.Revision(), effects)
 	}
 }
@@ -160,14 +160,14 @@
 	newAskingCore := func() *Core {
 		core := New(Config{Self: Peer{ID: "n", Address: "n:1"}}, acceptAll{}, 1)
 		core.Step(now, Tick{})
-		core.Step(now, ReadDone{Began: now, Large: true})
+		core.Step(now, ReadDone{Began: now, MorePages: true})
 		core.Step(now, StarterRead{Starter: Starter{ID: "dead", Address: "d:1"}, Revision: 5})
 		return core
 	}
 	core := newAskingCore()
 	now = now.Add(snapshotTimeout)
 	effects := core.Step(now, Tick{})
-	if !slices.Contains(effects, Effect(ClaimStart{Revision: 5})) {
+	if !slices.Contains(effects, Effect(ClaimStarter{Revision: 5})) {
 		t.Fatalf("effects %+v, want a claim of the starter's record at revision 5", effects)
 	}
 	effects = core.Step(now, StarterClaimed{Won: true, Starter: Starter{ID: "n", Address: "n:1"}, Revision: 9})
@@ -180,7 +180,7 @@
 	effects = other.Step(now, StarterClaimed{Starter: Starter{ID: "quick", Address: "q:1"}, Revision: 9})
 	asked := false
 	for _, effect := range effects {
-		ask, ok := effect.(AskSnapshot)
+		ask, ok := effect.(RequestSnapshot)
 		asked = asked || ok && ask.Address == "q:1"
 	}
 	if !asked {
@@ -199,14 +199,14 @@
 	} {
 		core := New(Config{Self: Peer{ID: "n-2", Address: "n:1"}, Machine: "m"}, acceptAll{}, 1)
 		core.Step(now, Tick{})
-		core.Step(now, ReadDone{Began: now, Large: true})
+		core.Step(now, ReadDone{Began: now, MorePages: true})
 		if effects := core.Step(now, StarterRead{Starter: starter, Revision: 5}); !slices.Contains(effects, Effect(Read{})) {
 			t.Errorf("%s: effects %+v, want a full read", name, effects)
 		}
 	}
 	core := New(Config{Self: Peer{ID: "n-2", Address: "n:1"}}, acceptAll{}, 1)
 	core.Step(now, Tick{})
-	core.Step(now, ReadDone{Began: now, Large: true})
+	core.Step(now, ReadDone{Began: now, MorePages: true})
 	core.Step(now, StarterRead{Starter: Starter{ID: "n-1", Address: "shown:1"}, Revision: 5})
 	own := SnapshotRequested{Request: wire.StoreSnapshotRequest{From: "n-2", FromAddress: "n:1"}}
 	if effects := core.Step(now, own); !slices.Contains(effects, Effect(Read{})) {
--- a/fleet/feed/start.go
+++ b/fleet/feed/start.go
@@ -107,9 +107,9 @@
 		c.emit(ReadStarter{})
 	case phaseClaimStarter:
 		c.callInFlight = true
-		c.emit(ClaimStart{Revision: s.revision})
+		c.emit(ClaimStarter{Revision: s.revision})
 	case phaseAskStarter:
-		c.askSnapshot()
+		c.requestSnapshot()
 	default:
 		return false
 	}
@@ -171,12 +171,12 @@
 	s.askedAddress, s.referred, s.awaitsAnswer = starter.Address, false, false
 }
 
-// askSnapshot requests a snapshot.
-func (c *Core) askSnapshot() {
+// requestSnapshot requests a snapshot.
+func (c *Core) requestSnapshot() {
 	s := &c.startup
 	s.awaitsAnswer = true
 	c.nextCallAt = c.now.Add(snapshotTimeout)
-	c.emit(AskSnapshot{Address: s.askedAddress, Request: wire.StoreSnapshotRequest{
+	c.emit(RequestSnapshot{Address: s.askedAddress, Request: wire.StoreSnapshotRequest{
 		From: c.cfg.Self.ID, FromAddress: c.cfg.Self.Address, Capacity: c.cfg.Self.Capacity, Referred: s.referred,
 	}})
 }
@@ -224,7 +224,7 @@
 		c.nextCallAt = c.now.Add(c.pollInterval())
 	}
 	c.replace(part.Revision, c.now.Add(-part.Age), pairs)
-	c.emit(Replace{Revision: part.Revision, Pairs: pairs, From: part.From, Took: took})
+	c.emit(ReplaceContents{Revision: part.Revision, Pairs: pairs, From: part.From, Took: took})
 }
 
 // gapSnapshotPartReceived adds a part of a snapshot that replaces the changes that this node
@@ -242,7 +242,7 @@
 	c.gapTooLong = false
 	c.replace(part.Revision, c.now.Add(-part.Age), pairs)
 	c.missesChanges = c.revision < c.announcedRevision
-	c.emit(Replace{Revision: part.Revision, Pairs: pairs, From: part.From})
+	c.emit(ReplaceContents{Revision: part.Revision, Pairs: pairs, From: part.From})
 }
 
 // addPart stores a part, and returns all pairs once every part of one sender and revision has
--- a/fleet/feed/start_test.go
+++ b/fleet/feed/start_test.go
@@ -135,8 +135,8 @@
 
 type acceptAll struct{}
 
-// News implements Filter.
-func (acceptAll) News(*wire.StoreChange) bool { return true }
+// IsNews implements Filter.
+func (acceptAll) IsNews(*wire.StoreChange) bool { return true }
 
 // kill ends a node for good; its record stays for a while.
 func (f *startingFleet) kill(n *startingNode) { n.dead = true }
@@ -183,20 +183,20 @@
 	case ReadStarter:
 		f.calls++
 		f.after(storeRoundTrip, func() { f.step(n, f.starters[n.Zone]) })
-	case ClaimStart:
+	case ClaimStarter:
 		f.calls++
 		f.after(storeRoundTrip/2, func() { f.claim(n, e) })
 	case Poll:
 		f.calls++
 		began := f.now
 		f.after(storeRoundTrip, func() { f.step(n, PollDone{Began: began, Revision: e.After}) })
-	case AskSnapshot:
+	case RequestSnapshot:
 		f.deliver(n, e.Address, messageBytes, SnapshotRequested{Request: e.Request})
 	case SendSnapshot:
 		f.deliver(n, e.Address, float64(len(e.Part.Content))*f.pairWeight, SnapshotReceived{Part: e.Part})
-	case Send:
+	case SendUpdate:
 		f.deliver(n, e.Address, messageBytes, UpdateReceived{Update: e.Update})
-	case Ask:
+	case RequestChanges:
 		f.deliver(n, e.Address, messageBytes, ChangesRequested{Request: e.Request})
 	}
 }
@@ -207,7 +207,7 @@
 	done := ReadDone{Began: f.now, Revision: simulatedPairs, Pairs: f.pairs}
 	bytes := f.pairWeight * simulatedPairs * pairBytes
 	if e.OnePage {
-		done = ReadDone{Began: f.now, Large: true}
+		done = ReadDone{Began: f.now, MorePages: true}
 		bytes = storePagePairs * pairBytes
 	} else {
 		f.calls += int(f.pairWeight * simulatedPairs / storePagePairs)
@@ -219,7 +219,7 @@
 
 // claim writes a node into the starter's record of its zone if the record has the expected
 // revision.
-func (f *startingFleet) claim(n *startingNode, e ClaimStart) {
+func (f *startingFleet) claim(n *startingNode, e ClaimStarter) {
 	record := f.starters[n.Zone]
 	claimed := StarterClaimed{Won: record.Revision == e.Revision}
 	if claimed.Won {
--- a/fleet/feed/update_age_test.go
+++ b/fleet/feed/update_age_test.go
@@ -10,8 +10,8 @@
 // allNews counts every change as news.
 type allNews struct{}
 
-// News implements Filter.
-func (allNews) News(*wire.StoreChange) bool { return true }
+// IsNews implements Filter.
+func (allNews) IsNews(*wire.StoreChange) bool { return true }
 
 // TestUpdateWithGapDoesNotRefreshAge guards against data that is stated to be younger than it is:
 // an update that could not be applied, since changes before it are missing, must not change the age
@@ -27,7 +27,7 @@
 	}})
 	c.Step(at(500*time.Millisecond), UpdateReceived{Update: wire.StoreChanges{From: "b", After: 15, Revision: 20}})
 	for _, effect := range c.Step(at(500*time.Millisecond), ChangesRequested{Request: wire.StoreChangesRequest{FromAddress: "c", After: 10}}) {
-		if sent, ok := effect.(Send); ok {
+		if sent, ok := effect.(SendUpdate); ok {
 			if sent.Update.Age != 400*time.Millisecond {
 				t.Errorf("data of 0.1 s is stated to be %v old at 0.5 s, want 400ms", sent.Update.Age)
 			}
--- a/fleet/shell/changefilter.go
+++ b/fleet/shell/changefilter.go
@@ -37,8 +37,8 @@
 	return &changeFilter{codec: codec, workers: map[cluster.MachineID]decodedWorker{}, starts: machineStarts{}, unreadable: map[cluster.MachineID]unreadableEntry{}}
 }
 
-// News implements feed.Filter.
-func (f *changeFilter) News(c *wire.StoreChange) bool {
+// IsNews implements feed.Filter.
+func (f *changeFilter) IsNews(c *wire.StoreChange) bool {
 	if !strings.HasPrefix(c.Key, f.codec.WorkersPrefix()) {
 		return !strings.HasPrefix(c.Key, fleet.KeyTickets) && !strings.HasPrefix(c.Key, fleet.KeyStarters)
 	}
@@ -66,7 +66,7 @@
 	return !known || !before.Equal(&w)
 }
 
-// decode decodes a machine's entry. It reuses the result of News if that saw the same revision
+// decode decodes a machine's entry. It reuses the result of IsNews if that saw the same revision
 // last.
 func (f *changeFilter) decode(name cluster.MachineID, c *wire.StoreChange) (catalog.Worker, error) {
 	if known, read := f.workers[name]; read && known.revision == c.Revision {
--- a/fleet/shell/feed_test.go
+++ b/fleet/shell/feed_test.go
@@ -42,7 +42,7 @@
 	for i := range started {
 		started[i] = d.startNode(fmt.Sprintf("n%d", i), func(o *shell.Options) {
 			o.Core.Self.Zone, o.Core.Self.Capacity = o.Core.Zone, float64(nodes-i)
-			o.Feed.Interval, o.Feed.RelayInterval, o.Feed.Silence = 20*time.Millisecond, 20*time.Millisecond, 500*time.Millisecond
+			o.Feed.PollInterval, o.Feed.RelayPollInterval, o.Feed.SourceTimeout = 20*time.Millisecond, 20*time.Millisecond, 500*time.Millisecond
 			change(i, o)
 		})
 	}
@@ -104,7 +104,7 @@
 func TestSlowStoreCallsDuringUpdatesHaveNoRace(t *testing.T) {
 	d := newDeployment(t)
 	nodes := d.startZone(5, func(n int, options *shell.Options) {
-		options.Feed.Silence = 50 * time.Millisecond
+		options.Feed.SourceTimeout = 50 * time.Millisecond
 		if n > 0 {
 			options.Store = &slowStore{Store: options.Store}
 		}
--- a/fleet/shell/follow.go
+++ b/fleet/shell/follow.go
@@ -133,12 +133,12 @@
 			go f.readStore(e)
 		case feed.ReadStarter:
 			go f.readStarter()
-		case feed.ClaimStart:
-			go f.claimStart(e)
-		case feed.Replace:
+		case feed.ClaimStarter:
+			go f.claimStarter(e)
+		case feed.ReplaceContents:
 			f.options.Log.Write(eventlog.SnapshotTaken{From: e.From, Revision: e.Revision, Pairs: len(e.Pairs), Took: e.Took})
 			f.replace(e.Revision, e.Pairs)
-		case feed.AskSnapshot:
+		case feed.RequestSnapshot:
 			f.transport.Send(e.Address, e.Request)
 		case feed.SendSnapshot:
 			f.transport.Send(e.Address, e.Part)
@@ -146,15 +146,15 @@
 			go f.pollChanges(e)
 		case feed.Apply:
 			f.applyChanges(&e)
-		case feed.Send:
+		case feed.SendUpdate:
 			f.transport.Send(e.Address, e.Update)
-		case feed.Ask:
+		case feed.RequestChanges:
 			f.transport.Send(e.Address, e.Request)
 		case feed.Verify:
 			go f.verifyKey(e)
 		case feed.Proven:
 			f.reportKeyProof(e)
-		case feed.TellClock:
+		case feed.SendClock:
 			f.transport.Send(e.Address, e.Told)
 		case feed.SourceChanged:
 			f.source.Store(e.Source.String())
@@ -195,7 +195,7 @@
 // pollChanges asks the store for changes after a revision.
 func (f *follower) pollChanges(call feed.Poll) {
 	began := f.Now()
-	changes, err := f.options.Store.Changes(f.context, "", call.After, call.Most)
+	changes, err := f.options.Store.Changes(f.context, "", call.After, call.MaxBytes)
 	f.noteStoreCall(storePoll, call.After, began, err)
 	if changes.Compacted {
 		f.options.Log.Write(eventlog.DependencyLost{Name: "store history", Cause: "changes since the last answer are gone"})
@@ -221,12 +221,12 @@
 	done := feed.ReadDone{Began: f.Now()}
 	var pairs []keyvalue.KeyValue
 	if call.OnePage {
-		pairs, done.Large, done.Revision, done.Err = f.options.Store.FirstPage(f.context, "")
+		pairs, done.MorePages, done.Revision, done.Err = f.options.Store.FirstPage(f.context, "")
 	} else {
 		pairs, done.Revision, done.Err = f.options.Store.Range(f.context, "")
 	}
 	f.noteStoreCall(storeRead, call.Known, done.Began, done.Err)
-	if done.Err == nil && !done.Large {
+	if done.Err == nil && !done.MorePages {
 		f.firstReadLogged.Do(func() { f.logStartStage(stageRead) })
 		done.Pairs = toStoreChanges(pairs)
 	}
--- a/fleet/shell/machinestarts_test.go
+++ b/fleet/shell/machinestarts_test.go
@@ -134,7 +134,7 @@
 		news bool
 	}{{5, true}, {5, false}, {7, true}, {5, false}, {7, false}, {0, true}, {0, false}, {7, true}, {7, false}} {
 		change := entryOfStart(step.born, int64(i+1))
-		if got := filter.News(&change); got != step.news {
+		if got := filter.IsNews(&change); got != step.news {
 			t.Errorf("step %d, born at %d: news %t", i, step.born, got)
 		}
 	}
--- a/fleet/shell/node.go
+++ b/fleet/shell/node.go
@@ -227,7 +227,7 @@
 	case wire.StoreChanges:
 		n.forwardToFollower(feed.UpdateReceived{Update: m})
 	case wire.ClockTold:
-		n.forwardToFollower(feed.ClockHeard{Told: m})
+		n.forwardToFollower(feed.ClockReceived{Told: m})
 	case wire.StoreChangesRequest:
 		n.forwardToFollower(feed.ChangesRequested{Request: m})
 	case wire.StoreSnapshotRequest:
--- a/fleet/shell/size_bench_test.go
+++ b/fleet/shell/size_bench_test.go
@@ -127,7 +127,7 @@
 				f := newSizedFollower(b, models)
 				b.StartTimer()
 				for i := range pairs {
-					f.filter.News(&pairs[i])
+					f.filter.IsNews(&pairs[i])
 				}
 				f.replace(int64(11*size+2), pairs)
 			}
--- a/fleet/shell/starter.go
+++ b/fleet/shell/starter.go
@@ -39,8 +39,8 @@
 	f.deliverResult(read)
 }
 
-// claimStart makes this node the starter of its zone unless another node has become the starter.
-func (f *follower) claimStart(claim feed.ClaimStart) {
+// claimStarter makes this node the starter of its zone unless another node has become the starter.
+func (f *follower) claimStarter(claim feed.ClaimStarter) {
 	began := f.Now()
 	self := feed.Starter{ID: f.options.Core.Self.ID, Machine: f.options.Core.Self.Machine, Address: f.options.Core.Self.Address}
 	claimed := feed.StarterClaimed{Starter: self}
--- a/fleet/simulated_feed_test.go
+++ b/fleet/simulated_feed_test.go
@@ -35,8 +35,8 @@
 	tickAt      time.Time
 }
 
-// News implements feed.Filter. An unchanged entry only shows that the engine is alive.
-func (f *nodeFeed) News(change *wire.StoreChange) bool {
+// IsNews implements feed.Filter. An unchanged entry only shows that the engine is alive.
+func (f *nodeFeed) IsNews(change *wire.StoreChange) bool {
 	if !strings.HasPrefix(change.Key, keyEngineEntries) {
 		return true
 	}
@@ -105,9 +105,9 @@
 			func(err error) feed.Event { return feed.PollDone{Began: began, Err: err} })
 	case feed.Apply:
 		s.applyChanges(n, e.Changes, e.Revision)
-	case feed.Send:
+	case feed.SendUpdate:
 		s.sendToFeed(e.Address, feed.UpdateReceived{Update: e.Update})
-	case feed.Ask:
+	case feed.RequestChanges:
 		s.sendToFeed(e.Address, feed.ChangesRequested{Request: e.Request})
 	}
 }
