--- a/fleet/core.go
+++ b/fleet/core.go
@@ -196,7 +196,7 @@
 
 // Serves reports whether callers who need a key can be served: the keys are proven to be current
 // and the lenders of tokens can be reached.
-func (c *Core) Serves(now time.Time) bool { return !c.gate.proofExpired(now) && !c.lending.Deaf() }
+func (c *Core) Serves(now time.Time) bool { return !c.gate.proofExpired(now) && !c.lending.Isolated() }
 
 // DispatchCounts returns how attempts at engines were placed so far.
 func (c *Core) DispatchCounts() DispatchCounts {
@@ -234,9 +234,9 @@
 		switch e := effect.(type) {
 		case lending.Send:
 			c.send(e.Address, e.Message)
-		case lending.Answered:
+		case lending.TokensDecided:
 			c.gate.handleTokensAnswer(e)
-		case lending.TicketWanted:
+		case lending.TicketRequested:
 			c.emit(StoreTicket{Key: KeyTickets + strconv.Itoa(e.Shard), Lasts: e.Lasts, Shard: e.Shard, Number: e.Number})
 		case lending.LeaseChanged:
 			c.log(eventlog.LendingChanged{Shard: e.Shard, Held: e.Held, Settled: e.Settled})
@@ -255,7 +255,7 @@
 	case wire.PoisonReport:
 		c.poison.reportReceived(&m)
 	case wire.LenderClaim, wire.LenderVote, wire.TokensRequest, wire.TokensAnswer:
-		c.feedLending(lending.Received{Message: message})
+		c.feedLending(lending.MessageReceived{Message: message})
 	case wire.MachineLimit:
 		c.pacer.limitReceived(&m)
 	case wire.TurnRequest, wire.TurnAnswer:
--- a/fleet/gate.go
+++ b/fleet/gate.go
@@ -92,7 +92,7 @@
 func (g *gate) recordProof(at time.Time) {
 	if at.After(g.provenAt) {
 		g.provenAt = at
-		g.core.feedLending(lending.Proven{At: at})
+		g.core.feedLending(lending.SettingsProven{At: at})
 	}
 }
 
--- a/fleet/gate_tokens.go
+++ b/fleet/gate_tokens.go
@@ -33,9 +33,9 @@
 	}
 	held.pendingNumber = g.lastNumber
 	g.pending[held.pendingNumber] = held
-	g.core.feedLending(lending.Asked{
+	g.core.feedLending(lending.TokensRequested{
 		Number: held.pendingNumber, Tenant: held.tenant, Amount: g.charge(held), Rank: held.rank,
-		Mark: held.fingerprint, Heeds: g.maxHeededWait(held), Again: held.heldDispatch != nil, Patience: held.tokenPatience(g.core.now),
+		Fingerprint: held.fingerprint, MaxRetryWait: g.maxHeededWait(held), Regrant: held.heldDispatch != nil, Patience: held.tokenPatience(g.core.now),
 	})
 }
 
@@ -75,12 +75,12 @@
 }
 
 // handleTokensAnswer handles the answer to a token question and resumes the held request.
-func (g *gate) handleTokensAnswer(e lending.Answered) {
+func (g *gate) handleTokensAnswer(e lending.TokensDecided) {
 	held := g.pending[e.Number]
 	delete(g.pending, e.Number)
 	if held == nil {
 		if e.Granted {
-			g.core.feedLending(lending.Returned{Number: e.Number, Tenant: e.Tenant})
+			g.core.feedLending(lending.TokensReturned{Number: e.Number, Tenant: e.Tenant})
 		}
 		return
 	}
@@ -106,11 +106,11 @@
 
 // tokenFailure returns the refusal that follows from the answer to a token question, nil if the
 // tokens are granted.
-func (g *gate) tokenFailure(e *lending.Answered) *verdict.Error {
+func (g *gate) tokenFailure(e *lending.TokensDecided) *verdict.Error {
 	switch {
 	case e.Granted:
 		return nil
-	case !e.Decided && g.core.lending.Deaf():
+	case !e.Decided && g.core.lending.Isolated():
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable,
 			"this node reaches no other to ask for the tokens of tenant %s", e.Tenant).After(otherNodeRetryAfter)
 	case !e.Decided:
@@ -127,10 +127,10 @@
 }
 
 // describeStanding describes the tenant's usage at the time of the refusal.
-func describeStanding(e *lending.Answered) string {
-	text := fmt.Sprintf("%.0f of %.0f are used in the window", e.Standing.Used, e.Standing.Grants)
-	if e.Standing.FirstAmount > 0 {
-		text += fmt.Sprintf(", first in line is rank %d with %.0f", e.Standing.FirstRank, e.Standing.FirstAmount)
+func describeStanding(e *lending.TokensDecided) string {
+	text := fmt.Sprintf("%.0f of %.0f are used in the window", e.LimitState.Used, e.LimitState.Grants)
+	if e.LimitState.FirstAmount > 0 {
+		text += fmt.Sprintf(", first in line is rank %d with %.0f", e.LimitState.FirstRank, e.LimitState.FirstAmount)
 	}
 	if e.Reserved {
 		text += ", room is kept at the time told"
@@ -147,7 +147,7 @@
 // returnTokens returns unused tokens to the lender.
 func (g *gate) returnTokens(held *gatedRequest) {
 	if held.grantedTokens > 0 && !held.sent {
-		g.core.feedLending(lending.Returned{Number: held.grantNumber, Tenant: held.tenant})
+		g.core.feedLending(lending.TokensReturned{Number: held.grantNumber, Tenant: held.tenant})
 	}
 	held.grantedTokens = 0
 }
--- a/fleet/lending/core.go
+++ b/fleet/lending/core.go
@@ -67,13 +67,13 @@
 		for _, s := range c.shards {
 			s.limitsChanged()
 		}
-	case Asked:
-		c.handleAsked(e)
-	case Returned:
-		c.handleReturned(e)
-	case Received:
+	case TokensRequested:
+		c.handleTokensRequested(e)
+	case TokensReturned:
+		c.handleTokensReturned(e)
+	case MessageReceived:
 		c.handleMessage(e.Message)
-	case Proven:
+	case SettingsProven:
 		c.provenAt = e.At
 	case TicketGranted:
 		c.applyTicket(e)
@@ -105,7 +105,7 @@
 	for _, a := range c.pendingRequests {
 		consider(a.retryAt)
 	}
-	if c.Deaf() {
+	if c.Isolated() {
 		consider(c.probeAt)
 	}
 	return next
@@ -156,8 +156,8 @@
 		c.machines[p.ID] = p.Machine
 	}
 	all := slices.Collect(maps.Values(c.peers))
-	predecessorFound := e.Succeeds && !c.hasPredecessor
-	c.hasPredecessor = c.hasPredecessor || e.Succeeds
+	predecessorFound := e.HasPredecessor && !c.hasPredecessor
+	c.hasPredecessor = c.hasPredecessor || e.HasPredecessor
 	for _, s := range c.shards {
 		s.votersChanged(selectVoters(s.number, all))
 		if predecessorFound && !s.lendsOrClaims() {
@@ -166,15 +166,15 @@
 	}
 }
 
-// Deaf reports whether this node is isolated: its requests get no answers. A node that has just
+// Isolated reports whether this node is isolated: its requests get no answers. A node that has just
 // started is not considered isolated, since the others may not have started.
-func (c *Core) Deaf() bool {
+func (c *Core) Isolated() bool {
 	return c.active() && c.unanswered >= isolationThreshold && !c.startedRecently()
 }
 
 // probeIsolation has an isolated node send voters requests for no tokens until one answers.
 func (c *Core) probeIsolation() {
-	if !c.Deaf() || c.now.Before(c.probeAt) {
+	if !c.Isolated() || c.now.Before(c.probeAt) {
 		return
 	}
 	c.probeAt = c.now.Add(isolationProbeInterval)
--- a/fleet/lending/events.go
+++ b/fleet/lending/events.go
@@ -13,47 +13,47 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-// PeersChanged reports the live nodes. Succeeds is set if the store held a record of an earlier
+// PeersChanged reports the live nodes. HasPredecessor is set if the store held a record of an earlier
 // process of this machine.
 type PeersChanged struct {
-	Peers    []Peer
-	Succeeds bool
+	Peers          []Peer
+	HasPredecessor bool
 }
 
 // LimitsChanged reports the limits of all tenants that have one.
 type LimitsChanged struct{ Limits map[string]Limit }
 
-// Asked requests tokens; it is answered by an Answered with the same number.
-type Asked struct {
+// TokensRequested requests tokens; it is answered by a TokensDecided with the same number.
+type TokensRequested struct {
 	Number int64
 	Tenant string
 	Amount float64
 	// Rank of the request; 0 is the most urgent.
 	Rank int
-	// Mark identifies the request, and is the same when it is repeated; zero if unknown.
-	Mark int64
-	// Heeds is the longest retry delay that the caller accepts.
-	Heeds time.Duration
-	// Again is set if tokens granted to the request expired while it waited.
-	Again bool
+	// Fingerprint identifies the request, and is the same when it is repeated; zero if unknown.
+	Fingerprint int64
+	// MaxRetryWait is the longest retry delay that the caller accepts.
+	MaxRetryWait time.Duration
+	// Regrant is set if tokens granted to the request expired while it waited.
+	Regrant bool
 	// Patience is how long a node that has just started may take to answer, if that is longer than
 	// RequestTimeout.
 	Patience time.Duration
 }
 
-// Returned returns granted tokens that were not used; Number is that of the Asked.
-type Returned struct {
+// TokensReturned returns granted tokens that were not used; Number is that of the TokensRequested.
+type TokensReturned struct {
 	Number int64
 	Tenant string
 }
 
-// Proven reports when this node's settings were last proven to be in force.
-type Proven struct{ At time.Time }
+// SettingsProven reports when this node's settings were last proven to be in force.
+type SettingsProven struct{ At time.Time }
 
-// Received delivers a message from another node.
-type Received struct{ Message wire.Message }
+// MessageReceived delivers a message from another node.
+type MessageReceived struct{ Message wire.Message }
 
-// TicketGranted reports that this node got the ticket that it requested by TicketWanted.
+// TicketGranted reports that this node got the ticket that it requested by TicketRequested.
 type TicketGranted struct {
 	Shard  int
 	Number int64
@@ -62,15 +62,15 @@
 // Stopping releases all leases, so that other nodes can lend at once.
 type Stopping struct{}
 
-func (Tick) lendingEvent()          {}
-func (PeersChanged) lendingEvent()  {}
-func (LimitsChanged) lendingEvent() {}
-func (Asked) lendingEvent()         {}
-func (Returned) lendingEvent()      {}
-func (Received) lendingEvent()      {}
-func (Proven) lendingEvent()        {}
-func (TicketGranted) lendingEvent() {}
-func (Stopping) lendingEvent()      {}
+func (Tick) lendingEvent()            {}
+func (PeersChanged) lendingEvent()    {}
+func (LimitsChanged) lendingEvent()   {}
+func (TokensRequested) lendingEvent() {}
+func (TokensReturned) lendingEvent()  {}
+func (MessageReceived) lendingEvent() {}
+func (SettingsProven) lendingEvent()  {}
+func (TicketGranted) lendingEvent()   {}
+func (Stopping) lendingEvent()        {}
 
 // Effect is an output of a Core.
 type Effect interface{ lendingEffect() }
@@ -81,8 +81,8 @@
 	Message wire.Message
 }
 
-// Answered answers an Asked. Decided is false if no lender was found.
-type Answered struct {
+// TokensDecided answers a TokensRequested. Decided is false if no lender was found.
+type TokensDecided struct {
 	Number           int64
 	Tenant           string
 	Amount           float64
@@ -91,16 +91,16 @@
 	// for the caller.
 	Wait     time.Duration
 	Reserved bool
-	// Standing is the state of the tenant's limit when the tokens were refused.
-	Standing Standing
+	// LimitState is the state of the tenant's limit when the tokens were refused.
+	LimitState LimitState
 	// AskedAt is the time from which the lifetime of the granted tokens counts.
 	AskedAt time.Time
 	// Lender is the node that decided.
 	Lender cluster.NodeID
 }
 
-// Standing is the state of a tenant's limit.
-type Standing struct {
+// LimitState is the state of a tenant's limit.
+type LimitState struct {
 	// Used is the amount lent within the window, Grants the amount that the window grants.
 	Used, Grants float64
 	// FirstRank and FirstAmount are of the refused class that is furthest behind its share;
@@ -117,15 +117,15 @@
 	Settled time.Duration
 }
 
-// TicketWanted requests the ticket of a shard, which one node can get within the time Lasts. A
+// TicketRequested requests the ticket of a shard, which one node can get within the time Lasts. A
 // TicketGranted with the same number answers; there is no answer if another node has the ticket.
-type TicketWanted struct {
+type TicketRequested struct {
 	Shard  int
 	Number int64
 	Lasts  time.Duration
 }
 
-func (TicketWanted) lendingEffect() {}
-func (Send) lendingEffect()         {}
-func (Answered) lendingEffect()     {}
-func (LeaseChanged) lendingEffect() {}
+func (TicketRequested) lendingEffect() {}
+func (Send) lendingEffect()            {}
+func (TokensDecided) lendingEffect()   {}
+func (LeaseChanged) lendingEffect()    {}
--- a/fleet/lending/first_claims_test.go
+++ b/fleet/lending/first_claims_test.go
@@ -117,15 +117,15 @@
 	for _, machine := range machines {
 		peers = append(peers, Peer{ID: "b", Machine: machine, Address: machine, Capacity: 1})
 	}
-	c.Step(now, PeersChanged{Peers: peers, Succeeds: true})
+	c.Step(now, PeersChanged{Peers: peers, HasPredecessor: true})
 	return c
 }
 
 // TestFirstClaimWinsOnlyWithVotesOfAllNodes: a first claim must not win by a majority alone, nor if
 // a node answers that has run for longer, since that node may have promised the shard before.
 func TestFirstClaimWinsOnlyWithVotesOfAllNodes(t *testing.T) {
-	vote := func(s *shard, machine string, young bool) Received {
-		return Received{Message: wire.LenderVote{Machine: machine, Shard: s.number, Number: s.claim.number, Granted: young, Young: young}}
+	vote := func(s *shard, machine string, young bool) MessageReceived {
+		return MessageReceived{Message: wire.LenderVote{Machine: machine, Shard: s.number, Number: s.claim.number, Granted: young, Young: young}}
 	}
 	now := time.Unix(1000, 0)
 	for name, last := range map[string]struct{ young, lends bool }{"all nodes have just started": {true, true}, "one node has run for longer": {false, false}} {
@@ -167,7 +167,7 @@
 // forceFirstClaim plants a defect: the first granted vote for a first claim counts as the votes of
 // all machines.
 func (p *simulation) forceFirstClaim(n *simNode, e Event) {
-	received, isMessage := e.(Received)
+	received, isMessage := e.(MessageReceived)
 	vote, isVote := received.Message.(wire.LenderVote)
 	if !isMessage || !isVote || vote.Shard < 0 || vote.Shard >= Shards {
 		return
@@ -231,7 +231,7 @@
 		}
 		asked := 0
 		for _, machine := range s.voters.machines {
-			for _, effect := range c.Step(at, Received{Message: wire.LenderVote{Machine: machine, Shard: s.number, Number: s.claim.number, Granted: true, Young: true}}) {
+			for _, effect := range c.Step(at, MessageReceived{Message: wire.LenderVote{Machine: machine, Shard: s.number, Number: s.claim.number, Granted: true, Young: true}}) {
 				if _, is := effect.(Send); is {
 					asked++
 				}
--- a/fleet/lending/lending_test.go
+++ b/fleet/lending/lending_test.go
@@ -126,7 +126,7 @@
 		asked, refused = asked+p.asked, refused+p.refused+p.undecided
 		isolated := 0
 		for i := range 9 {
-			if p.nodes[i*9].core.Deaf() {
+			if p.nodes[i*9].core.Isolated() {
 				isolated++
 			}
 		}
@@ -264,16 +264,16 @@
 	}
 	n.partition = 7
 	for number := range int64(isolationThreshold + 1) {
-		p.step(n, Asked{Number: -1 - number, Tenant: p.tenants[0], Amount: 1})
+		p.step(n, TokensRequested{Number: -1 - number, Tenant: p.tenants[0], Amount: 1})
 		p.runFor(RequestTimeout)
 	}
-	if !n.core.Deaf() {
+	if !n.core.Isolated() {
 		t.Fatal("an isolated node did not notice its isolation")
 	}
 	n.partition = 0
 	n.noRequests = true
 	p.runFor(3 * isolationProbeInterval)
-	if n.core.Deaf() {
+	if n.core.Isolated() {
 		t.Error("a reconnected node still reports isolation")
 	}
 }
--- a/fleet/lending/simulation_classes_test.go
+++ b/fleet/lending/simulation_classes_test.go
@@ -53,7 +53,7 @@
 
 // recordAnswer counts an answer in a simulation with classes, and schedules the caller's return if it
 // accepts the delay.
-func (p *simulation) recordAnswer(a simRequest, e Answered) {
+func (p *simulation) recordAnswer(a simRequest, e TokensDecided) {
 	if len(p.classes) == 0 || !e.Decided {
 		return
 	}
@@ -92,8 +92,8 @@
 	p.number++
 	a.returned, a.hasReservation = true, hasReservation
 	p.pending[p.number] = a
-	p.step(live[p.rand.IntN(len(live))], Asked{
-		Number: p.number, Tenant: a.tenant, Amount: a.class.amount, Rank: a.class.rank, Mark: a.fingerprint, Heeds: a.class.maxWait,
+	p.step(live[p.rand.IntN(len(live))], TokensRequested{
+		Number: p.number, Tenant: a.tenant, Amount: a.class.amount, Rank: a.class.rank, Fingerprint: a.fingerprint, MaxRetryWait: a.class.maxWait,
 	})
 }
 
--- a/fleet/lending/simulation_faults_test.go
+++ b/fleet/lending/simulation_faults_test.go
@@ -132,7 +132,7 @@
 		started := p.startNode(successor)
 		p.after(p.between(simStoreReadDelay, 2*simStoreReadDelay), func() {
 			if started.noNewsSince.IsZero() {
-				p.step(started, PeersChanged{Peers: before, Succeeds: p.hasPredecessor(started)})
+				p.step(started, PeersChanged{Peers: before, HasPredecessor: p.hasPredecessor(started)})
 			}
 		})
 		p.announcePeers()
--- a/fleet/lending/simulation_test.go
+++ b/fleet/lending/simulation_test.go
@@ -181,7 +181,7 @@
 		return
 	}
 	if n.noNewsSince.IsZero() {
-		p.step(n, Proven{At: p.now.Add(n.skew)})
+		p.step(n, SettingsProven{At: p.now.Add(n.skew)})
 	}
 	p.after(time.Second, func() { p.renewProof(n) })
 }
@@ -218,7 +218,7 @@
 		}
 		p.after(p.between(0, time.Second), func() {
 			if n.noNewsSince.IsZero() {
-				p.step(n, PeersChanged{Peers: peers, Succeeds: p.hasPredecessor(n)})
+				p.step(n, PeersChanged{Peers: peers, HasPredecessor: p.hasPredecessor(n)})
 			}
 		})
 	}
@@ -240,9 +240,9 @@
 		switch e := effect.(type) {
 		case Send:
 			p.deliver(n, e.Address, e.Message)
-		case TicketWanted:
+		case TicketRequested:
 			p.grantTicket(n, e)
-		case Answered:
+		case TokensDecided:
 			p.handleAnswer(n, e)
 		case LeaseChanged:
 			if e.Held && p.startsFull {
@@ -266,7 +266,7 @@
 }
 
 // grantTicket simulates the store: one ticket of a shard at a time, and occasionally no answer.
-func (p *simulation) grantTicket(n *simNode, e TicketWanted) {
+func (p *simulation) grantTicket(n *simNode, e TicketRequested) {
 	slowest := 20 * time.Millisecond
 	if p.rand.IntN(8) == 0 {
 		slowest = 450 * time.Millisecond
@@ -298,7 +298,7 @@
 		p.after(delay, func() {
 			for _, to := range p.nodes {
 				if to.peer.Address == address && !lost && to.partition == from.partition {
-					p.step(to, Received{Message: m})
+					p.step(to, MessageReceived{Message: m})
 				}
 			}
 		})
@@ -314,7 +314,7 @@
 			p.number++
 			a := p.drawRequest(tenant)
 			p.pending[p.number] = a
-			p.step(n, Asked{Number: p.number, Tenant: tenant, Amount: a.class.amount, Rank: a.class.rank, Mark: a.fingerprint, Heeds: a.class.maxWait, Patience: simPatience})
+			p.step(n, TokensRequested{Number: p.number, Tenant: tenant, Amount: a.class.amount, Rank: a.class.rank, Fingerprint: a.fingerprint, MaxRetryWait: a.class.maxWait, Patience: simPatience})
 		}
 	}
 	mean := simTokens / (p.limits[tenant].Rate * p.demand[tenant])
@@ -322,7 +322,7 @@
 }
 
 // handleAnswer uses granted tokens at a random time within their lifetime, or returns some.
-func (p *simulation) handleAnswer(n *simNode, e Answered) {
+func (p *simulation) handleAnswer(n *simNode, e TokensDecided) {
 	a := p.pending[e.Number]
 	delete(p.pending, e.Number)
 	p.recordAnswer(a, e)
@@ -340,7 +340,7 @@
 		return
 	}
 	if p.rand.IntN(20) == 0 {
-		p.step(n, Returned{Number: e.Number, Tenant: e.Tenant})
+		p.step(n, TokensReturned{Number: e.Number, Tenant: e.Tenant})
 		return
 	}
 	wait := time.Duration(0)
--- a/fleet/lending/tally.go
+++ b/fleet/lending/tally.go
@@ -98,7 +98,7 @@
 type TenantState struct {
 	Tenant string
 	Limit  Limit
-	Standing
+	LimitState
 	// Reserved is the amount kept for callers that were told when to return.
 	Reserved float64
 }
@@ -113,7 +113,7 @@
 		for tenant, b := range s.buckets {
 			l := c.limits[tenant]
 			b.used.advance(c.now, c.cfg.Window)
-			list = append(list, TenantState{Tenant: tenant, Limit: l, Standing: s.standing(tenant), Reserved: b.reserved.sum()})
+			list = append(list, TenantState{Tenant: tenant, Limit: l, LimitState: s.standing(tenant), Reserved: b.reserved.sum()})
 		}
 	}
 	slices.SortFunc(list, func(a, b TenantState) int { return cmp.Compare(a.Tenant, b.Tenant) })
--- a/fleet/lending/ticket.go
+++ b/fleet/lending/ticket.go
@@ -14,7 +14,7 @@
 	}
 	c.lastNumber++
 	s.ticketNumber = c.lastNumber
-	c.emit(TicketWanted{Shard: s.number, Number: s.ticketNumber, Lasts: c.cfg.TicketDuration()})
+	c.emit(TicketRequested{Shard: s.number, Number: s.ticketNumber, Lasts: c.cfg.TicketDuration()})
 }
 
 // applyTicket adds the ticket's credit to the shard's buckets, unless this node's lease has ended
--- a/fleet/lending/ticket_test.go
+++ b/fleet/lending/ticket_test.go
@@ -51,9 +51,9 @@
 	}{"in time": {0, true}, "after its lease": {defaultLease, false}} {
 		core := New(Config{Self: Peer{ID: "a", Machine: "a"}, Overrun: 0.1})
 		core.Step(now, LimitsChanged{Limits: map[string]Limit{"tenant": {Rate: 100, Burst: 100}}})
-		var wanted *TicketWanted
-		for _, effect := range core.Step(now, PeersChanged{Succeeds: true}) {
-			if e, is := effect.(TicketWanted); is {
+		var wanted *TicketRequested
+		for _, effect := range core.Step(now, PeersChanged{HasPredecessor: true}) {
+			if e, is := effect.(TicketRequested); is {
 				wanted = &e
 			}
 		}
--- a/fleet/lending/token_requests.go
+++ b/fleet/lending/token_requests.go
@@ -10,7 +10,7 @@
 
 // pendingRequest is a request for tokens without an answer.
 type pendingRequest struct {
-	Asked
+	TokensRequested
 	startedAt time.Time
 	// retryAt is when another node is asked, or the request given up.
 	retryAt time.Time
@@ -18,14 +18,14 @@
 	askedNode cluster.NodeID
 }
 
-// handleAsked requests tokens, from this node itself if it is the lender. An isolated node answers
+// handleTokensRequested requests tokens, from this node itself if it is the lender. An isolated node answers
 // immediately that no lender was found.
-func (c *Core) handleAsked(e Asked) {
-	a := &pendingRequest{Asked: e, startedAt: c.now}
+func (c *Core) handleTokensRequested(e TokensRequested) {
+	a := &pendingRequest{TokensRequested: e, startedAt: c.now}
 	c.pendingRequests[e.Number] = a
 	c.requestFromLender(a)
-	if _, stillPending := c.pendingRequests[e.Number]; stillPending && c.Deaf() {
-		c.complete(a, Answered{})
+	if _, stillPending := c.pendingRequests[e.Number]; stillPending && c.Isolated() {
+		c.complete(a, TokensDecided{})
 	}
 }
 
@@ -35,9 +35,9 @@
 	if s.lends() {
 		result, known := s.lend(loanID{node: c.cfg.Self.ID, number: a.Number}, a.Tenant, a.tokenRequest())
 		if known {
-			c.complete(a, Answered{
+			c.complete(a, TokensDecided{
 				Decided: true, Granted: result.granted, Wait: result.wait, Reserved: result.reserved,
-				Standing: s.standing(a.Tenant), AskedAt: c.now, Lender: c.cfg.Self.ID,
+				LimitState: s.standing(a.Tenant), AskedAt: c.now, Lender: c.cfg.Self.ID,
 			})
 			return
 		}
@@ -50,13 +50,13 @@
 	a.retryAt = earliest(c.now.Add(lenderAnswerTimeout), c.requestDeadline(a))
 	c.send(to.address, wire.TokensRequest{
 		From: c.cfg.Self.ID, FromAddress: c.cfg.Self.Address, Number: a.Number, Tenant: a.Tenant,
-		Amount: a.Amount, Rank: a.Rank, Mark: a.Mark, Heeds: a.Heeds, Again: a.Again,
+		Amount: a.Amount, Rank: a.Rank, Mark: a.Fingerprint, Heeds: a.MaxRetryWait, Again: a.Regrant,
 	})
 }
 
 // tokenRequest returns the request as the bucket takes it.
 func (a *pendingRequest) tokenRequest() tokenRequest {
-	return tokenRequest{amount: a.Amount, rank: a.Rank, fingerprint: a.Mark, maxWait: a.Heeds, regrant: a.Again}
+	return tokenRequest{amount: a.Amount, rank: a.Rank, fingerprint: a.Fingerprint, maxWait: a.MaxRetryWait, regrant: a.Regrant}
 }
 
 // nextVoter returns the next reachable voter in round-robin order, other than this node; the zero
@@ -74,7 +74,7 @@
 }
 
 // complete ends a pending request with an answer.
-func (c *Core) complete(a *pendingRequest, e Answered) {
+func (c *Core) complete(a *pendingRequest, e TokensDecided) {
 	delete(c.pendingRequests, a.Number)
 	e.Number, e.Tenant, e.Amount = a.Number, a.Tenant, a.Amount
 	c.emit(e)
@@ -95,7 +95,7 @@
 			c.unanswered++
 		}
 		if !c.now.Before(c.requestDeadline(a)) {
-			c.complete(a, Answered{Wait: c.cfg.Lease})
+			c.complete(a, TokensDecided{Wait: c.cfg.Lease})
 			continue
 		}
 		// A node that did not answer is not asked first again.
@@ -158,12 +158,12 @@
 
 // standing returns the state of a limit that this node lends; zero if it has no bucket for the
 // tenant.
-func (s *shard) standing(tenant string) Standing {
+func (s *shard) standing(tenant string) LimitState {
 	b := s.buckets[tenant]
 	if b == nil {
-		return Standing{}
+		return LimitState{}
 	}
-	standing := Standing{Used: b.used.sum, Grants: s.core.cfg.windowGrant(s.core.limits[tenant])}
+	standing := LimitState{Used: b.used.sum, Grants: s.core.cfg.windowGrant(s.core.limits[tenant])}
 	if first := b.scheduler.furthestBehind(s.core.now); first != nil {
 		standing.FirstRank, standing.FirstAmount = first.id.rank, first.lastAmount
 	}
@@ -180,8 +180,8 @@
 	}
 }
 
-// handleReturned returns unused tokens to the lender.
-func (c *Core) handleReturned(e Returned) {
+// handleTokensReturned returns unused tokens to the lender.
+func (c *Core) handleTokensReturned(e TokensReturned) {
 	s := c.shards[shardOf(e.Tenant)]
 	if s.lends() {
 		s.acceptReturn(loanID{node: c.cfg.Self.ID, number: e.Number})
@@ -201,9 +201,9 @@
 	s := c.shards[shardOf(a.Tenant)]
 	if m.Lends {
 		s.knownLender = lender{id: m.From, address: c.peers[c.machines[m.From]].Address}
-		c.complete(a, Answered{
+		c.complete(a, TokensDecided{
 			Decided: true, Granted: m.Granted, Wait: m.Wait, Reserved: m.Reserved, AskedAt: a.startedAt, Lender: m.From,
-			Standing: Standing{
+			LimitState: LimitState{
 				Used: m.Used, Grants: c.cfg.windowGrant(c.limits[a.Tenant]), FirstRank: m.FirstRank, FirstAmount: m.FirstAmount,
 			},
 		})
--- a/fleet/peer_notifier.go
+++ b/fleet/peer_notifier.go
@@ -65,7 +65,7 @@
 	for _, entry := range c.nodes.live {
 		peers = append(peers, entry.lendingPeer())
 	}
-	c.feedLending(lending.PeersChanged{Peers: peers, Succeeds: c.restarted})
+	c.feedLending(lending.PeersChanged{Peers: peers, HasPredecessor: c.restarted})
 	c.pacer.peersChanged()
 	if c.dispatchClient == nil {
 		return
