--- a/fleet/core.go
+++ b/fleet/core.go
@@ -114,7 +114,7 @@
 	case ResignStarted:
 		c.controller.resign()
 		c.feedLending(lending.Stopping{})
-	case TicketTaken:
+	case TicketWritten:
 		c.feedLending(lending.TicketGranted{Shard: e.Shard, Number: e.Number})
 	case PoisonRead:
 		c.poison.recordsRead(e)
@@ -181,9 +181,9 @@
 	return c.gate.maySend(now, id)
 }
 
-// KeysAge returns the age of the proof that the configured caller keys are current. It returns
+// KeyProofAge returns the age of the proof that the configured caller keys are current. It returns
 // false if there is no proof.
-func (c *Core) KeysAge(now time.Time) (time.Duration, bool) { return c.gate.proofAge(now) }
+func (c *Core) KeyProofAge(now time.Time) (time.Duration, bool) { return c.gate.proofAge(now) }
 
 // ShardsLent returns the number of tenant shards whose tokens this node lends.
 func (c *Core) ShardsLent() int { return c.lending.ShardsLent() }
@@ -194,9 +194,11 @@
 // TenantTallies returns the counts of requests of limited tenants that this node decided.
 func (c *Core) TenantTallies() []lending.Tally { return c.lending.Tallies() }
 
-// Serves reports whether callers who need a key can be served: the keys are proven to be current
+// CanServe reports whether callers who need a key can be served: the keys are proven to be current
 // and the lenders of tokens can be reached.
-func (c *Core) Serves(now time.Time) bool { return !c.gate.proofExpired(now) && !c.lending.Isolated() }
+func (c *Core) CanServe(now time.Time) bool {
+	return !c.gate.proofExpired(now) && !c.lending.Isolated()
+}
 
 // DispatchCounts returns how attempts at engines were placed so far.
 func (c *Core) DispatchCounts() DispatchCounts {
@@ -215,8 +217,8 @@
 // learned by this node as the lease holder or read from the last holder's record.
 func (c *Core) StoreCapacity() int { return cmp.Or(c.controller.learnedStoreLoads, initialStoreLoads) }
 
-// Holding reports whether this node holds the order lease and its term has begun.
-func (c *Core) Holding() bool { return c.controller.ledger.Holding() }
+// HoldsOrderLease reports whether this node holds the order lease and its term has begun.
+func (c *Core) HoldsOrderLease() bool { return c.controller.ledger.Holding() }
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
@@ -237,7 +239,7 @@
 		case lending.TokensDecided:
 			c.gate.handleTokensAnswer(e)
 		case lending.TicketRequested:
-			c.emit(StoreTicket{Key: KeyTickets + strconv.Itoa(e.Shard), Lasts: e.Lasts, Shard: e.Shard, Number: e.Number})
+			c.emit(WriteTicket{Key: KeyTickets + strconv.Itoa(e.Shard), Lasts: e.Lasts, Shard: e.Shard, Number: e.Number})
 		case lending.LeaseChanged:
 			c.log(eventlog.LendingChanged{Shard: e.Shard, Held: e.Held, Settled: e.Settled})
 		}
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -29,15 +29,15 @@
 	Full    bool
 	// Restarted are machines of Gone that have started again.
 	Restarted []routing.MachineRestarted
-	// Unread are machines whose entries can't be decoded. Such an entry is newer than an entry of
+	// Undecodable are machines whose entries can't be decoded. Such an entry is newer than an entry of
 	// the same machine in Workers.
-	Unread []UnreadWorker
+	Undecodable []UndecodableWorker
 	// Revision is the store revision at which the entries were read.
 	Revision int64
 }
 
-// UnreadWorker is a machine whose entry can't be decoded.
-type UnreadWorker struct {
+// UndecodableWorker is a machine whose entry can't be decoded.
+type UndecodableWorker struct {
 	ID cluster.MachineID
 	// Leaving is set if the entry at least shows that the machine is not ready.
 	Leaving bool
@@ -65,8 +65,8 @@
 	Revision int64
 }
 
-// PoisonStored is a stored record of a poison request.
-type PoisonStored struct {
+// StoredPoisonRecord is a stored record of a poison request.
+type StoredPoisonRecord struct {
 	Record poison.Record
 	// Tests is how often a node was allowed to send the request once more, and Tester the node of
 	// the last test. EndsBefore is the number of machines that had ended under the request before
@@ -80,11 +80,11 @@
 // PoisonRead delivers stored records of poison requests. With Full, requests that are not listed
 // have no record. The records of Gone were deleted.
 type PoisonRead struct {
-	Records []PoisonStored
-	// Unread are records that can't be decoded; only their fingerprints and revisions are valid.
-	Unread []PoisonStored
-	Gone   []poison.Fingerprint
-	Full   bool
+	Records []StoredPoisonRecord
+	// Undecodable are records that can't be decoded; only their fingerprints and revisions are valid.
+	Undecodable []StoredPoisonRecord
+	Gone        []poison.Fingerprint
+	Full        bool
 }
 
 // StoreSynced reports that the whole content of the store has been read.
@@ -115,8 +115,8 @@
 	Err error
 }
 
-// TicketTaken reports that the key of a StoreTicket was written.
-type TicketTaken struct {
+// TicketWritten reports that the key of a WriteTicket was written.
+type TicketWritten struct {
 	Shard  int
 	Number int64
 }
@@ -145,7 +145,7 @@
 func (LastHolderRead) fleetEvent()    {}
 func (PoisonRead) fleetEvent()        {}
 func (StoreWritten) fleetEvent()      {}
-func (TicketTaken) fleetEvent()       {}
+func (TicketWritten) fleetEvent()     {}
 func (StoreSynced) fleetEvent()       {}
 func (Paused) fleetEvent()            {}
 func (KeysProven) fleetEvent()        {}
@@ -196,9 +196,9 @@
 	Revision int64
 }
 
-// StoreTicket writes a key that must be absent and that expires after Lasts. TicketTaken follows
+// WriteTicket writes a key that must be absent and that expires after Lasts. TicketWritten follows
 // only if the key was written.
-type StoreTicket struct {
+type WriteTicket struct {
 	Key    string
 	Lasts  time.Duration
 	Shard  int
@@ -211,9 +211,9 @@
 // ReadReport reads an engine's report.
 type ReadReport struct{ Read sequence.ReadReport }
 
-// PeersSettled reports that the live nodes, Core.Nodes, have changed. State that is derived from
+// PeersChanged reports that the live nodes, Core.Nodes, have changed. State that is derived from
 // all of them is recomputed on this effect.
-type PeersSettled struct{}
+type PeersChanged struct{}
 
 // Log writes an event to the log.
 type Log struct{ Line eventlog.Event }
@@ -222,8 +222,8 @@
 func (SendMessage) fleetEffect()   {}
 func (LeaseCall) fleetEffect()     {}
 func (StoreWrite) fleetEffect()    {}
-func (StoreTicket) fleetEffect()   {}
+func (WriteTicket) fleetEffect()   {}
 func (SendOrder) fleetEffect()     {}
 func (ReadReport) fleetEffect()    {}
-func (PeersSettled) fleetEffect()  {}
+func (PeersChanged) fleetEffect()  {}
 func (Log) fleetEffect()           {}
--- a/fleet/fleet_simulation_test.go
+++ b/fleet/fleet_simulation_test.go
@@ -184,7 +184,7 @@
 		case pair.Key == KeyHolder:
 			holder.Node, _ = DecodeNodeEntry(pair.Value)
 			holder.Token = cluster.FencingToken(pair.ModRevision)
-		case pair.Key == KeyLast:
+		case pair.Key == KeyLastHolder:
 			last, _ := DecodeNodeEntry(pair.Value)
 			s.step(n, LastHolderRead{Node: last, Revision: pair.ModRevision})
 		case len(pair.Key) > len(KeyNodes) && pair.Key[:len(KeyNodes)] == KeyNodes:
@@ -378,7 +378,7 @@
 		s.killNode(n)
 	case 1:
 		for _, holder := range s.nodes {
-			if holder.core.Holding() {
+			if holder.core.HoldsOrderLease() {
 				s.killNode(holder)
 				break
 			}
--- a/fleet/gate.go
+++ b/fleet/gate.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// UnprovenBack is the Retry-After of a refusal for lack of a current key proof: within that
+	// UnprovenRetryAfter is the Retry-After of a refusal for lack of a current key proof: within that
 	// time another node, or this one after a call to the store, may have one.
-	UnprovenBack = 300 * time.Millisecond
+	UnprovenRetryAfter = 300 * time.Millisecond
 	// noLenderRetryAfter is the Retry-After of a refusal because no node lends the tenant's
 	// tokens: the successor of a lost lender takes over within that time.
 	noLenderRetryAfter = 500 * time.Millisecond
@@ -142,7 +142,7 @@
 	case g.proofExpired(now):
 		age, _ := g.proofAge(now)
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable,
-			"this node can't tell whether the key holds: what it knows of keys is %s old", age.Round(time.Millisecond)).After(UnprovenBack)
+			"this node can't tell whether the key holds: what it knows of keys is %s old", age.Round(time.Millisecond)).After(UnprovenRetryAfter)
 	}
 	return nil
 }
--- a/fleet/holder.go
+++ b/fleet/holder.go
@@ -96,7 +96,7 @@
 		// so only the record read before the first attempt counts.
 		c.skipOrderPause = c.sameMachine(c.lastHolder) && c.lastHolder.Acting || c.core.config.FirstStart && c.lastHolderRevision == 0
 	}
-	c.lease.WriteBeside(lease.Beside{Key: KeyLast, Value: c.lastHolderEntry(c.skipOrderPause), Revision: c.lastHolderRevision})
+	c.lease.WriteBeside(lease.Beside{Key: KeyLastHolder, Value: c.lastHolderEntry(c.skipOrderPause), Revision: c.lastHolderRevision})
 	c.lease.Acquire()
 }
 
@@ -200,7 +200,7 @@
 func (c *controller) writeLastHolder() {
 	c.core.emit(LeaseCall{Record: RecordHolder, Call: lease.Call{Operation: lease.Txn, Txn: keyvalue.Transaction{
 		Compares:   []keyvalue.Compare{{Key: KeyHolder, ModRevision: int64(c.lease.Token())}},
-		Operations: []keyvalue.Operation{{Key: KeyLast, Value: c.lastHolderEntry(true)}},
+		Operations: []keyvalue.Operation{{Key: KeyLastHolder, Value: c.lastHolderEntry(true)}},
 	}}})
 }
 
--- a/fleet/peer_notifier.go
+++ b/fleet/peer_notifier.go
@@ -55,7 +55,7 @@
 	p.core.controller.rankCached = false
 	p.notifyRouter()
 	p.notifyPeerCores()
-	p.core.emit(PeersSettled{})
+	p.core.emit(PeersChanged{})
 }
 
 // notifyPeerCores passes the live nodes to the lending, pacing and dispatching cores.
--- a/fleet/peer_notifier_test.go
+++ b/fleet/peer_notifier_test.go
@@ -30,7 +30,7 @@
 	scanned, settledCount := 0, 0
 	step := func(event Event) {
 		for _, effect := range core.Step(now, event) {
-			if _, settled := effect.(PeersSettled); settled {
+			if _, settled := effect.(PeersChanged); settled {
 				scanned += len(core.Nodes())
 				settledCount++
 			}
--- a/fleet/poison.go
+++ b/fleet/poison.go
@@ -81,7 +81,7 @@
 
 // storedPoison is this node's state of a stored record.
 type storedPoison struct {
-	PoisonStored
+	StoredPoisonRecord
 	// readAt is when this node read the record.
 	readAt time.Time
 	// claimedAt is when this node last tried to claim a test in the store, zero for never.
@@ -282,15 +282,15 @@
 		record := &read.Records[i]
 		content := record.Record.Content
 		before := s.stored[content]
-		s.stored[content] = &storedPoison{PoisonStored: *record, readAt: s.core.now}
+		s.stored[content] = &storedPoison{StoredPoisonRecord: *record, readAt: s.core.now}
 		if before != nil && !before.claimedAt.IsZero() && before.Tests < record.Tests && record.Tester == s.core.config.Self.ID {
 			granted = append(granted, content)
 		}
 		delete(s.writes, content)
 		records = append(records, record.Record)
 	}
-	for i := range read.Unread {
-		s.rewriteUnreadable(&read.Unread[i])
+	for i := range read.Undecodable {
+		s.rewriteUndecodable(&read.Undecodable[i])
 	}
 	s.learn(records)
 	for i := range records {
@@ -312,12 +312,12 @@
 
 // includes reports whether the request has a record, decodable or not.
 func (r *PoisonRead) includes(content poison.Fingerprint) bool {
-	same := func(stored PoisonStored) bool { return stored.Record.Content == content }
-	return slices.ContainsFunc(r.Records, same) || slices.ContainsFunc(r.Unread, same)
+	same := func(stored StoredPoisonRecord) bool { return stored.Record.Content == content }
+	return slices.ContainsFunc(r.Records, same) || slices.ContainsFunc(r.Undecodable, same)
 }
 
-// rewriteUnreadable replaces a record that can't be decoded if this node knows the conviction.
-func (s *poisonSync) rewriteUnreadable(unread *PoisonStored) {
+// rewriteUndecodable replaces a record that can't be decoded if this node knows the conviction.
+func (s *poisonSync) rewriteUndecodable(unread *StoredPoisonRecord) {
 	content := unread.Record.Content
 	known, found := s.core.router.PoisonRecord(content)
 	if !found || !s.convicts(&known) {
--- a/fleet/poison_record_test.go
+++ b/fleet/poison_record_test.go
@@ -108,7 +108,7 @@
 	for tests, want := range map[int]bool{1: true, 2: true, 3: false} {
 		s := newPoisonSimulation(7, 4, 3)
 		s.runFor(2 * time.Second)
-		stored := PoisonStored{
+		stored := StoredPoisonRecord{
 			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}, Tests: tests, Tester: "ended-1",
 		}
 		s.writeStore(keyvalue.Operation{Key: KeyPoison + popularContent.String(), Value: encodePoison(&stored)})
@@ -143,7 +143,7 @@
 	} {
 		s := newPoisonSimulation(7, 4, 3)
 		s.runFor(2 * time.Second)
-		stored := PoisonStored{
+		stored := StoredPoisonRecord{
 			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}},
 			Tests:  c.tests, Tester: s.nodes[1].id, EndsBefore: c.endsBefore,
 		}
--- a/fleet/poison_store.go
+++ b/fleet/poison_store.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		write.inFlight = true
-		s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&PoisonStored{Record: record}), Revision: write.revision})
+		s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&StoredPoisonRecord{Record: record}), Revision: write.revision})
 	}
 }
 
@@ -64,7 +64,7 @@
 		return
 	}
 	stored.claimedAt = s.core.now
-	claim := PoisonStored{
+	claim := StoredPoisonRecord{
 		Record: stored.Record, Tests: stored.Tests + 1, Tester: s.core.config.Self.ID, EndsBefore: s.standingEnds(content),
 	}
 	s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&claim), Revision: stored.Revision})
@@ -154,7 +154,7 @@
 	Before  int                 `json:"ends_before,omitempty"`
 }
 
-func encodePoison(stored *PoisonStored) []byte {
+func encodePoison(stored *StoredPoisonRecord) []byte {
 	record := &stored.Record
 	data, err := json.Marshal(poisonDocument{Ends: record.Ends, Cleared: record.Cleared, Tests: stored.Tests, Tester: stored.Tester, Before: stored.EndsBefore})
 	if err != nil {
@@ -164,12 +164,12 @@
 }
 
 // DecodePoison decodes a stored record. The caller sets its revision.
-func DecodePoison(key string, value []byte) (PoisonStored, error) {
+func DecodePoison(key string, value []byte) (StoredPoisonRecord, error) {
 	content, err := poison.ParseFingerprint(strings.TrimPrefix(key, KeyPoison))
 	if err != nil {
-		return PoisonStored{}, err
+		return StoredPoisonRecord{}, err
 	}
-	stored := PoisonStored{Record: poison.Record{Content: content}}
+	stored := StoredPoisonRecord{Record: poison.Record{Content: content}}
 	var document poisonDocument
 	if err := json.Unmarshal(value, &document); err != nil {
 		return stored, eris.Wrap(err, "decode poison record")
--- a/fleet/records.go
+++ b/fleet/records.go
@@ -15,9 +15,9 @@
 	KeyRoot   = "valveslip/"
 	KeyNodes  = KeyRoot + "nodes/"
 	KeyHolder = KeyRoot + "holder"
-	// KeyLast holds the record of the machine that last gave orders. It is written together with
+	// KeyLastHolder holds the record of the machine that last gave orders. It is written together with
 	// each holder's record and has no expiry.
-	KeyLast = KeyRoot + "last-holder"
+	KeyLastHolder = KeyRoot + "last-holder"
 	// KeyTickets is the prefix of the keys that mark, per tenant shard, that a lender has
 	// recently been granted the amount that may be granted only once per window.
 	KeyTickets = KeyRoot + "tickets/"
--- a/fleet/shell/batch.go
+++ b/fleet/shell/batch.go
@@ -19,25 +19,25 @@
 // batch holds a set of store changes, grouped by kind. Of several changes to one record the last
 // one counts.
 type batch struct {
-	revision          int64
-	configuration     *wire.StoreChange
-	workers           orderedMap[cluster.MachineID, catalog.Worker]
-	unreadableWorkers orderedMap[cluster.MachineID, fleet.UnreadWorker]
-	removedWorkers    []cluster.MachineID
-	restarted         []routing.MachineRestarted
-	nodes             orderedMap[cluster.NodeID, fleet.NodeEntry]
-	removedNodes      []cluster.NodeID
-	holder            *fleet.HolderRead
-	lastHolder        *fleet.LastHolderRead
-	poison            orderedMap[poison.Fingerprint, fleet.PoisonStored]
-	unreadablePoison  orderedMap[poison.Fingerprint, fleet.PoisonStored]
-	removedPoison     []poison.Fingerprint
+	revision           int64
+	configuration      *wire.StoreChange
+	workers            orderedMap[cluster.MachineID, catalog.Worker]
+	undecodableWorkers orderedMap[cluster.MachineID, fleet.UndecodableWorker]
+	removedWorkers     []cluster.MachineID
+	restarted          []routing.MachineRestarted
+	nodes              orderedMap[cluster.NodeID, fleet.NodeEntry]
+	removedNodes       []cluster.NodeID
+	holder             *fleet.HolderRead
+	lastHolder         *fleet.LastHolderRead
+	poison             orderedMap[poison.Fingerprint, fleet.StoredPoisonRecord]
+	undecodablePoison  orderedMap[poison.Fingerprint, fleet.StoredPoisonRecord]
+	removedPoison      []poison.Fingerprint
 }
 
 // workersRead returns the changes to machines as an event of the core.
 func (b *batch) workersRead() fleet.WorkersRead {
 	return fleet.WorkersRead{
-		Workers: b.workers.values(), Unread: b.unreadableWorkers.values(), Gone: b.removedWorkers,
+		Workers: b.workers.values(), Undecodable: b.undecodableWorkers.values(), Gone: b.removedWorkers,
 		Restarted: b.restarted, Revision: b.revision,
 	}
 }
@@ -50,7 +50,7 @@
 // poisonRead returns the changes to poison records, the records of requests that crash machines,
 // as an event of the core.
 func (b *batch) poisonRead() fleet.PoisonRead {
-	return fleet.PoisonRead{Records: b.poison.values(), Unread: b.unreadablePoison.values(), Gone: b.removedPoison}
+	return fleet.PoisonRead{Records: b.poison.values(), Undecodable: b.undecodablePoison.values(), Gone: b.removedPoison}
 }
 
 // addChange adds one store change to the batch.
@@ -68,7 +68,7 @@
 		if entry, read := f.nodeEntry(pair); read {
 			b.holder.Node, b.holder.Token = entry, cluster.FencingToken(pair.Revision)
 		}
-	case pair.Key == fleet.KeyLast:
+	case pair.Key == fleet.KeyLastHolder:
 		if !deleted {
 			// The next lease holder overwrites a record that can't be decoded; it needs the
 			// revision of the record for that.
@@ -101,14 +101,14 @@
 		return
 	}
 	b.poison.remove(content)
-	b.unreadablePoison.remove(content)
+	b.undecodablePoison.remove(content)
 	b.removedPoison = slices.DeleteFunc(b.removedPoison, func(gone poison.Fingerprint) bool { return gone == content })
 	stored.Revision = pair.Revision
 	switch {
 	case pair.Deleted:
 		b.removedPoison = append(b.removedPoison, content)
 	case err != nil:
-		b.unreadablePoison.put(content, stored)
+		b.undecodablePoison.put(content, stored)
 	default:
 		b.poison.put(content, stored)
 	}
@@ -170,8 +170,8 @@
 		return
 	case err != nil:
 		f.metrics.unreadableRecords.WithLabelValues(unreadableWorker).Inc()
-		before, _ := b.unreadableWorkers.get(currentID)
-		b.unreadableWorkers.put(currentID, fleet.UnreadWorker{ID: currentID, Leaving: worker.Draining || before.Leaving, Cause: err.Error()})
+		before, _ := b.undecodableWorkers.get(currentID)
+		b.undecodableWorkers.put(currentID, fleet.UndecodableWorker{ID: currentID, Leaving: worker.Draining || before.Leaving, Cause: err.Error()})
 		return
 	}
 	if currentID != worker.ID && f.starts.knows(name) {
@@ -183,13 +183,13 @@
 		f.pool.Forget(f.starts[name].address)
 	}
 	f.starts.record(name, &worker)
-	b.unreadableWorkers.remove(currentID)
+	b.undecodableWorkers.remove(currentID)
 	b.workers.put(worker.ID, worker)
 }
 
 // removeWorker adds the removal of a machine to the batch.
 func (b *batch) removeWorker(id cluster.MachineID) {
-	b.unreadableWorkers.remove(id)
+	b.undecodableWorkers.remove(id)
 	b.workers.remove(id)
 	b.removedWorkers = append(b.removedWorkers, id)
 }
--- a/fleet/shell/batch_test.go
+++ b/fleet/shell/batch_test.go
@@ -41,12 +41,12 @@
 			f.addChange(&b, &wire.StoreChange{Key: platform.PrefixWorkers + "w", Value: []byte(value), Revision: int64(i + 1), Deleted: value == gone})
 		}
 		read := b.workersRead()
-		if len(read.Workers) != test.workers || len(read.Unread) != test.unread || len(read.Gone) != test.ended {
-			t.Errorf("%q: %d decoded, %d unreadable, %d removed", test.values, len(read.Workers), len(read.Unread), len(read.Gone))
+		if len(read.Workers) != test.workers || len(read.Undecodable) != test.unread || len(read.Gone) != test.ended {
+			t.Errorf("%q: %d decoded, %d unreadable, %d removed", test.values, len(read.Workers), len(read.Undecodable), len(read.Gone))
 			continue
 		}
-		if test.workers > 0 && read.Workers[0].Draining != test.draining || test.unread > 0 && read.Unread[0].Leaving != test.leaving {
-			t.Errorf("%q: %+v, %+v", test.values, read.Workers, read.Unread)
+		if test.workers > 0 && read.Workers[0].Draining != test.draining || test.unread > 0 && read.Undecodable[0].Leaving != test.leaving {
+			t.Errorf("%q: %+v, %+v", test.values, read.Workers, read.Undecodable)
 		}
 	}
 }
--- a/fleet/shell/calls.go
+++ b/fleet/shell/calls.go
@@ -86,7 +86,7 @@
 
 // callTicket writes a key that must be absent, under a lease of its own that is never renewed. If
 // the answer is lost, no node can take the ticket until the lease expires.
-func (n *Node) callTicket(effect fleet.StoreTicket) {
+func (n *Node) callTicket(effect fleet.WriteTicket) {
 	ctx, cancel := context.WithTimeout(n.context, leaseTimeout)
 	defer cancel()
 	id, err := n.options.Store.Grant(ctx, effect.Lasts)
@@ -102,7 +102,7 @@
 	n.countStoreCall(storeWrite, err)
 	n.logNewFailure(string(storeWrite), "", err)
 	if err == nil && result.Succeeded {
-		n.step(fleet.TicketTaken{Shard: effect.Shard, Number: effect.Number})
+		n.step(fleet.TicketWritten{Shard: effect.Shard, Number: effect.Number})
 	}
 }
 
--- a/fleet/shell/failures_test.go
+++ b/fleet/shell/failures_test.go
@@ -61,14 +61,14 @@
 // record that can't be decoded must be logged once, and its deletion must not be.
 func TestUnreadableRecordsAreLogged(t *testing.T) {
 	d := newDeployment(t)
-	for _, key := range []string{fleet.KeyLast, fleet.KeyNodes + "strange", fleet.KeyNodes + "gone"} {
+	for _, key := range []string{fleet.KeyLastHolder, fleet.KeyNodes + "strange", fleet.KeyNodes + "gone"} {
 		if err := d.store.Put(key, "no record"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var log logText
 	d.startNode("n", logTo(&log))
-	for _, key := range []string{fleet.KeyLast, fleet.KeyNodes + "strange", fleet.KeyNodes + "gone"} {
+	for _, key := range []string{fleet.KeyLastHolder, fleet.KeyNodes + "strange", fleet.KeyNodes + "gone"} {
 		d.eventually("the log names "+key, func() bool { return log.count("msg=record_unreadable", "key="+key, "cause=") == 1 })
 	}
 	if err := d.store.Put(fleet.KeyHolder, "no record"); err != nil {
@@ -140,7 +140,7 @@
 // record that can't be decoded must be replaced by the next lease holder.
 func TestUnreadableLastHolderIsReplaced(t *testing.T) {
 	d := newDeployment(t)
-	if err := d.store.Put(fleet.KeyLast, "no record"); err != nil {
+	if err := d.store.Put(fleet.KeyLastHolder, "no record"); err != nil {
 		t.Fatal(err)
 	}
 	var log logText
--- a/fleet/shell/follow.go
+++ b/fleet/shell/follow.go
@@ -279,10 +279,10 @@
 		f.addChange(&batch, &e.Changes[i])
 	}
 	f.applyConfiguration(batch.configuration)
-	if read := batch.poisonRead(); len(read.Records)+len(read.Unread)+len(read.Gone) > 0 {
+	if read := batch.poisonRead(); len(read.Records)+len(read.Undecodable)+len(read.Gone) > 0 {
 		f.step(read)
 	}
-	if read := batch.workersRead(); len(read.Workers)+len(read.Unread)+len(read.Gone) > 0 {
+	if read := batch.workersRead(); len(read.Workers)+len(read.Undecodable)+len(read.Gone) > 0 {
 		f.step(read)
 	}
 	if read := batch.nodesRead(); len(read.Nodes)+len(read.Gone) > 0 {
--- a/fleet/shell/keys.go
+++ b/fleet/shell/keys.go
@@ -72,7 +72,7 @@
 func (n *Node) servesKeyedRoutes() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.core == nil || n.core.Serves(n.Now())
+	return n.core == nil || n.core.CanServe(n.Now())
 }
 
 // keyProofAge returns the age of the proof that the callers' keys are current; false if there is
@@ -83,7 +83,7 @@
 	if n.core == nil {
 		return 0, false
 	}
-	return n.core.KeysAge(n.Now())
+	return n.core.KeyProofAge(n.Now())
 }
 
 // checkSend is called right before a request is sent. It returns why the request must not be sent
@@ -112,7 +112,7 @@
 		if !n.Now().Before(deadline) {
 			n.options.Log.Write(eventlog.KeyUndecided{Age: age})
 			return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable,
-				"this node can't tell whether there is such a key: what it knows of keys is %s old", age.Round(time.Millisecond)).After(fleet.UnprovenBack)
+				"this node can't tell whether there is such a key: what it knows of keys is %s old", age.Round(time.Millisecond)).After(fleet.UnprovenRetryAfter)
 		}
 		select {
 		case <-ctx.Done():
--- a/fleet/shell/machinestarts_test.go
+++ b/fleet/shell/machinestarts_test.go
@@ -92,8 +92,8 @@
 				}
 				read := b.workersRead()
 				gone = append(gone, read.Gone...)
-				if f.starts.currentID("w") != test.machine || !slices.Equal(gone, test.gone) || together && len(read.Unread) != test.unread {
-					t.Errorf("together %t: current %q, removed %q, %d unreadable", together, f.starts.currentID("w"), gone, len(read.Unread))
+				if f.starts.currentID("w") != test.machine || !slices.Equal(gone, test.gone) || together && len(read.Undecodable) != test.unread {
+					t.Errorf("together %t: current %q, removed %q, %d unreadable", together, f.starts.currentID("w"), gone, len(read.Undecodable))
 				}
 				if together && (len(read.Workers) != 1 || read.Workers[0].ID != test.machine) {
 					t.Errorf("workers %+v", read.Workers)
--- a/fleet/shell/metrics.go
+++ b/fleet/shell/metrics.go
@@ -101,7 +101,7 @@
 	gauge("valveslip_holds_orders_lease", "1 while this node gives the orders.", func() float64 {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		if n.core != nil && n.core.Holding() {
+		if n.core != nil && n.core.HoldsOrderLease() {
 			return 1
 		}
 		return 0
--- a/fleet/shell/node.go
+++ b/fleet/shell/node.go
@@ -360,13 +360,13 @@
 		go n.callLease(effect)
 	case fleet.StoreWrite:
 		go n.callWrite(effect)
-	case fleet.StoreTicket:
+	case fleet.WriteTicket:
 		go n.callTicket(effect)
 	case fleet.SendOrder:
 		go n.callOrder(effect, n.Now())
 	case fleet.ReadReport:
 		go n.callReport(effect)
-	case fleet.PeersSettled:
+	case fleet.PeersChanged:
 		if f := n.follower.Load(); f != nil {
 			f.notifyPeersChanged()
 		}
@@ -410,5 +410,5 @@
 func (n *Node) Holding() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.core.Holding()
+	return n.core.HoldsOrderLease()
 }
--- a/fleet/simulated_feed_test.go
+++ b/fleet/simulated_feed_test.go
@@ -178,9 +178,9 @@
 	case change.Deleted:
 		s.step(n, PoisonRead{Gone: []poison.Fingerprint{stored.Record.Content}})
 	case err != nil:
-		s.step(n, PoisonRead{Unread: []PoisonStored{stored}})
+		s.step(n, PoisonRead{Undecodable: []StoredPoisonRecord{stored}})
 	default:
-		s.step(n, PoisonRead{Records: []PoisonStored{stored}})
+		s.step(n, PoisonRead{Records: []StoredPoisonRecord{stored}})
 	}
 }
 
@@ -202,7 +202,7 @@
 		s.step(n, HolderRead{})
 	case change.Key == KeyHolder:
 		s.step(n, HolderRead{Node: entry, Token: cluster.FencingToken(change.Revision)})
-	case change.Key == KeyLast:
+	case change.Key == KeyLastHolder:
 		s.step(n, LastHolderRead{Node: entry, Revision: change.Revision})
 	case change.Deleted:
 		s.step(n, NodesRead{Gone: []cluster.NodeID{cluster.NodeID(strings.TrimPrefix(change.Key, KeyNodes))}})
--- a/fleet/store_events.go
+++ b/fleet/store_events.go
@@ -60,8 +60,8 @@
 			c.dispatchClient.releaseHeldFor(read.Workers[i].ID)
 		}
 	}
-	for i := range read.Unread {
-		if changed := c.view.markUnreadable(&read.Unread[i], read.Revision); changed != nil {
+	for i := range read.Undecodable {
+		if changed := c.view.markUndecodable(&read.Undecodable[i], read.Revision); changed != nil {
 			c.controller.registerMachine(changed)
 		}
 	}
--- a/fleet/store_outage_test.go
+++ b/fleet/store_outage_test.go
@@ -80,7 +80,7 @@
 	p.onFinish = p.requestFinished
 	p.runFor(5 * time.Second)
 	for _, n := range p.nodes {
-		if !n.core.Holding() {
+		if !n.core.HoldsOrderLease() {
 			p.observed = n
 		}
 	}
--- a/fleet/suspension_test.go
+++ b/fleet/suspension_test.go
@@ -17,7 +17,7 @@
 func (s *simulation) suspendMachines() {
 	n := s.nodes[s.random.IntN(len(s.nodes))]
 	for _, holder := range s.nodes {
-		if holder.core.Holding() && !holder.dead && s.random.IntN(3) > 0 {
+		if holder.core.HoldsOrderLease() && !holder.dead && s.random.IntN(3) > 0 {
 			n = holder
 			break
 		}
--- a/fleet/unreadable_entries.go
+++ b/fleet/unreadable_entries.go
@@ -12,7 +12,7 @@
 	outcomeLeaving = "takes no new requests"
 )
 
-// markUnreadable handles an entry that can't be decoded, and returns the machine's entry if it
+// markUndecodable handles an entry that can't be decoded, and returns the machine's entry if it
 // has changed by that.
 //
 // An undecodable entry of an unknown machine is ignored. For a known machine, the last decoded
@@ -23,7 +23,7 @@
 // machine that has ended fails without loss. A machine that leaves must be noticed, however. If
 // the entry can be decoded far enough to show that, the machine takes no new requests. A machine
 // that was known to be leaving remains so, since only a complete entry can revoke it.
-func (v *machineView) markUnreadable(entry *UnreadWorker, revision int64) *catalog.Worker {
+func (v *machineView) markUndecodable(entry *UndecodableWorker, revision int64) *catalog.Worker {
 	line := eventlog.WorkerUnreadable{Machine: entry.ID, Revision: revision, Outcome: outcomeUnknown, Cause: entry.Cause}
 	defer func() { v.core.log(line) }()
 	known := v.machines[entry.ID]
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -117,8 +117,8 @@
 	for i := range read.Workers {
 		named[read.Workers[i].ID] = true
 	}
-	for i := range read.Unread {
-		named[read.Unread[i].ID] = true
+	for i := range read.Undecodable {
+		named[read.Undecodable[i].ID] = true
 	}
 	var missing []cluster.MachineID
 	for id := range v.machines {
