--- a/fleet/dispatch/faults_test.go
+++ b/fleet/dispatch/faults_test.go
@@ -89,7 +89,7 @@
 	f.core.Step(f.now, AttemptEnded{Number: f.lastNumber, Read: true})
 	learned := f.core.tracker.estimator("pool/plan")
 	prompt := work.Prompt{Tokens: 9200}
-	before := learned.ReadTime("x", "pool/plan", prompt)
+	before := learned.PrefillTime("x", "pool/plan", prompt)
 	for range 30 {
 		f.lastNumber++
 		f.core.Step(f.now, AttemptSent{Number: f.lastNumber, Machine: "x", Work: longPrompt()})
@@ -97,7 +97,7 @@
 		f.core.Step(f.now, FirstEventReceived{Number: f.lastNumber})
 		f.core.Step(f.now, AttemptEnded{Number: f.lastNumber, Read: true})
 	}
-	if after := learned.ReadTime("x", "pool/plan", prompt); after != before {
+	if after := learned.PrefillTime("x", "pool/plan", prompt); after != before {
 		t.Errorf("estimated prefill time is %s, was %s before", after, before)
 	}
 }
--- a/fleet/dispatch/placement.go
+++ b/fleet/dispatch/placement.go
@@ -85,7 +85,7 @@
 	if best.fetchFrom != nil {
 		answer.Fetch = best.fetchFrom.id
 	}
-	answer.Kept, answer.Speed = best.prompt.Kept, t.estimator(w.Model).Speed(best.engine.id)
+	answer.Kept, answer.Speed = best.prompt.Cached, t.estimator(w.Model).Speed(best.engine.id)
 	return answer
 }
 
@@ -109,18 +109,18 @@
 	e := t.touchEngine(now, candidate.Machine, w.Model)
 	estimator := t.estimator(w.Model)
 	option := placement{engine: e, penalty: candidate.Penalty}
-	option.prompt = work.Prompt{Tokens: w.PromptTokens, Kept: e.cache.cachedTokens(w)}
-	option.prefillTime = estimator.ReadTime(e.id, baseModel(w.Model), option.prompt)
+	option.prompt = work.Prompt{Tokens: w.PromptTokens, Cached: e.cache.cachedTokens(w)}
+	option.prefillTime = estimator.PrefillTime(e.id, baseModel(w.Model), option.prompt)
 	overhead := estimator.Overhead(e.id)
 	t.urgentSpans = e.prefillSchedule(t.urgentSpans, now, overhead, w.Rank)
 	t.prefillSpans = e.prefillSchedule(t.prefillSpans, now, overhead, math.MaxInt)
 	t.evaluateSendTimes(now, w, option, overhead, best)
-	if source.tokens-option.prompt.Kept < minFetchTokens || source.engine == e {
+	if source.tokens-option.prompt.Cached < minFetchTokens || source.engine == e {
 		return
 	}
-	option.fetchFrom, option.fetchedTokens = source.engine, source.tokens-option.prompt.Kept
-	option.prompt.Kept = source.tokens
-	option.prefillTime = estimator.ReadTime(e.id, baseModel(w.Model), option.prompt) + fetchDuration
+	option.fetchFrom, option.fetchedTokens = source.engine, source.tokens-option.prompt.Cached
+	option.prompt.Cached = source.tokens
+	option.prefillTime = estimator.PrefillTime(e.id, baseModel(w.Model), option.prompt) + fetchDuration
 	t.evaluateSendTimes(now, w, option, overhead, best)
 }
 
--- a/fleet/dispatch/tracker.go
+++ b/fleet/dispatch/tracker.go
@@ -146,10 +146,10 @@
 	if deadline <= now.UnixNano() {
 		return
 	}
-	prompt := work.Prompt{Tokens: reported.Work.PromptTokens, Kept: e.cache.cachedTokens(&reported.Work)}
+	prompt := work.Prompt{Tokens: reported.Work.PromptTokens, Cached: e.cache.cachedTokens(&reported.Work)}
 	t.add(&trackedAttempt{
 		key: key, engine: e, model: reported.Work.Model, work: reported.Work, prompt: prompt, streaming: reported.Began, sendAt: sentAt,
-		prefillTime: t.estimator(reported.Work.Model).ReadTime(e.id, baseModel(reported.Work.Model), prompt),
+		prefillTime: t.estimator(reported.Work.Model).PrefillTime(e.id, baseModel(reported.Work.Model), prompt),
 		deadline:    deadline,
 	})
 	e.cache.add(&reported.Work)
@@ -182,7 +182,7 @@
 		return
 	}
 	t.estimator(a.model).Observe(now, work.Observation{
-		Engine: a.engine.id, Model: baseModel(a.model), Prompt: a.prompt, Ahead: a.backlog, First: timeToFirstEvent,
+		Engine: a.engine.id, Model: baseModel(a.model), Prompt: a.prompt, PrefillAhead: a.backlog, TimeToFirstEvent: timeToFirstEvent,
 	})
 }
 
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -168,7 +168,7 @@
 	}
 	failure, reason := r.queueRefusal(admitted)
 	if failure == nil {
-		failure, reason = r.startRefusal(admitted, model.queue.Before(&admitted.item))
+		failure, reason = r.startRefusal(admitted, model.queue.EstimateAhead(&admitted.item))
 	}
 	if failure != nil {
 		r.finish(admitted, failure, reason)
--- a/routing/placed.go
+++ b/routing/placed.go
@@ -102,7 +102,7 @@
 		return
 	}
 	placed.prefillCounted = true
-	placed.model.arrivedTokens += int(read.Seconds()*work.UsualTokensPerSecond) - placed.PromptTokens
+	placed.model.arrivedTokens += int(read.Seconds()*work.ReferenceTokensPerSecond) - placed.PromptTokens
 }
 
 // usableReplicaOn returns the replica on a machine if it takes the request now, or nil.
--- a/routing/queue/queue.go
+++ b/routing/queue/queue.go
@@ -111,10 +111,10 @@
 	return count
 }
 
-// Before estimates the number of items that are served before a new one: all items of higher
+// EstimateAhead estimates the number of items that are served before a new one: all items of higher
 // priority, those of its own team with no later deadline, and of each other team as many as are
 // served in turn with these.
-func (q *Queue[T]) Before(item *Item[T]) int {
+func (q *Queue[T]) EstimateAhead(item *Item[T]) int {
 	count := 0
 	for _, level := range q.levels {
 		if level.priority < item.Priority {
--- a/routing/queue/queue_test.go
+++ b/routing/queue/queue_test.go
@@ -162,9 +162,9 @@
 	})
 }
 
-// TestBeforeEstimatesPopOrder checks Before against the order of Pop. With equal costs and one team
+// TestEstimateAheadMatchesPopOrder checks EstimateAhead against the order of Pop. With equal costs and one team
 // the estimate is exact; with more teams it is too high by at most one for each other team.
-func TestBeforeEstimatesPopOrder(t *testing.T) {
+func TestEstimateAheadMatchesPopOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[string]
 		teams := rapid.IntRange(1, 3).Draw(t, "teams")
@@ -176,7 +176,7 @@
 			q.Push(draw("i"))
 		}
 		added := draw("new")
-		estimated := q.Before(added)
+		estimated := q.EstimateAhead(added)
 		q.Push(added)
 		served := 0
 		for q.Pop() != added {
--- a/routing/start_estimate.go
+++ b/routing/start_estimate.go
@@ -215,7 +215,7 @@
 	if !due.item.Queued() || r.nanos >= last {
 		return false
 	}
-	if failure, reason := r.startRefusal(due, due.model.queue.Before(&due.item)); failure != nil {
+	if failure, reason := r.startRefusal(due, due.model.queue.EstimateAhead(&due.item)); failure != nil {
 		r.finish(due, failure, reason)
 		return true
 	}
--- a/routing/work/bench_test.go
+++ b/routing/work/bench_test.go
@@ -17,7 +17,7 @@
 // engines within a budget of 20 us.
 func BenchmarkPrefillEstimate(b *testing.B) {
 	e, sim := largeEstimator()
-	p := Prompt{Tokens: 9190, Kept: 6300}
+	p := Prompt{Tokens: 9190, Cached: 6300}
 	engines, models := len(sim.speeds), len(sim.factors)
 	var ids []Observation
 	for i := range 140 {
@@ -26,7 +26,7 @@
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		e.ReadTime(ids[i].Engine, ids[i].Model, p)
+		e.PrefillTime(ids[i].Engine, ids[i].Model, p)
 		i = (i + 1) % len(ids)
 	}
 }
@@ -42,7 +42,7 @@
 // BenchmarkObserve measures one observation, with its share of the fits.
 func BenchmarkObserve(b *testing.B) {
 	e, sim := largeEstimator()
-	o := Observation{Model: modelID(0), Prompt: Prompt{Tokens: 9190}, First: 300 * time.Millisecond}
+	o := Observation{Model: modelID(0), Prompt: Prompt{Tokens: 9190}, TimeToFirstEvent: 300 * time.Millisecond}
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
--- a/routing/work/config.go
+++ b/routing/work/config.go
@@ -34,9 +34,9 @@
 	defaultMaxModels  = 2048
 )
 
-// UsualTokensPerSecond converts prefill time to tokens where prefill work is reported as a token
+// ReferenceTokensPerSecond converts prefill time to tokens where prefill work is reported as a token
 // count: it is the rate of an engine with a model of about 50 billion parameters.
-const UsualTokensPerSecond = 35_000
+const ReferenceTokensPerSecond = 35_000
 
 // withDefaults returns the configuration with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
--- a/routing/work/estimator.go
+++ b/routing/work/estimator.go
@@ -13,11 +13,11 @@
 	// Model is the base model; an adapter counts as its base.
 	Model  cluster.ModelID
 	Prompt Prompt
-	// Ahead is the prefill time that was estimated to be queued on the engine at the send, at
+	// PrefillAhead is the prefill time that was estimated to be queued on the engine at the send, at
 	// the engine's own speed.
-	Ahead time.Duration
-	// First is the time from the send to the first event.
-	First time.Duration
+	PrefillAhead time.Duration
+	// TimeToFirstEvent is the time from the send to the first event.
+	TimeToFirstEvent time.Duration
 }
 
 const (
@@ -63,8 +63,8 @@
 	}
 }
 
-// ReadTime returns the estimated prefill time of the prompt on the engine, without other work.
-func (e *Estimator) ReadTime(engine cluster.MachineID, model cluster.ModelID, p Prompt) time.Duration {
+// PrefillTime returns the estimated prefill time of the prompt on the engine, without other work.
+func (e *Estimator) PrefillTime(engine cluster.MachineID, model cluster.ModelID, p Prompt) time.Duration {
 	prefill := e.rates.perToken*p.uncached() + e.rates.perMillionPairs*p.pairs()
 	return duration(e.factor(model) * prefill / e.Speed(engine))
 }
@@ -95,20 +95,20 @@
 // Observe updates the estimates from an observation. It ignores an attempt that was sent to an
 // earlier incarnation of the engine.
 func (e *Estimator) Observe(now time.Time, o Observation) {
-	if o.First <= 0 || o.Prompt.Tokens <= 0 {
+	if o.TimeToFirstEvent <= 0 || o.Prompt.Tokens <= 0 {
 		return
 	}
 	e.now = max(e.now, now.UnixNano())
 	engine := e.engine(o.Engine)
-	if now.Add(-o.First).UnixNano() < engine.validSince {
+	if now.Add(-o.TimeToFirstEvent).UnixNano() < engine.validSince {
 		return
 	}
 	model := e.model(o.Model)
 	s := sample{
 		at: now.UnixNano(), uncached: float32(o.Prompt.uncached()), pairs: float32(o.Prompt.pairs()),
-		elapsed: float32(milliseconds(o.First)), engine: engine, model: model,
+		elapsed: float32(milliseconds(o.TimeToFirstEvent)), engine: engine, model: model,
 	}
-	s.ahead = float32(milliseconds(max(o.Ahead, 0)) * engine.speedAt(now.Add(-o.First).UnixNano()))
+	s.ahead = float32(milliseconds(max(o.PrefillAhead, 0)) * engine.speedAt(now.Add(-o.TimeToFirstEvent).UnixNano()))
 	model.lastObserved = max(model.lastObserved, s.at)
 	if !engine.deviating || !model.known() {
 		model.addSample(s, e.rates)
--- a/routing/work/estimator_test.go
+++ b/routing/work/estimator_test.go
@@ -52,8 +52,8 @@
 	for i := range 2 {
 		sim.now = sim.now.Add(time.Second)
 		first := 10 * (sim.rates.overhead + sim.prefillTime(0, 0, p))
-		e.Observe(sim.now, Observation{Engine: "new", Model: modelID(0), Prompt: p, First: duration(first)})
-		e.Observe(sim.now, Observation{Engine: engineID(0), Model: "new", Prompt: p, First: duration(first)})
+		e.Observe(sim.now, Observation{Engine: "new", Model: modelID(0), Prompt: p, TimeToFirstEvent: duration(first)})
+		e.Observe(sim.now, Observation{Engine: engineID(0), Model: "new", Prompt: p, TimeToFirstEvent: duration(first)})
 		if speed := e.Speed("new"); math.Abs(speed-1) > 0.2 {
 			t.Errorf("speed %.2f after %d outliers", speed, i+1)
 		}
@@ -78,7 +78,7 @@
 	atMost(t, "factor error, 90th percentile", quantile(factors, 0.9), 0.4)
 	for i := range sim.speeds {
 		p := Prompt{Tokens: 9190}
-		estimate := milliseconds(e.ReadTime(engineID(i), modelID(sim.model(i)), p))
+		estimate := milliseconds(e.PrefillTime(engineID(i), modelID(sim.model(i)), p))
 		atMost(t, fmt.Sprintf("prefill error on engine %d", i), math.Abs(estimate/sim.prefillTime(i, sim.model(i), p)-1), 0.3)
 	}
 }
@@ -222,7 +222,7 @@
 		t.Errorf("speed %.2f of a new engine", speed)
 	}
 	for range 5 {
-		e.Observe(sim.now.Add(time.Second), Observation{Engine: engineID(0), Model: modelID(0), Prompt: Prompt{Tokens: 9190}, First: 2 * time.Second})
+		e.Observe(sim.now.Add(time.Second), Observation{Engine: engineID(0), Model: modelID(0), Prompt: Prompt{Tokens: 9190}, TimeToFirstEvent: 2 * time.Second})
 	}
 	if speed := e.Speed(engineID(0)); speed != 1 {
 		t.Errorf("speed %.2f of a new engine after late answers of its predecessor", speed)
@@ -254,7 +254,7 @@
 	e := NewEstimator(Config{MaxEngines: 10, MaxModels: 5})
 	for i := range 30 {
 		e.Observe(simulationStart.Add(time.Duration(i)*time.Second), Observation{
-			Engine: engineID(i), Model: modelID(i), Prompt: Prompt{Tokens: 1000}, First: 50 * time.Millisecond,
+			Engine: engineID(i), Model: modelID(i), Prompt: Prompt{Tokens: 1000}, TimeToFirstEvent: 50 * time.Millisecond,
 		})
 	}
 	if len(e.engines) != 10 || len(e.models) != 5 {
@@ -271,8 +271,8 @@
 	e := NewEstimator(Config{})
 	for _, o := range []Observation{
 		{Prompt: Prompt{Tokens: 100}},
-		{Prompt: Prompt{Tokens: 100}, First: -time.Second},
-		{First: time.Second},
+		{Prompt: Prompt{Tokens: 100}, TimeToFirstEvent: -time.Second},
+		{TimeToFirstEvent: time.Second},
 	} {
 		e.Observe(simulationStart, o)
 	}
@@ -280,11 +280,11 @@
 		t.Errorf("%d engines were observed", len(e.engines))
 	}
 	for range 100 {
-		e.Observe(simulationStart, Observation{Prompt: Prompt{Tokens: 100, Kept: 500}, Ahead: -time.Second, First: time.Nanosecond})
-		e.Observe(simulationStart, Observation{Prompt: Prompt{Tokens: 1e8}, Ahead: time.Hour, First: time.Hour})
+		e.Observe(simulationStart, Observation{Prompt: Prompt{Tokens: 100, Cached: 500}, PrefillAhead: -time.Second, TimeToFirstEvent: time.Nanosecond})
+		e.Observe(simulationStart, Observation{Prompt: Prompt{Tokens: 1e8}, PrefillAhead: time.Hour, TimeToFirstEvent: time.Hour})
 	}
-	for _, p := range []Prompt{{}, {Tokens: -1}, {Tokens: 10, Kept: -10}, {Tokens: 10, Kept: 20}, {Tokens: 1e8}} {
-		if prefill := e.ReadTime("", "", p); prefill < 0 {
+	for _, p := range []Prompt{{}, {Tokens: -1}, {Tokens: 10, Cached: -10}, {Tokens: 10, Cached: 20}, {Tokens: 1e8}} {
+		if prefill := e.PrefillTime("", "", p); prefill < 0 {
 			t.Errorf("prefill of %v for %+v", prefill, p)
 		}
 	}
@@ -297,7 +297,7 @@
 // observation.
 func TestPriorAppliesWithoutObservations(t *testing.T) {
 	e := NewEstimator(Config{TokensPerMillisecond: 10, PairTime: time.Millisecond, Overhead: 20 * time.Millisecond})
-	if prefill := e.ReadTime("e", "m", Prompt{Tokens: 2000, Kept: 1000}); prefill != 101500*time.Microsecond {
+	if prefill := e.PrefillTime("e", "m", Prompt{Tokens: 2000, Cached: 1000}); prefill != 101500*time.Microsecond {
 		t.Errorf("prefill of %v for a prompt", prefill)
 	}
 	if e.Overhead("e") != 20*time.Millisecond || e.Speed("e") != 1 || len(e.Speeds()) != 0 {
--- a/routing/work/simulator_test.go
+++ b/routing/work/simulator_test.go
@@ -87,7 +87,7 @@
 	}
 	p := Prompt{Tokens: 6300 + int(2890*math.Exp(sim.rng.NormFloat64()*0.7))}
 	if sim.rng.IntN(2) == 0 {
-		p.Kept = 6300
+		p.Cached = 6300
 	}
 	return p
 }
@@ -119,7 +119,7 @@
 	if sim.overestimated[engine] || sim.rng.IntN(2) == 0 {
 		otherModel, otherPrompt := sim.model(engine), sim.prompt()
 		ahead = sim.prefillTime(engine, otherModel, otherPrompt)
-		estimated = milliseconds(e.ReadTime(engineID(engine), modelID(otherModel), otherPrompt))
+		estimated = milliseconds(e.PrefillTime(engineID(engine), modelID(otherModel), otherPrompt))
 	}
 	if sim.overestimated[engine] {
 		estimated *= 3
@@ -137,7 +137,7 @@
 		}
 	}
 	e.Observe(sim.now, Observation{
-		Engine: engineID(engine), Model: modelID(model), Prompt: p, Ahead: duration(estimated), First: duration(first),
+		Engine: engineID(engine), Model: modelID(model), Prompt: p, PrefillAhead: duration(estimated), TimeToFirstEvent: duration(first),
 	})
 }
 
@@ -168,7 +168,7 @@
 	var errs []float64
 	for engine := range sim.speeds {
 		for model := range sim.factors {
-			estimate := milliseconds(e.Overhead(engineID(engine)) + e.ReadTime(engineID(engine), modelID(model), p))
+			estimate := milliseconds(e.Overhead(engineID(engine)) + e.PrefillTime(engineID(engine), modelID(model), p))
 			first := sim.rates.overhead/sim.speeds[engine] + sim.prefillTime(engine, model, p)
 			errs = append(errs, math.Abs(estimate/first-1))
 		}
@@ -187,7 +187,7 @@
 		factors = append(factors, math.Abs(e.factor(modelID(i))/(factor/medianFactor)-1))
 	}
 	firsts = append(sim.firstEventErrors(e, Prompt{Tokens: 826}), sim.firstEventErrors(e, Prompt{Tokens: 9190})...)
-	firsts = append(firsts, sim.firstEventErrors(e, Prompt{Tokens: 9190, Kept: 6300})...)
+	firsts = append(firsts, sim.firstEventErrors(e, Prompt{Tokens: 9190, Cached: 6300})...)
 	t.Logf("%-24s rate %5.1f tokens/ms, %.2f ms/M pairs, overhead %4.1f ms; relative error, median and 90th percentile: speeds %.3f %.3f, factors %.3f %.3f, first events %.3f %.3f",
 		name, 1/e.rates.perToken, e.rates.perMillionPairs, e.rates.overhead,
 		quantile(speeds, 0.5), quantile(speeds, 0.9), quantile(factors, 0.5), quantile(factors, 0.9), quantile(firsts, 0.5), quantile(firsts, 0.9))
