--- a/relay/keyed/claims.go
+++ b/relay/keyed/claims.go
@@ -52,7 +52,7 @@
 	for decision.Kind == idempotency.DecisionAsk {
 		answer := r.ask(ctx, decision.Ask, decision.Question)
 		r.mutex.Lock()
-		decision = r.table.Answered(time.Now(), claim.Key, claim.Request, answer)
+		decision = r.table.ProcessAnswer(time.Now(), claim.Key, claim.Request, answer)
 		r.mutex.Unlock()
 	}
 	return decision
--- a/relay/keyed/messages.go
+++ b/relay/keyed/messages.go
@@ -21,7 +21,7 @@
 		r.handleHandover(message)
 	case wire.KeyHeir:
 		r.mutex.Lock()
-		r.table.Succeed(time.Now(), message.From, message.Heir)
+		r.table.RecordHeir(time.Now(), message.From, message.Heir)
 		r.mutex.Unlock()
 	case wire.KeyHandoverAnswer:
 		r.exchange.Deliver(message.Number, message)
@@ -57,7 +57,7 @@
 // handleQuestion answers another owner's question about a key.
 func (r *Runner) handleQuestion(message wire.KeyQuestion) {
 	r.mutex.Lock()
-	answer := r.table.Asked(time.Now(), questionFrom(message))
+	answer := r.table.Answer(time.Now(), questionFrom(message))
 	r.mutex.Unlock()
 	r.peers.Send(message.FromAddress, answerMessage(answer, message.Number))
 }
--- a/routing/idempotency/bench_test.go
+++ b/routing/idempotency/bench_test.go
@@ -33,7 +33,7 @@
 		decision := table.Begin(now, claimed)
 		if decision.Kind == DecisionAsk {
 			recorded := Answer{Kind: AnswerRecorded, From: decision.Ask, To: decision.Question.Round}
-			decision = table.Answered(now, claimed.Key, claimed.Request, recorded)
+			decision = table.ProcessAnswer(now, claimed.Key, claimed.Request, recorded)
 		}
 		if decision.Kind != DecisionRun {
 			b.Fatalf("got %+v", decision)
--- a/routing/idempotency/handover.go
+++ b/routing/idempotency/handover.go
@@ -92,7 +92,7 @@
 
 // Inherit merges the state of a node that shuts down, or a part of that state. It returns false if
 // this node shuts down itself or has not joined. The heir answers for the other node only after
-// Succeed.
+// RecordHeir.
 func (t *Table) Inherit(now time.Time, handover Handover) bool {
 	if t.handedOver || !t.joined {
 		return false
@@ -154,10 +154,10 @@
 	t.setState(e, into, max(e.expires, record.Expires.UnixNano()))
 }
 
-// Succeed records that a node left and that its heir, which has inherited its whole state, answers
+// RecordHeir records that a node left and that its heir, which has inherited its whole state, answers
 // in its place. Asking claims are restarted, because earlier answers of the heir did not cover the
 // other node's state.
-func (t *Table) Succeed(now time.Time, left, heir cluster.NodeID) {
+func (t *Table) RecordHeir(now time.Time, left, heir cluster.NodeID) {
 	nanos := now.UnixNano()
 	for node, known := range t.successors {
 		if known.until <= nanos {
--- a/routing/idempotency/handover_test.go
+++ b/routing/idempotency/handover_test.go
@@ -15,7 +15,7 @@
 	region := newRegion("a", "b", "c", "d", "e", "f")
 	ask := func(at, from cluster.NodeID, round uint64) Answer {
 		current := region.tables["c"].Owners(Key{"/dental", "k"})
-		return region.tables[at].Asked(start, Question{
+		return region.tables[at].Answer(start, Question{
 			Claim: claim("k", cluster.RequestID(from), from), From: from, Round: round,
 			Owners: Owners{from, "f"}, Known: []Owners{current, {from, "f"}},
 		})
@@ -27,9 +27,9 @@
 	if !region.tables["b"].Inherit(start, handover) || region.tables["c"].Inherit(start, handover) {
 		t.Fatal("not inherited by a node that stays, or inherited by one that left")
 	}
-	region.tables["b"].Succeed(start, "c", "b")
+	region.tables["b"].RecordHeir(start, "c", "b")
 	for _, node := range []cluster.NodeID{"a", "d", "e", "f"} {
-		region.tables["b"].Succeed(start, node, "b")
+		region.tables["b"].RecordHeir(start, node, "b")
 	}
 	if heirs := region.tables["b"].Heirs(); len(heirs) != 0 {
 		t.Fatalf("%v may take over, but all nodes have left", heirs)
@@ -56,7 +56,7 @@
 		table := region.tables["a"]
 		asking := table.Begin(start, claim(key, "r1", "a"))
 		expectKind(t, asking, DecisionAsk)
-		before := region.tables["b"].Asked(start, asking.Question)
+		before := region.tables["b"].Answer(start, asking.Question)
 		before.To = asking.Question.Round
 		if before.Kind != AnswerRecorded {
 			t.Fatalf("got %+v", before)
@@ -65,11 +65,11 @@
 			promise := Record{Claim: Claim{Key: asking.Question.Claim.Key}, Expires: start.Add(time.Hour)}
 			promise.Promised = []Past{{Until: start, Owners: Owners{"d", "c"}}}
 			table.Inherit(start, Handover{Left: "c", Records: []Record{promise}})
-			expectKind(t, table.Answered(start, asking.Question.Claim.Key, "r1", before), DecisionUnavailable)
+			expectKind(t, table.ProcessAnswer(start, asking.Question.Claim.Key, "r1", before), DecisionUnavailable)
 			continue
 		}
-		table.Succeed(start, "c", "b")
-		again := table.Answered(start, asking.Question.Claim.Key, "r1", before)
+		table.RecordHeir(start, "c", "b")
+		again := table.ProcessAnswer(start, asking.Question.Claim.Key, "r1", before)
 		expectKind(t, again, DecisionAsk)
 		if again.Question.Round <= asking.Question.Round {
 			t.Fatalf("asked again in round %d after round %d", again.Question.Round, asking.Question.Round)
@@ -91,7 +91,7 @@
 	for _, request := range []cluster.RequestID{"r1", "r2"} {
 		region.tables["b"].Finish(start, asked.Key, Outcome{Kind: OutcomeNotRun, Request: request})
 	}
-	answer := region.tables["b"].Asked(start, Question{Claim: claim(key, "r3", "d"), From: "a", Round: 99})
+	answer := region.tables["b"].Answer(start, Question{Claim: claim(key, "r3", "d"), From: "a", Round: 99})
 	if answer.Kind != AnswerEnded || answer.Outcome.Kind != OutcomeUnknown {
 		t.Fatalf("got %+v", answer)
 	}
--- a/routing/idempotency/property_test.go
+++ b/routing/idempotency/property_test.go
@@ -130,7 +130,7 @@
 	if c.tables[heir].Inherit(c.now, handover) && whole {
 		for _, node := range pair[1:] {
 			if rapid.IntRange(0, 3).Draw(t, "learns") > 0 {
-				c.tables[node].Succeed(c.now, left, heir)
+				c.tables[node].RecordHeir(c.now, left, heir)
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 func (c *faultyRegion) deliver(question pendingQuestion, fate string) {
 	answer := Answer{Kind: AnswerNone, From: question.ask.Ask}
 	if c.connected(question.at, question.ask.Ask) && fate != "lost" {
-		sent := c.tables[question.ask.Ask].Asked(c.now, question.ask.Question)
+		sent := c.tables[question.ask.Ask].Answer(c.now, question.ask.Question)
 		sent.To = question.ask.Question.Round
 		if fate != "answer lost" {
 			answer = sent
@@ -239,7 +239,7 @@
 	}
 	claimed := question.ask.Question.Claim
 	if table := c.tables[question.at]; table != nil {
-		c.follow(question.at, claimed, table.Answered(c.now, claimed.Key, claimed.Request, answer))
+		c.follow(question.at, claimed, table.ProcessAnswer(c.now, claimed.Key, claimed.Request, answer))
 	}
 }
 
@@ -250,7 +250,7 @@
 	}
 	question := rapid.SampledFrom(c.late).Draw(t, "late")
 	if slices.Contains(c.reachable, question.ask.Ask) && c.tables[question.ask.Ask] != nil {
-		c.tables[question.ask.Ask].Asked(c.now, question.ask.Question)
+		c.tables[question.ask.Ask].Answer(c.now, question.ask.Question)
 	}
 }
 
--- a/routing/idempotency/questions.go
+++ b/routing/idempotency/questions.go
@@ -102,9 +102,9 @@
 	}}
 }
 
-// Answered processes an owner's answer for the claim that waits for it. It returns another
+// ProcessAnswer processes an owner's answer for the claim that waits for it. It returns another
 // DecisionAsk as long as other owners must answer.
-func (t *Table) Answered(now time.Time, key Key, request cluster.RequestID, answer Answer) Decision {
+func (t *Table) ProcessAnswer(now time.Time, key Key, request cluster.RequestID, answer Answer) Decision {
 	nanos := now.UnixNano()
 	t.expire(nanos)
 	e := t.entries[key]
@@ -115,7 +115,7 @@
 		return Decision{Kind: DecisionInProgress, RetryAfter: t.config.RetryAfter}
 	}
 	for _, known := range answer.Heirs {
-		t.Succeed(now, known.Left, known.Heir)
+		t.RecordHeir(now, known.Left, known.Heir)
 	}
 	before := len(e.learnedOwners)
 	for _, past := range answer.Past {
@@ -168,8 +168,8 @@
 	return Decision{Kind: DecisionInProgress, RetryAfter: t.config.RetryAfter}
 }
 
-// Asked answers a question from another node.
-func (t *Table) Asked(now time.Time, question Question) Answer {
+// Answer answers a question from another node.
+func (t *Table) Answer(now time.Time, question Question) Answer {
 	nanos := now.UnixNano()
 	t.expire(nanos)
 	t.history.prune(nanos - t.retention())
--- a/routing/idempotency/region_test.go
+++ b/routing/idempotency/region_test.go
@@ -38,7 +38,7 @@
 	heir := r.tables[left].Heirs()[0]
 	if r.tables[heir].Inherit(r.now, r.tables[left].Leave(r.now)) {
 		for _, table := range r.tables {
-			table.Succeed(r.now, left, heir)
+			table.RecordHeir(r.now, left, heir)
 		}
 	}
 	r.kill(left)
@@ -76,10 +76,10 @@
 			r.questions++
 			answer := Answer{Kind: AnswerNone, From: decision.Ask}
 			if table := r.tables[decision.Ask]; table != nil {
-				answer = table.Asked(r.now, decision.Question)
+				answer = table.Answer(r.now, decision.Question)
 				answer.To = decision.Question.Round
 			}
-			decision = r.tables[at].Answered(r.now, claim.Key, claim.Request, answer)
+			decision = r.tables[at].ProcessAnswer(r.now, claim.Key, claim.Request, answer)
 		}
 	}
 	return decision
--- a/routing/idempotency/table_test.go
+++ b/routing/idempotency/table_test.go
@@ -130,13 +130,13 @@
 	key := keyOwnedBy(Owners{"a", "b"}, "a", "b", "c")
 	first := region.tables["a"].Begin(start, claim(key, "r1", "c"))
 	expectKind(t, first, DecisionAsk)
-	if answer := region.tables["b"].Asked(start, first.Question); answer.Kind != AnswerRecorded {
+	if answer := region.tables["b"].Answer(start, first.Question); answer.Kind != AnswerRecorded {
 		t.Fatalf("got %+v", answer)
 	}
 	none := Answer{Kind: AnswerNone, From: "b"}
-	expectKind(t, region.tables["a"].Answered(start, first.Question.Claim.Key, "r1", none), DecisionUnavailable)
+	expectKind(t, region.tables["a"].ProcessAnswer(start, first.Question.Claim.Key, "r1", none), DecisionUnavailable)
 	expectKind(t, region.claim(claim(key, "r2", "c")), DecisionRun)
-	if late := region.tables["b"].Asked(start, first.Question); late.Kind != AnswerInProgress {
+	if late := region.tables["b"].Answer(start, first.Question); late.Kind != AnswerInProgress {
 		t.Fatalf("got %+v", late)
 	}
 }
@@ -150,8 +150,8 @@
 	asked := claim(keyOwnedBy(Owners{"y"}, "a", "y"), "r1", "y")
 	asking := joiner.Begin(start, asked)
 	expectKind(t, asking, DecisionAsk)
-	answer := former.Asked(start, asking.Question)
-	expectKind(t, joiner.Answered(start, asked.Key, "r1", answer), DecisionUnknown)
+	answer := former.Answer(start, asking.Question)
+	expectKind(t, joiner.ProcessAnswer(start, asked.Key, "r1", answer), DecisionUnknown)
 }
 
 // TestLossOfRunningNodeMakesOutcomeUnknown checks that the outcome is unknown after the node that
@@ -208,7 +208,7 @@
 	region := newRegion("a", "b", "c", "d", "e", "f")
 	current := region.tables["c"].Owners(Key{"/dental", "k"})
 	ask := func(from cluster.NodeID, round uint64, record bool, known ...Owners) Answer {
-		return region.tables["c"].Asked(start, Question{
+		return region.tables["c"].Answer(start, Question{
 			Claim: claim("k", cluster.RequestID(from), from), From: from, Round: round,
 			Owners: Owners{from, "f"}, Known: append(known, current, Owners{from, "f"}), Record: record,
 		})
@@ -237,7 +237,7 @@
 	region := newRegion("a", "b", "c")
 	asked := claim(keyOwnedBy(Owners{"a"}, "a", "b", "c"), "r1", "a")
 	expectKind(t, region.tables["a"].Begin(start, asked), DecisionAsk)
-	if answer := region.tables["a"].Asked(start, Question{Claim: asked, From: "b", Round: 5}); answer.Kind != AnswerInProgress {
+	if answer := region.tables["a"].Answer(start, Question{Claim: asked, From: "b", Round: 5}); answer.Kind != AnswerInProgress {
 		t.Fatalf("got %+v", answer)
 	}
 }
--- a/routing/idempotency/types.go
+++ b/routing/idempotency/types.go
@@ -138,7 +138,7 @@
 	// the claim, for DecisionRun.
 	Owner cluster.NodeID
 	// Ask is the node to send Question to, for DecisionAsk. Its Answer is passed to
-	// Table.Answered.
+	// Table.ProcessAnswer.
 	Ask      cluster.NodeID
 	Question Question
 	// Outcome is set for DecisionReplay and DecisionRan.
