--- a/demand/ledger.go
+++ b/demand/aggregator.go
@@ -10,8 +10,8 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Ledger aggregates the routers' demand for one cell.
-type Ledger struct {
+// Aggregator aggregates the routers' demand for one cell.
+type Aggregator struct {
 	routers map[cluster.NodeID]*routerDemand
 	// order lists the routers, sorted by ID.
 	order []cluster.NodeID
@@ -46,16 +46,16 @@
 	scopes     []wire.ScopeDemand
 }
 
-// New returns an empty ledger.
-func New() *Ledger {
-	return &Ledger{
+// New returns an empty Aggregator.
+func New() *Aggregator {
+	return &Aggregator{
 		routers:  map[cluster.NodeID]*routerDemand{},
 		arrivals: map[cluster.ModelID]arrivals{},
 	}
 }
 
-// Note replaces a router's demand by its new report, unless a newer one was received before.
-func (l *Ledger) Note(now time.Time, demand wire.Demand) {
+// Record replaces a router's demand by its new report, unless a newer one was received before.
+func (l *Aggregator) Record(now time.Time, demand wire.Demand) {
 	known, ok := l.routers[demand.From]
 	if ok && demand.Sequence <= known.sequence {
 		return
@@ -89,7 +89,7 @@
 }
 
 // Forget removes a router's demand.
-func (l *Ledger) Forget(router cluster.NodeID) {
+func (l *Aggregator) Forget(router cluster.NodeID) {
 	if _, ok := l.routers[router]; !ok {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // Expire removes routers without a report within the timeout.
-func (l *Ledger) Expire(now time.Time, timeout time.Duration) {
+func (l *Aggregator) Expire(now time.Time, timeout time.Duration) {
 	for i := 0; i < len(l.order); i++ {
 		if now.Sub(l.routers[l.order[i]].reportedAt) > timeout {
 			l.Forget(l.order[i])
@@ -113,7 +113,7 @@
 }
 
 // Sum returns the demand by model for one plan and resets the count of arrivals.
-func (l *Ledger) Sum(now time.Time) map[cluster.ModelID]placement.Demand {
+func (l *Aggregator) Sum(now time.Time) map[cluster.ModelID]placement.Demand {
 	total := make(map[cluster.ModelID]placement.Demand)
 	for _, id := range l.order {
 		router := l.routers[id]
@@ -159,13 +159,13 @@
 
 // Changed reports whether a router has begun to have waiting requests of a model since the last
 // Sum.
-func (l *Ledger) Changed() bool { return l.newlyWaiting }
+func (l *Aggregator) Changed() bool { return l.newlyWaiting }
 
 // Routers lists the routers with a report, sorted by ID.
-func (l *Ledger) Routers() []cluster.NodeID { return slices.Clone(l.order) }
+func (l *Aggregator) Routers() []cluster.NodeID { return slices.Clone(l.order) }
 
 // Zone returns the zone of a router by its last report.
-func (l *Ledger) Zone(router cluster.NodeID) cluster.ZoneID {
+func (l *Aggregator) Zone(router cluster.NodeID) cluster.ZoneID {
 	if known := l.routers[router]; known != nil {
 		return known.zone
 	}
@@ -173,15 +173,15 @@
 }
 
 // Scopes returns the demand for limited scopes in a router's last report.
-func (l *Ledger) Scopes(router cluster.NodeID) []wire.ScopeDemand {
+func (l *Aggregator) Scopes(router cluster.NodeID) []wire.ScopeDemand {
 	if known := l.routers[router]; known != nil {
 		return known.scopes
 	}
 	return nil
 }
 
-// Wanting lists the routers whose last report names a model for which names returns true.
-func (l *Ledger) Wanting(names func(model cluster.ModelID) bool) []cluster.NodeID {
+// RoutersNaming lists the routers whose last report names a model for which names returns true.
+func (l *Aggregator) RoutersNaming(names func(model cluster.ModelID) bool) []cluster.NodeID {
 	var wanting []cluster.NodeID
 	for _, id := range l.order {
 		if slices.ContainsFunc(l.routers[id].models, func(m wire.ModelDemand) bool { return names(m.Model) }) {
@@ -191,8 +191,8 @@
 	return wanting
 }
 
-// Waiting reports whether any router's last report has waiting requests.
-func (l *Ledger) Waiting() bool {
+// HasWaiting reports whether any router's last report has waiting requests.
+func (l *Aggregator) HasWaiting() bool {
 	for _, id := range l.order {
 		if slices.ContainsFunc(l.routers[id].models, func(m wire.ModelDemand) bool { return m.Waiting > 0 }) {
 			return true
--- a/demand/ledger_test.go
+++ b/demand/aggregator_test.go
@@ -14,7 +14,7 @@
 	now := time.Unix(0, 0)
 	ledger := New()
 	report := func(from cluster.NodeID, sequence uint64, arrivals, tokens int) {
-		ledger.Note(now, wire.Demand{
+		ledger.Record(now, wire.Demand{
 			From: from, Sequence: sequence,
 			Models: []wire.ModelDemand{{Model: "chat", Arrivals: arrivals, PromptTokens: tokens}},
 		})
--- a/fleet/controller.go
+++ b/fleet/controller.go
@@ -50,7 +50,7 @@
 	core   *Core
 	lease  *lease.Client
 	ledger *sequence.Ledger
-	demand *demand.Ledger
+	demand *demand.Aggregator
 	// planner is created anew for each term.
 	planner *placement.AdaptivePlanner
 	// allotment allows any number of replicas of each model.
@@ -165,7 +165,7 @@
 // demandReceived records a node's demand while this node holds the lease.
 func (c *controller) demandReceived(received wire.Demand) {
 	if c.ledger.Holding() {
-		c.demand.Note(c.core.now, received)
+		c.demand.Record(c.core.now, received)
 	}
 }
 
@@ -237,7 +237,7 @@
 			return change.Model == wanted || change.Model == catalog.ModelID(service, name)
 		})
 	}
-	for _, id := range c.demand.Wanting(concerned) {
+	for _, id := range c.demand.RoutersNaming(concerned) {
 		if id != c.core.config.Self.ID {
 			c.core.send(c.core.nodes.live[id].Address, status)
 		}
--- a/fleet/planning.go
+++ b/fleet/planning.go
@@ -18,7 +18,7 @@
 	switch {
 	case c.planStale || c.demand.Changed():
 		return c.lastPlanAt.Add(c.currentPlanInterval())
-	case c.demand.Waiting():
+	case c.demand.HasWaiting():
 		return c.lastPlanAt.Add(waitingPlanInterval)
 	}
 	return c.lastPlanAt.Add(maxPlanInterval)
--- a/fleet/shell/export_test.go
+++ b/fleet/shell/export_test.go
@@ -9,4 +9,4 @@
 }
 
 // SchedulingDelay returns the last measured scheduling delay of the process.
-func (n *Node) SchedulingDelay() time.Duration { return n.schedulingDelay.Late() }
+func (n *Node) SchedulingDelay() time.Duration { return n.schedulingDelay.Lateness() }
--- a/fleet/shell/slowcallers.go
+++ b/fleet/shell/slowcallers.go
@@ -90,7 +90,7 @@
 // kernel: reading and rejecting their requests costs a fifth of a core at 1,400 connections a
 // second.
 func (l callerListener) Accept() (net.Conn, error) {
-	l.node.schedulingDelay.Hold(l.node.context)
+	l.node.schedulingDelay.WaitWhileLate(l.node.context)
 	connection, err := l.silenceLimitListener.Accept()
 	if err != nil {
 		return nil, err
--- a/fleet/shell/staleness.go
+++ b/fleet/shell/staleness.go
@@ -39,7 +39,7 @@
 	case stale && f.staleSince.IsZero():
 		f.staleSince = knownAt
 		f.options.Log.Write(eventlog.KnowledgeOld{
-			Age: age, Source: f.source.Load().(string), Revision: f.feed.Revision(), Late: f.schedulingDelay.Late(), Lost: f.storeLostCause,
+			Age: age, Source: f.source.Load().(string), Revision: f.feed.Revision(), Late: f.schedulingDelay.Lateness(), Lost: f.storeLostCause,
 		})
 	case !stale && !f.staleSince.IsZero():
 		f.options.Log.Write(eventlog.KnowledgeNew{After: f.Now().Sub(f.staleSince), Source: f.source.Load().(string), Revision: f.feed.Revision()})
@@ -54,7 +54,7 @@
 // catching up takes. A node that is not overloaded but gets no updates goes on serving, since its
 // callers may have no other node.
 func (n *Node) admitRequest() (late time.Duration, admitted bool) {
-	if late, admitted = n.schedulingDelay.Take(); !admitted {
+	if late, admitted = n.schedulingDelay.Admit(); !admitted {
 		return late, false
 	}
 	age, staleLimit := n.storeViewAge(), n.staleAfter()
@@ -116,5 +116,5 @@
 	}
 	output <- prometheus.MustNewConstMetric(f.age, prometheus.GaugeValue, f.node.storeViewAge().Seconds())
 	output <- prometheus.MustNewConstMetric(f.source, prometheus.GaugeValue, 1, source)
-	output <- prometheus.MustNewConstMetric(f.late, prometheus.GaugeValue, f.node.schedulingDelay.Late().Seconds())
+	output <- prometheus.MustNewConstMetric(f.late, prometheus.GaugeValue, f.node.schedulingDelay.Lateness().Seconds())
 }
--- a/node/controller.go
+++ b/node/controller.go
@@ -41,7 +41,7 @@
 	controller  *authority.Controller
 	lease       *lease.Client
 	planner     placement.Planner
-	demand      *demand.Ledger
+	demand      *demand.Aggregator
 	publisher   *statusPublisher
 	prefixes    prefixRelay
 	moves       cacheMoves
@@ -347,7 +347,7 @@
 
 func (r *cellRole) demandReceived(received wire.Demand) {
 	if r.controller.Holding() {
-		r.demand.Note(r.core.now, received)
+		r.demand.Record(r.core.now, received)
 		r.planIfDue()
 	}
 }
--- a/node/shares.go
+++ b/node/shares.go
@@ -21,7 +21,7 @@
 
 // divideLimits divides this zone's share of every limited scope with demand over the
 // zone's routers.
-func divideLimits(core *Core, ledger *demand.Ledger) map[cluster.NodeID][]wire.ScopeShare {
+func divideLimits(core *Core, ledger *demand.Aggregator) map[cluster.NodeID][]wire.ScopeShare {
 	snapshot := core.Snapshot()
 	if snapshot == nil || len(snapshot.Scopes) == 0 {
 		return nil
@@ -66,7 +66,7 @@
 	}
 }
 
-func scopesWithDemand(ledger *demand.Ledger) []string {
+func scopesWithDemand(ledger *demand.Aggregator) []string {
 	seen := map[string]bool{}
 	var paths []string
 	for _, id := range ledger.Routers() {
@@ -119,7 +119,7 @@
 const idleWeight = 0.01
 
 // routerWeights weighs the zone's routers by their requests in flight and arriving.
-func routerWeights(core *Core, ledger *demand.Ledger, path string) []routerWeight {
+func routerWeights(core *Core, ledger *demand.Aggregator, path string) []routerWeight {
 	var weights []routerWeight
 	for _, id := range ledger.Routers() {
 		if ledger.Zone(id) != core.self.Zone {
--- a/node/shell/node.go
+++ b/node/shell/node.go
@@ -205,7 +205,7 @@
 		Observe:      n.metrics.observeRequest,
 		Stopping:     n.admissionContext,
 	})
-	n.callers = n.newServer(n.closeConnectionsOnDrain(api.Bounded(handler, n.latenessMeter.Take)))
+	n.callers = n.newServer(n.closeConnectionsOnDrain(api.Bounded(handler, n.latenessMeter.Admit)))
 	n.callers.ConnState = n.connections.connStateChanged
 	n.listener = n.connections.wrapListener(callers)
 	n.admin = n.newServer(n.adminHandler())
--- a/overload/meter.go
+++ b/overload/meter.go
@@ -87,9 +87,9 @@
 	return at != 0 && m.now()-time.Duration(at) <= span || m.pending() > MaxLateness
 }
 
-// Late returns the current lateness: the result of the last measurement, or the duration of the
+// Lateness returns the current lateness: the result of the last measurement, or the duration of the
 // current one if that is longer.
-func (m *Meter) Late() time.Duration { return max(time.Duration(m.last.Load()), m.pending()) }
+func (m *Meter) Lateness() time.Duration { return max(time.Duration(m.last.Load()), m.pending()) }
 
 // pending returns for how long the current measurement has been running, zero if there is none.
 func (m *Meter) pending() time.Duration {
@@ -100,15 +100,15 @@
 	return m.now() - time.Duration(began)
 }
 
-// holdPoll is the interval at which Hold checks whether the process is still late. MaxHold bounds a
+// holdPoll is the interval at which WaitWhileLate checks whether the process is still late. MaxHold bounds a
 // hold: clients close a connection that is not read for a second.
 const (
 	holdPoll = 5 * time.Millisecond
 	MaxHold  = time.Second
 )
 
-// Hold waits while the process is later than MaxLateness, for at most MaxHold.
-func (m *Meter) Hold(ctx context.Context) {
+// WaitWhileLate waits while the process is later than MaxLateness, for at most MaxHold.
+func (m *Meter) WaitWhileLate(ctx context.Context) {
 	for held := time.Duration(0); held < MaxHold && m.pending() > MaxLateness; held += holdPoll {
 		select {
 		case <-time.After(holdPoll):
@@ -118,8 +118,8 @@
 	}
 }
 
-// Take reports whether a piece of work may be admitted, and how late the process is.
-func (m *Meter) Take() (late time.Duration, may bool) {
+// Admit reports whether a piece of work may be admitted, and how late the process is.
+func (m *Meter) Admit() (late time.Duration, may bool) {
 	late = m.pending()
 	if late > MaxLateness || late > BurstMaxLateness && m.admitted.Load() >= MaxBurst {
 		return late, false
--- a/overload/meter_test.go
+++ b/overload/meter_test.go
@@ -17,20 +17,20 @@
 		m := New(func() { time.Sleep(time.Duration(probeTime.Load())) })
 		ctx, cancel := context.WithCancel(t.Context())
 		go m.Run(ctx)
-		if late := m.Late(); late != 0 {
+		if late := m.Lateness(); late != 0 {
 			t.Errorf("%v before the first measurement", late)
 		}
 		time.Sleep(MeasureInterval + 500*time.Millisecond)
-		if late := m.Late(); late != 500*time.Millisecond {
+		if late := m.Lateness(); late != 500*time.Millisecond {
 			t.Errorf("%v after 500 ms of waiting", late)
 		}
 		probeTime.Store(0)
 		time.Sleep(400*time.Millisecond - time.Nanosecond)
-		if late := m.Late(); late != 900*time.Millisecond-time.Nanosecond {
+		if late := m.Lateness(); late != 900*time.Millisecond-time.Nanosecond {
 			t.Errorf("%v just before the probe returns", late)
 		}
 		time.Sleep(2 * MeasureInterval)
-		if late := m.Late(); late != 0 {
+		if late := m.Lateness(); late != 0 {
 			t.Errorf("%v after a measurement without lateness", late)
 		}
 		cancel()
@@ -50,7 +50,7 @@
 		go m.Run(ctx)
 		admit := func(count int) (admitted int) {
 			for range count {
-				if _, may := m.Take(); may {
+				if _, may := m.Admit(); may {
 					admitted++
 				}
 				synctest.Wait()
@@ -74,7 +74,7 @@
 			t.Errorf("%d of 10 below the burst limit are admitted at a lateness of at most %v", admitted, MaxLateness)
 		}
 		time.Sleep(time.Millisecond)
-		if late, may := m.Take(); may || late != MaxLateness+time.Millisecond {
+		if late, may := m.Admit(); may || late != MaxLateness+time.Millisecond {
 			t.Errorf("%v late: admitted %t", late, may)
 		}
 		close(returns)
--- a/passthrough/overload.go
+++ b/passthrough/overload.go
@@ -12,7 +12,7 @@
 // the configuration was 12 s and 9 s old. A refusal costs a tenth of the work of an answer.
 func (h *Handler) checkOverload(active int64) *verdict.Error {
 	if h.MostUnderWay > 0 && active > int64(h.MostUnderWay) {
-		return overload.Full(h.MostUnderWay)
+		return overload.TooManyRequests(h.MostUnderWay)
 	}
 	if h.MayTake == nil {
 		return nil
