--- a/fleet/shell/node.go
+++ b/fleet/shell/node.go
@@ -142,9 +142,9 @@
 	n.transport = transport
 	n.options.Core.Self.Address = transport.Address()
 	handler := passthrough.NewHandler(passthrough.Config{
-		Catalog: n.servingCatalog, Known: n.becameReady, Decider: n, Dialect: n.options.Dialect, Pool: n.pool, Log: n.options.Log,
+		Catalog: n.servingCatalog, CatalogReady: n.becameReady, Decider: n, Dialect: n.options.Dialect, Pool: n.pool, Log: n.options.Log,
 		Metrics: passthrough.NewMetrics(n.registry), NewID: n.newRequestID, Closing: n.closesConnections.Load, Admits: n.admits,
-		KnowsPoison: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayTake: n.admitRequest, MostUnderWay: n.options.Callers.Requests,
+		KnowsPoison: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayAccept: n.admitRequest, MaxActiveRequests: n.options.Callers.Requests,
 	})
 	if n.callerServer, err = n.startServer(&n.options.CallersAddress, handler, n.limitCallers); err != nil {
 		return errors.Join(eris.Wrap(err, "open the listener for callers"), transport.Close(n.context))
--- a/passthrough/attempt.go
+++ b/passthrough/attempt.go
@@ -114,7 +114,7 @@
 		}
 		// A machine may answer without reading the whole request. The answer counts, but the
 		// connection can't be reused.
-		a.conn.Spoil()
+		a.conn.MarkUnusable()
 	}
 	a.startWatchdog()
 	response, marks, err := a.readHead(forwarded)
@@ -162,11 +162,11 @@
 
 // readHead reads the head of the answer to this request. It discards late answers to earlier
 // requests; the connection is not reused after one.
-func (a *attempt) readHead(forwarded *http.Request) (*http.Response, Marks, error) {
+func (a *attempt) readHead(forwarded *http.Request) (*http.Response, AnswerAttributes, error) {
 	for range maxStaleAnswers {
 		response, err := a.conn.Head(forwarded)
 		if err != nil {
-			return nil, Marks{}, err
+			return nil, AnswerAttributes{}, err
 		}
 		marks := a.Dialect.ReadAnswer(a.decision.Machine, response.StatusCode, response.Header)
 		own := marks.RequestID == a.id || marks.RequestID == "" && marks.NotRun
@@ -174,18 +174,18 @@
 		if own {
 			return response, marks, nil
 		}
-		a.conn.Spoil()
+		a.conn.MarkUnusable()
 		if marks.RequestID == "" || !upstream.Drained(response, maxStaleAnswerBytes) {
 			break
 		}
 	}
-	return nil, Marks{}, eris.New("the answer belongs to another request")
+	return nil, AnswerAttributes{}, eris.New("the answer belongs to another request")
 }
 
 // reportNotice reports to the router what the machine states about itself in an answer. An answer
 // that states nothing is reported only if it is this request's and the request was sent under a
 // limit.
-func (a *attempt) reportNotice(marks *Marks, own bool) {
+func (a *attempt) reportNotice(marks *AnswerAttributes, own bool) {
 	if marks.Machine != "" && marks.Machine != a.decision.Machine {
 		return
 	}
@@ -198,7 +198,7 @@
 }
 
 // handleRefusal handles an answer which states that the machine did not run the request.
-func (a *attempt) handleRefusal(response *http.Response, marks *Marks) *verdict.Error {
+func (a *attempt) handleRefusal(response *http.Response, marks *AnswerAttributes) *verdict.Error {
 	switch {
 	case marks.Misdirected && marks.Machine != "" && marks.Machine != a.decision.Machine:
 		a.successor, a.modelMissing = marks.Machine, true
@@ -212,7 +212,7 @@
 }
 
 // handleAnswer reads the answer of a machine that ran the request.
-func (a *attempt) handleAnswer(response *http.Response, marks *Marks) *verdict.Error {
+func (a *attempt) handleAnswer(response *http.Response, marks *AnswerAttributes) *verdict.Error {
 	succeeded := response.StatusCode < http.StatusMultipleChoices
 	if succeeded && !marks.Signed {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeEngineFailed, "the answer bears no signature")
@@ -228,7 +228,7 @@
 
 // bufferAnswer reads an answer until it is complete. An answer that is too long to be buffered, or
 // for which the node has no memory left, is relayed as it arrives.
-func (a *attempt) bufferAnswer(response *http.Response, marks *Marks) *verdict.Error {
+func (a *attempt) bufferAnswer(response *http.Response, marks *AnswerAttributes) *verdict.Error {
 	a.watchdog.stop()
 	reservedBefore := a.reserved.Bytes()
 	body, complete, err := a.reserved.ReadAll(io.LimitReader(response.Body, maxBufferedAnswerBytes+1), response.ContentLength)
--- a/passthrough/handler.go
+++ b/passthrough/handler.go
@@ -51,14 +51,14 @@
 type Config struct {
 	// Catalog returns the current configuration, nil before the first one.
 	Catalog func() *catalog.Compiled
-	// Known is closed once Catalog returns the first configuration. Callers that arrive earlier
+	// CatalogReady is closed once Catalog returns the first configuration. Callers that arrive earlier
 	// wait for it for a short time; if nil, none wait.
-	Known   <-chan struct{}
-	Decider Decider
-	Dialect Dialect
-	Pool    *upstream.Pool
-	Log     *eventlog.Log
-	Metrics *Metrics
+	CatalogReady <-chan struct{}
+	Decider      Decider
+	Dialect      Dialect
+	Pool         *upstream.Pool
+	Log          *eventlog.Log
+	Metrics      *Metrics
 	// Closing reports whether callers should close their connections. If nil, they never should.
 	Closing func() bool
 	// Admits reports whether a request with the given deadline is still accepted. If nil, all are.
@@ -76,11 +76,11 @@
 	MaySend func(id cluster.RequestID) *verdict.Error
 	// NewID returns an ID for a request without one.
 	NewID func() cluster.RequestID
-	// MayTake reports whether another request may be accepted and, if not, how late the process
+	// MayAccept reports whether another request may be accepted and, if not, how late the process
 	// runs tasks that are ready. If nil, all are accepted.
-	MayTake func() (late time.Duration, may bool)
-	// MostUnderWay bounds the number of active requests; zero means no bound.
-	MostUnderWay int
+	MayAccept func() (late time.Duration, may bool)
+	// MaxActiveRequests bounds the number of active requests; zero means no bound.
+	MaxActiveRequests int
 	// Retained bounds the bytes that are held for requests and answers; nil means no bound.
 	Retained *retained.Account
 }
@@ -152,7 +152,7 @@
 	current.recordFingerprint()
 	h.Log.Write(eventlog.RequestAccepted{
 		Request: current.id, Route: route.Name, Version: compiled.Version, Work: current.model,
-		Left: current.deadline.Sub(arrived), Attempts: route.Attempts, Unread: strings.Join(attributes.Unread, ","),
+		Left: current.deadline.Sub(arrived), Attempts: route.Attempts, Unread: strings.Join(attributes.InvalidFields, ","),
 		Content: current.content.String(), Tenant: current.tenantName(),
 		Tokens: attributes.PromptTokens + attributes.MaxTokens,
 		Prompt: attributes.PromptTokens, Longest: route.LongestPause,
--- a/passthrough/overload.go
+++ b/passthrough/overload.go
@@ -11,13 +11,13 @@
 // machines that have left. On two nodes with a fifth of a core and 1,400 requests a second each,
 // the configuration was 12 s and 9 s old. A refusal costs a tenth of the work of an answer.
 func (h *Handler) checkOverload(active int64) *verdict.Error {
-	if h.MostUnderWay > 0 && active > int64(h.MostUnderWay) {
-		return overload.TooManyRequests(h.MostUnderWay)
+	if h.MaxActiveRequests > 0 && active > int64(h.MaxActiveRequests) {
+		return overload.TooManyRequests(h.MaxActiveRequests)
 	}
-	if h.MayTake == nil {
+	if h.MayAccept == nil {
 		return nil
 	}
-	if late, may := h.MayTake(); !may {
+	if late, may := h.MayAccept(); !may {
 		return overload.Refusal(late)
 	}
 	return nil
--- a/passthrough/overload_test.go
+++ b/passthrough/overload_test.go
@@ -18,7 +18,7 @@
 	}
 	for may, status := range map[bool]int{true: http.StatusNotFound, false: http.StatusServiceUnavailable} {
 		h := NewHandler(Config{
-			Dialect: testDialect{}, Catalog: func() *catalog.Compiled { return compiled }, MayTake: func() (time.Duration, bool) { return time.Second, may },
+			Dialect: testDialect{}, Catalog: func() *catalog.Compiled { return compiled }, MayAccept: func() (time.Duration, bool) { return time.Second, may },
 		})
 		recorder := httptest.NewRecorder()
 		h.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "http://h/r/", nil))
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	entered, leave := make(chan struct{}), make(chan struct{})
-	h := NewHandler(Config{Dialect: testDialect{}, MostUnderWay: 1, Catalog: func() *catalog.Compiled {
+	h := NewHandler(Config{Dialect: testDialect{}, MaxActiveRequests: 1, Catalog: func() *catalog.Compiled {
 		entered <- struct{}{}
 		<-leave
 		return compiled
--- a/passthrough/start.go
+++ b/passthrough/start.go
@@ -28,7 +28,7 @@
 // awaitCatalog returns the current configuration. It waits for the first one for at most
 // startWait, and returns nil if none is known by then.
 func (h *Handler) awaitCatalog(r *http.Request) *catalog.Compiled {
-	if compiled := h.Catalog(); compiled != nil || h.Known == nil {
+	if compiled := h.Catalog(); compiled != nil || h.CatalogReady == nil {
 		return compiled
 	}
 	if h.startWaiters.Add(1) > maxStartWaiters {
@@ -39,7 +39,7 @@
 	timer := time.NewTimer(h.startWait(r.Header))
 	defer timer.Stop()
 	select {
-	case <-h.Known:
+	case <-h.CatalogReady:
 	case <-timer.C:
 	case <-r.Context().Done():
 	}
--- a/passthrough/start_test.go
+++ b/passthrough/start_test.go
@@ -44,7 +44,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			var known atomic.Pointer[catalog.Compiled]
 			came := make(chan struct{})
-			h := NewHandler(Config{Dialect: deadlineDialect{}, Catalog: known.Load, Known: came})
+			h := NewHandler(Config{Dialect: deadlineDialect{}, Catalog: known.Load, CatalogReady: came})
 			time.AfterFunc(c.after, func() {
 				known.Store(compiled)
 				close(came)
@@ -70,7 +70,7 @@
 		0: minStartRetry, 700 * time.Millisecond: time.Second, time.Minute: maxStartRetry,
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			h := NewHandler(Config{Dialect: deadlineDialect{}, Catalog: func() *catalog.Compiled { return nil }, Known: make(chan struct{})})
+			h := NewHandler(Config{Dialect: deadlineDialect{}, Catalog: func() *catalog.Compiled { return nil }, CatalogReady: make(chan struct{})})
 			time.Sleep(after)
 			recorder := httptest.NewRecorder()
 			h.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "http://h/r/", nil))
@@ -87,7 +87,7 @@
 func TestStartWaitersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHandler(Config{
-			Dialect: deadlineDialect{}, Catalog: func() *catalog.Compiled { return nil }, Known: make(chan struct{}),
+			Dialect: deadlineDialect{}, Catalog: func() *catalog.Compiled { return nil }, CatalogReady: make(chan struct{}),
 		})
 		var waited, atOnce atomic.Int64
 		var callers sync.WaitGroup
--- a/passthrough/types.go
+++ b/passthrough/types.go
@@ -30,8 +30,8 @@
 	Parts []PromptPart
 	// LastEventID is the event after which a stream is to be resumed.
 	LastEventID string
-	// Unread names the invalid fields.
-	Unread []string
+	// InvalidFields names the invalid fields.
+	InvalidFields []string
 }
 
 // Forward is what a machine is told in addition to the caller's own fields.
@@ -53,8 +53,8 @@
 	FetchAddress string
 }
 
-// Marks is what the head of an answer states besides its status.
-type Marks struct {
+// AnswerAttributes is what the head of an answer states besides its status.
+type AnswerAttributes struct {
 	// RequestID is the request that the answer belongs to, empty if it states none.
 	RequestID cluster.RequestID
 	// Signed is true if the answer has the signature of the machine.
@@ -78,7 +78,7 @@
 	// PrepareForward sets the fields of a request to a machine.
 	PrepareForward(header http.Header, forward Forward)
 	// ReadAnswer reads the fields of the answer of the machine that was asked.
-	ReadAnswer(asked cluster.MachineID, status int, header http.Header) Marks
+	ReadAnswer(asked cluster.MachineID, status int, header http.Header) AnswerAttributes
 }
 
 // connectionFields concern one connection only and are not forwarded.
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// Spoil marks the connection as unusable for another exchange.
-func (c *Conn) Spoil() { c.unusable = true }
+// MarkUnusable marks the connection as unusable for another exchange.
+func (c *Conn) MarkUnusable() { c.unusable = true }
 
 // Interrupt ends all current reads and writes. It may be called from any goroutine.
 func (c *Conn) Interrupt() { _ = c.connection.SetDeadline(time.Unix(1, 0)) }
