--- a/fleet/controller.go
+++ b/fleet/controller.go
@@ -109,7 +109,7 @@
 	case !c.resignedAt.IsZero():
 		c.finishResigning()
 		return
-	case !c.lease.Holding():
+	case !c.lease.IsHolder():
 		c.tryAcquire()
 		return
 	case !now.Before(c.renewAt):
@@ -131,12 +131,12 @@
 func (c *controller) due() time.Time {
 	now := c.core.now
 	if !c.resignedAt.IsZero() {
-		if c.lease.Holding() {
+		if c.lease.IsHolder() {
 			return c.resignedAt.Add(resignDelay)
 		}
 		return time.Time{}
 	}
-	if !c.lease.Holding() {
+	if !c.lease.IsHolder() {
 		if !c.holderKnown || c.vacantSince.IsZero() {
 			return time.Time{}
 		}
--- a/fleet/holder.go
+++ b/fleet/holder.go
@@ -47,11 +47,11 @@
 		// An earlier process of this machine, which has ended, holds the lease, so the lease is
 		// replaced at once. The record is not deleted first, because other nodes would take its
 		// absence for an expired lease.
-		c.lease.Replace(read.Token)
+		c.lease.ReplaceRecord(read.Token)
 		c.vacantSince = c.core.now
 		return
 	}
-	c.lease.Replace(0)
+	c.lease.ReplaceRecord(0)
 	switch {
 	case read.Node.ID == "":
 		if c.vacantSince.IsZero() {
@@ -59,7 +59,7 @@
 		}
 	default:
 		c.vacantSince = time.Time{}
-		if c.lease.Holding() && read.Token > c.lease.Token() {
+		if c.lease.IsHolder() && read.Token > c.lease.Token() {
 			c.stepDown("another node holds the lease")
 		}
 		c.core.reporter.nextReportAt = c.core.now
@@ -96,7 +96,7 @@
 		// so only the record read before the first attempt counts.
 		c.skipOrderPause = c.sameMachine(c.lastHolder) && c.lastHolder.Acting || c.core.config.FirstStart && c.lastHolderRevision == 0
 	}
-	c.lease.WriteBeside(lease.Beside{Key: KeyLastHolder, Value: c.lastHolderEntry(c.skipOrderPause), Revision: c.lastHolderRevision})
+	c.lease.SetExtraPair(lease.ExtraPair{Key: KeyLastHolder, Value: c.lastHolderEntry(c.skipOrderPause), Revision: c.lastHolderRevision})
 	c.lease.Acquire()
 }
 
@@ -147,14 +147,14 @@
 // leaseAnswered handles the answer to a call for the order lease.
 func (c *controller) leaseAnswered(answer lease.Answer) {
 	switch c.lease.Answered(answer) {
-	case lease.Won:
+	case lease.Acquired:
 		c.leaseWon()
-	case lease.Taken:
+	case lease.HeldByOther:
 		value, token := c.lease.Holder()
 		if entry, err := DecodeNodeEntry(value); err == nil {
 			c.holderRead(HolderRead{Node: entry, Token: token})
 		}
-	case lease.Gone:
+	case lease.Expired:
 		c.stepDown("the lease ran out")
 		c.vacantSince = c.core.now
 	case lease.NoAnswer:
@@ -206,7 +206,7 @@
 
 // stepDown ends the term.
 func (c *controller) stepDown(cause string) {
-	if c.lease.Holding() || c.termBegan {
+	if c.lease.IsHolder() || c.termBegan {
 		c.core.log(eventlog.LeaseChanged{Token: c.lease.Token(), Cause: cause})
 	}
 	c.lease.Reset()
@@ -229,7 +229,7 @@
 
 // finishResigning releases the lease once resignDelay has passed.
 func (c *controller) finishResigning() {
-	if c.lease.Holding() && c.core.now.Sub(c.resignedAt) >= resignDelay {
+	if c.lease.IsHolder() && c.core.now.Sub(c.resignedAt) >= resignDelay {
 		c.lease.Release()
 	}
 }
@@ -243,5 +243,5 @@
 		return false
 	}
 	allowed := time.Duration(orderShare * float64(c.core.config.HolderTTL))
-	return c.core.config.FencingEnforced || c.core.now.Sub(c.lease.SentAt()) < allowed
+	return c.core.config.FencingEnforced || c.core.now.Sub(c.lease.LeaseStart()) < allowed
 }
--- a/fleet/node_lease.go
+++ b/fleet/node_lease.go
@@ -20,8 +20,8 @@
 	l.core.emit(LeaseCall{Record: l.record, Call: call, Awaited: true})
 }
 
-// CallUnawaited implements lease.Caller.
-func (l leaseCaller) CallUnawaited(call lease.Call) {
+// CallWithoutAnswer implements lease.Caller.
+func (l leaseCaller) CallWithoutAnswer(call lease.Call) {
 	l.core.emit(LeaseCall{Record: l.record, Call: call})
 }
 
@@ -59,7 +59,7 @@
 	if r.core.now.Before(r.nextCallAt) {
 		return
 	}
-	if r.lease.Holding() {
+	if r.lease.IsHolder() {
 		r.nextCallAt = r.core.now.Add(r.core.config.NodeTTL / renewalsPerTTL)
 		r.lease.Renew()
 		return
@@ -76,12 +76,12 @@
 // leaseAnswered handles the answer to a call. A lost record is written again at once.
 func (r *nodeLease) leaseAnswered(answer lease.Answer) {
 	switch r.lease.Answered(answer) {
-	case lease.Won:
+	case lease.Acquired:
 		r.failures = 0
 		r.nextCallAt = r.core.now.Add(r.core.config.NodeTTL / renewalsPerTTL)
-	case lease.Extended:
+	case lease.Renewed:
 		r.failures = 0
-	case lease.Gone:
+	case lease.Expired:
 		r.nextCallAt = r.core.now
 	case lease.NoAnswer:
 		r.nextCallAt = r.core.now.Add(r.retryDelay())
--- a/keyvalue/lease/lease.go
+++ b/keyvalue/lease/lease.go
@@ -49,11 +49,11 @@
 }
 
 // Caller makes the calls of a Client. The answer to a Call is passed to Client.Answered; that to
-// a CallUnawaited is dropped.
+// a CallWithoutAnswer is dropped.
 type Caller interface {
 	Now() time.Time
 	Call(call Call)
-	CallUnawaited(call Call)
+	CallWithoutAnswer(call Call)
 }
 
 // State is the state of a Client.
@@ -78,17 +78,17 @@
 
 // The outcomes of an answer.
 const (
-	// Nothing means that the lease was granted and the write of the record has begun, or that
+	// NoChange means that the lease was granted and the write of the record has begun, or that
 	// no call was in progress.
-	Nothing Outcome = iota
-	// Won means that the record was written and is the client's own.
-	Won
-	// Taken means that another holder has the record.
-	Taken
-	// Extended means that the lease was renewed.
-	Extended
-	// Gone means that the lease has expired.
-	Gone
+	NoChange Outcome = iota
+	// Acquired means that the record was written and is the client's own.
+	Acquired
+	// HeldByOther means that another holder has the record.
+	HeldByOther
+	// Renewed means that the lease was renewed.
+	Renewed
+	// Expired means that the lease has expired.
+	Expired
 	// NoAnswer means that the call failed or its answer was lost.
 	NoAnswer
 )
@@ -103,7 +103,7 @@
 	value []byte
 	ttl   time.Duration
 	// extraPair is written in the same transaction as the record, nil for none.
-	extraPair *Beside
+	extraPair *ExtraPair
 	// replacedToken is the token of the record that the client's own one replaces, zero
 	// if no record may exist.
 	replacedToken cluster.FencingToken
@@ -127,25 +127,25 @@
 	return &Client{caller: caller, key: key, value: value, ttl: ttl}
 }
 
-// Beside is a pair that is written in the same transaction as the record. The transaction fails
+// ExtraPair is a pair that is written in the same transaction as the record. The transaction fails
 // if the pair has changed since it was read. The pair is not attached to the lease and outlives
 // it.
-type Beside struct {
+type ExtraPair struct {
 	Key   string
 	Value []byte
 	// Revision is the pair's ModRevision when it was read, zero if it was absent.
 	Revision int64
 }
 
-// WriteBeside makes each later write of the record write a pair as well.
-func (c *Client) WriteBeside(beside Beside) { c.extraPair = &beside }
+// SetExtraPair makes each later write of the record write a pair as well.
+func (c *Client) SetExtraPair(beside ExtraPair) { c.extraPair = &beside }
 
-// Replace makes the next write replace the record with the given token, which an earlier process
+// ReplaceRecord makes the next write replace the record with the given token, which an earlier process
 // of the same holder wrote. The record is never absent in between.
-func (c *Client) Replace(token cluster.FencingToken) { c.replacedToken = token }
+func (c *Client) ReplaceRecord(token cluster.FencingToken) { c.replacedToken = token }
 
-// Holding reports whether the record is the client's own, as far as the client knows.
-func (c *Client) Holding() bool { return c.state == Held || c.state == Renewing }
+// IsHolder reports whether the record is the client's own, as far as the client knows.
+func (c *Client) IsHolder() bool { return c.state == Held || c.state == Renewing }
 
 // State returns the client's state.
 func (c *Client) State() State { return c.state }
@@ -156,12 +156,12 @@
 // Lease returns the identifier of the client's lease, zero if it has none.
 func (c *Client) Lease() int64 { return c.lease }
 
-// SentAt returns the time from which the lease counts: when the grant or the last answered
+// LeaseStart returns the time from which the lease counts: when the grant or the last answered
 // renewal was sent.
-func (c *Client) SentAt() time.Time { return c.leaseStart }
+func (c *Client) LeaseStart() time.Time { return c.leaseStart }
 
-// Promised returns the TTL that the service granted, counted from SentAt.
-func (c *Client) Promised() time.Duration { return c.grantedTTL }
+// GrantedTTL returns the TTL that the service granted, counted from LeaseStart.
+func (c *Client) GrantedTTL() time.Duration { return c.grantedTTL }
 
 // Holder returns the value and token of another holder's record, as found by the last write that
 // failed.
@@ -208,11 +208,11 @@
 // Release deletes the record, if it is still the client's own, and revokes the lease.
 func (c *Client) Release() {
 	if c.lease != 0 && c.token != 0 {
-		c.caller.CallUnawaited(Call{Operation: Txn, Txn: keyvalue.Transaction{
+		c.caller.CallWithoutAnswer(Call{Operation: Txn, Txn: keyvalue.Transaction{
 			Compares:   []keyvalue.Compare{{Key: c.key, ModRevision: int64(c.token)}},
 			Operations: []keyvalue.Operation{{Key: c.key, Delete: true}},
 		}})
-		c.caller.CallUnawaited(Call{Operation: Revoke, Lease: c.lease})
+		c.caller.CallWithoutAnswer(Call{Operation: Revoke, Lease: c.lease})
 	}
 	c.Reset()
 }
@@ -230,7 +230,7 @@
 	case Renewing:
 		return c.handleRenewal(answer)
 	default:
-		return Nothing
+		return NoChange
 	}
 }
 
@@ -244,7 +244,7 @@
 		c.grantedTTL = c.ttl
 	}
 	c.writeRecord()
-	return Nothing
+	return NoChange
 }
 
 func (c *Client) handleWrite(answer Answer) Outcome {
@@ -271,23 +271,23 @@
 	}
 	c.replacedToken = 0
 	c.Reset()
-	return Taken
+	return HeldByOther
 }
 
 func (c *Client) becomeHolder(token cluster.FencingToken) Outcome {
 	c.state, c.token, c.replacedToken = Held, token, 0
-	return Won
+	return Acquired
 }
 
 func (c *Client) handleRenewal(answer Answer) Outcome {
 	if answer.Err == nil && answer.TTL <= 0 || errors.Is(answer.Err, keyvalue.ErrLeaseNotFound) {
 		c.Reset()
-		return Gone
+		return Expired
 	}
 	if answer.Err != nil {
 		c.state = Held
 		return NoAnswer
 	}
 	c.state, c.grantedTTL, c.leaseStart = Held, answer.TTL, c.renewalSentAt
-	return Extended
+	return Renewed
 }
--- a/keyvalue/lease/lease_test.go
+++ b/keyvalue/lease/lease_test.go
@@ -16,9 +16,9 @@
 	calls []Call
 }
 
-func (r *recordingCaller) Now() time.Time          { return r.now }
-func (r *recordingCaller) Call(call Call)          { r.calls = append(r.calls, call) }
-func (r *recordingCaller) CallUnawaited(call Call) { r.calls = append(r.calls, call) }
+func (r *recordingCaller) Now() time.Time              { return r.now }
+func (r *recordingCaller) Call(call Call)              { r.calls = append(r.calls, call) }
+func (r *recordingCaller) CallWithoutAnswer(call Call) { r.calls = append(r.calls, call) }
 
 // TestLeaseStartsAtGrantWhenRecordIsWrittenAgain guards against a holder that relies on its lease
 // after it has expired: the answer to the first write of the record is lost, and the second write
@@ -35,10 +35,10 @@
 	}
 	caller.now = granted.Add(leaseTTL / 2)
 	client.Acquire()
-	if outcome := client.Answered(Answer{Txn: keyvalue.TransactionResult{Succeeded: true, Revision: 9}}); outcome != Won {
-		t.Fatalf("outcome %d, want %d", outcome, Won)
+	if outcome := client.Answered(Answer{Txn: keyvalue.TransactionResult{Succeeded: true, Revision: 9}}); outcome != Acquired {
+		t.Fatalf("outcome %d, want %d", outcome, Acquired)
 	}
-	if !client.SentAt().Equal(granted) {
-		t.Fatalf("the lease counts from %s, want %s", client.SentAt(), granted)
+	if !client.LeaseStart().Equal(granted) {
+		t.Fatalf("the lease counts from %s, want %s", client.LeaseStart(), granted)
 	}
 }
--- a/keyvalue/lease/renewal_test.go
+++ b/keyvalue/lease/renewal_test.go
@@ -20,9 +20,9 @@
 		outcome Outcome
 		state   State
 	}{
-		"extended":    {Answer{TTL: time.Second}, Extended, Held},
-		"expired":     {Answer{}, Gone, Idle},
-		"not found":   {Answer{Err: refused(keyvalue.ErrLeaseNotFound)}, Gone, Idle},
+		"extended":    {Answer{TTL: time.Second}, Renewed, Held},
+		"expired":     {Answer{}, Expired, Idle},
+		"not found":   {Answer{Err: refused(keyvalue.ErrLeaseNotFound)}, Expired, Idle},
 		"unreachable": {Answer{Err: refused(errors.New("dial refused"))}, NoAnswer, Held},
 	}
 	for name, test := range cases {
@@ -53,7 +53,7 @@
 		client.Renew()
 		client.Answered(Answer{Err: verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "no answer")})
 	}
-	if want := began.Add(time.Second); !client.SentAt().Equal(want) {
-		t.Fatalf("the lease counts from %s, want %s", client.SentAt(), want)
+	if want := began.Add(time.Second); !client.LeaseStart().Equal(want) {
+		t.Fatalf("the lease counts from %s, want %s", client.LeaseStart(), want)
 	}
 }
--- a/node/apportioner.go
+++ b/node/apportioner.go
@@ -49,7 +49,7 @@
 }
 
 func (r *apportionerRole) holdsLease() bool {
-	return r.lease.Holding()
+	return r.lease.IsHolder()
 }
 
 func (r *apportionerRole) tick() {
@@ -87,12 +87,12 @@
 
 func (r *apportionerRole) leaseAnswered(answer KeyValueAnswered) {
 	switch r.lease.Answered(leaseAnswerOf(answer)) {
-	case lease.Won:
+	case lease.Acquired:
 		r.core.cells.recordClaim(wire.ControllerClaim{Zone: ApportionerZone, Node: r.core.self.ID, Token: r.lease.Token()})
 		r.nextRenewal = r.core.now.Add(leaseTTL / 3)
 		// Leave the controllers time to send their zone reports before the first division.
 		r.nextDivision = r.core.now.Add(apportionInterval / 4)
-	case lease.Taken:
+	case lease.HeldByOther:
 		holder, token := r.lease.Holder()
 		r.core.claimReceived(wire.ControllerClaim{Zone: ApportionerZone, Node: cluster.NodeID(holder), Token: token})
 	}
--- a/node/controller.go
+++ b/node/controller.go
@@ -184,21 +184,21 @@
 
 func (r *cellRole) leaseAnswered(answer KeyValueAnswered) {
 	switch r.lease.Answered(leaseAnswerOf(answer)) {
-	case lease.Won:
+	case lease.Acquired:
 		r.resetTerm()
 		// Records read in an earlier term may be outdated.
 		r.core.restartRead()
 		r.core.cells.recordClaim(wire.ControllerClaim{Zone: r.core.self.Zone, Node: r.core.self.ID, Token: r.lease.Token()})
-		r.stepController(authority.LeaseAcquired{Token: r.lease.Token(), SentAt: r.lease.SentAt(), TTL: r.lease.Promised()})
+		r.stepController(authority.LeaseAcquired{Token: r.lease.Token(), SentAt: r.lease.LeaseStart(), TTL: r.lease.GrantedTTL()})
 		r.storeStatusDeadline = r.core.now.Add(maxFirstStatusWait)
 		r.pollPlatform()
-	case lease.Taken:
+	case lease.HeldByOther:
 		holder, token := r.lease.Holder()
 		r.nextChallenge = r.core.now.Add(challengeInterval)
 		r.core.claimReceived(wire.ControllerClaim{Zone: r.core.self.Zone, Node: cluster.NodeID(holder), Token: token})
-	case lease.Extended:
-		r.stepController(authority.LeaseRenewed{SentAt: r.lease.SentAt(), TTL: r.lease.Promised()})
-	case lease.Gone:
+	case lease.Renewed:
+		r.stepController(authority.LeaseRenewed{SentAt: r.lease.LeaseStart(), TTL: r.lease.GrantedTTL()})
+	case lease.Expired:
 		r.stepController(authority.LeaseLost{})
 	case lease.NoAnswer:
 		r.stepController(authority.LeaseUnreachable{Unknown: verdict.Of(answer.Err) == verdict.MayHaveRun})
--- a/node/lease.go
+++ b/node/lease.go
@@ -27,8 +27,8 @@
 	c.core.keyValueCall(keyValueCallOf(call), callPurpose{lease: c.client})
 }
 
-// CallUnawaited implements lease.Caller.
-func (c *leaseCaller) CallUnawaited(call lease.Call) {
+// CallWithoutAnswer implements lease.Caller.
+func (c *leaseCaller) CallWithoutAnswer(call lease.Call) {
 	c.core.keyValueCall(keyValueCallOf(call), callPurpose{})
 }
 
