--- a/decisions/journal.go
+++ b/decisions/journal.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Arrived adds a record for a new request.
-func (j *Journal) Arrived(at time.Time, request *routing.Request) {
+// RecordArrival adds a record for a new request.
+func (j *Journal) RecordArrival(at time.Time, request *routing.Request) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	entry := &Request{ID: request.ID, Model: request.Model, TokenPath: request.TokenPath, Arrived: at}
@@ -113,8 +113,8 @@
 	j.newestRequest[request.Model] = sequence
 }
 
-// Dispatched adds an attempt to the record of its request.
-func (j *Journal) Dispatched(at time.Time, dispatch *routing.Dispatch) {
+// RecordDispatch adds an attempt to the record of its request.
+func (j *Journal) RecordDispatch(at time.Time, dispatch *routing.Dispatch) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	entry := j.findRequest(dispatch.Request)
@@ -129,8 +129,8 @@
 	})
 }
 
-// Finished sets the outcome in the record of a request.
-func (j *Journal) Finished(at time.Time, finish *routing.Finish) {
+// RecordFinish sets the outcome in the record of a request.
+func (j *Journal) RecordFinish(at time.Time, finish *routing.Finish) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	entry := j.findRequest(finish.Request)
--- a/decisions/journal_test.go
+++ b/decisions/journal_test.go
@@ -18,9 +18,9 @@
 
 // recordRequest records a request from its arrival to its end.
 func recordRequest(j *Journal, id, model string) {
-	j.Arrived(start, &routing.Request{ID: cluster.RequestID(id), Model: cluster.ModelID(model), TokenPath: "/dental"})
-	j.Dispatched(start.Add(time.Second), &routing.Dispatch{Request: cluster.RequestID(id), Attempt: 1, Machine: "m1", Reason: oversizedChoice()})
-	j.Finished(start.Add(2*time.Second), &routing.Finish{
+	j.RecordArrival(start, &routing.Request{ID: cluster.RequestID(id), Model: cluster.ModelID(model), TokenPath: "/dental"})
+	j.RecordDispatch(start.Add(time.Second), &routing.Dispatch{Request: cluster.RequestID(id), Attempt: 1, Machine: "m1", Reason: oversizedChoice()})
+	j.RecordFinish(start.Add(2*time.Second), &routing.Finish{
 		Request: cluster.RequestID(id), Failure: verdict.New(verdict.Ran, verdict.CodeStreamCut, "cut"), Reason: routing.Explanation{Code: verdict.CodeStreamCut},
 	})
 }
@@ -54,11 +54,11 @@
 	j := New(Config{})
 	plan := placement.Plan{Decisions: []placement.Decision{{Model: "recall", Wanted: 1, Reason: placement.Reason{Cause: placement.CauseDemand}}}}
 	for range 5 {
-		j.Planned(start, "z1", &plan)
+		j.RecordPlan(start, "z1", &plan)
 	}
 	plan.Decisions[0].Loaded = 1
 	plan.Actions = []placement.Action{{Model: "recall", Machine: "m1"}, {Model: "other", Machine: "m1"}}
-	j.Planned(start.Add(time.Second), "z1", &plan)
+	j.RecordPlan(start.Add(time.Second), "z1", &plan)
 	decisions := j.DecisionsOf("recall", 10)
 	if len(decisions) != 2 || decisions[0].Decision.Loaded != 1 || len(decisions[0].Actions) != 1 {
 		t.Fatalf("decisions %+v", decisions)
@@ -130,7 +130,7 @@
 	for i := range count {
 		model := fmt.Sprint("model-", i%1600)
 		recordRequest(j, fmt.Sprint(i), model)
-		j.Planned(start, "z1", &placement.Plan{Decisions: []placement.Decision{{Model: cluster.ModelID(model), Wanted: i, Reason: placement.Reason{
+		j.RecordPlan(start, "z1", &placement.Plan{Decisions: []placement.Decision{{Model: cluster.ModelID(model), Wanted: i, Reason: placement.Reason{
 			Candidates: make([]placement.Candidate, 8), Filtered: make([]placement.FilterCount, 8),
 		}}}})
 	}
@@ -144,9 +144,9 @@
 	b.ResetTimer()
 	for i := range b.N {
 		id := cluster.RequestID(fmt.Sprint(i))
-		j.Arrived(start, &routing.Request{ID: id, Model: "recall"})
-		j.Dispatched(start, &routing.Dispatch{Request: id, Attempt: 1})
-		j.Finished(start, &routing.Finish{Request: id})
+		j.RecordArrival(start, &routing.Request{ID: id, Model: "recall"})
+		j.RecordDispatch(start, &routing.Dispatch{Request: id, Attempt: 1})
+		j.RecordFinish(start, &routing.Finish{Request: id})
 	}
 	b.StopTimer()
 	runtime.GC()
--- a/decisions/plans.go
+++ b/decisions/plans.go
@@ -7,10 +7,10 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// Planned records a planning round. For each model it records the decision if
+// RecordPlan records a planning round. For each model it records the decision if
 // that differs from the last one recorded or if the plan has actions for the
 // model.
-func (j *Journal) Planned(at time.Time, zone cluster.ZoneID, plan *placement.Plan) {
+func (j *Journal) RecordPlan(at time.Time, zone cluster.ZoneID, plan *placement.Plan) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	actions := actionsByModel(plan.Actions)
--- a/node/shell/inspection_test.go
+++ b/node/shell/inspection_test.go
@@ -63,10 +63,10 @@
 
 	id := cluster.RequestID(first.Self().ID + ".1")
 	at := time.Unix(1_000_000, 0)
-	first.Journal().Arrived(at, &routing.Request{ID: id, Model: model, TokenPath: "/dental"})
-	first.Journal().Dispatched(at.Add(time.Second), &routing.Dispatch{Request: id, Attempt: 1, Machine: machine})
+	first.Journal().RecordArrival(at, &routing.Request{ID: id, Model: model, TokenPath: "/dental"})
+	first.Journal().RecordDispatch(at.Add(time.Second), &routing.Dispatch{Request: id, Attempt: 1, Machine: machine})
 	failure := verdict.Wrap(errors.New("reset"), verdict.MayHaveRun, verdict.CodeEngineFailed, "the engine did not answer")
-	first.Journal().Finished(at.Add(2*time.Second), &routing.Finish{Request: id, Failure: failure})
+	first.Journal().RecordFinish(at.Add(2*time.Second), &routing.Finish{Request: id, Failure: failure})
 
 	var trace struct {
 		Node     cluster.NodeID
--- a/node/shell/step.go
+++ b/node/shell/step.go
@@ -54,7 +54,7 @@
 	case node.RecordUnreadable:
 		n.logger.Error("cannot decode stored record", "key", effect.Key, "error", effect.Err)
 	case node.Planned:
-		n.journal.Planned(now, effect.Zone, &effect.Plan)
+		n.journal.RecordPlan(now, effect.Zone, &effect.Plan)
 		n.logPlan(effect)
 	case node.Drained:
 		n.drainedOnce.Do(func() { close(n.drained) })
@@ -98,9 +98,9 @@
 func (n *Node) recordDecision(effect routing.Effect) {
 	switch effect := effect.(type) {
 	case routing.Dispatch:
-		n.journal.Dispatched(n.Now(), &effect)
+		n.journal.RecordDispatch(n.Now(), &effect)
 	case routing.Finish:
-		n.journal.Finished(n.Now(), &effect)
+		n.journal.RecordFinish(n.Now(), &effect)
 	}
 }
 
@@ -108,7 +108,7 @@
 func (n *Node) Submit(request routing.Request) *relay.Ticket {
 	ticket := relay.NewTicket(n.recordDecision)
 	now := n.Now()
-	n.journal.Arrived(now, &request)
+	n.journal.RecordArrival(now, &request)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.tickets[request.ID] = ticket
