--- a/fleet/core.go
+++ b/fleet/core.go
@@ -172,8 +172,8 @@
 // its fingerprint must be computed.
 func (c *Core) KnowsPoison(head poison.Head) bool { return c.router.KnowsPoison(head) }
 
-// PoisonCounts returns the numbers of suspected and of convicted poison requests.
-func (c *Core) PoisonCounts() (suspected, convicted int) { return c.router.PoisonCounts() }
+// PoisonCounts returns the numbers of suspected and of blocked poison requests.
+func (c *Core) PoisonCounts() (suspected, blocked int) { return c.router.PoisonCounts() }
 
 // MaySend checks at the moment of a send whether the request may still be sent. It returns the
 // reason if it must not be, else nil.
--- a/fleet/poison.go
+++ b/fleet/poison.go
@@ -26,7 +26,7 @@
 	poisonReportSpacing = 5 * time.Millisecond
 	// poisonReportCount is how often each record is reported. The second report follows after
 	// poisonReportRepeat, and each further interval is three times as long. Messages may be lost,
-	// and a conviction must be known to all nodes within 1.5 s, half of the bound of 3 s.
+	// and a block must be known to all nodes within 1.5 s, half of the bound of 3 s.
 	poisonReportCount  = 3
 	poisonReportRepeat = 300 * time.Millisecond
 	// maxBroadcastNodes is the largest number of live nodes with which suspects are reported to
@@ -37,7 +37,7 @@
 	// poisonCleanupInterval is the time between scans of all stored records. A scan of 4,096
 	// records takes 2 ms; on each step it made a small request nine times as expensive.
 	poisonCleanupInterval = 10 * time.Second
-	// maxPoisonTests is how often in all a convicted request is sent once more, since at most
+	// maxPoisonTests is how often in all a blocked request is sent once more, since at most
 	// three further sends are acceptable. poisonTestSpacing gives the node of the first test the
 	// time to use it. A node that has ended meanwhile is not waited for, and one more test is
 	// allowed after its last one: a frequent request was refused for an hour after both nodes
@@ -46,7 +46,7 @@
 	maxPoisonTests    = 2
 	poisonTestSpacing = 10 * time.Second
 	// poisonQueryHold is how long a node that has started or was suspended holds all dispatches
-	// after it has asked other nodes for convictions that the store may lack: otherwise
+	// after it has asked other nodes for blocks that the store may lack: otherwise
 	// everything that waits would be sent at once. A message and its answer take 2 to 40 ms
 	// within a region.
 	poisonQueryHold = 50 * time.Millisecond
@@ -97,16 +97,16 @@
 	removals map[poison.Fingerprint]*pendingWrite
 	// stored are the requests that have a record in the store.
 	stored map[poison.Fingerprint]*storedPoison
-	// receivedConvictions are the requests that the records being learned convict.
-	receivedConvictions map[poison.Fingerprint]bool
-	// liftedConvictions are the requests whose acquittal must be reported to all nodes.
-	liftedConvictions map[poison.Fingerprint]bool
+	// receivedBlocks are the requests that the records being learned block.
+	receivedBlocks map[poison.Fingerprint]bool
+	// liftedBlocks are the requests whose unblocking must be reported to all nodes.
+	liftedBlocks map[poison.Fingerprint]bool
 	// learningFromOthers is set while the router handles records of other nodes or of the store.
 	learningFromOthers bool
 	lastReportAt       time.Time
 	// nextCleanupAt is when the lease holder next scans for expired records.
 	nextCleanupAt time.Time
-	// peersQueried is set once other nodes were asked for convictions that the store may lack.
+	// peersQueried is set once other nodes were asked for blocks that the store may lack.
 	// Their answers are awaited until holdUntil.
 	peersQueried bool
 	holdUntil    time.Time
@@ -115,53 +115,53 @@
 func newPoisonSync(core *Core) *poisonSync {
 	return &poisonSync{
 		core: core, reports: map[poison.Fingerprint]*pendingReport{}, writes: map[poison.Fingerprint]*pendingWrite{}, removals: map[poison.Fingerprint]*pendingWrite{},
-		stored: map[poison.Fingerprint]*storedPoison{}, receivedConvictions: map[poison.Fingerprint]bool{}, liftedConvictions: map[poison.Fingerprint]bool{},
+		stored: map[poison.Fingerprint]*storedPoison{}, receivedBlocks: map[poison.Fingerprint]bool{}, liftedBlocks: map[poison.Fingerprint]bool{},
 	}
 }
 
-// convicts reports whether a record forbids that its request is sent.
-func (s *poisonSync) convicts(record *poison.Record) bool {
-	return s.core.config.Routing.Poison.Convicts(record)
+// blocks reports whether a record forbids that its request is sent.
+func (s *poisonSync) blocks(record *poison.Record) bool {
+	return s.core.config.Routing.Poison.Blocks(record)
 }
 
 // recordsFound handles records that are new to the router. Records received from other nodes are
-// not reported again, except a conviction that follows only from the received records together
+// not reported again, except a block that follows only from the received records together
 // with those of this node.
 func (s *poisonSync) recordsFound(records []poison.Record) {
 	for i := range records {
 		record := &records[i]
-		convicts := s.convicts(record)
-		if convicts && s.stored[record.Content] == nil {
+		blocks := s.blocks(record)
+		if blocks && s.stored[record.Content] == nil {
 			s.scheduleWrite(record.Content)
 		}
-		if s.learningFromOthers && (!convicts || s.receivedConvictions[record.Content]) {
+		if s.learningFromOthers && (!blocks || s.receivedBlocks[record.Content]) {
 			continue
 		}
-		s.logVerdict(record, convicts)
-		s.reports[record.Content] = &pendingReport{remaining: s.reportCount(convicts), dueAt: s.core.now, interval: poisonReportRepeat}
-		if record.Standing() == 0 {
+		s.logVerdict(record, blocks)
+		s.reports[record.Content] = &pendingReport{remaining: s.reportCount(blocks), dueAt: s.core.now, interval: poisonReportRepeat}
+		if record.AttributedEndCount() == 0 {
 			s.scheduleDelete(record.Content)
 		}
 	}
 }
 
-// reportCount returns how often a record is reported: once for a conviction in a large system,
+// reportCount returns how often a record is reported: once for a block in a large system,
 // since the stored record announces it as well.
-func (s *poisonSync) reportCount(convicts bool) int {
-	if convicts && len(s.core.nodes.live) > maxBroadcastNodes {
+func (s *poisonSync) reportCount(blocks bool) int {
+	if blocks && len(s.core.nodes.live) > maxBroadcastNodes {
 		return 1
 	}
 	return poisonReportCount
 }
 
-// scheduleWrite schedules the write of a conviction to the store. The node that found it writes
+// scheduleWrite schedules the write of a block to the store. The node that found it writes
 // at once. If the store still lacks it after poisonBackupDelay, its owners write it.
 func (s *poisonSync) scheduleWrite(content poison.Fingerprint) {
 	if s.writes[content] != nil {
 		return
 	}
 	write := &pendingWrite{dueAt: s.core.now, retryDelay: minPoisonWriteRetry}
-	if s.learningFromOthers && s.receivedConvictions[content] {
+	if s.learningFromOthers && s.receivedBlocks[content] {
 		write.dueAt = s.core.now.Add(poisonBackupDelay)
 		write.leftToOthers = !slices.Contains(s.ownersOf(content), s.core.config.Self.ID)
 	}
@@ -177,11 +177,11 @@
 	return ids[:min(len(ids), poisonOwners)]
 }
 
-// logVerdict logs whether a request is suspected, convicted or cleared by a record.
-func (s *poisonSync) logVerdict(record *poison.Record, convicts bool) {
-	line := eventlog.PoisonJudged{Content: record.Content.String(), Machines: joinMachines(record.Ends), Ends: record.Standing(), Outcome: "suspected"}
+// logVerdict logs whether a request is suspected, blocked or cleared by a record.
+func (s *poisonSync) logVerdict(record *poison.Record, blocks bool) {
+	line := eventlog.PoisonJudged{Content: record.Content.String(), Machines: joinMachines(record.Ends), Ends: record.AttributedEndCount(), Outcome: "suspected"}
 	switch {
-	case convicts:
+	case blocks:
 		line.Outcome = "convicted"
 	case line.Ends == 0:
 		line.Outcome = "cleared"
@@ -200,18 +200,18 @@
 // learn passes records of other nodes or of the store to the router.
 func (s *poisonSync) learn(records []poison.Record) {
 	for i := range records {
-		if s.convicts(&records[i]) {
-			s.receivedConvictions[records[i].Content] = true
+		if s.blocks(&records[i]) {
+			s.receivedBlocks[records[i].Content] = true
 		}
 	}
 	s.learningFromOthers = true
 	s.core.feedRouter(routing.PoisonLearned{Records: records})
 	s.learningFromOthers = false
-	clear(s.receivedConvictions)
+	clear(s.receivedBlocks)
 }
 
 // reportReceived handles a report of another node. A query, which has no records, is answered
-// with the convictions that the store may lack. A sender that lacks a conviction known here gets
+// with the blocks that the store may lack. A sender that lacks a block known here gets
 // a report in return.
 func (s *poisonSync) reportReceived(message *wire.PoisonReport) {
 	if unstored := s.unstored(); len(message.Records) == 0 && len(unstored) > 0 {
@@ -222,7 +222,7 @@
 	for i := range message.Records {
 		sent := &message.Records[i]
 		known, found := s.core.router.PoisonRecord(sent.Content)
-		if found && s.convicts(&known) && !s.convicts(sent) {
+		if found && s.blocks(&known) && !s.blocks(sent) {
 			unknown = append(unknown, known)
 		}
 	}
@@ -231,25 +231,25 @@
 	}
 }
 
-// nodeJoined reports the convictions that the store may lack to a new node.
+// nodeJoined reports the blocks that the store may lack to a new node.
 func (s *poisonSync) nodeJoined(entry NodeEntry) {
 	if unstored := s.unstored(); len(unstored) > 0 && entry.ID != s.core.config.Self.ID {
 		s.send(entry.Address, unstored)
 	}
 }
 
-// unstored returns the convictions that the store lacks as far as this node knows.
+// unstored returns the blocks that the store lacks as far as this node knows.
 func (s *poisonSync) unstored() []poison.Record {
 	var unstored []poison.Record
 	for _, content := range sortedContents(s.writes) {
-		if record, found := s.core.router.PoisonRecord(content); found && s.convicts(&record) {
+		if record, found := s.core.router.PoisonRecord(content); found && s.blocks(&record) {
 			unstored = append(unstored, record)
 		}
 	}
 	return unstored
 }
 
-// queryPeers asks some nodes, once after a start or pause, for the convictions that the store may
+// queryPeers asks some nodes, once after a start or pause, for the blocks that the store may
 // lack. The query is a report without records.
 func (s *poisonSync) queryPeers() {
 	if s.peersQueried {
@@ -294,8 +294,8 @@
 	}
 	s.learn(records)
 	for i := range records {
-		if known, found := s.core.router.PoisonRecord(records[i].Content); found && s.convicts(&records[i]) && !s.convicts(&known) {
-			// The request was acquitted before the store's outdated record was read.
+		if known, found := s.core.router.PoisonRecord(records[i].Content); found && s.blocks(&records[i]) && !s.blocks(&known) {
+			// The request was unblocked before the store's outdated record was read.
 			s.scheduleDelete(records[i].Content)
 		}
 	}
@@ -316,11 +316,11 @@
 	return slices.ContainsFunc(r.Records, same) || slices.ContainsFunc(r.Undecodable, same)
 }
 
-// rewriteUndecodable replaces a record that can't be decoded if this node knows the conviction.
+// rewriteUndecodable replaces a record that can't be decoded if this node knows the block.
 func (s *poisonSync) rewriteUndecodable(unread *StoredPoisonRecord) {
 	content := unread.Record.Content
 	known, found := s.core.router.PoisonRecord(content)
-	if !found || !s.convicts(&known) {
+	if !found || !s.blocks(&known) {
 		return
 	}
 	s.scheduleWrite(content)
--- a/fleet/poison_record_test.go
+++ b/fleet/poison_record_test.go
@@ -12,9 +12,9 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// Guards against refusing an acquitted request again after a restart. The stored record could not
-// be deleted because the store was down at the acquittal.
-func TestAcquittalDuringStoreOutageSurvivesRestart(t *testing.T) {
+// Guards against refusing an unblocked request again after a restart. The stored record could not
+// be deleted because the store was down when the request was unblocked.
+func TestUnblockDuringStoreOutageSurvivesRestart(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newPoisonSimulation(seed, 4, 3)
 		tester := s.nodes[0]
@@ -38,7 +38,7 @@
 			t.Errorf("seed %d: the record stayed in the store", seed)
 		}
 		for _, n := range s.nodes {
-			if record, _ := n.core.router.PoisonRecord(popularContent); !n.dead && n.core.poison.convicts(&record) {
+			if record, _ := n.core.router.PoisonRecord(popularContent); !n.dead && n.core.poison.blocks(&record) {
 				t.Errorf("seed %d: %s refuses the acquitted request again", seed, n.id)
 			}
 		}
@@ -46,7 +46,7 @@
 }
 
 // Guards against pardoning a request because its stored record can't be decoded. A node that
-// knows the conviction writes the record again.
+// knows the block writes the record again.
 func TestUndecodablePoisonRecordIsRewritten(t *testing.T) {
 	s := newPoisonSimulation(3, 4, 3)
 	s.step(s.nodes[0], RoutingInput{Event: routing.PoisonLearned{Records: []poison.Record{{Content: harmfulContent, Ends: []cluster.MachineID{"x", "y", "z"}}}}})
@@ -58,17 +58,17 @@
 	if len(pairs) != 1 {
 		t.Fatalf("%d records", len(pairs))
 	}
-	if stored, err := DecodePoison(key, pairs[0].Value); err != nil || stored.Record.Standing() != 3 {
+	if stored, err := DecodePoison(key, pairs[0].Value); err != nil || stored.Record.AttributedEndCount() != 3 {
 		t.Errorf("the record is %q: %v", pairs[0].Value, err)
 	}
 	for _, n := range s.nodes {
-		if record, _ := n.core.router.PoisonRecord(harmfulContent); !n.core.poison.convicts(&record) {
+		if record, _ := n.core.router.PoisonRecord(harmfulContent); !n.core.poison.blocks(&record) {
 			t.Errorf("%s accepts the convicted request", n.id)
 		}
 	}
 }
 
-// Guards against using up the test of a convicted request at machines that can't be reached or
+// Guards against using up the test of a blocked request at machines that can't be reached or
 // reject it: only a run of the request uses the test.
 func TestUnrunPoisonTestRemainsAvailable(t *testing.T) {
 	s := newPoisonSimulation(5, 3, 2)
@@ -97,7 +97,7 @@
 		ask()
 	}
 	s.runFor(time.Second)
-	if record, _ := tester.core.router.PoisonRecord(popularContent); tester.core.poison.convicts(&record) {
+	if record, _ := tester.core.router.PoisonRecord(popularContent); tester.core.poison.blocks(&record) {
 		t.Error("the request is still refused, although its test never ran")
 	}
 }
@@ -122,13 +122,13 @@
 			s.runFor(700 * time.Millisecond)
 		}
 		record, _ := s.nodes[0].core.router.PoisonRecord(popularContent)
-		if acquitted := !s.nodes[0].core.poison.convicts(&record); acquitted != want {
-			t.Errorf("after %d tests of nodes that ended: acquitted %v, want %v", tests, acquitted, want)
+		if unblocked := !s.nodes[0].core.poison.blocks(&record); unblocked != want {
+			t.Errorf("after %d tests of nodes that ended: acquitted %v, want %v", tests, unblocked, want)
 		}
 	}
 }
 
-// Guards against refusing a request for the hour of its conviction because the machine of its
+// Guards against refusing a request for the hour of its block because the machine of its
 // last test did not answer, and against another test of a request under whose last test a machine
 // ended.
 func TestInconclusivePoisonTestIsRepeated(t *testing.T) {
@@ -158,8 +158,8 @@
 			s.runFor(700 * time.Millisecond)
 		}
 		record, _ := s.nodes[0].core.router.PoisonRecord(popularContent)
-		if acquitted := !s.nodes[0].core.poison.convicts(&record); acquitted != c.want {
-			t.Errorf("%s: acquitted %v, want %v", c.name, acquitted, c.want)
+		if unblocked := !s.nodes[0].core.poison.blocks(&record); unblocked != c.want {
+			t.Errorf("%s: acquitted %v, want %v", c.name, unblocked, c.want)
 		}
 	}
 }
--- a/fleet/poison_reports.go
+++ b/fleet/poison_reports.go
@@ -32,7 +32,7 @@
 		}
 		if report.remaining--; !found || report.remaining == 0 {
 			delete(s.reports, content)
-			delete(s.liftedConvictions, content)
+			delete(s.liftedBlocks, content)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(byNode)) {
@@ -46,11 +46,11 @@
 	s.core.send(address, wire.PoisonReport{From: self.ID, FromAddress: self.Address, Records: records})
 }
 
-// recipients returns the nodes to which a record is reported: all nodes for convictions,
-// acquittals and small systems, else the owners of the request.
+// recipients returns the nodes to which a record is reported: all nodes for blocks,
+// unblocked requests and small systems, else the owners of the request.
 func (s *poisonSync) recipients(record *poison.Record) []cluster.NodeID {
 	var ids []cluster.NodeID
-	if len(s.core.nodes.live) <= maxBroadcastNodes || s.convicts(record) || s.liftedConvictions[record.Content] {
+	if len(s.core.nodes.live) <= maxBroadcastNodes || s.blocks(record) || s.liftedBlocks[record.Content] {
 		ids = slices.Collect(maps.Keys(s.core.nodes.live))
 	} else {
 		ids = s.ownersOf(record.Content)
--- a/fleet/poison_store.go
+++ b/fleet/poison_store.go
@@ -11,7 +11,7 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// sendWrites writes the due convictions to the store, one call for each.
+// sendWrites writes the due blocks to the store, one call for each.
 func (s *poisonSync) sendWrites() {
 	if next := s.nextWriteAt(); next.IsZero() || next.After(s.core.now) {
 		return
@@ -20,7 +20,7 @@
 	for _, content := range sortedContents(s.writes) {
 		write := s.writes[content]
 		record, found := s.core.router.PoisonRecord(content)
-		if !found || !s.convicts(&record) {
+		if !found || !s.blocks(&record) {
 			delete(s.writes, content)
 			continue
 		}
@@ -46,7 +46,7 @@
 	}
 }
 
-// claimTest claims one of the few tests of a convicted request; a write to the store grants it to
+// claimTest claims one of the few tests of a blocked request; a write to the store grants it to
 // a single node. If that node ends before it uses the test, the request waits for the next test.
 func (s *poisonSync) claimTest(content poison.Fingerprint) {
 	stored := s.stored[content]
@@ -65,7 +65,7 @@
 	}
 	stored.claimedAt = s.core.now
 	claim := StoredPoisonRecord{
-		Record: stored.Record, Tests: stored.Tests + 1, Tester: s.core.config.Self.ID, EndsBefore: s.standingEnds(content),
+		Record: stored.Record, Tests: stored.Tests + 1, Tester: s.core.config.Self.ID, EndsBefore: s.attributedEnds(content),
 	}
 	s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&claim), Revision: stored.Revision})
 }
@@ -78,13 +78,13 @@
 }
 
 // lastTestInconclusive reports whether no machine has ended under the request since its last
-// test, although the request was not acquitted either. The machine may not have answered.
+// test, although the request was not unblocked either. The machine may not have answered.
 func (s *poisonSync) lastTestInconclusive(stored *storedPoison) bool {
-	return stored.EndsBefore > 0 && s.standingEnds(stored.Record.Content) <= stored.EndsBefore
+	return stored.EndsBefore > 0 && s.attributedEnds(stored.Record.Content) <= stored.EndsBefore
 }
 
-// standingEnds returns the number of machines that ended under a request, without acquittals.
-func (s *poisonSync) standingEnds(content poison.Fingerprint) int {
+// attributedEnds returns the number of machines whose end is attributed to a request.
+func (s *poisonSync) attributedEnds(content poison.Fingerprint) int {
 	record, _ := s.core.router.PoisonRecord(content)
 	return len(record.StandingEnds())
 }
@@ -110,11 +110,11 @@
 	}
 }
 
-// scheduleDelete schedules the deletion of the stored record of an acquitted request. Nodes that
+// scheduleDelete schedules the deletion of the stored record of an unblocked request. Nodes that
 // start later would otherwise refuse the request because of the record.
 func (s *poisonSync) scheduleDelete(content poison.Fingerprint) {
 	if s.stored[content] != nil && s.removals[content] == nil {
-		s.liftedConvictions[content] = true
+		s.liftedBlocks[content] = true
 		s.removals[content] = &pendingWrite{dueAt: s.core.now, retryDelay: minPoisonWriteRetry}
 	}
 }
--- a/fleet/poison_test.go
+++ b/fleet/poison_test.go
@@ -21,9 +21,9 @@
 
 // Bounds and timings of the simulations.
 const (
-	// convictionDelay is how long after the third end nodes in touch may still send the request:
+	// blockDelay is how long after the third end nodes in touch may still send the request:
 	// half of the time after which a node counts as in touch.
-	convictionDelay = minInTouchTime / 2
+	blockDelay = minInTouchTime / 2
 	// maxFurtherSends is the number of sends allowed in all after that.
 	maxFurtherSends = 3
 	// timeToCrash is how long the harmful request runs before its worker ends.
@@ -42,7 +42,7 @@
 	// runs are the requests at each engine, including waiting ones.
 	runs       map[*simulatedEngine][]*simulatedRun
 	engineEnds []time.Time
-	// lateSends are the sends by nodes in touch later than convictionDelay after the third end.
+	// lateSends are the sends by nodes in touch later than blockDelay after the third end.
 	lateSends []string
 	// bystanders counts the other requests, and wronglyRefused those refused as harmful.
 	bystanders, served, wronglyRefused int
@@ -187,7 +187,7 @@
 		// touch only once the store has been up for the same time.
 		inTouch = inTouch && !s.storeDown && s.now.Sub(s.storeRecoveredAt) >= minInTouchTime
 	}
-	if len(s.engineEnds) >= 3 && s.now.Sub(s.engineEnds[2]) > convictionDelay && inTouch {
+	if len(s.engineEnds) >= 3 && s.now.Sub(s.engineEnds[2]) > blockDelay && inTouch {
 		s.lateSends = append(s.lateSends, fmt.Sprintf("%s sends %.3f s after the third of %d ends", n.id, s.now.Sub(s.engineEnds[2]).Seconds(), len(s.engineEnds)))
 	}
 }
@@ -265,9 +265,9 @@
 	s.after(s.randomDuration(time.Second, 4*time.Second), s.addNodesPeriodically)
 }
 
-// Guards against sending a convicted request under restarts of all nodes, new nodes, and late or
+// Guards against sending a blocked request under restarts of all nodes, new nodes, and late or
 // duplicated messages. Popular requests, which are often at machines that end, must not be
-// convicted.
+// blocked.
 func TestPoisonRequestIsHeldBackUnderFaults(t *testing.T) {
 	for name, disturb := range map[string]func(s *poisonSimulation){
 		"all nodes restart":            func(s *poisonSimulation) { s.after(10*time.Second, s.killAllNodes) },
@@ -298,7 +298,7 @@
 // poisonSeeds is the number of runs of each kind.
 const poisonSeeds = 25
 
-// Guards against sending a convicted request in large systems, where a few nodes count a
+// Guards against sending a blocked request in large systems, where a few nodes count a
 // request's ends on behalf of all, while a tenth of the messages is lost.
 func TestPoisonRequestIsHeldBackByManyNodes(t *testing.T) {
 	for seed := range uint64(10) {
@@ -327,7 +327,7 @@
 		if n.dead {
 			continue
 		}
-		if record, _ := n.core.router.PoisonRecord(popularContent); n.core.poison.convicts(&record) {
+		if record, _ := n.core.router.PoisonRecord(popularContent); n.core.poison.blocks(&record) {
 			t.Errorf("%s refuses the popular request: %+v", n.id, record)
 		}
 	}
@@ -336,7 +336,7 @@
 	}
 }
 
-// Guards against sending a request after it has ended three engines: from convictionDelay on,
+// Guards against sending a request after it has ended three engines: from blockDelay on,
 // nodes in touch send it at most maxFurtherSends times in all.
 func TestPoisonRequestIsHeldBack(t *testing.T) {
 	for name, disturb := range map[string]func(s *poisonSimulation){
--- a/fleet/shell/metrics.go
+++ b/fleet/shell/metrics.go
@@ -52,7 +52,7 @@
 		}
 		return float64(n.core.StoreCapacity())
 	})
-	poisonGauge := func(of func(suspected, convicted int) int) func() float64 {
+	poisonGauge := func(of func(suspected, blocked int) int) func() float64 {
 		return func() float64 {
 			n.mutex.Lock()
 			defer n.mutex.Unlock()
@@ -63,7 +63,7 @@
 		}
 	}
 	gauge("valveslip_poison_requests", "Requests that are refused because machines ended under them.",
-		poisonGauge(func(_, convicted int) int { return convicted }))
+		poisonGauge(func(_, blocked int) int { return blocked }))
 	gauge("valveslip_poison_suspects", "Requests under which machines ended, too few to refuse them.",
 		poisonGauge(func(suspected, _ int) int { return suspected }))
 	gauge("valveslip_keys_proof_age_seconds", "How old the proof is that callers' keys are those in force; -1 without one.", func() float64 {
--- a/routing/events.go
+++ b/routing/events.go
@@ -58,7 +58,7 @@
 	Rank int
 	// Caller identifies the caller. All callers that can't be identified share zero.
 	Caller uint64
-	// test is set while a convicted request is sent once more as a test.
+	// test is set while a blocked request is sent once more as a test.
 	test bool
 }
 
@@ -196,7 +196,7 @@
 // PoisonPardoned clears a request of the blame for the machines that ended under it.
 type PoisonPardoned struct{ Content poison.Fingerprint }
 
-// PoisonTestGranted allows this node alone to send a convicted request once more when it arrives
+// PoisonTestGranted allows this node alone to send a blocked request once more when it arrives
 // next.
 type PoisonTestGranted struct{ Content poison.Fingerprint }
 
@@ -273,7 +273,7 @@
 // all nodes.
 type PoisonFound struct{ Records []poison.Record }
 
-// PoisonTestWanted asks whether this node may send a convicted request once more when it arrives
+// PoisonTestWanted asks whether this node may send a blocked request once more when it arrives
 // next.
 type PoisonTestWanted struct{ Content poison.Fingerprint }
 
--- a/routing/finish.go
+++ b/routing/finish.go
@@ -48,7 +48,7 @@
 	machine := abandoned.machine
 	if machine != nil && !abandoned.unsent {
 		abandoned.mayHaveRun = true
-		r.poison.Left(r.now, abandoned.Content, machine.id)
+		r.poison.AttemptCancelled(r.now, abandoned.Content, machine.id)
 		reason.Machine = machine.id
 		r.emit(CancelAttempt{
 			Request: abandoned.ID, Attempt: abandoned.attempt,
--- a/routing/poison/callers.go
+++ b/routing/poison/callers.go
@@ -62,9 +62,9 @@
 // Answered records that a request of the caller was answered completely.
 func (c *Callers) Answered(caller uint64) { delete(c.states, caller) }
 
-// Doubtful reports whether the caller is throttled, which limits it to one request at a time, and
+// Throttled reports whether the caller is throttled, which limits it to one request at a time, and
 // how long the next one must wait.
-func (c *Callers) Doubtful(now time.Time, caller uint64) (wait time.Duration, doubtful bool) {
+func (c *Callers) Throttled(now time.Time, caller uint64) (wait time.Duration, doubtful bool) {
 	state := c.states[caller]
 	if state == nil || state.consecutiveEnds < throttleAfterEnds {
 		return 0, false
--- a/routing/poison/callers_test.go
+++ b/routing/poison/callers_test.go
@@ -15,7 +15,7 @@
 	for end := 1; end <= throttleAfterEnds+2; end++ {
 		now = now.Add(time.Second)
 		c.Ended(now.Add(10*time.Millisecond), suspectCaller, now)
-		wait, doubtful := c.Doubtful(now.Add(10*time.Millisecond), suspectCaller)
+		wait, doubtful := c.Throttled(now.Add(10*time.Millisecond), suspectCaller)
 		want := time.Duration(0)
 		if end >= throttleAfterEnds {
 			want = initialCallerHold << (end - throttleAfterEnds)
@@ -25,11 +25,11 @@
 		}
 		now = now.Add(wait)
 	}
-	if _, doubtful := c.Doubtful(now, suspectCaller+1); doubtful {
+	if _, doubtful := c.Throttled(now, suspectCaller+1); doubtful {
 		t.Error("another caller is throttled")
 	}
 	c.Answered(suspectCaller)
-	if _, doubtful := c.Doubtful(now, suspectCaller); doubtful {
+	if _, doubtful := c.Throttled(now, suspectCaller); doubtful {
 		t.Error("the caller is still throttled after a complete answer")
 	}
 }
@@ -46,7 +46,7 @@
 		apart.Ended(now, suspectCaller, now.Add(-time.Millisecond))
 	}
 	for name, c := range map[string]*Callers{"together": together, "apart": apart} {
-		if _, doubtful := c.Doubtful(now, suspectCaller); doubtful {
+		if _, doubtful := c.Throttled(now, suspectCaller); doubtful {
 			t.Errorf("machines that fail %s throttle their caller", name)
 		}
 	}
@@ -64,7 +64,7 @@
 	for other := range uint64(2 * maxCallers) {
 		c.Ended(now.Add(throttleAfterEnds*time.Second), suspectCaller+1+other, now)
 	}
-	if _, doubtful := c.Doubtful(now.Add(throttleAfterEnds*time.Second), suspectCaller); !doubtful || len(c.states) > maxCallers {
+	if _, doubtful := c.Throttled(now.Add(throttleAfterEnds*time.Second), suspectCaller); !doubtful || len(c.states) > maxCallers {
 		t.Errorf("doubtful %v, %d callers are remembered", doubtful, len(c.states))
 	}
 }
--- a/routing/poison/record.go
+++ b/routing/poison/record.go
@@ -33,8 +33,8 @@
 	return standing
 }
 
-// Standing returns the number of ends that are attributed to the request.
-func (r *Record) Standing() int { return len(r.StandingEnds()) }
+// AttributedEndCount returns the number of ends that are attributed to the request.
+func (r *Record) AttributedEndCount() int { return len(r.StandingEnds()) }
 
 // Merged returns the union of two records of one request, and whether it differs from r.
 func (r *Record) Merged(other *Record) (Record, bool) {
--- a/routing/poison/record_test.go
+++ b/routing/poison/record_test.go
@@ -63,7 +63,7 @@
 		}
 	}
 	valid := long.Valid()
-	if len(valid.Ends) > maxEnds || len(valid.Cleared) > maxEnds || valid.Standing() < 3 {
-		t.Errorf("%d ends and %d cleared, %d attributed", len(valid.Ends), len(valid.Cleared), valid.Standing())
+	if len(valid.Ends) > maxEnds || len(valid.Cleared) > maxEnds || valid.AttributedEndCount() < 3 {
+		t.Errorf("%d ends and %d cleared, %d attributed", len(valid.Ends), len(valid.Cleared), valid.AttributedEndCount())
 	}
 }
--- a/routing/poison/table.go
+++ b/routing/poison/table.go
@@ -53,7 +53,7 @@
 	// Ends is the number of machine ends that blocks a request. A negative value disables
 	// blocking.
 	Ends int
-	// Suspicion is how long a record is kept whose request is not blocked, and Conviction how
+	// Suspicion is how long a record is kept whose request is not blocked, and BlockDuration how
 	// long a request is blocked.
 	Suspicion, Conviction time.Duration
 	MaxRecords            int
@@ -70,9 +70,9 @@
 // Off reports whether blocking is disabled.
 func (c Config) Off() bool { return c.Ends < 0 }
 
-// Convicts reports whether the record blocks its request.
-func (c Config) Convicts(record *Record) bool {
-	return !c.Off() && record.Standing() >= c.withDefaults().Ends
+// Blocks reports whether the record blocks its request.
+func (c Config) Blocks(record *Record) bool {
+	return !c.Off() && record.AttributedEndCount() >= c.withDefaults().Ends
 }
 
 // entry is a record with the local state of this node.
@@ -110,8 +110,8 @@
 	// full, completedNext is the index of the oldest.
 	completedOrder []Fingerprint
 	completedNext  int
-	// updated lists the requests whose records changed since the last call of News, and
-	// newlyBlocked those that were blocked since the last call of Verdicts.
+	// updated lists the requests whose records changed since the last call of TakeUpdated, and
+	// newlyBlocked those that were blocked since the last call of TakeNewlyBlocked.
 	updated, newlyBlocked []Fingerprint
 	// nextSweep is when expired records are removed next.
 	nextSweep time.Time
@@ -140,11 +140,11 @@
 // Suspected reports whether a machine's end is attributed to the request.
 func (t *Table) Suspected(content Fingerprint) bool {
 	known := t.entries[content]
-	return known != nil && known.Standing() > 0
+	return known != nil && known.AttributedEndCount() > 0
 }
 
-// Convicted reports whether the request is blocked, and for how much longer.
-func (t *Table) Convicted(now time.Time, content Fingerprint) (time.Duration, bool) {
+// Blocked reports whether the request is blocked, and for how much longer.
+func (t *Table) Blocked(now time.Time, content Fingerprint) (time.Duration, bool) {
 	known := t.entries[content]
 	if known == nil || known.blockedSince.IsZero() {
 		return 0, false
@@ -153,13 +153,13 @@
 	return left, left > 0
 }
 
-// Broke records that an attempt at the request on a machine failed without an answer.
-func (t *Table) Broke(now time.Time, content Fingerprint, machine cluster.MachineID) {
+// AttemptFailed records that an attempt at the request on a machine failed without an answer.
+func (t *Table) AttemptFailed(now time.Time, content Fingerprint, machine cluster.MachineID) {
 	t.awaitEnd(now, content, machine, failedAttemptWindow)
 }
 
-// Left records that this node cancelled an attempt at the request on a machine.
-func (t *Table) Left(now time.Time, content Fingerprint, machine cluster.MachineID) {
+// AttemptCancelled records that this node cancelled an attempt at the request on a machine.
+func (t *Table) AttemptCancelled(now time.Time, content Fingerprint, machine cluster.MachineID) {
 	t.awaitEnd(now, content, machine, abandonedAttemptWindow)
 }
 
@@ -208,13 +208,13 @@
 	}
 }
 
-// Whole records that the request was answered completely, which clears all ends attributed to it.
-func (t *Table) Whole(now time.Time, content Fingerprint) {
+// Completed records that the request was answered completely, which clears all ends attributed to it.
+func (t *Table) Completed(now time.Time, content Fingerprint) {
 	if content.IsZero() {
 		return
 	}
 	t.noteCompleted(now, content)
-	if known := t.entries[content]; known != nil && known.Standing() > 0 {
+	if known := t.entries[content]; known != nil && known.AttributedEndCount() > 0 {
 		t.merge(now, &Record{Content: content, Cleared: known.Ends})
 	}
 }
@@ -327,7 +327,7 @@
 
 // updateBlocked blocks or unblocks a request by the ends attributed to it.
 func (t *Table) updateBlocked(now time.Time, known *entry) {
-	blocked := t.config.Convicts(&known.Record)
+	blocked := t.config.Blocks(&known.Record)
 	switch {
 	case blocked && known.blockedSince.IsZero():
 		known.blockedSince = now
@@ -354,7 +354,7 @@
 
 // evictsBefore orders entries for eviction by attributed ends, then by age, then by fingerprint.
 func (e *entry) evictsBefore(other *entry) bool {
-	if mine, others := e.Standing(), other.Standing(); mine != others {
+	if mine, others := e.AttributedEndCount(), other.AttributedEndCount(); mine != others {
 		return mine < others
 	}
 	if !e.changed.Equal(other.changed) {
@@ -363,8 +363,8 @@
 	return slices.Compare(e.Content[:], other.Content[:]) < 0
 }
 
-// News returns the records that changed since its last call.
-func (t *Table) News() []Record {
+// TakeUpdated returns the records that changed since its last call.
+func (t *Table) TakeUpdated() []Record {
 	if len(t.updated) == 0 {
 		return nil
 	}
@@ -378,8 +378,8 @@
 	return records
 }
 
-// Verdicts returns the requests that were blocked since its last call and still are.
-func (t *Table) Verdicts() []Fingerprint {
+// TakeNewlyBlocked returns the requests that were blocked since its last call and still are.
+func (t *Table) TakeNewlyBlocked() []Fingerprint {
 	blocked := t.newlyBlocked
 	t.newlyBlocked = nil
 	return slices.DeleteFunc(blocked, func(content Fingerprint) bool {
@@ -425,14 +425,14 @@
 }
 
 // Counts returns the number of suspected requests that are not blocked, and of blocked ones.
-func (t *Table) Counts() (suspected, convicted int) {
+func (t *Table) Counts() (suspected, blocked int) {
 	for _, known := range t.entries {
 		switch {
 		case !known.blockedSince.IsZero():
-			convicted++
-		case known.Standing() > 0:
+			blocked++
+		case known.AttributedEndCount() > 0:
 			suspected++
 		}
 	}
-	return suspected, convicted
+	return suspected, blocked
 }
--- a/routing/poison/table_test.go
+++ b/routing/poison/table_test.go
@@ -18,14 +18,14 @@
 func recordEnds(t *Table, now time.Time, content Fingerprint, machines ...cluster.MachineID) time.Time {
 	for _, machine := range machines {
 		now = now.Add(time.Second)
-		t.Broke(now, content, machine)
+		t.AttemptFailed(now, content, machine)
 		t.MachineEnded(now, machine)
 	}
 	return now
 }
 
 func isBlocked(t *Table, now time.Time, content Fingerprint) bool {
-	_, is := t.Convicted(now, content)
+	_, is := t.Blocked(now, content)
 	return is
 }
 
@@ -38,8 +38,8 @@
 		t.Error("two ended machines block the request")
 	}
 	table.Learn(now, []Record{{Content: harmful, Ends: []cluster.MachineID{"c", "a"}}})
-	left, is := table.Convicted(now, harmful)
-	if !is || left != DefaultConviction || len(table.Verdicts()) != 1 {
+	left, is := table.Blocked(now, harmful)
+	if !is || left != DefaultConviction || len(table.TakeNewlyBlocked()) != 1 {
 		t.Errorf("blocked %v for %s", is, left)
 	}
 	if isBlocked(table, now.Add(DefaultConviction), harmful) {
@@ -56,21 +56,21 @@
 func TestFailedAttemptsCountOnlyIfMachineEnds(t *testing.T) {
 	table := NewTable(Config{})
 	for _, machine := range []cluster.MachineID{"a", "b", "c"} {
-		table.Broke(testStart, innocent, machine)
-		table.Left(testStart, harmful, machine)
+		table.AttemptFailed(testStart, innocent, machine)
+		table.AttemptCancelled(testStart, harmful, machine)
 	}
 	if table.Suspected(innocent) {
 		t.Error("failed attempts without an ended machine make the request a suspect")
 	}
 	table.MachineEnded(testStart.Add(failedAttemptWindow), "a")
 	table.MachineEnded(testStart.Add(failedAttemptWindow+time.Millisecond), "b")
-	if record, _ := table.Record(innocent); record.Standing() != 1 {
+	if record, _ := table.Record(innocent); record.AttributedEndCount() != 1 {
 		t.Errorf("ends %v: want only the machine that ended within the window", record.Ends)
 	}
 	if table.Suspected(harmful) {
 		t.Error("a cancelled attempt counts for a machine that ended after the window")
 	}
-	table.Left(testStart, harmful, "c")
+	table.AttemptCancelled(testStart, harmful, "c")
 	table.MachineEnded(testStart.Add(abandonedAttemptWindow), "c")
 	if !table.Suspected(harmful) {
 		t.Error("a cancelled attempt does not count for a machine that ended within the window")
@@ -83,22 +83,22 @@
 	completed, reconnected := NewTable(Config{}), NewTable(Config{})
 	now := recordEnds(completed, testStart, innocent, "a", "b", "c")
 	recordEnds(reconnected, testStart, innocent, "a", "b", "c")
-	_, _ = completed.News(), reconnected.News()
-	completed.Whole(now, innocent)
+	_, _ = completed.TakeUpdated(), reconnected.TakeUpdated()
+	completed.Completed(now, innocent)
 	reconnected.Answered(now, "b", now.Add(-time.Minute))
 	if !isBlocked(reconnected, now, innocent) {
 		t.Error("an answer to an attempt that was sent before the machine ended clears its end")
 	}
 	reconnected.Answered(now.Add(time.Second), "b", now)
 	for name, table := range map[string]*Table{"a complete answer": completed, "a machine that answers": reconnected} {
-		if isBlocked(table, now, innocent) || len(table.News()) != 1 {
+		if isBlocked(table, now, innocent) || len(table.TakeUpdated()) != 1 {
 			t.Errorf("%s does not unblock the request, or is not passed on", name)
 		}
 	}
 	// Delayed records of the same ends change nothing; a new end counts.
 	completed.Learn(now, []Record{{Content: innocent, Ends: []cluster.MachineID{"a", "b", "c"}}})
 	recordEnds(completed, now.Add(completedTTL), innocent, "d")
-	if record, _ := completed.Record(innocent); record.Standing() != 1 {
+	if record, _ := completed.Record(innocent); record.AttributedEndCount() != 1 {
 		t.Errorf("%+v: want one attributed end", record)
 	}
 }
@@ -107,7 +107,7 @@
 // was answered completely a short time ago, whether this node or another one reports them.
 func TestRecentlyCompletedRequestIsNotSuspected(t *testing.T) {
 	table := NewTable(Config{})
-	table.Whole(testStart, innocent)
+	table.Completed(testStart, innocent)
 	now := recordEnds(table, testStart, innocent, "a", "b", "c")
 	if table.Suspected(innocent) {
 		t.Error("the request is suspected because of ends seen by this node")
@@ -116,7 +116,7 @@
 	if isBlocked(table, now, innocent) {
 		t.Error("the request is blocked because of ends seen by another node")
 	}
-	if news := table.News(); len(news) != 1 || news[0].Standing() != 0 {
+	if news := table.TakeUpdated(); len(news) != 1 || news[0].AttributedEndCount() != 0 {
 		t.Errorf("passed on to other nodes: %+v", news)
 	}
 }
@@ -146,7 +146,7 @@
 	now := recordEnds(table, testStart, harmful, "a", "b", "c")
 	for i := range 20 * maxRecords {
 		now = now.Add(time.Millisecond)
-		table.Broke(now, Fingerprint{9, byte(i), byte(i >> 8)}, "d")
+		table.AttemptFailed(now, Fingerprint{9, byte(i), byte(i >> 8)}, "d")
 		table.MachineEnded(now, "d")
 	}
 	if suspected, found := table.Counts(); !isBlocked(table, now, harmful) || suspected+found > maxRecords {
--- a/routing/poisoned.go
+++ b/routing/poisoned.go
@@ -21,7 +21,7 @@
 		r.poison.Answered(r.now, m.id, time.Unix(0, ended.dispatched))
 	}
 	if event.Failure == nil {
-		r.poison.Whole(r.now, ended.Content)
+		r.poison.Completed(r.now, ended.Content)
 		r.suspectCallers.Answered(ended.Caller)
 	}
 	if m.leaving() {
@@ -31,7 +31,7 @@
 		r.poison.MachineEnded(r.now, m.id)
 	}
 	if event.Broken {
-		r.poison.Broke(r.now, ended.Content, m.id)
+		r.poison.AttemptFailed(r.now, ended.Content, m.id)
 	}
 	if event.Broken && event.MachineEnded {
 		r.suspectCallers.Ended(r.now, ended.Caller, time.Unix(0, ended.dispatched))
@@ -52,14 +52,14 @@
 	}
 }
 
-// convicted reports whether the content must not be sent.
-func (r *Router) convicted(content poison.Fingerprint) bool {
-	_, convicted := r.poison.Convicted(r.now, content)
-	return convicted
+// blocked reports whether the content must not be sent.
+func (r *Router) blocked(content poison.Fingerprint) bool {
+	_, blocked := r.poison.Blocked(r.now, content)
+	return blocked
 }
 
 // poisonRefusal returns why a request is refused because of machines that ended under it, or nil. A
-// convicted request may be retried when its conviction expires. Of a suspected content only one
+// blocked request may be retried when its block expires. Of a suspected content only one
 // request runs at a time, so that the end of a machine can be attributed to it.
 func (r *Router) poisonRefusal(m *model, arrived *Request) (*verdict.Error, Explanation) {
 	if r.poison.Empty() || r.config.Poison.Off() {
@@ -71,7 +71,7 @@
 	if arrived.Content.IsZero() {
 		return nil, Explanation{}
 	}
-	if left, convicted := r.poison.Convicted(r.now, arrived.Content); convicted {
+	if left, blocked := r.poison.Blocked(r.now, arrived.Content); blocked {
 		if r.takeTest(arrived) {
 			return nil, Explanation{}
 		}
@@ -80,8 +80,8 @@
 	if r.poison.Suspected(arrived.Content) && r.contentInFlight(arrived.Content) {
 		record, _ := r.poison.Record(arrived.Content)
 		failure := verdict.New(verdict.NotRun, verdict.CodePoisonRequest,
-			"the same request is on its way, and %d machines have ended under it", record.Standing())
-		return failure.After(r.retryAfter(m)), Explanation{Setting: settingPoisonEnds, Value: float64(record.Standing())}
+			"the same request is on its way, and %d machines have ended under it", record.AttributedEndCount())
+		return failure.After(r.retryAfter(m)), Explanation{Setting: settingPoisonEnds, Value: float64(record.AttributedEndCount())}
 	}
 	return nil, Explanation{}
 }
@@ -117,7 +117,7 @@
 // requests of its caller, or nil. After a wait one request at a time is admitted, which can clear
 // the caller.
 func (r *Router) callerRefusal(m *model, arrived *Request) (*verdict.Error, Explanation) {
-	wait, doubtful := r.suspectCallers.Doubtful(r.now, arrived.Caller)
+	wait, doubtful := r.suspectCallers.Throttled(r.now, arrived.Caller)
 	if !doubtful {
 		return nil, Explanation{}
 	}
@@ -138,7 +138,7 @@
 	return false
 }
 
-// poisonFailure returns the refusal of a convicted request, which names the machines that ended
+// poisonFailure returns the refusal of a blocked request, which names the machines that ended
 // under it.
 func (r *Router) poisonFailure(content poison.Fingerprint, left time.Duration) (*verdict.Error, Explanation) {
 	record, _ := r.poison.Record(content)
@@ -161,14 +161,14 @@
 	return false
 }
 
-// enforceConvictions ends the requests with newly convicted contents, since a request that waits at
+// enforceBlocks ends the requests with newly blocked contents, since a request that waits at
 // a machine would end it when it runs.
-func (r *Router) enforceConvictions() {
-	for _, content := range r.poison.Verdicts() {
-		left, _ := r.poison.Convicted(r.now, content)
-		for _, convicted := range r.requestsOf(content) {
+func (r *Router) enforceBlocks() {
+	for _, content := range r.poison.TakeNewlyBlocked() {
+		left, _ := r.poison.Blocked(r.now, content)
+		for _, blocked := range r.requestsOf(content) {
 			failure, reason := r.poisonFailure(content, left)
-			r.abandon(convicted, failure, reason)
+			r.abandon(blocked, failure, reason)
 		}
 	}
 }
@@ -186,8 +186,8 @@
 }
 
 // PoisonCounts returns how many contents are suspected of ending machines and how many are
-// convicted.
-func (r *Router) PoisonCounts() (suspected, convicted int) { return r.poison.Counts() }
+// blocked.
+func (r *Router) PoisonCounts() (suspected, blocked int) { return r.poison.Counts() }
 
 // PoisonRecord returns what is known of a content.
 func (r *Router) PoisonRecord(content poison.Fingerprint) (poison.Record, bool) {
--- a/routing/poisoned_test.go
+++ b/routing/poisoned_test.go
@@ -10,9 +10,9 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// TestEndOfLeavingMachineConvictsNoRequest guards against the conviction of a request whose machine
+// TestEndOfLeavingMachineBlocksNoRequest guards against blocking a request whose machine
 // ended as planned after it announced that it was leaving.
-func TestEndOfLeavingMachineConvictsNoRequest(t *testing.T) {
+func TestEndOfLeavingMachineBlocksNoRequest(t *testing.T) {
 	content := poison.Fingerprint{7}
 	for name, leaves := range map[string]bool{"leaving": true, "ended": false} {
 		router := New(Config{}, 1)
@@ -23,15 +23,15 @@
 				Broken: true, MachineEnded: true, Failure: verdict.New(verdict.MayHaveRun, verdict.CodeEngineFailed, "broke"),
 			})
 		}
-		if router.convicted(content) == leaves {
+		if router.blocked(content) == leaves {
 			t.Errorf("%s machines: request convicted %v", name, !leaves)
 		}
 	}
 }
 
-// convict ends machines under a content until it is convicted.
-func (f *fixture) convict(content poison.Fingerprint) {
-	for n := 0; !f.router.convicted(content); n++ {
+// block ends machines under a content until it is blocked.
+func (f *fixture) block(content poison.Fingerprint) {
+	for n := 0; !f.router.blocked(content); n++ {
 		m := &machine{id: cluster.MachineID(fmt.Sprintf("ended-%v-%d", content[0], n))}
 		f.router.recordEvidence(&request{Request: Request{Content: content}}, m, &AttemptEnded{
 			Broken: true, MachineEnded: true, Failure: verdict.New(verdict.MayHaveRun, verdict.CodeEngineFailed, "broke"),
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestPoisonTestsRunOneAtATime guards against the conviction of an innocent request because the
+// TestPoisonTestsRunOneAtATime guards against blocking an innocent request because the
 // machine on which it is tested ends under a harmful one tested at the same time.
 func TestPoisonTestsRunOneAtATime(t *testing.T) {
 	f := newFixture(t, testPolicy())
@@ -49,7 +49,7 @@
 		return func(r *Request) { r.Content = content }
 	}
 	for _, content := range []poison.Fingerprint{harmful, innocent} {
-		f.convict(content)
+		f.block(content)
 		f.step(PoisonTestGranted{Content: content})
 	}
 	f.expect(f.arrive("a", of(harmful)), "dispatch a/1 to m1; ")
--- a/routing/router.go
+++ b/routing/router.go
@@ -54,7 +54,7 @@
 	// prefixes estimates the engines' prefix caches; matches is the buffer of the current choice.
 	prefixes *affinity.Index
 	matches  []affinity.Match
-	// poison holds the requests that are suspected or convicted of ending machines.
+	// poison holds the requests that are suspected of ending machines, or blocked.
 	poison *poison.Table
 	// suspectCallers are the callers under whose requests several machines ended in succession.
 	suspectCallers *poison.Callers
@@ -116,9 +116,9 @@
 	r.runDueTimers()
 	r.dispatchToFreed()
 	r.handle(event)
-	r.enforceConvictions()
+	r.enforceBlocks()
 	r.dispatchToFreed()
-	if found := r.poison.News(); len(found) > 0 {
+	if found := r.poison.TakeUpdated(); len(found) > 0 {
 		r.emit(PoisonFound{Records: found})
 	}
 	return r.effects
