--- a/fleet/events.go
+++ b/fleet/events.go
@@ -68,11 +68,11 @@
 // StoredPoisonRecord is a stored record of a poison request.
 type StoredPoisonRecord struct {
 	Record poison.Record
-	// Tests is how often a node was allowed to send the request once more, and Tester the node of
-	// the last test. EndsBefore is the number of machines that had ended under the request before
-	// that test.
+	// Probes is how often a node was allowed to send the request once more, and Prober the node of
+	// the last probe. EndsBefore is the number of machines that had ended under the request before
+	// that probe.
 	Tests      int
-	Tester     cluster.NodeID
+	Prober     cluster.NodeID
 	EndsBefore int
 	Revision   int64
 }
--- a/fleet/poison.go
+++ b/fleet/poison.go
@@ -19,7 +19,7 @@
 // The records have no expiry; deleting one pardons its request.
 const KeyPoison = KeyRoot + "poison/"
 
-// Timing and limits of the reports, tests and stored records of poison requests.
+// Timing and limits of the reports, probes and stored records of poison requests.
 const (
 	// poisonReportSpacing is the least time between two messages to one node, so that the reports
 	// on many requests that ran at the same machine share a message.
@@ -37,14 +37,14 @@
 	// poisonCleanupInterval is the time between scans of all stored records. A scan of 4,096
 	// records takes 2 ms; on each step it made a small request nine times as expensive.
 	poisonCleanupInterval = 10 * time.Second
-	// maxPoisonTests is how often in all a blocked request is sent once more, since at most
-	// three further sends are acceptable. poisonTestSpacing gives the node of the first test the
-	// time to use it. A node that has ended meanwhile is not waited for, and one more test is
+	// maxPoisonProbes is how often in all a blocked request is sent once more, since at most
+	// three further sends are acceptable. poisonProbeSpacing gives the node of the first probe the
+	// time to use it. A node that has ended meanwhile is not waited for, and one more probe is
 	// allowed after its last one: a frequent request was refused for an hour after both nodes
-	// that were to test it had been stopped. One more test is also allowed after a test by which
+	// that were to probe it had been stopped. One more probe is also allowed after a probe by which
 	// no machine ended and none answered.
-	maxPoisonTests    = 2
-	poisonTestSpacing = 10 * time.Second
+	maxPoisonProbes    = 2
+	poisonProbeSpacing = 10 * time.Second
 	// poisonQueryHold is how long a node that has started or was suspended holds all dispatches
 	// after it has asked other nodes for blocks that the store may lack: otherwise
 	// everything that waits would be sent at once. A message and its answer take 2 to 40 ms
@@ -84,7 +84,7 @@
 	StoredPoisonRecord
 	// readAt is when this node read the record.
 	readAt time.Time
-	// claimedAt is when this node last tried to claim a test in the store, zero for never.
+	// claimedAt is when this node last tried to claim a probe in the store, zero for never.
 	claimedAt time.Time
 }
 
@@ -283,7 +283,7 @@
 		content := record.Record.Content
 		before := s.stored[content]
 		s.stored[content] = &storedPoison{StoredPoisonRecord: *record, readAt: s.core.now}
-		if before != nil && !before.claimedAt.IsZero() && before.Tests < record.Tests && record.Tester == s.core.config.Self.ID {
+		if before != nil && !before.claimedAt.IsZero() && before.Tests < record.Tests && record.Prober == s.core.config.Self.ID {
 			granted = append(granted, content)
 		}
 		delete(s.writes, content)
@@ -300,7 +300,7 @@
 		}
 	}
 	for _, content := range granted {
-		s.core.feedRouter(routing.PoisonTestGranted{Content: content})
+		s.core.feedRouter(routing.PoisonProbeGranted{Content: content})
 	}
 	for _, content := range read.Gone {
 		if s.stored[content] != nil {
--- a/fleet/poison_record_test.go
+++ b/fleet/poison_record_test.go
@@ -24,7 +24,7 @@
 			t.Fatalf("seed %d: %d records are in the store", seed, len(pairs))
 		}
 		s.storeDown = true
-		s.step(tester, RoutingInput{Event: routing.PoisonTestGranted{Content: popularContent}})
+		s.step(tester, RoutingInput{Event: routing.PoisonProbeGranted{Content: popularContent}})
 		s.popular["tried"] = true
 		s.step(tester, RoutingInput{Event: routing.RequestArrived{Request: routing.Request{
 			ID: "tried", Model: catalog.ModelID("s", "a"), TokenPath: "/", Deadline: s.now.Add(8 * time.Second), Content: popularContent,
@@ -68,14 +68,14 @@
 	}
 }
 
-// Guards against using up the test of a blocked request at machines that can't be reached or
-// reject it: only a run of the request uses the test.
-func TestUnrunPoisonTestRemainsAvailable(t *testing.T) {
+// Guards against using up the probe of a blocked request at machines that can't be reached or
+// reject it: only a run of the request uses the probe.
+func TestUnrunPoisonProbeRemainsAvailable(t *testing.T) {
 	s := newPoisonSimulation(5, 3, 2)
 	tester := s.nodes[0]
 	s.step(tester, RoutingInput{Event: routing.PoisonLearned{Records: []poison.Record{{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}}}})
 	s.runFor(2 * time.Second)
-	s.step(tester, RoutingInput{Event: routing.PoisonTestGranted{Content: popularContent}})
+	s.step(tester, RoutingInput{Event: routing.PoisonProbeGranted{Content: popularContent}})
 	ask := func() {
 		s.requestCount++
 		id := cluster.RequestID(fmt.Sprintf("r%d", s.requestCount))
@@ -102,14 +102,14 @@
 	}
 }
 
-// Guards against waiting for nodes that ended before they used their test. Another node tests the
-// request at once, but never beyond the allowed number of tests.
-func TestPoisonTestOfEndedNodeIsRepeated(t *testing.T) {
+// Guards against waiting for nodes that ended before they used their probe. Another node probes the
+// request at once, but never beyond the allowed number of probes.
+func TestPoisonProbeOfEndedNodeIsRepeated(t *testing.T) {
 	for tests, want := range map[int]bool{1: true, 2: true, 3: false} {
 		s := newPoisonSimulation(7, 4, 3)
 		s.runFor(2 * time.Second)
 		stored := StoredPoisonRecord{
-			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}, Tests: tests, Tester: "ended-1",
+			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}, Tests: tests, Prober: "ended-1",
 		}
 		s.writeStore(keyvalue.Operation{Key: KeyPoison + popularContent.String(), Value: encodePoison(&stored)})
 		s.runFor(2 * time.Second)
@@ -129,26 +129,26 @@
 }
 
 // Guards against refusing a request for the hour of its block because the machine of its
-// last test did not answer, and against another test of a request under whose last test a machine
+// last probe did not answer, and against another probe of a request under whose last probe a machine
 // ended.
-func TestInconclusivePoisonTestIsRepeated(t *testing.T) {
+func TestInconclusivePoisonProbeIsRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		tests, endsBefore int
 		want              bool
 	}{
-		{"no machine ended under the last test", maxPoisonTests, 3, true},
-		{"a machine ended under the last test", maxPoisonTests, 2, false},
-		{"all tests used", maxPoisonTests + 1, 3, false},
+		{"no machine ended under the last test", maxPoisonProbes, 3, true},
+		{"a machine ended under the last test", maxPoisonProbes, 2, false},
+		{"all tests used", maxPoisonProbes + 1, 3, false},
 	} {
 		s := newPoisonSimulation(7, 4, 3)
 		s.runFor(2 * time.Second)
 		stored := StoredPoisonRecord{
 			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}},
-			Tests:  c.tests, Tester: s.nodes[1].id, EndsBefore: c.endsBefore,
+			Tests:  c.tests, Prober: s.nodes[1].id, EndsBefore: c.endsBefore,
 		}
 		s.writeStore(keyvalue.Operation{Key: KeyPoison + popularContent.String(), Value: encodePoison(&stored)})
-		s.runFor(poisonTestSpacing + 2*time.Second)
+		s.runFor(poisonProbeSpacing + 2*time.Second)
 		for n := range 6 {
 			id := cluster.RequestID(fmt.Sprintf("r%d", n))
 			s.popular[id] = true
--- a/fleet/poison_store.go
+++ b/fleet/poison_store.go
@@ -46,40 +46,40 @@
 	}
 }
 
-// claimTest claims one of the few tests of a blocked request; a write to the store grants it to
-// a single node. If that node ends before it uses the test, the request waits for the next test.
-func (s *poisonSync) claimTest(content poison.Fingerprint) {
+// claimProbe claims one of the few probes of a blocked request; a write to the store grants it to
+// a single node. If that node ends before it uses the probe, the request waits for the next probe.
+func (s *poisonSync) claimProbe(content poison.Fingerprint) {
 	stored := s.stored[content]
 	if stored == nil || s.core.now.Sub(stored.claimedAt) < minPoisonWriteRetry {
 		return
 	}
-	allowed, spacing := maxPoisonTests, poisonTestSpacing
+	allowed, spacing := maxPoisonProbes, poisonProbeSpacing
 	switch {
-	case s.testerEnded(stored):
-		allowed, spacing = maxPoisonTests+1, 0
-	case s.lastTestInconclusive(stored):
-		allowed = maxPoisonTests + 1
+	case s.proberEnded(stored):
+		allowed, spacing = maxPoisonProbes+1, 0
+	case s.lastProbeInconclusive(stored):
+		allowed = maxPoisonProbes + 1
 	}
 	if stored.Tests >= allowed || stored.Tests > 0 && s.core.now.Sub(stored.readAt) < spacing {
 		return
 	}
 	stored.claimedAt = s.core.now
 	claim := StoredPoisonRecord{
-		Record: stored.Record, Tests: stored.Tests + 1, Tester: s.core.config.Self.ID, EndsBefore: s.attributedEnds(content),
+		Record: stored.Record, Tests: stored.Tests + 1, Prober: s.core.config.Self.ID, EndsBefore: s.attributedEnds(content),
 	}
 	s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&claim), Revision: stored.Revision})
 }
 
-// testerEnded reports whether the node of the last test is known to have ended: its record is
+// proberEnded reports whether the node of the last probe is known to have ended: its record is
 // gone or was replaced by that of another process of its machine.
-func (s *poisonSync) testerEnded(stored *storedPoison) bool {
-	_, lives := s.core.nodes.live[stored.Tester]
-	return stored.Tests > 0 && !lives && stored.Tester != s.core.config.Self.ID
+func (s *poisonSync) proberEnded(stored *storedPoison) bool {
+	_, lives := s.core.nodes.live[stored.Prober]
+	return stored.Tests > 0 && !lives && stored.Prober != s.core.config.Self.ID
 }
 
-// lastTestInconclusive reports whether no machine has ended under the request since its last
-// test, although the request was not unblocked either. The machine may not have answered.
-func (s *poisonSync) lastTestInconclusive(stored *storedPoison) bool {
+// lastProbeInconclusive reports whether no machine has ended under the request since its last
+// probe, although the request was not unblocked either. The machine may not have answered.
+func (s *poisonSync) lastProbeInconclusive(stored *storedPoison) bool {
 	return stored.EndsBefore > 0 && s.attributedEnds(stored.Record.Content) <= stored.EndsBefore
 }
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		return
 	}
-	// A key in neither map belongs to the claim of a test, whose outcome is read from the record.
+	// A key in neither map belongs to the claim of a probe, whose outcome is read from the record.
 	for _, pending := range []map[poison.Fingerprint]*pendingWrite{s.writes, s.removals} {
 		write := pending[content]
 		switch {
@@ -149,14 +149,14 @@
 type poisonDocument struct {
 	Ends    []cluster.MachineID `json:"ends"`
 	Cleared []cluster.MachineID `json:"cleared,omitempty"`
-	Tests   int                 `json:"tests,omitempty"`
-	Tester  cluster.NodeID      `json:"tester,omitempty"`
+	Probes  int                 `json:"tests,omitempty"`
+	Prober  cluster.NodeID      `json:"tester,omitempty"`
 	Before  int                 `json:"ends_before,omitempty"`
 }
 
 func encodePoison(stored *StoredPoisonRecord) []byte {
 	record := &stored.Record
-	data, err := json.Marshal(poisonDocument{Ends: record.Ends, Cleared: record.Cleared, Tests: stored.Tests, Tester: stored.Tester, Before: stored.EndsBefore})
+	data, err := json.Marshal(poisonDocument{Ends: record.Ends, Cleared: record.Cleared, Probes: stored.Tests, Prober: stored.Prober, Before: stored.EndsBefore})
 	if err != nil {
 		return nil
 	}
@@ -175,6 +175,6 @@
 		return stored, eris.Wrap(err, "decode poison record")
 	}
 	record := poison.Record{Content: content, Ends: document.Ends, Cleared: document.Cleared}
-	stored.Record, stored.Tests, stored.Tester, stored.EndsBefore = record.Valid(), document.Tests, document.Tester, document.Before
+	stored.Record, stored.Tests, stored.Prober, stored.EndsBefore = record.Valid(), document.Probes, document.Prober, document.Before
 	return stored, nil
 }
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -60,8 +60,8 @@
 			c.machineResting(&e)
 		case routing.MachineLimitFound:
 			c.pacer.broadcastLimit(&e)
-		case routing.PoisonTestWanted:
-			c.poison.claimTest(e.Content)
+		case routing.PoisonProbeWanted:
+			c.poison.claimProbe(e.Content)
 		case routing.Dispatch:
 			if c.dispatchClient == nil || !c.dispatchClient.dispatch(&e) {
 				c.gate.dispatch(e)
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -207,7 +207,7 @@
 		return false, Explanation{}
 	case failed.model.configured == nil:
 		return false, Explanation{}
-	case r.blocked(failed.Content) && !(failed.test && notRun):
+	case r.blocked(failed.Content) && !(failed.probe && notRun):
 		return false, Explanation{Setting: settingPoisonEnds}
 	case notRun && event.Unreached:
 		failed.countedAttempts--
--- a/routing/events.go
+++ b/routing/events.go
@@ -58,8 +58,8 @@
 	Rank int
 	// Caller identifies the caller. All callers that can't be identified share zero.
 	Caller uint64
-	// test is set while a blocked request is sent once more as a test.
-	test bool
+	// probe is set while a blocked request is sent once more as a probe.
+	probe bool
 }
 
 // Event is an input of the routing core.
@@ -196,9 +196,9 @@
 // PoisonPardoned clears a request of the blame for the machines that ended under it.
 type PoisonPardoned struct{ Content poison.Fingerprint }
 
-// PoisonTestGranted allows this node alone to send a blocked request once more when it arrives
+// PoisonProbeGranted allows this node alone to send a blocked request once more when it arrives
 // next.
-type PoisonTestGranted struct{ Content poison.Fingerprint }
+type PoisonProbeGranted struct{ Content poison.Fingerprint }
 
 // Tick runs the timers that are due. The owner sends one at NextDeadline at the latest.
 type Tick struct{}
@@ -222,7 +222,7 @@
 func (MachineEnded) routingEvent()       {}
 func (PoisonLearned) routingEvent()      {}
 func (PoisonPardoned) routingEvent()     {}
-func (PoisonTestGranted) routingEvent()  {}
+func (PoisonProbeGranted) routingEvent() {}
 func (Tick) routingEvent()               {}
 
 // Effect is an output of the routing core.
@@ -273,9 +273,9 @@
 // all nodes.
 type PoisonFound struct{ Records []poison.Record }
 
-// PoisonTestWanted asks whether this node may send a blocked request once more when it arrives
+// PoisonProbeWanted asks whether this node may send a blocked request once more when it arrives
 // next.
-type PoisonTestWanted struct{ Content poison.Fingerprint }
+type PoisonProbeWanted struct{ Content poison.Fingerprint }
 
 // CancelAttempt cancels an attempt at the engine: its request has ended, or another machine takes
 // it once AttemptEnded reports the end of this attempt.
@@ -286,12 +286,12 @@
 	Address string
 }
 
-func (Dispatch) routingEffect()         {}
-func (Finish) routingEffect()           {}
-func (CancelAttempt) routingEffect()    {}
-func (StatusNeeded) routingEffect()     {}
-func (PoisonFound) routingEffect()      {}
-func (PoisonTestWanted) routingEffect() {}
+func (Dispatch) routingEffect()          {}
+func (Finish) routingEffect()            {}
+func (CancelAttempt) routingEffect()     {}
+func (StatusNeeded) routingEffect()      {}
+func (PoisonFound) routingEffect()       {}
+func (PoisonProbeWanted) routingEffect() {}
 
 // Choice explains why a replica was chosen.
 type Choice struct {
--- a/routing/finish.go
+++ b/routing/finish.go
@@ -104,7 +104,7 @@
 	r.disarm(&ended.timer)
 	delete(r.requests, ended.ID)
 	if failure != nil {
-		r.returnUnusedTest(ended)
+		r.returnUnusedProbe(ended)
 		failure = ended.coverAttempts(failure)
 		reason.Code = failure.Code
 		r.expectReturn(model, ended.Priority, failure.RetryAfter)
--- a/routing/poison/table.go
+++ b/routing/poison/table.go
@@ -249,24 +249,24 @@
 	return true
 }
 
-// TestDue reports whether a blocked request should be sent once more as a probe. A harmless but
+// ProbeDue reports whether a blocked request should be sent once more as a probe. A harmless but
 // frequent request may be running on several machines that end, and only an answer can show that it
 // is harmless.
-func (t *Table) TestDue(now time.Time, content Fingerprint) bool {
+func (t *Table) ProbeDue(now time.Time, content Fingerprint) bool {
 	known := t.entries[content]
 	return known != nil && !known.blockedSince.IsZero() && !known.probeGranted && now.Sub(known.blockedSince) >= probeDelay
 }
 
-// GrantTest permits this node to send a blocked request once as a probe. The caller must bound the
+// GrantProbe permits this node to send a blocked request once as a probe. The caller must bound the
 // number of probes over all nodes.
-func (t *Table) GrantTest(content Fingerprint) {
+func (t *Table) GrantProbe(content Fingerprint) {
 	if known := t.entries[content]; known != nil && !known.blockedSince.IsZero() {
 		known.probeGranted = true
 	}
 }
 
-// TakeTest uses the permission for a probe and reports whether there was one.
-func (t *Table) TakeTest(content Fingerprint) bool {
+// TakeProbe uses the permission for a probe and reports whether there was one.
+func (t *Table) TakeProbe(content Fingerprint) bool {
 	known := t.entries[content]
 	if known == nil || !known.probeGranted {
 		return false
--- a/routing/poison/table_test.go
+++ b/routing/poison/table_test.go
@@ -126,14 +126,14 @@
 func TestProbeNeedsPermission(t *testing.T) {
 	table := NewTable(Config{})
 	now := recordEnds(table, testStart, harmful, "a", "b", "c")
-	if table.TestDue(now, harmful) || table.TakeTest(harmful) {
+	if table.ProbeDue(now, harmful) || table.TakeProbe(harmful) {
 		t.Error("a probe is due at once, or sent without permission")
 	}
-	if !table.TestDue(now.Add(probeDelay), harmful) {
+	if !table.ProbeDue(now.Add(probeDelay), harmful) {
 		t.Error("no probe is due after the delay")
 	}
-	table.GrantTest(harmful)
-	if !table.TakeTest(harmful) || table.TakeTest(harmful) {
+	table.GrantProbe(harmful)
+	if !table.TakeProbe(harmful) || table.TakeProbe(harmful) {
 		t.Error("one permission must allow exactly one probe")
 	}
 }
--- a/routing/poisoned.go
+++ b/routing/poisoned.go
@@ -45,10 +45,10 @@
 	}
 }
 
-// returnUnusedTest returns the permission for a test that did not run.
-func (r *Router) returnUnusedTest(ended *request) {
-	if ended.test && !ended.mayHaveRun {
-		r.poison.GrantTest(ended.Content)
+// returnUnusedProbe returns the permission for a probe that did not run.
+func (r *Router) returnUnusedProbe(ended *request) {
+	if ended.probe && !ended.mayHaveRun {
+		r.poison.GrantProbe(ended.Content)
 	}
 }
 
@@ -72,7 +72,7 @@
 		return nil, Explanation{}
 	}
 	if left, blocked := r.poison.Blocked(r.now, arrived.Content); blocked {
-		if r.takeTest(arrived) {
+		if r.takeProbe(arrived) {
 			return nil, Explanation{}
 		}
 		return r.poisonFailure(arrived.Content, left)
@@ -86,27 +86,27 @@
 	return nil, Explanation{}
 }
 
-// takeTest makes the request a test of its content if this node has permission for one, and asks
-// for permission when a test is due. Tests run one at a time on this node, since the end of a
-// machine would count against all contents tested there.
-func (r *Router) takeTest(arrived *Request) bool {
-	if r.testInFlight() {
+// takeProbe makes the request a probe of its content if this node has permission for one, and asks
+// for permission when a probe is due. Probes run one at a time on this node, since the end of a
+// machine would count against all contents probed there.
+func (r *Router) takeProbe(arrived *Request) bool {
+	if r.probeInFlight() {
 		return false
 	}
-	if r.poison.TakeTest(arrived.Content) {
-		arrived.Attempts, arrived.test = 1, true
+	if r.poison.TakeProbe(arrived.Content) {
+		arrived.Attempts, arrived.probe = 1, true
 		return true
 	}
-	if r.poison.TestDue(r.now, arrived.Content) {
-		r.emit(PoisonTestWanted{Content: arrived.Content})
+	if r.poison.ProbeDue(r.now, arrived.Content) {
+		r.emit(PoisonProbeWanted{Content: arrived.Content})
 	}
 	return false
 }
 
-// testInFlight reports whether a test is running on this node.
-func (r *Router) testInFlight() bool {
+// probeInFlight reports whether a probe is running on this node.
+func (r *Router) probeInFlight() bool {
 	for _, other := range r.requests {
-		if other.test {
+		if other.probe {
 			return true
 		}
 	}
--- a/routing/poisoned_test.go
+++ b/routing/poisoned_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestPoisonTestsRunOneAtATime guards against blocking an innocent request because the
-// machine on which it is tested ends under a harmful one tested at the same time.
-func TestPoisonTestsRunOneAtATime(t *testing.T) {
+// TestPoisonProbesRunOneAtATime guards against blocking an innocent request because the
+// machine on which it is probed ends under a harmful one probed at the same time.
+func TestPoisonProbesRunOneAtATime(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	harmful, innocent := poison.Fingerprint{1}, poison.Fingerprint{2}
@@ -50,7 +50,7 @@
 	}
 	for _, content := range []poison.Fingerprint{harmful, innocent} {
 		f.block(content)
-		f.step(PoisonTestGranted{Content: content})
+		f.step(PoisonProbeGranted{Content: content})
 	}
 	f.expect(f.arrive("a", of(harmful)), "dispatch a/1 to m1; ")
 	if failure := finishOf(t, f.arrive("b", of(innocent))).Failure; failure == nil || failure.Code != verdict.CodePoisonRequest {
--- a/routing/router.go
+++ b/routing/router.go
@@ -166,8 +166,8 @@
 		r.machineEnded(event.Machine)
 	case PoisonLearned:
 		r.poison.Learn(r.now, event.Records)
-	case PoisonTestGranted:
-		r.poison.GrantTest(event.Content)
+	case PoisonProbeGranted:
+		r.poison.GrantProbe(event.Content)
 	case PoisonPardoned:
 		r.poison.Pardon(r.now, event.Content)
 	case Tick:
