--- a/fleet/core.go
+++ b/fleet/core.go
@@ -58,7 +58,7 @@
 	core := &Core{config: config, nodes: newNodeSet()}
 	core.peerNotifier = &peerNotifier{core: core}
 	core.view = newMachineView(core)
-	config.Routing.LeastLoad = core.view.minLoadTime
+	config.Routing.MinLoadTime = core.view.minLoadTime
 	if config.Dispatching {
 		core.dispatchClient = newDispatchClient(core)
 		config.Routing.ListAlternatives = core.dispatchClient.targetsEngines
@@ -99,7 +99,7 @@
 		c.synced = true
 		c.releaseDispatches()
 	case Paused:
-		c.feedRouter(routing.DispatchesHeld{Until: now.Add(c.config.PauseHold)})
+		c.feedRouter(routing.DispatchesPaused{Until: now.Add(c.config.PauseHold)})
 		c.poison.peersQueried = false
 		c.poison.queryPeers()
 	case MessageReceived:
@@ -168,9 +168,9 @@
 // Ready reports whether the node has a configuration and has read the whole store.
 func (c *Core) Ready() bool { return c.compiled != nil && c.synced }
 
-// KnowsPoison reports whether a request with this head may match a known poison request, so that
+// NeedsFingerprint reports whether a request with this head may match a known poison request, so that
 // its fingerprint must be computed.
-func (c *Core) KnowsPoison(head poison.Head) bool { return c.router.KnowsPoison(head) }
+func (c *Core) NeedsFingerprint(head poison.Head) bool { return c.router.NeedsFingerprint(head) }
 
 // PoisonCounts returns the numbers of suspected and of blocked poison requests.
 func (c *Core) PoisonCounts() (suspected, blocked int) { return c.router.PoisonCounts() }
@@ -273,10 +273,10 @@
 // had time to answer the query for poison requests.
 func (c *Core) releaseDispatches() {
 	if until := c.poison.holdUntil; c.now.Before(until) {
-		c.feedRouter(routing.DispatchesHeld{Until: until})
+		c.feedRouter(routing.DispatchesPaused{Until: until})
 		return
 	}
-	c.feedRouter(routing.DispatchesReleased{})
+	c.feedRouter(routing.DispatchesResumed{})
 }
 
 // leaseAnswered handles the answer to a call for one of the node's leases.
--- a/fleet/demand_reporter.go
+++ b/fleet/demand_reporter.go
@@ -30,7 +30,7 @@
 
 // tick sends a report when one is due.
 func (d *demandReporter) tick(c *Core) {
-	newDemand := c.router.NewlyWaiting() && c.now.Sub(d.lastReportAt) >= newDemandInterval
+	newDemand := c.router.HasUnreportedDemand() && c.now.Sub(d.lastReportAt) >= newDemandInterval
 	if !newDemand && c.now.Before(d.nextReportAt) {
 		return
 	}
@@ -64,7 +64,7 @@
 
 // due returns the time of the next report.
 func (d *demandReporter) due(c *Core) time.Time {
-	if c.router.NewlyWaiting() {
+	if c.router.HasUnreportedDemand() {
 		return d.lastReportAt.Add(newDemandInterval)
 	}
 	return d.nextReportAt
--- a/fleet/pacer.go
+++ b/fleet/pacer.go
@@ -52,7 +52,7 @@
 }
 
 // broadcastLimit announces a limit, which a machine reported to this node, to all other nodes.
-func (p *pacer) broadcastLimit(e *routing.MachineLimitFound) {
+func (p *pacer) broadcastLimit(e *routing.MachineLimitChanged) {
 	self := p.core.config.Self.ID
 	p.core.log(eventlog.WorkerLimited{Machine: e.Machine, Limited: e.Notice.Limited, Limit: e.Notice.PerSecond, By: self, Request: e.Request})
 	for _, id := range slices.Sorted(maps.Keys(p.core.nodes.live)) {
@@ -67,7 +67,7 @@
 // limitReceived handles a machine's limit announced by another node.
 func (p *pacer) limitReceived(m *wire.MachineLimit) {
 	p.core.log(eventlog.WorkerLimited{Machine: m.Machine, Limited: m.Limited, Limit: m.PerSecond, By: m.From})
-	p.core.feedRouter(routing.MachineLimitTold{
+	p.core.feedRouter(routing.MachineLimitReceived{
 		Machine: m.Machine, Notice: routing.Notice{Limited: m.Limited, PerSecond: m.PerSecond},
 	})
 }
--- a/fleet/pacer_test.go
+++ b/fleet/pacer_test.go
@@ -37,7 +37,7 @@
 			m.limitReportedAt = m.now
 		}
 		notice := routing.Notice{Limited: m.limit > 0, PerSecond: m.limit}
-		m.step(n, RoutingInput{Event: routing.MachineHeard{Machine: d.Machine, Request: d.Request, Notice: notice, SentUnderLimit: d.Limited}})
+		m.step(n, RoutingInput{Event: routing.MachineNoticeReceived{Machine: d.Machine, Request: d.Request, Notice: notice, SentUnderLimit: d.Limited}})
 		m.step(n, RoutingInput{Event: routing.AttemptEnded{Request: d.Request, Attempt: d.Attempt}})
 	})
 	return true
@@ -121,7 +121,7 @@
 func TestLimitOfUnknownMachineIsIgnored(t *testing.T) {
 	s := newDispatchSimulation(1, 1, 1, true)
 	s.runFor(time.Second)
-	s.step(s.nodes[0], RoutingInput{Event: routing.MachineLimitTold{Machine: cluster.MachineID("nobody"), Notice: routing.Notice{Limited: true}}})
+	s.step(s.nodes[0], RoutingInput{Event: routing.MachineLimitReceived{Machine: cluster.MachineID("nobody"), Notice: routing.Notice{Limited: true}}})
 	s.step(s.nodes[0], RoutingInput{Event: routing.TurnDecided{Machine: cluster.MachineID("nobody"), Granted: true}})
 	s.runFor(time.Second)
 }
@@ -142,7 +142,7 @@
 			if !notice.Limited {
 				notice = routing.Notice{}
 			}
-			s.step(n, RoutingInput{Event: routing.MachineHeard{Machine: d.Machine, Request: d.Request, Notice: notice, SentUnderLimit: d.Limited}})
+			s.step(n, RoutingInput{Event: routing.MachineNoticeReceived{Machine: d.Machine, Request: d.Request, Notice: notice, SentUnderLimit: d.Limited}})
 			s.step(n, RoutingInput{Event: routing.AttemptEnded{Request: d.Request, Attempt: d.Attempt}})
 		})
 		return true
--- a/fleet/poison.go
+++ b/fleet/poison.go
@@ -261,7 +261,7 @@
 		return
 	}
 	s.peersQueried, s.holdUntil = true, s.core.now.Add(poisonQueryHold)
-	s.core.feedRouter(routing.DispatchesHeld{Until: s.holdUntil})
+	s.core.feedRouter(routing.DispatchesPaused{Until: s.holdUntil})
 	for _, id := range ids {
 		s.send(s.core.nodes.live[id].Address, nil)
 	}
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -58,7 +58,7 @@
 			c.machineLeaving(&e)
 		case routing.MachineRestFound:
 			c.machineResting(&e)
-		case routing.MachineLimitFound:
+		case routing.MachineLimitChanged:
 			c.pacer.broadcastLimit(&e)
 		case routing.PoisonProbeWanted:
 			c.poison.claimProbe(e.Content)
--- a/fleet/shell/node.go
+++ b/fleet/shell/node.go
@@ -144,7 +144,7 @@
 	handler := passthrough.NewHandler(passthrough.Config{
 		Catalog: n.servingCatalog, CatalogReady: n.becameReady, Decider: n, Dialect: n.options.Dialect, Pool: n.pool, Log: n.options.Log,
 		Metrics: passthrough.NewMetrics(n.registry), NewID: n.newRequestID, Closing: n.closesConnections.Load, Admits: n.admits,
-		KnowsPoison: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayAccept: n.admitRequest, MaxActiveRequests: n.options.Callers.Requests,
+		NeedsFingerprint: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayAccept: n.admitRequest, MaxActiveRequests: n.options.Callers.Requests,
 	})
 	if n.callerServer, err = n.startServer(&n.options.CallersAddress, handler, n.limitCallers); err != nil {
 		return errors.Join(eris.Wrap(err, "open the listener for callers"), transport.Close(n.context))
@@ -201,7 +201,7 @@
 func (n *Node) needsFingerprint(head poison.Head) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.core != nil && n.core.KnowsPoison(head)
+	return n.core != nil && n.core.NeedsFingerprint(head)
 }
 
 // serveReadiness answers the readiness probe.
--- a/node/demand.go
+++ b/node/demand.go
@@ -33,7 +33,7 @@
 
 // reportNewDemand sends demand if a model has just got its first waiting request.
 func (c *Core) reportNewDemand() {
-	if c.now.Sub(c.demand.lastReport) >= minNewDemandInterval && c.router.NewlyWaiting() {
+	if c.now.Sub(c.demand.lastReport) >= minNewDemandInterval && c.router.HasUnreportedDemand() {
 		c.sendDemand()
 	}
 }
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -13,7 +13,7 @@
 // The methods below read the core's state for operators and change nothing.
 
 // Queues returns the models with waiting or running requests on this node.
-func (c *Core) Queues(now time.Time) []routing.QueueView { return c.router.Queues(now) }
+func (c *Core) Queues(now time.Time) []routing.QueueStatus { return c.router.Queues(now) }
 
 // Stamp returns the stamp of the settings in force.
 func (c *Core) Stamp() settings.Stamp { return c.replication.Stamp() }
--- a/node/machines.go
+++ b/node/machines.go
@@ -68,7 +68,7 @@
 		return
 	}
 	c.machinePoller.lastRead = c.now
-	defer c.stepRouter(routing.DispatchesReleased{})
+	defer c.stepRouter(routing.DispatchesResumed{})
 	present := make(map[cluster.MachineID]bool, len(c.machinePoller.leaving))
 	for i := range listed.Machines {
 		machine := &listed.Machines[i]
@@ -123,7 +123,7 @@
 	if last.IsZero() || c.now.Sub(last) < pauseThreshold {
 		return
 	}
-	c.stepRouter(routing.DispatchesHeld{Until: c.now.Add(pauseHoldTime)})
+	c.stepRouter(routing.DispatchesPaused{Until: c.now.Add(pauseHoldTime)})
 	c.machinePoller.nextRead, c.machinePoller.nextProbe = time.Time{}, time.Time{}
 	c.pollMachines()
 }
--- a/passthrough/attempt.go
+++ b/passthrough/attempt.go
@@ -191,7 +191,7 @@
 	}
 	a.notice = marks.Notice
 	if marks.Notice != (routing.Notice{}) || own && a.decision.Limited {
-		a.Decider.Report(routing.MachineHeard{
+		a.Decider.Report(routing.MachineNoticeReceived{
 			Machine: a.decision.Machine, Request: a.id, Notice: marks.Notice, SentUnderLimit: own && a.decision.Limited,
 		})
 	}
--- a/passthrough/content.go
+++ b/passthrough/content.go
@@ -19,7 +19,7 @@
 // matches a known poison request.
 func (e *exchange) recordFingerprint() {
 	content := e.requestContent()
-	if len(e.body) <= alwaysFingerprintedBytes || e.KnowsPoison != nil && e.KnowsPoison(content.Head()) {
+	if len(e.body) <= alwaysFingerprintedBytes || e.NeedsFingerprint != nil && e.NeedsFingerprint(content.Head()) {
 		e.content = content.Fingerprint()
 	}
 }
--- a/passthrough/handler.go
+++ b/passthrough/handler.go
@@ -63,9 +63,9 @@
 	Closing func() bool
 	// Admits reports whether a request with the given deadline is still accepted. If nil, all are.
 	Admits func(deadline time.Time) bool
-	// KnowsPoison reports whether the fingerprint of a request with this head is needed. If nil,
+	// NeedsFingerprint reports whether the fingerprint of a request with this head is needed. If nil,
 	// only short bodies are fingerprinted.
-	KnowsPoison func(head poison.Head) bool
+	NeedsFingerprint func(head poison.Head) bool
 	// FindKey returns the tenant of a key, by its hash, that the current configuration doesn't
 	// contain: the key may have been added a moment ago. It waits until the key store of this node
 	// is recent enough to rule the key out, and then returns nil. If FindKey is nil, unknown keys
--- a/routing/checker_test.go
+++ b/routing/checker_test.go
@@ -100,7 +100,7 @@
 		c.draining = true
 	case MachineLeaving:
 		c.leaving[event.Machine] = true
-	case MachineHeard:
+	case MachineNoticeReceived:
 		if until := now.Add(event.Notice.Rest); until.After(c.restUntil[event.Machine]) {
 			c.restUntil[event.Machine] = until
 		}
@@ -110,7 +110,7 @@
 		if event.Notice.Limited || event.SentUnderLimit {
 			c.recordLimit(event.Machine, event.Notice.Limited)
 		}
-	case MachineLimitTold:
+	case MachineLimitReceived:
 		c.recordLimit(event.Machine, event.Notice.Limited)
 	case TurnDecided:
 		if known := c.limits[event.Machine]; known != nil && event.Granted {
--- a/routing/choice.go
+++ b/routing/choice.go
@@ -159,7 +159,7 @@
 	if m.leaving() {
 		return FilterLeaving
 	}
-	if r.dispatchesHeld() {
+	if r.dispatchesPaused() {
 		return FilterHeld
 	}
 	if cause := m.turns.blockCause(r.nanos); cause != "" {
--- a/routing/config.go
+++ b/routing/config.go
@@ -75,9 +75,9 @@
 	// is several times the prefill time that a block saves, because requests queued behind this one
 	// save that time too. Default 40 ms.
 	PrefixBlockTime time.Duration
-	// LeastLoad returns the minimum load time of a model that no controller has begun to load,
+	// MinLoadTime returns the minimum load time of a model that no controller has begun to load,
 	// given where copies of its weights are; zero when unknown. A nil function knows no load times.
-	LeastLoad func(model cluster.ModelID) time.Duration
+	MinLoadTime func(model cluster.ModelID) time.Duration
 	// ListAlternatives reports whether a Dispatch of the model lists the machines that may take the
 	// attempt and then waits for AttemptPlaced. A nil function lists none.
 	ListAlternatives func(model cluster.ModelID) bool
--- a/routing/events.go
+++ b/routing/events.go
@@ -180,12 +180,12 @@
 	Zones         []ZoneRegion
 }
 
-// DispatchesHeld holds all dispatches until Until or DispatchesReleased, because this process was
+// DispatchesPaused pauses all dispatches until Until or DispatchesResumed, because this process was
 // paused and its knowledge of machines is outdated.
-type DispatchesHeld struct{ Until time.Time }
+type DispatchesPaused struct{ Until time.Time }
 
-// DispatchesReleased ends DispatchesHeld.
-type DispatchesReleased struct{}
+// DispatchesResumed ends DispatchesPaused.
+type DispatchesResumed struct{}
 
 // MachineEnded reports that a machine's process is known to have ended without notice.
 type MachineEnded struct{ Machine cluster.MachineID }
@@ -217,8 +217,8 @@
 func (SettingsChanged) routingEvent()    {}
 func (DrainStarted) routingEvent()       {}
 func (RoutersChanged) routingEvent()     {}
-func (DispatchesHeld) routingEvent()     {}
-func (DispatchesReleased) routingEvent() {}
+func (DispatchesPaused) routingEvent()   {}
+func (DispatchesResumed) routingEvent()  {}
 func (MachineEnded) routingEvent()       {}
 func (PoisonLearned) routingEvent()      {}
 func (PoisonPardoned) routingEvent()     {}
--- a/routing/hold.go
+++ b/routing/hold.go
@@ -1,10 +1,10 @@
 package routing
 
 // hold keeps every request in its queue until endHold or the given time.
-func (r *Router) hold(event DispatchesHeld) { r.heldUntil = event.Until.UnixNano() }
+func (r *Router) hold(event DispatchesPaused) { r.heldUntil = event.Until.UnixNano() }
 
-// dispatchesHeld reports whether dispatches are held.
-func (r *Router) dispatchesHeld() bool { return r.nanos < r.heldUntil }
+// dispatchesPaused reports whether dispatches are paused.
+func (r *Router) dispatchesPaused() bool { return r.nanos < r.heldUntil }
 
 // endHold dispatches the requests that waited during the hold.
 func (r *Router) endHold() {
@@ -22,7 +22,7 @@
 
 // endExpiredHold ends a hold whose time has passed.
 func (r *Router) endExpiredHold() {
-	if r.heldUntil != 0 && !r.dispatchesHeld() {
+	if r.heldUntil != 0 && !r.dispatchesPaused() {
 		r.endHold()
 	}
 }
--- a/routing/load_time_test.go
+++ b/routing/load_time_test.go
@@ -13,7 +13,7 @@
 func newUnloadedFixture(t *testing.T, least time.Duration) *fixture {
 	t.Helper()
 	f := newFixture(t, testPolicy())
-	f.router.config.LeastLoad = func(cluster.ModelID) time.Duration { return least }
+	f.router.config.MinLoadTime = func(cluster.ModelID) time.Duration { return least }
 	return f
 }
 
--- a/routing/notices.go
+++ b/routing/notices.go
@@ -25,8 +25,8 @@
 	Rest time.Duration
 }
 
-// MachineHeard carries the notice in a machine's answer.
-type MachineHeard struct {
+// MachineNoticeReceived carries the notice in a machine's answer.
+type MachineNoticeReceived struct {
 	Machine cluster.MachineID
 	Request cluster.RequestID
 	Notice  Notice
@@ -35,14 +35,14 @@
 	SentUnderLimit bool
 }
 
-// MachineLimitTold carries a machine's rate limit as learned by another router.
-type MachineLimitTold struct {
+// MachineLimitReceived carries a machine's rate limit as learned by another router.
+type MachineLimitReceived struct {
 	Machine cluster.MachineID
 	Notice  Notice
 }
 
-// MachineLimitFound reports a new or changed rate limit of a machine, to be sent to all routers.
-type MachineLimitFound struct {
+// MachineLimitChanged reports a new or changed rate limit of a machine, to be sent to all routers.
+type MachineLimitChanged struct {
 	Machine cluster.MachineID
 	Request cluster.RequestID
 	Notice  Notice
@@ -61,11 +61,11 @@
 	Rest    time.Duration
 }
 
-func (MachineHeard) routingEvent()         {}
-func (MachineLimitTold) routingEvent()     {}
-func (MachineLimitFound) routingEffect()   {}
-func (MachineLeavingFound) routingEffect() {}
-func (MachineRestFound) routingEffect()    {}
+func (MachineNoticeReceived) routingEvent() {}
+func (MachineLimitReceived) routingEvent()  {}
+func (MachineLimitChanged) routingEffect()  {}
+func (MachineLeavingFound) routingEffect()  {}
+func (MachineRestFound) routingEffect()     {}
 
 // Limit returns how many requests per second a machine takes from all routers together, or false if
 // it has no known limit.
@@ -76,8 +76,8 @@
 	return 0, false
 }
 
-// machineHeard applies the notice in a machine's answer.
-func (r *Router) machineHeard(event *MachineHeard) {
+// applyMachineNotice applies the notice in a machine's answer.
+func (r *Router) applyMachineNotice(event *MachineNoticeReceived) {
 	if event.Notice.Leaving {
 		r.leavingHeard(event)
 	}
@@ -98,12 +98,12 @@
 	r.setLimit(m, event.Notice)
 	if changed {
 		t.publishedPerSecond = event.Notice.PerSecond
-		r.emit(MachineLimitFound{Machine: m.id, Request: event.Request, Notice: event.Notice})
+		r.emit(MachineLimitChanged{Machine: m.id, Request: event.Request, Notice: event.Notice})
 	}
 }
 
 // leavingHeard applies a leaving notice, which is final whatever the cell status says.
-func (r *Router) leavingHeard(event *MachineHeard) {
+func (r *Router) leavingHeard(event *MachineNoticeReceived) {
 	if known := r.machines[event.Machine]; known != nil && known.leavingAnnounced {
 		return
 	}
@@ -117,8 +117,8 @@
 	return m != nil && m.leaving()
 }
 
-// limitTold applies a limit that another router learned.
-func (r *Router) limitTold(event *MachineLimitTold) {
+// applyMachineLimit applies a limit that another router learned.
+func (r *Router) applyMachineLimit(event *MachineLimitReceived) {
 	if m := r.machines[r.currentStart(event.Machine)]; m != nil {
 		m.turns.publishedPerSecond = event.Notice.PerSecond
 		r.setLimit(m, event.Notice)
@@ -137,7 +137,7 @@
 
 // startRest sends no requests to a machine that refused one, until the latest time that it asked
 // for.
-func (r *Router) startRest(m *machine, event *MachineHeard) {
+func (r *Router) startRest(m *machine, event *MachineNoticeReceived) {
 	until := r.nanos + int64(event.Notice.Rest)
 	if until <= m.turns.restUntil {
 		return
--- a/routing/placed.go
+++ b/routing/placed.go
@@ -47,7 +47,7 @@
 	if placed == nil || !placed.unsent || placed.attempt != event.Attempt {
 		return
 	}
-	if r.dispatchesHeld() {
+	if r.dispatchesPaused() {
 		// The knowledge of machines is too old to send anything.
 		r.takeBackUnsent(placed)
 		return
--- a/routing/placed_random_test.go
+++ b/routing/placed_random_test.go
@@ -140,10 +140,10 @@
 		m.step(MachineLeaving{Machine: machine})
 	case 1:
 		m.held = m.now.Add(time.Second)
-		m.step(DispatchesHeld{Until: m.held})
+		m.step(DispatchesPaused{Until: m.held})
 	case 2:
 		m.held = time.Time{}
-		m.step(DispatchesReleased{})
+		m.step(DispatchesResumed{})
 	case 3:
 		m.step(SettingsChanged{Snapshot: snapshotOf(testModels[:2])})
 	case 4:
--- a/routing/placed_test.go
+++ b/routing/placed_test.go
@@ -67,9 +67,9 @@
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
-	f.step(DispatchesHeld{Until: f.now.Add(time.Second)})
+	f.step(DispatchesPaused{Until: f.now.Add(time.Second)})
 	f.expect(f.place("m1", 1, 0), "")
-	f.expect(f.step(DispatchesReleased{}), "dispatch a/2 to m1; ")
+	f.expect(f.step(DispatchesResumed{}), "dispatch a/2 to m1; ")
 	f.expect(f.place("m1", 2, 0), "dispatch a/2 to m1; ")
 }
 
--- a/routing/poisoned.go
+++ b/routing/poisoned.go
@@ -194,5 +194,5 @@
 	return r.poison.Record(content)
 }
 
-// KnowsPoison reports whether the fingerprint of a request with this head is needed now.
-func (r *Router) KnowsPoison(head poison.Head) bool { return r.poison.KnowsHead(head) }
+// NeedsFingerprint reports whether the fingerprint of a request with this head is needed now.
+func (r *Router) NeedsFingerprint(head poison.Head) bool { return r.poison.KnowsHead(head) }
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -176,12 +176,12 @@
 		notice.PerSecond = rapid.Float64Range(0, 5).Draw(t, "rate")
 	}
 	if rapid.Bool().Draw(t, "told") {
-		m.step(MachineLimitTold{Machine: machine, Notice: notice})
+		m.step(MachineLimitReceived{Machine: machine, Notice: notice})
 		return
 	}
 	notice.Rest = time.Duration(rapid.IntRange(-3000, 3000).Draw(t, "rest")) * time.Millisecond
 	notice.Leaving = rapid.IntRange(0, 19).Draw(t, "leaving") == 0
-	m.step(MachineHeard{Machine: machine, Notice: notice, SentUnderLimit: rapid.Bool().Draw(t, "under limit")})
+	m.step(MachineNoticeReceived{Machine: machine, Notice: notice, SentUnderLimit: rapid.Bool().Draw(t, "under limit")})
 }
 
 // turn answers the pending turn requests.
--- a/routing/restarts_test.go
+++ b/routing/restarts_test.go
@@ -48,8 +48,8 @@
 	if asked := countTurnRequests(f.arrive("a")); asked != 1 {
 		t.Fatalf("%d turn requests at the restarted machine, want 1", asked)
 	}
-	f.expect(f.step(MachineHeard{Machine: "m1", SentUnderLimit: true}), "")
-	f.expect(f.step(MachineHeard{Machine: "m2", SentUnderLimit: true}), "dispatch a/1 to m2; ")
+	f.expect(f.step(MachineNoticeReceived{Machine: "m1", SentUnderLimit: true}), "")
+	f.expect(f.step(MachineNoticeReceived{Machine: "m2", SentUnderLimit: true}), "dispatch a/1 to m2; ")
 }
 
 // TestOldNoticesDoNotApplyToRestartedMachine guards against a restarted machine that gets no
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, testPolicy())
 			f.status(true, loaded("m1", 4))
-			f.step(MachineHeard{Machine: "m1", Notice: notice})
+			f.step(MachineNoticeReceived{Machine: "m1", Notice: notice})
 			f.advance(time.Duration(restartGracePeriod))
 			f.restart()
 			f.expect(f.arrive("a"), "dispatch a/1 to m2; ")
--- a/routing/router.go
+++ b/routing/router.go
@@ -130,12 +130,12 @@
 		r.arrive(&event.Request)
 	case AttemptEnded:
 		r.attemptEnded(&event)
-	case MachineHeard:
-		r.machineHeard(&event)
+	case MachineNoticeReceived:
+		r.applyMachineNotice(&event)
 	case MachineRestarted:
 		r.machineRestarted(&event)
-	case MachineLimitTold:
-		r.limitTold(&event)
+	case MachineLimitReceived:
+		r.applyMachineLimit(&event)
 	case TurnDecided:
 		r.turnDecided(&event)
 	case RequestWithdrawn:
@@ -158,9 +158,9 @@
 		r.routersChanged(event)
 	case SettingsChanged:
 		r.settingsChanged(event.Snapshot)
-	case DispatchesHeld:
+	case DispatchesPaused:
 		r.hold(event)
-	case DispatchesReleased:
+	case DispatchesResumed:
 		r.endHold()
 	case MachineEnded:
 		r.machineEnded(event.Machine)
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -282,7 +282,7 @@
 	if finish.Failure.Code != verdict.CodeDeadlineUnmeetable || finish.Failure.RetryAfter != 30*time.Second {
 		t.Fatalf("got %+v", finish.Failure)
 	}
-	if !f.router.NewlyWaiting() {
+	if !f.router.HasUnreportedDemand() {
 		t.Fatal("the refused caller does not count as newly waiting")
 	}
 	for second := range 41 {
--- a/routing/start_estimate.go
+++ b/routing/start_estimate.go
@@ -189,10 +189,10 @@
 // minLoadTime returns the minimum load time of the model in nanoseconds; zero when it is unknown or
 // the model is loaded or loading.
 func (r *Router) minLoadTime(m *model) float64 {
-	if r.config.LeastLoad == nil || m.loaded > 0 || len(m.loading) > 0 {
+	if r.config.MinLoadTime == nil || m.loaded > 0 || len(m.loading) > 0 {
 		return 0
 	}
-	return float64(r.config.LeastLoad(m.id))
+	return float64(r.config.MinLoadTime(m.id))
 }
 
 // unstartableAt returns when a waiting request can no longer start in time unless a load of its
--- a/routing/turns_test.go
+++ b/routing/turns_test.go
@@ -10,7 +10,7 @@
 
 // reportLimit reports an answer of machine m1 that states a rate limit.
 func (f *fixture) reportLimit(perSecond float64) []Effect {
-	return f.step(MachineHeard{Machine: "m1", Notice: Notice{Limited: true, PerSecond: perSecond}})
+	return f.step(MachineNoticeReceived{Machine: "m1", Notice: Notice{Limited: true, PerSecond: perSecond}})
 }
 
 func (f *fixture) decideTurn(granted bool, wait time.Duration) []Effect {
@@ -92,12 +92,12 @@
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
 	f.reportLimit(1)
-	f.step(MachineHeard{Machine: "m1"})
+	f.step(MachineNoticeReceived{Machine: "m1"})
 	f.expect(f.arrive("a"), "")
-	effects := f.step(MachineHeard{Machine: "m1", SentUnderLimit: true})
+	effects := f.step(MachineNoticeReceived{Machine: "m1", SentUnderLimit: true})
 	f.expect(effects, "dispatch a/1 to m1; ")
 	for _, effect := range effects {
-		if found, tells := effect.(MachineLimitFound); tells && !found.Notice.Limited {
+		if found, tells := effect.(MachineLimitChanged); tells && !found.Notice.Limited {
 			return
 		}
 	}
@@ -111,13 +111,13 @@
 	f := newPlacedFixture(t)
 	f.status(true, loaded("m1", 4))
 	f.arrive("a", repeatable)
-	effects := f.step(MachineHeard{Machine: "m1", Request: "z", Notice: Notice{Leaving: true}})
+	effects := f.step(MachineNoticeReceived{Machine: "m1", Request: "z", Notice: Notice{Leaving: true}})
 	if len(effects) != 1 || effects[0] != (MachineLeavingFound{Machine: "m1", Request: "z"}) {
 		t.Errorf("effects: %v, want one MachineLeavingFound", effects)
 	}
 	f.status(true, loaded("m1", 4))
 	f.expect(f.place("m1", 1, 0), "")
-	f.expect(f.step(MachineHeard{Machine: "m1", SentUnderLimit: true}), "")
+	f.expect(f.step(MachineNoticeReceived{Machine: "m1", SentUnderLimit: true}), "")
 	f.status(true, loaded("m1", 8))
 	if f.router.Waiting() != 1 {
 		t.Error("the request of the held attempt does not wait for another machine")
@@ -127,7 +127,7 @@
 
 // reportRest reports an answer of machine m1 that asks for rest.
 func (f *fixture) reportRest(length time.Duration) []Effect {
-	return f.step(MachineHeard{Machine: "m1", Request: "z", Notice: Notice{Rest: length}})
+	return f.step(MachineNoticeReceived{Machine: "m1", Request: "z", Notice: Notice{Rest: length}})
 }
 
 // TestRestingMachineGetsNoRequests guards against new requests, retries and held attempts that are
@@ -149,7 +149,7 @@
 func TestRetryTimeCoversRestPeriod(t *testing.T) {
 	f := newFixture(t, testPolicy())
 	f.status(true, loaded("m1", 4))
-	f.step(MachineHeard{Machine: "m1", Notice: Notice{Limited: true, PerSecond: 1}})
+	f.step(MachineNoticeReceived{Machine: "m1", Notice: Notice{Limited: true, PerSecond: 1}})
 	f.arrive("a", withDeadline(2*time.Second))
 	failure := finishOf(t, f.reportRest(3*time.Second)).Failure
 	if failure.Verdict != verdict.NotRun || failure.RetryAfter < 3*time.Second {
@@ -167,7 +167,7 @@
 	publications := 0
 	for _, rate := range []float64{2, 2, 2.1, 3, 3} {
 		for _, effect := range f.reportLimit(rate) {
-			if _, tells := effect.(MachineLimitFound); tells {
+			if _, tells := effect.(MachineLimitChanged); tells {
 				publications++
 			}
 		}
@@ -175,9 +175,9 @@
 	if publications != 2 {
 		t.Errorf("published %d times, want 2: when it is new and when it has changed", publications)
 	}
-	f.step(MachineLimitTold{Machine: "m1", Notice: Notice{Limited: true, PerSecond: 8}})
+	f.step(MachineLimitReceived{Machine: "m1", Notice: Notice{Limited: true, PerSecond: 8}})
 	for _, effect := range f.reportLimit(8) {
-		if _, tells := effect.(MachineLimitFound); tells {
+		if _, tells := effect.(MachineLimitChanged); tells {
 			t.Error("published a limit that was received from another router")
 		}
 	}
