--- a/routing/affinity/index.go
+++ b/routing/affinity/index.go
@@ -146,9 +146,9 @@
 	}
 }
 
-// Sent records that a prompt with these prefix blocks was sent to a machine, whose engine is
+// AddSent records that a prompt with these prefix blocks was sent to a machine, whose engine is
 // expected to cache them.
-func (x *Index) Sent(nanos int64, to cluster.MachineID, model cluster.ModelID, prefixes []uint64) {
+func (x *Index) AddSent(nanos int64, to cluster.MachineID, model cluster.ModelID, prefixes []uint64) {
 	known := x.machine(to)
 	modelHash := modelKey(model)
 	for _, length := range prefixLengths {
--- a/routing/affinity/index_test.go
+++ b/routing/affinity/index_test.go
@@ -68,7 +68,7 @@
 // an event raises it to certainty, and that Forget removes it.
 func TestSentPromptCountsAsCached(t *testing.T) {
 	x := New(Config{})
-	x.Sent(now, "m1", "chat", []uint64{1, 2, 3})
+	x.AddSent(now, "m1", "chat", []uint64{1, 2, 3})
 	expectBlocks(t, x, now, []uint64{1, 2, 9}, 2*0.7)
 	x.Apply(now, stored(1, 2))
 	expectBlocks(t, x, now, []uint64{1, 2, 9}, 2)
@@ -81,7 +81,7 @@
 func TestIndexIsBounded(t *testing.T) {
 	x := New(Config{MaxBlocks: 10})
 	for i := range uint64(1000) {
-		x.Sent(now, cluster.MachineID(fmt.Sprint("m", i%9)), "chat", []uint64{i, i + 1})
+		x.AddSent(now, cluster.MachineID(fmt.Sprint("m", i%9)), "chat", []uint64{i, i + 1})
 	}
 	if x.Len() != 10 {
 		t.Fatalf("%d blocks, want 10", x.Len())
--- a/routing/affinity/ledger_test.go
+++ b/routing/affinity/ledger_test.go
@@ -38,7 +38,7 @@
 	}
 	x := New(Config{})
 	prefix, _ := Longest(chain)
-	x.Told(now, "m1", "chat", prefix)
+	x.AddReported(now, "m1", "chat", prefix)
 	expectBlocks(t, x, now, append(chain, 8, 9), 4)
 	expectBlocks(t, x, now, chain[:3], 0)
 }
--- a/routing/affinity/reported.go
+++ b/routing/affinity/reported.go
@@ -14,14 +14,14 @@
 	return 0, false
 }
 
-// Told records a report that a machine's engine processed a prompt with this longest prefix some
+// AddReported records a report that a machine's engine processed a prompt with this longest prefix some
 // seconds ago.
-func (x *Index) Told(nanos int64, machine cluster.MachineID, model cluster.ModelID, prefix uint64) {
+func (x *Index) AddReported(nanos int64, machine cluster.MachineID, model cluster.ModelID, prefix uint64) {
 	x.addHolder(nanos, modelKey(model), prefix, x.machine(machine), 1)
 }
 
-// Moved records that the cache of a model was copied from one machine to another.
-func (x *Index) Moved(nanos int64, model cluster.ModelID, from, to cluster.MachineID) {
+// CopyCache records that the cache of a model was copied from one machine to another.
+func (x *Index) CopyCache(nanos int64, model cluster.ModelID, from, to cluster.MachineID) {
 	source := x.machines[from]
 	if source == nil || from == to {
 		return
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -102,7 +102,7 @@
 	machine.addDispatch(r.nanos)
 	ready.sendBy = machine.turns.use()
 	if len(ready.Prefixes) > 0 {
-		r.prefixes.Sent(r.nanos, machine.id, ready.Model, ready.Prefixes)
+		r.prefixes.AddSent(r.nanos, machine.id, ready.Model, ready.Prefixes)
 	}
 	ready.model.running++
 	r.markDemandChanged(ready.model)
--- a/routing/placed.go
+++ b/routing/placed.go
@@ -129,7 +129,7 @@
 	to.machine.addDispatch(r.nanos)
 	placed.sendBy = to.machine.turns.use()
 	if len(placed.Prefixes) > 0 {
-		r.prefixes.Sent(r.nanos, to.machine.id, placed.Model, placed.Prefixes)
+		r.prefixes.AddSent(r.nanos, to.machine.id, placed.Model, placed.Prefixes)
 	}
 }
 
--- a/routing/prefixes.go
+++ b/routing/prefixes.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		for _, prefix := range group.Hashes {
-			r.prefixes.Told(r.nanos, group.Machine, group.Model, prefix)
+			r.prefixes.AddReported(r.nanos, group.Machine, group.Model, prefix)
 		}
 	}
 }
@@ -53,6 +53,6 @@
 func (r *Router) cacheMoved(moved CacheMoved) {
 	machine, model := r.machines[moved.To], r.models[moved.Model]
 	if machine != nil && model != nil && machine.replica(model) != nil {
-		r.prefixes.Moved(r.nanos, moved.Model, moved.From, moved.To)
+		r.prefixes.CopyCache(r.nanos, moved.Model, moved.From, moved.To)
 	}
 }
