--- a/api/callers_infer.go
+++ b/api/callers_infer.go
@@ -109,7 +109,7 @@
 	}
 	c.Logger.Debug("request answered", "request", outcome.Request, "model", outcome.Model, "token", outcome.Token,
 		"status", outcome.Status, "attempts", outcome.Result.Attempts, "machine", outcome.Result.Machine,
-		"tokens", outcome.Result.Tokens, "waited", outcome.Result.Waited, "duration", outcome.Total)
+		"tokens", outcome.Result.Tokens, "waited", outcome.Result.DecisionWait, "duration", outcome.Total)
 }
 
 // finishFailedRequest completes the response to a failed request. If a part of the response was sent
--- a/node/shell/metrics.go
+++ b/node/shell/metrics.go
@@ -99,14 +99,14 @@
 	m.attempts.Add(float64(result.Attempts))
 	m.tokens.Add(float64(result.Tokens))
 	if result.Attempts > 0 {
-		m.queueWait.Observe(result.Waited.Seconds())
+		m.queueWait.Observe(result.DecisionWait.Seconds())
 	}
 	if result.Failure == nil {
-		m.relayDuration.Observe((outcome.Total - result.Waited - result.Engine).Seconds())
+		m.relayDuration.Observe((outcome.Total - result.DecisionWait - result.EngineTime).Seconds())
 	}
 	if result.Started {
 		start := "warm"
-		if result.Waited.Seconds() > coldStartThresholdSeconds {
+		if result.DecisionWait.Seconds() > coldStartThresholdSeconds {
 			start = "cold"
 		}
 		m.firstByte.WithLabelValues(start).Observe(result.FirstByte.Seconds())
--- a/node/shell/node.go
+++ b/node/shell/node.go
@@ -311,10 +311,10 @@
 // assumes that it is the only one of its region.
 const joinTimeout = 10 * time.Second
 
-// Neighbours implements keyed.Peers. It returns the other running nodes of the region,
+// RegionMembers implements keyed.Peers. It returns the other running nodes of the region,
 // among whose zones callers distribute their retries. known is false while the node
 // may still discover others.
-func (n *Node) Neighbours() (neighbours []cluster.Node, known bool) {
+func (n *Node) RegionMembers() (neighbours []cluster.Node, known bool) {
 	composed := n.Inspect(func(core *node.Core) {
 		for _, member := range core.Members() {
 			if !member.Running() || member.Node.ID == n.self.ID {
--- a/node/shell/stop.go
+++ b/node/shell/stop.go
@@ -60,7 +60,7 @@
 	n.lastDrainRequest.Store(start.UnixNano())
 	n.draining.Store(true)
 	n.endAdmission()
-	n.keys.EndClaims()
+	n.keys.RefuseClaims()
 	n.logger.Info("drain started", "in_flight", n.inFlight(), "drain_time", n.config.DrainTime)
 	drainContext, cancel := context.WithTimeout(context.Background(), n.config.DrainTime)
 	defer cancel()
--- a/relay/keyed/handover.go
+++ b/relay/keyed/handover.go
@@ -80,7 +80,7 @@
 		r.mutex.Unlock()
 		r.peers.Send(address, message)
 	}
-	neighbours, _ := r.peers.Neighbours()
+	neighbours, _ := r.peers.RegionMembers()
 	for _, neighbour := range neighbours {
 		if neighbour.ID != successor {
 			r.peers.Send(neighbour.PeerAddress, message)
--- a/relay/keyed/keyed_test.go
+++ b/relay/keyed/keyed_test.go
@@ -69,7 +69,7 @@
 
 func (m testPeers) Self() cluster.Node { return m.self }
 
-func (m testPeers) Neighbours() (others []cluster.Node, known bool) {
+func (m testPeers) RegionMembers() (others []cluster.Node, known bool) {
 	for _, other := range m.nodes {
 		if other.ID != m.self.ID {
 			others = append(others, other)
@@ -442,7 +442,7 @@
 		key, owner := c.keyOwnedByOther()
 		c.disconnected[owner] = true
 		began := time.Now()
-		time.AfterFunc(100*time.Millisecond, c.runners["node-0"].EndClaims)
+		time.AfterFunc(100*time.Millisecond, c.runners["node-0"].RefuseClaims)
 		_, failure := c.ask(t, 0, key, "confirm")
 		if waited := time.Since(began); waited != 100*time.Millisecond {
 			t.Errorf("ended after %v", waited)
--- a/relay/keyed/runner.go
+++ b/relay/keyed/runner.go
@@ -24,9 +24,9 @@
 // Peers gives access to the other nodes of the region.
 type Peers interface {
 	Self() cluster.Node
-	// Neighbours returns the other running nodes of the region. It returns false while
+	// RegionMembers returns the other running nodes of the region. It returns false while
 	// this node does not know them yet.
-	Neighbours() ([]cluster.Node, bool)
+	RegionMembers() ([]cluster.Node, bool)
 	Send(address string, message wire.Message)
 }
 
@@ -52,7 +52,7 @@
 	askTimeout  time.Duration
 	keptAnswers answerCache
 	exchange    exchange.Table
-	// claimsContext is cancelled by EndClaims.
+	// claimsContext is cancelled by RefuseClaims.
 	claimsContext context.Context
 	cancelClaims  context.CancelFunc
 
@@ -74,10 +74,10 @@
 	return r
 }
 
-// EndClaims refuses the requests that wait for another node's decision on their key, now and
+// RefuseClaims refuses the requests that wait for another node's decision on their key, now and
 // in future. A node that stops calls it, because such requests are not counted as in flight
 // and would otherwise be cut off.
-func (r *Runner) EndClaims() { r.cancelClaims() }
+func (r *Runner) RefuseClaims() { r.cancelClaims() }
 
 // Run runs a request. A request with a key continues when its caller disconnects.
 func (r *Runner) Run(ctx context.Context, call relay.Call, sink relay.Sink) relay.Result {
@@ -170,7 +170,7 @@
 // SetMembers updates the table with the nodes that share the keys. The shell calls it
 // periodically.
 func (r *Runner) SetMembers(now time.Time) {
-	neighbours, known := r.peers.Neighbours()
+	neighbours, known := r.peers.RegionMembers()
 	if !known {
 		return
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -104,10 +104,10 @@
 	Machine  cluster.MachineID
 	// Tokens is the number of generated tokens received, over all attempts.
 	Tokens int
-	// Waited is the time spent waiting for a decision while no attempt ran. Engine
+	// DecisionWait is the time spent waiting for a decision while no attempt ran. EngineTime
 	// is the time that attempts waited for their engines. FirstByte is the time from
 	// submission to the first byte of the answer.
-	Waited, Engine, FirstByte time.Duration
+	DecisionWait, EngineTime, FirstByte time.Duration
 }
 
 // Runner runs requests. It is safe for concurrent use.
@@ -171,7 +171,7 @@
 	defer cancel()
 	began := time.Now()
 	effect, err := r.ticket.Next(bounded)
-	r.result.Waited += time.Since(began)
+	r.result.DecisionWait += time.Since(began)
 	return effect, err
 }
 
@@ -221,7 +221,7 @@
 	current := newAttempt(r, decision)
 	began := time.Now()
 	report := current.execute(attemptContext)
-	r.result.Engine += time.Since(began) - current.callerWriteTime
+	r.result.EngineTime += time.Since(began) - current.callerWriteTime
 	r.ticket.OnInterrupt(nil)
 	cancel()
 	r.result.Tokens += report.Tokens
