--- a/authority/apportion.go
+++ b/authority/apportion.go
@@ -53,14 +53,14 @@
 	return c
 }
 
-// ApportionState is the complete input of Apportion. No other state is kept between
+// ApportionInput is the complete input of Apportion. No other state is kept between
 // rounds, so a new node continues from the stored records alone.
-type ApportionState struct {
+type ApportionInput struct {
 	Config   ApportionConfig
 	Now      time.Time
 	Settings *settings.Snapshot
-	// Presence tracks the machine list of all zones.
-	Presence *Presence
+	// Tracker tracks the machine list of all zones.
+	Tracker *MachineTracker
 	// Zones must include every stored record, all read at one revision together with the
 	// guard key, or kept up to date by a watch.
 	Zones []ZoneView
@@ -146,7 +146,7 @@
 // raised only by what the upper bounds of the other zones leave. A zone whose count was
 // lowered must first confirm this by a report, or its machines must have gone from the
 // machine list.
-func Apportion(state ApportionState) ApportionPlan {
+func Apportion(state ApportionInput) ApportionPlan {
 	state.Config = state.Config.withDefaults()
 	plan := ApportionPlan{GuardRevision: state.GuardRevision, Refused: refusalCause(&state)}
 	if plan.Refused != "" {
@@ -158,11 +158,11 @@
 	return plan
 }
 
-func refusalCause(state *ApportionState) RefusedCause {
+func refusalCause(state *ApportionInput) RefusedCause {
 	if state.Settings == nil {
 		return RefusedNoSettings
 	}
-	if state.Presence == nil || !state.Presence.Started() {
+	if state.Tracker == nil || !state.Tracker.Started() {
 		return RefusedNoMachines
 	}
 	for i := range state.Zones {
@@ -179,8 +179,8 @@
 // mustAwaitReports reports whether the first division has to wait: no record is stored,
 // the machine list was read less than ReportMaxAge ago, and a zone that is large enough to
 // need candidates has not reported.
-func (s *ApportionState) mustAwaitReports() bool {
-	if s.Now.Sub(s.Presence.firstListAt) >= s.Config.ReportMaxAge {
+func (s *ApportionInput) mustAwaitReports() bool {
+	if s.Now.Sub(s.Tracker.firstListAt) >= s.Config.ReportMaxAge {
 		return false
 	}
 	reported := make(map[cluster.ZoneID]bool)
@@ -191,7 +191,7 @@
 		reported[s.Zones[i].Zone] = s.Zones[i].Report != nil
 	}
 	sizes := make(map[cluster.ZoneID]int)
-	for _, machine := range s.Presence.machines {
+	for _, machine := range s.Tracker.machines {
 		sizes[machine.Zone]++
 		if sizes[machine.Zone] > s.Config.CandidateCount && !reported[machine.Zone] {
 			return true
@@ -220,7 +220,7 @@
 }
 
 // nextWrite returns the zone's next record and whether it must be stored.
-func (z *zoneDivision) nextWrite(state *ApportionState) (AllotmentWrite, bool) {
+func (z *zoneDivision) nextWrite(state *ApportionInput) (AllotmentWrite, bool) {
 	slices.SortFunc(z.nextEntries, func(a, b cluster.ModelAllotment) int { return compareStrings(a.Model, b.Model) })
 	slices.SortFunc(z.countChanges, func(a, b CountChange) int { return compareStrings(a.Model, b.Model) })
 	machinesChanged := !slices.Equal(z.nextRecordMachines, z.view.Allotment.Machines)
--- a/authority/apportion_test.go
+++ b/authority/apportion_test.go
@@ -16,7 +16,7 @@
 	t        *testing.T
 	now      time.Time
 	revision int64
-	presence *Presence
+	tracker  *MachineTracker
 	machines []cluster.Machine
 	records  map[cluster.ZoneID]cluster.Allotment
 	reports  map[cluster.ZoneID]*wire.ZoneReport
@@ -25,7 +25,7 @@
 
 func newDivisionFixture(t *testing.T, zones, machines int) *divisionFixture {
 	fixture := &divisionFixture{
-		t: t, now: testStart, revision: 100, presence: NewPresence(DefaultMachineLag),
+		t: t, now: testStart, revision: 100, tracker: NewMachineTracker(DefaultMachineLag),
 		records: make(map[cluster.ZoneID]cluster.Allotment), reports: make(map[cluster.ZoneID]*wire.ZoneReport),
 	}
 	for zone := range zones {
@@ -35,7 +35,7 @@
 			})
 		}
 	}
-	fixture.presence.Listed(fixture.now, fixture.machines)
+	fixture.tracker.RecordList(fixture.now, fixture.machines)
 	fixture.now = fixture.now.Add(DefaultReportMaxAge)
 	return fixture
 }
@@ -46,8 +46,8 @@
 
 // apportion computes one plan and applies it, as the transaction would.
 func (d *divisionFixture) apportion() ApportionPlan {
-	state := ApportionState{
-		Now: d.now, Presence: d.presence, GuardRevision: d.revision,
+	state := ApportionInput{
+		Now: d.now, Tracker: d.tracker, GuardRevision: d.revision,
 		Settings: settings.NewSnapshot(settings.Stamp{Revision: 1}, d.models, nil, nil),
 	}
 	for _, zone := range sortedKeys(d.records) {
@@ -122,10 +122,10 @@
 			remaining = append(remaining, machine)
 		}
 	}
-	fixture.presence.Listed(testStart.Add(DefaultMachineLag), remaining)
+	fixture.tracker.RecordList(testStart.Add(DefaultMachineLag), remaining)
 	fixture.apportion()
 	fixture.requireLimit(other, 0)
-	fixture.presence.Listed(testStart.Add(DefaultMachineLag+time.Second), remaining)
+	fixture.tracker.RecordList(testStart.Add(DefaultMachineLag+time.Second), remaining)
 	fixture.apportion()
 	fixture.requireLimit(holder, 0)
 	fixture.requireLimit(other, 1)
--- a/authority/benchmark_test.go
+++ b/authority/benchmark_test.go
@@ -50,14 +50,14 @@
 }
 
 // largeState returns the input of Apportion for the large deployment without records.
-func largeState() ApportionState {
-	presence := NewPresence(DefaultMachineLag)
-	presence.Listed(testStart, largeMachineList())
-	return ApportionState{Now: testStart.Add(DefaultReportMaxAge), Settings: largeSettings(), Presence: presence}
+func largeState() ApportionInput {
+	tracker := NewMachineTracker(DefaultMachineLag)
+	tracker.RecordList(testStart, largeMachineList())
+	return ApportionInput{Now: testStart.Add(DefaultReportMaxAge), Settings: largeSettings(), Tracker: tracker}
 }
 
 // settledState returns the state after the plan was stored and every zone reported.
-func settledState(state ApportionState, plan ApportionPlan) ApportionState {
+func settledState(state ApportionInput, plan ApportionPlan) ApportionInput {
 	for _, write := range plan.Writes {
 		write.Allotment.Revision = 10
 		view := ZoneView{Zone: write.Allotment.Zone, Allotment: write.Allotment}
@@ -98,9 +98,9 @@
 // one zone.
 func BenchmarkEncodeAllModelsInOneZone(b *testing.B) {
 	state := largeState()
-	presence := NewPresence(DefaultMachineLag)
-	presence.Listed(testStart, largeMachineList()[:largeMachines])
-	state.Presence = presence
+	tracker := NewMachineTracker(DefaultMachineLag)
+	tracker.RecordList(testStart, largeMachineList()[:largeMachines])
+	state.Tracker = tracker
 	state.Config.WriteBudget = 1 << 30
 	plan := Apportion(state)
 	size := 0
--- a/authority/candidates.go
+++ b/authority/candidates.go
@@ -8,7 +8,7 @@
 )
 
 // remainingCandidates returns the entry's candidates that have not gone.
-func (z *zoneDivision) remainingCandidates(entry *cluster.ModelAllotment, presence *Presence) []cluster.MachineID {
+func (z *zoneDivision) remainingCandidates(entry *cluster.ModelAllotment, tracker *MachineTracker) []cluster.MachineID {
 	if entry == nil {
 		return nil
 	}
@@ -17,7 +17,7 @@
 	}
 	var list []cluster.MachineID
 	for _, id := range entry.Candidates {
-		if !presence.Gone(id) {
+		if !tracker.Gone(id) {
 			list = append(list, id)
 		}
 	}
@@ -38,7 +38,7 @@
 	}
 	var list []cluster.MachineID
 	if inUse {
-		list = zone.remainingCandidates(c.currentEntry, d.state.Presence)
+		list = zone.remainingCandidates(c.currentEntry, d.state.Tracker)
 	}
 	return d.extendCandidates(zone, model, list)
 }
--- a/authority/canonical.go
+++ b/authority/canonical.go
@@ -12,7 +12,7 @@
 // Clone returns an independent copy, for exploring the states that may follow.
 func (c *Controller) Clone() *Controller {
 	copied := *c
-	copied.presence = c.presence.Clone()
+	copied.tracker = c.tracker.Clone()
 	copied.ledgers = make([]*machineLedger, len(c.ledgers))
 	for i, ledger := range c.ledgers {
 		copied.ledgers[i] = ledger.clone()
@@ -21,13 +21,13 @@
 }
 
 // Clone returns an independent copy.
-func (p *Presence) Clone() *Presence {
+func (p *MachineTracker) Clone() *MachineTracker {
 	copied := *p
 	return &copied
 }
 
 // AppendState appends a canonical encoding of the state at now, for comparing states.
-func (p *Presence) AppendState(buffer []byte, now time.Time) []byte {
+func (p *MachineTracker) AppendState(buffer []byte, now time.Time) []byte {
 	buffer = appendFlags(buffer, p.Started(), now.Sub(p.firstListAt) > p.lag, now.After(p.latestListAt))
 	for _, id := range sortedKeys(p.lastSeen) {
 		buffer = appendText(buffer, string(id))
@@ -38,7 +38,7 @@
 
 // wouldBeGone reports whether the machine would count as gone if a list without it were
 // read now.
-func (p *Presence) wouldBeGone(id cluster.MachineID, now time.Time) bool {
+func (p *MachineTracker) wouldBeGone(id cluster.MachineID, now time.Time) bool {
 	seen, ok := p.lastSeen[id]
 	if !ok {
 		seen = p.firstListAt
@@ -65,16 +65,16 @@
 	if c.pendingAllotment != nil {
 		buffer = appendNumbers(buffer, uint64(c.pendingAllotment.Revision))
 	}
-	buffer = appendFlags(buffer, c.pendingAllotment != nil, c.leaseIsCertain(now), !now.Before(c.nextAcquisition), !now.Before(c.nextRenewal), c.presence.Started())
+	buffer = appendFlags(buffer, c.pendingAllotment != nil, c.leaseIsCertain(now), !now.Before(c.nextAcquisition), !now.Before(c.nextRenewal), c.tracker.Started())
 	for _, ledger := range c.ledgers {
 		buffer = appendText(buffer, string(ledger.machine.ID))
 		id := ledger.machine.ID
-		buffer = appendFlags(buffer, ledger.machine.Leaving, c.presence.isInLatestList(id), c.presence.wouldBeGone(id, now))
+		buffer = appendFlags(buffer, ledger.machine.Leaving, c.tracker.isInLatestList(id), c.tracker.wouldBeGone(id, now))
 		buffer = ledger.appendState(buffer, now)
 	}
 	if c.allotment != nil {
 		for _, id := range c.allotment.Machines {
-			buffer = appendFlags(buffer, c.presence.Gone(id), c.presence.wouldBeGone(id, now))
+			buffer = appendFlags(buffer, c.tracker.Gone(id), c.tracker.wouldBeGone(id, now))
 		}
 	}
 	return buffer
--- a/authority/controller.go
+++ b/authority/controller.go
@@ -29,7 +29,7 @@
 	nextAcquisition   time.Time
 	orderCount        uint64
 
-	presence *Presence
+	tracker *MachineTracker
 	// baseModels maps adapters that plans have named to their base models.
 	baseModels map[cluster.ModelID]cluster.ModelID
 	// ledgers has the zone's machines that are listed or have not gone, sorted by ID.
@@ -48,7 +48,7 @@
 	config = config.withDefaults()
 	return &Controller{
 		config:     config,
-		presence:   NewPresence(config.MachineLag),
+		tracker:    NewMachineTracker(config.MachineLag),
 		baseModels: make(map[cluster.ModelID]cluster.ModelID),
 	}
 }
--- a/authority/division.go
+++ b/authority/division.go
@@ -13,7 +13,7 @@
 
 // division is the working state of one round of Apportion.
 type division struct {
-	state *ApportionState
+	state *ApportionInput
 	// zones are sorted by ID.
 	zones []*zoneDivision
 	// baseTargets has the targets of each base model, in the order of zones.
@@ -65,12 +65,12 @@
 	staticTarget, target, nextLimit    int
 }
 
-func newDivision(state *ApportionState) *division {
+func newDivision(state *ApportionInput) *division {
 	byZone := make(map[cluster.ZoneID]*zoneDivision)
 	for i := range state.Zones {
 		byZone[state.Zones[i].Zone] = newZoneDivision(state, &state.Zones[i])
 	}
-	for _, machine := range state.Presence.Retained() {
+	for _, machine := range state.Tracker.Retained() {
 		zone := byZone[machine.Zone]
 		if zone == nil {
 			zone = newZoneDivision(state, &ZoneView{Zone: machine.Zone})
@@ -86,14 +86,14 @@
 	d := &division{state: state, baseTargets: make(map[cluster.ModelID][]int)}
 	for _, id := range sortedKeys(byZone) {
 		zone := byZone[id]
-		zone.mergeMachines(state.Presence)
+		zone.mergeMachines(state.Tracker)
 		d.zones = append(d.zones, zone)
 	}
 	d.zoneModels = make([]zoneModel, len(d.zones))
 	return d
 }
 
-func newZoneDivision(state *ApportionState, view *ZoneView) *zoneDivision {
+func newZoneDivision(state *ApportionInput, view *ZoneView) *zoneDivision {
 	zone := &zoneDivision{
 		view:            view,
 		fittingByPool:   make(map[string]int),
@@ -135,9 +135,9 @@
 
 // mergeMachines sets nextRecordMachines to the record's machines that have not gone and
 // the listed ones.
-func (z *zoneDivision) mergeMachines(presence *Presence) {
+func (z *zoneDivision) mergeMachines(tracker *MachineTracker) {
 	for _, id := range z.view.Allotment.Machines {
-		if !presence.Gone(id) {
+		if !tracker.Gone(id) {
 			z.nextRecordMachines = append(z.nextRecordMachines, id)
 		}
 	}
@@ -200,7 +200,7 @@
 	c := zoneModel{currentEntry: zone.currentEntries[model.ID]}
 	if c.currentEntry != nil {
 		c.currentLimit = c.currentEntry.MaxReplicas
-		c.upperBound = zone.upperBound(c.currentEntry, d.state.Presence)
+		c.upperBound = zone.upperBound(c.currentEntry, d.state.Tracker)
 	}
 	policy := &model.Policy
 	if policy.MaxReplicas <= 0 || (len(policy.Zones) > 0 && !slices.Contains(policy.Zones, zone.view.Zone)) {
@@ -225,7 +225,7 @@
 // upperBound returns the largest number of replicas that the zone can hold under its
 // record. A count granted earlier is included until a report confirms the lower one, and a
 // machine holds at most one replica of a model.
-func (z *zoneDivision) upperBound(entry *cluster.ModelAllotment, presence *Presence) int {
+func (z *zoneDivision) upperBound(entry *cluster.ModelAllotment, tracker *MachineTracker) int {
 	bound := max(entry.MaxReplicas, entry.Ceiling)
 	if z.reportIsConfirmation {
 		bound = min(bound, max(entry.MaxReplicas, z.modelReports[entry.Model].Held))
@@ -238,7 +238,7 @@
 	}
 	alive := 0
 	for _, id := range entry.Candidates {
-		if !presence.Gone(id) {
+		if !tracker.Gone(id) {
 			alive++
 		}
 	}
@@ -321,7 +321,7 @@
 		zone.candidatesChanged = zone.candidatesChanged ||
 			c.currentEntry != nil && !slices.Equal(entry.Candidates, c.currentEntry.Candidates)
 	} else {
-		entry.Candidates = zone.remainingCandidates(c.currentEntry, d.state.Presence)
+		entry.Candidates = zone.remainingCandidates(c.currentEntry, d.state.Tracker)
 	}
 	if c.upperBound > c.nextLimit {
 		entry.Ceiling = c.upperBound
--- a/authority/engines.go
+++ b/authority/engines.go
@@ -20,7 +20,7 @@
 			zone = append(zone, machine)
 		}
 	}
-	c.presence.Listed(now, zone)
+	c.tracker.RecordList(now, zone)
 	for _, machine := range zone {
 		if ledger := c.ledgerOf(machine.ID); ledger != nil {
 			ledger.machine = machine
@@ -30,7 +30,7 @@
 		c.ledgers = slices.Insert(c.ledgers, index, newMachineLedger(machine))
 	}
 	c.ledgers = slices.DeleteFunc(c.ledgers, func(ledger *machineLedger) bool {
-		return c.presence.Gone(ledger.machine.ID)
+		return c.tracker.Gone(ledger.machine.ID)
 	})
 	return c.callEngines(now)
 }
--- a/authority/explore/apportion_state.go
+++ b/authority/explore/apportion_state.go
@@ -59,7 +59,7 @@
 // apportionerState is what one apportioner has read.
 type apportionerState struct {
 	editIndex      int
-	presence       *authority.Presence
+	tracker        *authority.MachineTracker
 	hasReadRecords bool
 	records        []cluster.Allotment
 	guardRevision  int64
@@ -148,7 +148,7 @@
 
 func (s *apportionSearch) newApportioner(state *apportionState) apportionerState {
 	apportioner := apportionerState{
-		presence: authority.NewPresence(machineLag), editIndex: state.editIndex,
+		tracker: authority.NewMachineTracker(machineLag), editIndex: state.editIndex,
 		reports: make([]*wire.ZoneReport, s.scenario.Zones),
 	}
 	state.readMachineList(&apportioner)
@@ -162,7 +162,7 @@
 			list = append(list, cluster.Machine{ID: machineID(i), Zone: zoneID(i)})
 		}
 	}
-	apportioner.presence.Listed(s.now, list)
+	apportioner.tracker.RecordList(s.now, list)
 }
 
 func (s *apportionState) clone() *apportionState {
@@ -175,7 +175,7 @@
 	copied.apportioners = slices.Clone(s.apportioners)
 	for i := range copied.apportioners {
 		a := &copied.apportioners[i]
-		a.presence = a.presence.Clone()
+		a.tracker = a.tracker.Clone()
 		a.reports = slices.Clone(a.reports)
 	}
 	return &copied
@@ -207,7 +207,7 @@
 
 func (s *apportionState) appendApportioner(buffer []byte, a *apportionerState) []byte {
 	buffer = appendNumbers(buffer, uint64(a.editIndex), boolToNumber(a.hasReadRecords), uint64(a.guardRevision), boolToNumber(a.pendingWrite != nil))
-	buffer = a.presence.AppendState(buffer, s.now)
+	buffer = a.tracker.AppendState(buffer, s.now)
 	for z := range s.zones {
 		buffer = appendReport(buffer, a.reports[z])
 		if a.hasReadRecords {
--- a/authority/explore/apportion_steps.go
+++ b/authority/explore/apportion_steps.go
@@ -71,9 +71,9 @@
 }
 
 // apportionInput returns the input of the apportioner.
-func (s *apportionSearch) apportionInput(state *apportionState, i int) authority.ApportionState {
+func (s *apportionSearch) apportionInput(state *apportionState, i int) authority.ApportionInput {
 	a := &state.apportioners[i]
-	input := authority.ApportionState{Now: state.now, Settings: s.snapshots[a.editIndex], Presence: a.presence, GuardRevision: a.guardRevision}
+	input := authority.ApportionInput{Now: state.now, Settings: s.snapshots[a.editIndex], Tracker: a.tracker, GuardRevision: a.guardRevision}
 	for z := range state.zones {
 		view := authority.ZoneView{Zone: zoneID(z), Allotment: a.records[z], Report: a.reports[z]}
 		if s.variant == VariantNoEscrow {
--- a/authority/presence.go
+++ b/authority/machine_tracker.go
@@ -6,11 +6,11 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Presence tracks the machine list and decides which machines have been missing from it
+// MachineTracker tracks the machine list and decides which machines have been missing from it
 // for longer than the list's lag. A machine that was never listed counts as last seen at
 // the first list, so a process that has just started waits for the lag as well. Time
 // advances only with new lists: while the list is unavailable, no machine counts as gone.
-type Presence struct {
+type MachineTracker struct {
 	lag                       time.Duration
 	firstListAt, latestListAt time.Time
 	// The maps are replaced, never modified, so copies share them.
@@ -18,13 +18,13 @@
 	machines map[cluster.MachineID]cluster.Machine
 }
 
-// NewPresence returns a Presence for a machine list that is up to lag out of date.
-func NewPresence(lag time.Duration) *Presence {
-	return &Presence{lag: lag}
+// NewMachineTracker returns a Presence for a machine list that is up to lag out of date.
+func NewMachineTracker(lag time.Duration) *MachineTracker {
+	return &MachineTracker{lag: lag}
 }
 
-// Listed records a machine list that was read at now.
-func (p *Presence) Listed(now time.Time, list []cluster.Machine) {
+// RecordList records a machine list that was read at now.
+func (p *MachineTracker) RecordList(now time.Time, list []cluster.Machine) {
 	if p.firstListAt.IsZero() {
 		p.firstListAt = now
 	}
@@ -45,10 +45,10 @@
 }
 
 // Started reports whether any list was recorded.
-func (p *Presence) Started() bool { return !p.firstListAt.IsZero() }
+func (p *MachineTracker) Started() bool { return !p.firstListAt.IsZero() }
 
 // Gone reports whether the machine has been missing for longer than the lag.
-func (p *Presence) Gone(id cluster.MachineID) bool {
+func (p *MachineTracker) Gone(id cluster.MachineID) bool {
 	if p.firstListAt.IsZero() {
 		return false
 	}
@@ -60,14 +60,14 @@
 }
 
 // isInLatestList reports whether the machine was in the latest list.
-func (p *Presence) isInLatestList(id cluster.MachineID) bool {
+func (p *MachineTracker) isInLatestList(id cluster.MachineID) bool {
 	seen, ok := p.lastSeen[id]
 	return ok && seen.Equal(p.latestListAt)
 }
 
 // Retained returns the machines that are listed or have been missing for no longer than
 // the lag, sorted by ID.
-func (p *Presence) Retained() []cluster.Machine {
+func (p *MachineTracker) Retained() []cluster.Machine {
 	list := make([]cluster.Machine, 0, len(p.machines))
 	for _, id := range sortedKeys(p.machines) {
 		list = append(list, p.machines[id])
--- a/authority/orders.go
+++ b/authority/orders.go
@@ -59,7 +59,7 @@
 		return false
 	case !c.permittedMachines[id] || !mayHold(allotted, id):
 		return false
-	case ledger.machine.Leaving || ledger.inventory.Leaving || !c.presence.isInLatestList(id):
+	case ledger.machine.Leaving || ledger.inventory.Leaving || !c.tracker.isInLatestList(id):
 		return false
 	case ledger.hasModel(action.Model):
 		return false
@@ -190,5 +190,5 @@
 	if ledger := c.ledgerOf(id); ledger != nil {
 		return !ledger.hasEvidence
 	}
-	return !c.presence.Gone(id)
+	return !c.tracker.Gone(id)
 }
--- a/authority/property_test.go
+++ b/authority/property_test.go
@@ -117,7 +117,7 @@
 		d.sendReport(id)
 	}
 	d.now = d.now.Add(DefaultRebalanceInterval)
-	d.presence.Listed(d.now, d.machines)
+	d.tracker.RecordList(d.now, d.machines)
 }
 
 // TestDivisionStaysWithinDecidedCountAndSettles checks, for random settings, reports and
--- a/authority/sequence/ledger.go
+++ b/authority/sequence/ledger.go
@@ -87,10 +87,10 @@
 		l.handleMachineSeen(&event)
 	case MachineGone:
 		l.removeMachine(event.Machine)
-	case Ordered:
-		l.handleOrdered(&event)
-	case Answered:
-		l.handleAnswered(&event)
+	case OrderRequested:
+		l.handleOrderRequested(&event)
+	case OrderAnswered:
+		l.handleOrderAnswered(&event)
 	case ReportRead:
 		l.handleReportRead(&event)
 	case Tick:
@@ -125,7 +125,7 @@
 
 // adoptEntry adds the models that the machine's registry entry names as held.
 func (l *Ledger) adoptEntry(m *machine) {
-	for id := range heldModelIDs(m.worker.Service, m.worker.Held) {
+	for id := range loadedModelIDs(m.worker.Service, m.worker.LoadedModels) {
 		if m.replicas[id] == nil {
 			_, _, adapter := catalog.Split(id)
 			m.replicas[id] = &replica{state: cluster.ReplicaLoaded, adapter: adapter != "", stateSince: l.now}
@@ -176,8 +176,8 @@
 // previous entry didn't: engines write their entry when a load is done, and their reports
 // show it later.
 func (l *Ledger) completeLoads(id cluster.MachineID, m *machine, previousWorker *catalog.Worker) {
-	previouslyHeld := heldModelIDs(previousWorker.Service, previousWorker.Held)
-	for model := range heldModelIDs(m.worker.Service, m.worker.Held) {
+	previouslyHeld := loadedModelIDs(previousWorker.Service, previousWorker.LoadedModels)
+	for model := range loadedModelIDs(m.worker.Service, m.worker.LoadedModels) {
 		current := m.replicas[model]
 		if previouslyHeld[model] || current == nil || current.adapter || current.outcomeUnknown || current.state != cluster.ReplicaLoading {
 			continue
@@ -195,7 +195,7 @@
 	if m.pending != nil || l.now.Sub(m.lastOrderAt) < maxEntryLag {
 		return
 	}
-	heldInEntry := heldModelIDs(m.worker.Service, m.worker.Held)
+	heldInEntry := loadedModelIDs(m.worker.Service, m.worker.LoadedModels)
 	for model, current := range m.replicas {
 		if current.state == cluster.ReplicaLoaded && !heldInEntry[model] && l.now.Sub(current.stateSince) > maxEntryLag {
 			m.nextReportAt = l.now
--- a/authority/sequence/ledger_fixture_test.go
+++ b/authority/sequence/ledger_fixture_test.go
@@ -44,7 +44,7 @@
 // requestOrder asks for an order and returns the one sent, nil for none.
 func (f *ledgerFixture) requestOrder(kind cluster.OrderKind, model cluster.ModelID, isAdapter bool) *SendOrder {
 	f.t.Helper()
-	return sentOrder(f.step(Ordered{Machine: testMachine, Kind: kind, Model: model, Bytes: 40, Adapter: isAdapter, ExpectedTime: time.Second}))
+	return sentOrder(f.step(OrderRequested{Machine: testMachine, Kind: kind, Model: model, Bytes: 40, Adapter: isAdapter, ExpectedTime: time.Second}))
 }
 
 func sentOrder(effects []Effect) *SendOrder {
--- a/authority/sequence/ledger_test.go
+++ b/authority/sequence/ledger_test.go
@@ -18,7 +18,7 @@
 	if first == nil || first.Order.Expected != 3 || first.Order.Token != 7 {
 		t.Fatalf("sent %+v, want an order that expects count 3 under token 7", first)
 	}
-	fixture.step(Answered{Machine: testMachine, Number: first.Number, Err: errors.New("no answer")})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: first.Number, Err: errors.New("no answer")})
 	if other := fixture.requestOrder(cluster.OrderLoad, otherModel, false); other != nil {
 		t.Fatalf("another order was sent while one has no known outcome: %+v", other)
 	}
@@ -27,11 +27,11 @@
 	if again == nil || again.Order != first.Order || again.Number == first.Number {
 		t.Fatalf("sent %+v, want the same order under a new number", again)
 	}
-	fixture.step(Answered{Machine: testMachine, Number: first.Number, Outcome: OutcomeTaken})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: first.Number, Outcome: OutcomeTaken})
 	if other := fixture.requestOrder(cluster.OrderLoad, otherModel, false); other != nil {
 		t.Fatal("the answer to an earlier sending settled the order")
 	}
-	fixture.step(Answered{Machine: testMachine, Number: again.Number, Outcome: OutcomeTaken})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: again.Number, Outcome: OutcomeTaken})
 	if got := fixture.replicaStates()[baseModel]; got != cluster.ReplicaLoading {
 		t.Fatalf("state %s, want loading", got)
 	}
@@ -41,18 +41,18 @@
 // a model that was just loaded. If the replica were dropped, its slot would be used again
 // and the engine would be ordered to hold more than it can.
 func TestReplicaMissingFromLateReportIsKept(t *testing.T) {
-	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3, Held: []catalog.HeldModel{{Name: "base"}}})
+	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3, Held: []catalog.LoadedModel{{Name: "base"}}})
 	send := fixture.requestOrder(cluster.OrderLoad, adapter, true)
-	fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
 	fixture.advance(1100 * time.Millisecond)
 	fixture.step(Tick{})
 	fixture.advance(150 * time.Millisecond)
-	fixture.report(catalog.Report{OrderCount: 4, Held: []catalog.HeldModel{{Name: "base"}}})
+	fixture.report(catalog.Report{OrderCount: 4, Held: []catalog.LoadedModel{{Name: "base"}}})
 	if got := fixture.replicaStates()[adapter]; got != cluster.ReplicaLoaded {
 		t.Fatalf("state %s after a late report, want loaded", got)
 	}
 	fixture.advance(2 * time.Second)
-	fixture.report(catalog.Report{OrderCount: 4, Held: []catalog.HeldModel{{Name: "base"}}})
+	fixture.report(catalog.Report{OrderCount: 4, Held: []catalog.LoadedModel{{Name: "base"}}})
 	if _, kept := fixture.replicaStates()[adapter]; kept {
 		t.Fatal("a replica that reports have lacked for seconds is kept")
 	}
@@ -62,7 +62,7 @@
 // holder's order uses memory that no report shows, so an order to it could overcommit its
 // memory.
 func TestEngineBusyWithUnknownOrderIsNotPlannedWith(t *testing.T) {
-	busy := catalog.Report{OrderCount: 5, Busy: true, Held: []catalog.HeldModel{{Name: "other"}}}
+	busy := catalog.Report{OrderCount: 5, Busy: true, Held: []catalog.LoadedModel{{Name: "other"}}}
 	fixture := newLedgerFixture(t, busy)
 	if fixture.sealed() {
 		t.Fatal("an engine that is busy with an unknown order counts as known")
@@ -71,7 +71,7 @@
 		t.Fatalf("ordered %+v from an engine that is busy with an unknown order", send)
 	}
 	fixture.advance(5 * time.Second)
-	fixture.report(catalog.Report{OrderCount: 5, Held: []catalog.HeldModel{{Name: "other"}, {Name: "late"}}})
+	fixture.report(catalog.Report{OrderCount: 5, Held: []catalog.LoadedModel{{Name: "other"}, {Name: "late"}}})
 	if !fixture.sealed() || fixture.replicaStates()["svc/late"] != cluster.ReplicaLoaded {
 		t.Fatalf("states %v after the engine is done, want the unknown load to show", fixture.replicaStates())
 	}
@@ -80,11 +80,11 @@
 // TestOrderOfAnotherHolderDuringTermUnsealsMachine guards against the same overcommitted
 // memory when another holder's order arrives during the term.
 func TestOrderOfAnotherHolderDuringTermUnsealsMachine(t *testing.T) {
-	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 4, Held: []catalog.HeldModel{{Name: "other"}}})
+	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 4, Held: []catalog.LoadedModel{{Name: "other"}}})
 	send := fixture.requestOrder(cluster.OrderUnload, otherModel, false)
-	fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeConflict})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeConflict})
 	fixture.advance(time.Second)
-	fixture.report(catalog.Report{OrderCount: 6, Busy: true, Held: []catalog.HeldModel{{Name: "other"}}})
+	fixture.report(catalog.Report{OrderCount: 6, Busy: true, Held: []catalog.LoadedModel{{Name: "other"}}})
 	if fixture.sealed() {
 		t.Fatal("an engine that took another holder's order counts as known")
 	}
@@ -93,9 +93,9 @@
 // TestBusyEngineGetsNoAdapterOrder: engines refuse every order while one is carried out,
 // also one for an adapter.
 func TestBusyEngineGetsNoAdapterOrder(t *testing.T) {
-	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3, Held: []catalog.HeldModel{{Name: "base"}}})
+	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3, Held: []catalog.LoadedModel{{Name: "base"}}})
 	send := fixture.requestOrder(cluster.OrderLoad, otherModel, false)
-	fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
 	if second := fixture.requestOrder(cluster.OrderLoad, adapter, true); second != nil {
 		t.Fatalf("ordered %+v from a busy engine", second)
 	}
@@ -105,7 +105,7 @@
 func TestStaleTokenEndsTerm(t *testing.T) {
 	fixture := newLedgerFixture(t, catalog.Report{})
 	send := fixture.requestOrder(cluster.OrderLoad, baseModel, false)
-	effects := fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeStale})
+	effects := fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeStaleToken})
 	if len(effects) != 1 || effects[0] != (Superseded{Machine: testMachine}) {
 		t.Fatalf("effects %v, want Superseded", effects)
 	}
@@ -115,16 +115,16 @@
 // conflict and the engine's count has advanced, the engine took another holder's order.
 // Its load must not be mistaken for the ledger's own.
 func TestConflictWithAdvancedCountIsAnotherHoldersOrder(t *testing.T) {
-	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 4, Held: []catalog.HeldModel{{Name: "other"}}})
+	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 4, Held: []catalog.LoadedModel{{Name: "other"}}})
 	send := fixture.requestOrder(cluster.OrderLoad, baseModel, false)
-	fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeConflict})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeConflict})
 	fixture.advance(time.Second)
-	fixture.report(catalog.Report{OrderCount: 5, Busy: true, Held: []catalog.HeldModel{{Name: "other"}}})
+	fixture.report(catalog.Report{OrderCount: 5, Busy: true, Held: []catalog.LoadedModel{{Name: "other"}}})
 	if fixture.sealed() {
 		t.Fatal("an engine that is busy with another holder's order counts as known")
 	}
 	fixture.advance(5 * time.Second)
-	fixture.report(catalog.Report{OrderCount: 5, Held: []catalog.HeldModel{{Name: "other"}, {Name: "theirs"}}})
+	fixture.report(catalog.Report{OrderCount: 5, Held: []catalog.LoadedModel{{Name: "other"}, {Name: "theirs"}}})
 	states := fixture.replicaStates()
 	if _, kept := states[baseModel]; kept || states["svc/theirs"] != cluster.ReplicaLoaded {
 		t.Fatalf("states %v, want the other holder's model in place of the own", states)
@@ -137,22 +137,22 @@
 func TestFirstOrderWaitsForReport(t *testing.T) {
 	fixture := &ledgerFixture{t: t, ledger: New(), now: time.Unix(1000, 0)}
 	fixture.step(MachineSeen{Worker: catalog.Worker{
-		ID: testMachine, Service: "svc", Address: "a:1", Held: []catalog.HeldModel{{Name: "base"}},
+		ID: testMachine, Service: "svc", Address: "a:1", LoadedModels: []catalog.LoadedModel{{Name: "base"}},
 	}, MemoryBytes: 100})
 	fixture.step(TermBegan{Holder: "n1", Token: 7})
 	if got := fixture.replicaStates()[baseModel]; got != cluster.ReplicaLoaded {
 		t.Fatalf("state %s, want what the entry says", got)
 	}
-	effects := fixture.step(Ordered{Machine: testMachine, Kind: cluster.OrderLoad, Model: otherModel, ExpectedTime: time.Second})
+	effects := fixture.step(OrderRequested{Machine: testMachine, Kind: cluster.OrderLoad, Model: otherModel, ExpectedTime: time.Second})
 	if len(effects) != 1 || effects[0] != (ReadReport{Machine: testMachine, Address: "a:1"}) {
 		t.Fatalf("effects %v, want a report to be read", effects)
 	}
-	fixture.report(catalog.Report{OrderCount: 8, Held: []catalog.HeldModel{{Name: "base"}}})
+	fixture.report(catalog.Report{OrderCount: 8, Held: []catalog.LoadedModel{{Name: "base"}}})
 	if send := fixture.requestOrder(cluster.OrderLoad, otherModel, false); send != nil {
 		t.Fatalf("sent %+v after a report that may date from before the term", send)
 	}
 	fixture.advance(time.Second)
-	fixture.report(catalog.Report{OrderCount: 9, Held: []catalog.HeldModel{{Name: "base"}}})
+	fixture.report(catalog.Report{OrderCount: 9, Held: []catalog.LoadedModel{{Name: "base"}}})
 	if send := fixture.requestOrder(cluster.OrderLoad, otherModel, false); send == nil || send.Order.Expected != 9 {
 		t.Fatalf("sent %+v, want an order that expects the reported count", send)
 	}
@@ -162,10 +162,10 @@
 // the key-value service may arrive long after a load. The report that is read because of
 // it decides whether the replica is dropped.
 func TestReplicaMissingFromOldEntryIsKeptUntilReport(t *testing.T) {
-	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 1, Held: []catalog.HeldModel{{Name: "base"}, {Name: "other"}}})
+	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 1, Held: []catalog.LoadedModel{{Name: "base"}, {Name: "other"}}})
 	fixture.advance(time.Minute)
 	old := MachineSeen{Worker: catalog.Worker{
-		ID: testMachine, Service: "svc", Address: "a:1", Held: []catalog.HeldModel{{Name: "other"}},
+		ID: testMachine, Service: "svc", Address: "a:1", LoadedModels: []catalog.LoadedModel{{Name: "other"}},
 	}, MemoryBytes: 100}
 	effects := fixture.step(old)
 	if fixture.replicaStates()[baseModel] != cluster.ReplicaLoaded {
@@ -174,30 +174,30 @@
 	if len(effects) != 1 || effects[0] != (ReadReport{Machine: testMachine, Address: "a:1"}) {
 		t.Fatalf("effects %v, want a report to be read", effects)
 	}
-	fixture.report(catalog.Report{OrderCount: 1, Held: []catalog.HeldModel{{Name: "other"}}})
+	fixture.report(catalog.Report{OrderCount: 1, Held: []catalog.LoadedModel{{Name: "other"}}})
 	if _, kept := fixture.replicaStates()[baseModel]; kept {
 		t.Fatal("a replica that the report lacks is kept")
 	}
 }
 
-// TestHeldModelDecidesWhetherOwnOrderWasTaken: after a lost answer the count alone doesn't
+// TestLoadedModelDecidesWhetherOwnOrderWasTaken: after a lost answer the count alone doesn't
 // tell whether the engine took the ledger's own order or another holder's. What the engine
 // holds when it is done does.
-func TestHeldModelDecidesWhetherOwnOrderWasTaken(t *testing.T) {
+func TestLoadedModelDecidesWhetherOwnOrderWasTaken(t *testing.T) {
 	for name, test := range map[string]struct {
-		held []catalog.HeldModel
+		held []catalog.LoadedModel
 		want bool
 	}{
-		"own":     {[]catalog.HeldModel{{Name: "base"}}, true},
-		"another": {[]catalog.HeldModel{{Name: "other"}}, false},
+		"own":     {[]catalog.LoadedModel{{Name: "base"}}, true},
+		"another": {[]catalog.LoadedModel{{Name: "other"}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newLedgerFixture(t, catalog.Report{OrderCount: 8})
 			send := fixture.requestOrder(cluster.OrderLoad, baseModel, false)
-			fixture.step(Answered{Machine: testMachine, Number: send.Number, Err: errors.New("no answer")})
+			fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Err: errors.New("no answer")})
 			fixture.advance(time.Second)
 			again := sentOrder(fixture.step(Tick{}))
-			fixture.step(Answered{Machine: testMachine, Number: again.Number, Outcome: OutcomeConflict})
+			fixture.step(OrderAnswered{Machine: testMachine, Number: again.Number, Outcome: OutcomeConflict})
 			fixture.advance(time.Second)
 			fixture.report(catalog.Report{OrderCount: 9, Busy: true})
 			if other := fixture.requestOrder(cluster.OrderLoad, otherModel, false); other != nil {
@@ -247,7 +247,7 @@
 	entry := func(models ...string) MachineSeen {
 		worker := catalog.Worker{ID: testMachine, Service: "svc", Address: "a:1"}
 		for _, name := range models {
-			worker.Held = append(worker.Held, catalog.HeldModel{Name: name})
+			worker.LoadedModels = append(worker.LoadedModels, catalog.LoadedModel{Name: name})
 		}
 		return MachineSeen{Worker: worker, MemoryBytes: 100, AdapterSlots: 8}
 	}
@@ -262,7 +262,7 @@
 			fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3})
 			fixture.step(entry(test.before...))
 			send := fixture.requestOrder(cluster.OrderLoad, baseModel, false)
-			fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
+			fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
 			fixture.advance(900 * time.Millisecond)
 			fixture.step(entry("base"))
 			if got := fixture.replicaStates()[baseModel]; got != test.want {
--- a/authority/sequence/ledger_unload_test.go
+++ b/authority/sequence/ledger_unload_test.go
@@ -12,9 +12,9 @@
 // TestUnloadOfBaseModelRemovesAdapters: engines discard a base model's adapters with it,
 // so adapters that stayed in the ledger would count as replicas that don't exist.
 func TestUnloadOfBaseModelRemovesAdapters(t *testing.T) {
-	fixture := newLedgerFixture(t, catalog.Report{Held: []catalog.HeldModel{{Name: "base", Adapters: []string{"a1"}}}})
+	fixture := newLedgerFixture(t, catalog.Report{Held: []catalog.LoadedModel{{Name: "base", Adapters: []string{"a1"}}}})
 	send := fixture.requestOrder(cluster.OrderUnload, baseModel, false)
-	fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
 	fixture.advance(time.Second)
 	fixture.step(Tick{})
 	if len(fixture.replicaStates()) != 0 {
@@ -26,23 +26,23 @@
 // before it is done, which takes milliseconds. Waiting for a report would delay the load
 // much longer.
 func TestLoadRefusedDuringUnloadIsResentSoon(t *testing.T) {
-	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3, Held: []catalog.HeldModel{{Name: "other"}}})
+	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3, Held: []catalog.LoadedModel{{Name: "other"}}})
 	unload := fixture.requestOrder(cluster.OrderUnload, otherModel, false)
-	fixture.step(Answered{Machine: testMachine, Number: unload.Number, Outcome: OutcomeTaken})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: unload.Number, Outcome: OutcomeTaken})
 	fixture.advance(initialUnloadEstimate)
 	fixture.step(Tick{})
 	load := fixture.requestOrder(cluster.OrderLoad, baseModel, false)
 	if load == nil {
 		t.Fatal("no load was sent after the unload")
 	}
-	fixture.step(Answered{Machine: testMachine, Number: load.Number, Outcome: OutcomeConflict})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: load.Number, Outcome: OutcomeConflict})
 	fixture.advance(unloadConflictRetry)
 	again := sentOrder(fixture.step(Tick{}))
 	if again == nil || again.Order != load.Order {
 		t.Fatalf("sent %+v, want the load again at once", again)
 	}
 	fixture.advance(unloadConflictWindow)
-	fixture.step(Answered{Machine: testMachine, Number: again.Number, Outcome: OutcomeConflict})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: again.Number, Outcome: OutcomeConflict})
 	fixture.advance(unloadConflictRetry)
 	if other := sentOrder(fixture.step(Tick{})); other != nil {
 		t.Fatalf("sent %+v, want a report to be read once the unload takes long", other)
@@ -54,12 +54,12 @@
 // load after an unload.
 func TestUnloadEstimateAdaptsToRefusals(t *testing.T) {
 	const unloading = 45 * time.Millisecond
-	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3, Held: []catalog.HeldModel{{Name: "other"}}})
+	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3, Held: []catalog.LoadedModel{{Name: "other"}}})
 	refused, swaps := 0, 100
 	models := [2]cluster.ModelID{otherModel, baseModel}
 	for n := range swaps {
 		unload := fixture.requestOrder(cluster.OrderUnload, models[n%2], false)
-		fixture.step(Answered{Machine: testMachine, Number: unload.Number, Outcome: OutcomeTaken})
+		fixture.step(OrderAnswered{Machine: testMachine, Number: unload.Number, Outcome: OutcomeTaken})
 		began := fixture.now
 		var load *SendOrder
 		for load == nil {
@@ -69,14 +69,14 @@
 		}
 		for fixture.now.Sub(began) < unloading {
 			refused++
-			fixture.step(Answered{Machine: testMachine, Number: load.Number, Outcome: OutcomeConflict})
+			fixture.step(OrderAnswered{Machine: testMachine, Number: load.Number, Outcome: OutcomeConflict})
 			fixture.advance(unloadConflictRetry)
 			load = sentOrder(fixture.step(Tick{}))
 		}
-		fixture.step(Answered{Machine: testMachine, Number: load.Number, Outcome: OutcomeTaken})
+		fixture.step(OrderAnswered{Machine: testMachine, Number: load.Number, Outcome: OutcomeTaken})
 		fixture.advance(time.Second)
 		name := [2]string{"other", "base"}[(n+1)%2]
-		fixture.step(MachineSeen{Worker: catalog.Worker{ID: testMachine, Service: "svc", Address: "a:1", Held: []catalog.HeldModel{{Name: name}}}, MemoryBytes: 100})
+		fixture.step(MachineSeen{Worker: catalog.Worker{ID: testMachine, Service: "svc", Address: "a:1", LoadedModels: []catalog.LoadedModel{{Name: name}}}, MemoryBytes: 100})
 		fixture.step(Tick{})
 	}
 	if refused*10 > swaps {
@@ -95,7 +95,7 @@
 		t.Fatalf("%v for an idle engine", got)
 	}
 	send := fixture.requestOrder(cluster.OrderLoad, baseModel, false)
-	fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
+	fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
 	began := busyFor()
 	fixture.advance(600 * time.Millisecond)
 	fixture.step(Tick{})
@@ -112,10 +112,10 @@
 // adapter, so early loads that were taken are no evidence that its slot is free. An engine
 // that is ordered to hold more than it can terminates.
 func TestAdapterSlotStaysTakenUntilUnloadEstimate(t *testing.T) {
-	fixture := newLedgerFixture(t, catalog.Report{Held: []catalog.HeldModel{{Name: "base", Adapters: []string{"a1"}}}})
+	fixture := newLedgerFixture(t, catalog.Report{Held: []catalog.LoadedModel{{Name: "base", Adapters: []string{"a1"}}}})
 	take := func(kind cluster.OrderKind) {
 		send := fixture.requestOrder(kind, adapter, true)
-		fixture.step(Answered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
+		fixture.step(OrderAnswered{Machine: testMachine, Number: send.Number, Outcome: OutcomeTaken})
 	}
 	for range 50 {
 		take(cluster.OrderUnload)
--- a/authority/sequence/machine.go
+++ b/authority/sequence/machine.go
@@ -63,7 +63,7 @@
 
 // pendingOrder is an order that was sent and has no known outcome.
 type pendingOrder struct {
-	request       Ordered
+	request       OrderRequested
 	expectedCount int64
 	sendNumber    uint64
 	resendAt      time.Time
@@ -73,8 +73,8 @@
 	awaitsAnswer bool
 }
 
-// heldModelIDs returns the set of IDs of the held models and adapters.
-func heldModelIDs(service string, held []catalog.HeldModel) map[cluster.ModelID]bool {
+// loadedModelIDs returns the set of IDs of the held models and adapters.
+func loadedModelIDs(service string, held []catalog.LoadedModel) map[cluster.ModelID]bool {
 	ids := make(map[cluster.ModelID]bool)
 	for _, model := range held {
 		ids[catalog.ModelID(service, model.Name)] = true
@@ -88,8 +88,8 @@
 // reportedModelIDs returns the set of IDs that a report names as held or, for adapters, as
 // being loaded.
 func reportedModelIDs(service string, report *catalog.Report) map[cluster.ModelID]bool {
-	ids := heldModelIDs(service, report.Held)
-	for _, coming := range report.Coming {
+	ids := loadedModelIDs(service, report.Held)
+	for _, coming := range report.LoadingAdapters {
 		name, _, _ := strings.Cut(coming, "@")
 		if model, adapter, found := strings.Cut(name, "/"); found {
 			ids[catalog.AdapterID(service, model, adapter)] = true
--- a/authority/sequence/orders.go
+++ b/authority/sequence/orders.go
@@ -9,10 +9,10 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// handleOrdered sends the requested order unless the machine can't take one now. Before
+// handleOrderRequested sends the requested order unless the machine can't take one now. Before
 // the first order of a term a report is read, and the next plan uses it. The memory of a
 // load is reserved before the order is sent.
-func (l *Ledger) handleOrdered(ordered *Ordered) {
+func (l *Ledger) handleOrderRequested(ordered *OrderRequested) {
 	m := l.machines[ordered.Machine]
 	if !l.Holding() || m == nil || m.runsUnknownOrder || m.pending != nil || m.conflictOpen || !m.busyUntil.IsZero() {
 		return
@@ -57,10 +57,10 @@
 	}})
 }
 
-// handleAnswered processes the answer to an order. Only the answer to the last send
+// handleOrderAnswered processes the answer to an order. Only the answer to the last send
 // counts: the engine takes each count once, so the last answer shows whether an earlier
 // send was taken.
-func (l *Ledger) handleAnswered(answer *Answered) {
+func (l *Ledger) handleOrderAnswered(answer *OrderAnswered) {
 	m := l.machines[answer.Machine]
 	if m == nil || m.pending == nil || m.pending.sendNumber != answer.Number {
 		return
@@ -77,7 +77,7 @@
 		m.pending = nil
 		m.orderCount = pending.expectedCount + 1
 		l.handleTaken(answer.Machine, m, &pending.request)
-	case OutcomeHolds:
+	case OutcomeAlreadyDone:
 		m.pending = nil
 		l.handleAlreadyDone(answer.Machine, m, &pending.request)
 	case OutcomeConflict:
@@ -92,7 +92,7 @@
 		}
 		m.conflictOpen = true
 		m.nextReportAt = l.now.Add(conflictReportDelay)
-	case OutcomeStale:
+	case OutcomeStaleToken:
 		m.pending = nil
 		l.emit(Superseded{Machine: answer.Machine})
 	case OutcomeOtherMachine:
@@ -104,7 +104,7 @@
 }
 
 // handleTaken updates the replica after the engine has taken an order.
-func (l *Ledger) handleTaken(id cluster.MachineID, m *machine, request *Ordered) {
+func (l *Ledger) handleTaken(id cluster.MachineID, m *machine, request *OrderRequested) {
 	current := m.replicas[request.Model]
 	if current == nil {
 		return
@@ -137,7 +137,7 @@
 
 // handleAlreadyDone updates the replica after the engine answered that the ordered state
 // already holds. The unload of an adapter is done at once and counts as an order.
-func (l *Ledger) handleAlreadyDone(id cluster.MachineID, m *machine, request *Ordered) {
+func (l *Ledger) handleAlreadyDone(id cluster.MachineID, m *machine, request *OrderRequested) {
 	state := cluster.ReplicaLoaded
 	if request.Kind == cluster.OrderUnload {
 		state = cluster.ReplicaAbsent
@@ -150,7 +150,7 @@
 
 // revertOrder restores the replica's state from before an order that the engine will never
 // carry out.
-func (l *Ledger) revertOrder(id cluster.MachineID, m *machine, request *Ordered) {
+func (l *Ledger) revertOrder(id cluster.MachineID, m *machine, request *OrderRequested) {
 	state := cluster.ReplicaAbsent
 	if request.Kind == cluster.OrderUnload {
 		state = cluster.ReplicaLoaded
--- a/authority/sequence/types.go
+++ b/authority/sequence/types.go
@@ -28,13 +28,13 @@
 	OutcomeInvalid Outcome = iota
 	// OutcomeTaken means that the engine is carrying out the order.
 	OutcomeTaken
-	// OutcomeHolds means that the ordered state already holds.
-	OutcomeHolds
+	// OutcomeAlreadyDone means that the ordered state already holds.
+	OutcomeAlreadyDone
 	// OutcomeConflict means that the engine is carrying out another order or has taken a
 	// different number of orders.
 	OutcomeConflict
-	// OutcomeStale means that the engine has seen a larger fencing token.
-	OutcomeStale
+	// OutcomeStaleToken means that the engine has seen a larger fencing token.
+	OutcomeStaleToken
 	// OutcomeOtherMachine means that a different machine answers at the address.
 	OutcomeOtherMachine
 )
@@ -44,11 +44,11 @@
 	switch o {
 	case OutcomeTaken:
 		return "taken"
-	case OutcomeHolds:
+	case OutcomeAlreadyDone:
 		return "holds"
 	case OutcomeConflict:
 		return "conflict"
-	case OutcomeStale:
+	case OutcomeStaleToken:
 		return "stale token"
 	case OutcomeOtherMachine:
 		return "other machine"
@@ -80,9 +80,9 @@
 // MachineGone reports that a machine's registry entry was deleted.
 type MachineGone struct{ Machine cluster.MachineID }
 
-// Ordered asks for an order to a machine. It is dropped if the machine can't take one now;
+// OrderRequested asks for an order to a machine. It is dropped if the machine can't take one now;
 // the next plan asks again.
-type Ordered struct {
+type OrderRequested struct {
 	Machine cluster.MachineID
 	Kind    cluster.OrderKind
 	Model   cluster.ModelID
@@ -95,9 +95,9 @@
 	ExpectedTime time.Duration
 }
 
-// Answered carries the answer to the SendOrder with the same number. If Err is set, the
+// OrderAnswered carries the answer to the SendOrder with the same number. If Err is set, the
 // outcome is unknown.
-type Answered struct {
+type OrderAnswered struct {
 	Machine cluster.MachineID
 	Number  uint64
 	Outcome Outcome
@@ -114,14 +114,14 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-func (TermBegan) sequenceEvent()   {}
-func (TermEnded) sequenceEvent()   {}
-func (MachineSeen) sequenceEvent() {}
-func (MachineGone) sequenceEvent() {}
-func (Ordered) sequenceEvent()     {}
-func (Answered) sequenceEvent()    {}
-func (ReportRead) sequenceEvent()  {}
-func (Tick) sequenceEvent()        {}
+func (TermBegan) sequenceEvent()      {}
+func (TermEnded) sequenceEvent()      {}
+func (MachineSeen) sequenceEvent()    {}
+func (MachineGone) sequenceEvent()    {}
+func (OrderRequested) sequenceEvent() {}
+func (OrderAnswered) sequenceEvent()  {}
+func (ReportRead) sequenceEvent()     {}
+func (Tick) sequenceEvent()           {}
 
 // Effect is an output of the ledger, to be carried out by the caller.
 type Effect interface{ sequenceEffect() }
--- a/authority/snapshot.go
+++ b/authority/snapshot.go
@@ -35,7 +35,7 @@
 	return placement.Machine{
 		ID: ledger.machine.ID, Rack: ledger.machine.Rack, Pool: inventory.Pool,
 		Sealed:      ledger.sealed && ledger.isResponsive() && c.permittedMachines[ledger.machine.ID],
-		Leaving:     ledger.machine.Leaving || inventory.Leaving || !c.presence.isInLatestList(ledger.machine.ID),
+		Leaving:     ledger.machine.Leaving || inventory.Leaving || !c.tracker.isInLatestList(ledger.machine.ID),
 		MemoryBytes: inventory.MemoryBytes, Accelerators: inventory.Accelerators, Slots: inventory.Slots,
 		Replicas: ledger.plannerSlots(), Cached: inventory.Cached,
 	}
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -80,7 +80,7 @@
 	plain := 0
 	for n := range requests {
 		_, draw := math.Modf(float64(n) * (math.Sqrt(5) - 1) / 2)
-		if route.Pick(draw) == "plain" {
+		if route.PickService(draw) == "plain" {
 			plain++
 		}
 	}
--- a/catalog/table.go
+++ b/catalog/table.go
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// Pick returns the service for one request of the route, in proportion to the
+// PickService returns the service for one request of the route, in proportion to the
 // target weights. The number draw must be uniformly distributed over [0, 1).
-func (r *Route) Pick(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	var sum float64
 	for _, target := range r.Targets {
 		sum += target.Weight
--- a/catalog/tenants.go
+++ b/catalog/tenants.go
@@ -28,11 +28,11 @@
 	// Keys are the lower-case hexadecimal SHA-256 hashes of the tenant's API
 	// keys. The keys themselves are not stored.
 	Keys []string
-	// Ranked is true if Rank overrides the priority of the route; rank 0 is the
+	// OverridesRank is true if Rank overrides the priority of the route; rank 0 is the
 	// highest.
-	Ranked bool
-	Rank   int
-	Limit  Limit
+	OverridesRank bool
+	Rank          int
+	Limit         Limit
 }
 
 // Limit bounds the load that a tenant's callers may send through all nodes
@@ -41,9 +41,9 @@
 type Limit struct {
 	Rate, Burst float64
 	Unit        Unit
-	// PlainTokens is the number of tokens charged for a request that states
+	// DefaultTokens is the number of tokens charged for a request that states
 	// none.
-	PlainTokens int
+	DefaultTokens int
 }
 
 // Unlimited reports whether the limit is absent.
@@ -58,7 +58,7 @@
 	case tokens > 0:
 		return float64(tokens)
 	}
-	return float64(l.PlainTokens)
+	return float64(l.DefaultTokens)
 }
 
 // tenantsPath is the prefix of the settings paths of tenants.
@@ -72,11 +72,11 @@
 	return c.tenants[name]
 }
 
-// Keyed reports whether callers need an API key on routes that are not public.
-func (c *Compiled) Keyed() bool { return c != nil && len(c.Tenants) > 0 }
+// RequiresKeys reports whether callers need an API key on routes that are not public.
+func (c *Compiled) RequiresKeys() bool { return c != nil && len(c.Tenants) > 0 }
 
-// Holder returns the tenant that has the API key with the given hash, or nil.
-func (c *Compiled) Holder(hash string) *Tenant {
+// TenantByKeyHash returns the tenant that has the API key with the given hash, or nil.
+func (c *Compiled) TenantByKeyHash(hash string) *Tenant {
 	if c == nil {
 		return nil
 	}
@@ -130,7 +130,7 @@
 		return eris.Errorf("tenant %s: rate must be a non-negative finite number", t.Name)
 	case !(t.Limit.Burst >= 0) || math.IsInf(t.Limit.Burst, 0):
 		return eris.Errorf("tenant %s: burst must be a non-negative finite number", t.Name)
-	case t.Limit.PlainTokens < 0:
+	case t.Limit.DefaultTokens < 0:
 		return eris.Errorf("tenant %s: plain_tokens must not be negative", t.Name)
 	}
 	return nil
--- a/catalog/tenants_test.go
+++ b/catalog/tenants_test.go
@@ -16,21 +16,21 @@
 // Charges must follow the unit of the tenant's limit.
 func TestKeyHashIdentifiesTenant(t *testing.T) {
 	compiled, err := configurationWithTenants(
-		Tenant{Name: "b", Keys: []string{"h3", "h1", "h3"}, Ranked: true, Rank: 2},
-		Tenant{Name: "a", Keys: []string{"h2"}, Limit: Limit{Rate: 10, Unit: UnitTokens, PlainTokens: 200}},
+		Tenant{Name: "b", Keys: []string{"h3", "h1", "h3"}, OverridesRank: true, Rank: 2},
+		Tenant{Name: "a", Keys: []string{"h2"}, Limit: Limit{Rate: 10, Unit: UnitTokens, DefaultTokens: 200}},
 	).Compile()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for hash, want := range map[string]string{"h1": "b", "h2": "a", "h3": "b"} {
-		if got := compiled.Holder(hash); got == nil || got.Name != want {
+		if got := compiled.TenantByKeyHash(hash); got == nil || got.Name != want {
 			t.Errorf("%s belongs to %v, want %s", hash, got, want)
 		}
 	}
-	if got := compiled.Holder("h4"); got != nil {
+	if got := compiled.TenantByKeyHash("h4"); got != nil {
 		t.Errorf("an unknown key belongs to %s", got.Name)
 	}
-	if !compiled.Keyed() || !compiled.Tenant("b").Limit.Unlimited() || compiled.Tenant("a").Limit.Unlimited() {
+	if !compiled.RequiresKeys() || !compiled.Tenant("b").Limit.Unlimited() || compiled.Tenant("a").Limit.Unlimited() {
 		t.Error("want callers to need keys and only tenant a to be limited")
 	}
 	limit := compiled.Tenant("a").Limit
@@ -48,7 +48,7 @@
 		"tenant b: has an API key that already belongs to tenant a": {{Name: "a", Keys: []string{"h"}}, {Name: "b", Keys: []string{"h"}}},
 		"tenant a: rate":         {{Name: "a", Limit: Limit{Rate: -1}}},
 		"tenant a: burst":        {{Name: "a", Limit: Limit{Burst: math.NaN()}}},
-		"tenant a: plain_tokens": {{Name: "a", Limit: Limit{PlainTokens: -1}}},
+		"tenant a: plain_tokens": {{Name: "a", Limit: Limit{DefaultTokens: -1}}},
 	} {
 		if _, err := configurationWithTenants(tenants...).Compile(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want %q", err, want)
--- a/catalog/types.go
+++ b/catalog/types.go
@@ -139,8 +139,8 @@
 	Limits  Limits
 }
 
-// HeldModel is a model that is loaded on a machine, with its adapters.
-type HeldModel struct {
+// LoadedModel is a model that is loaded on a machine, with its adapters.
+type LoadedModel struct {
 	Name     string
 	Adapters []string
 }
@@ -151,10 +151,10 @@
 	// ID identifies one start of the machine: state recorded under it is valid
 	// for that start only.
 	ID cluster.MachineID
-	// Born is the start time in Unix milliseconds; zero if the entry does not
+	// StartMillis is the start time in Unix milliseconds; zero if the entry does not
 	// state it.
-	Born    int64
-	Service string
+	StartMillis int64
+	Service     string
 	// Address is host:port.
 	Address string
 	Zone    cluster.ZoneID
@@ -163,31 +163,31 @@
 	Slots   int
 	// Draining is true if the machine takes no new requests.
 	Draining bool
-	// Held lists the models that were loaded when the entry was written.
-	Held []HeldModel
+	// LoadedModels lists the models that were loaded when the entry was written.
+	LoadedModels []LoadedModel
 	// InMemory and OnDisk name the models of which the machine keeps copies.
 	InMemory, OnDisk []string
 }
 
 // Equal reports whether two entries have equal contents.
 func (w *Worker) Equal(o *Worker) bool {
-	return w.ID == o.ID && w.Born == o.Born && w.Service == o.Service && w.Address == o.Address && w.Zone == o.Zone &&
+	return w.ID == o.ID && w.StartMillis == o.StartMillis && w.Service == o.Service && w.Address == o.Address && w.Zone == o.Zone &&
 		w.Release == o.Release && w.Slots == o.Slots && w.Draining == o.Draining &&
-		slices.EqualFunc(w.Held, o.Held, HeldModel.Equal) &&
+		slices.EqualFunc(w.LoadedModels, o.LoadedModels, LoadedModel.Equal) &&
 		slices.Equal(w.InMemory, o.InMemory) && slices.Equal(w.OnDisk, o.OnDisk)
 }
 
 // Equal reports whether both have the same model and the same adapters.
-func (m HeldModel) Equal(o HeldModel) bool {
+func (m LoadedModel) Equal(o LoadedModel) bool {
 	return m.Name == o.Name && slices.Equal(m.Adapters, o.Adapters)
 }
 
 // Report is the state that an engine reports about itself. It is some hundred
 // milliseconds old when it arrives.
 type Report struct {
-	Held []HeldModel
-	// Coming lists adapters that are being loaded.
-	Coming []string
+	Held []LoadedModel
+	// LoadingAdapters lists adapters that are being loaded.
+	LoadingAdapters []string
 	// Busy is true while the engine carries out an order.
 	Busy             bool
 	OrderCount       int64
--- a/eventlog/failures.go
+++ b/eventlog/failures.go
@@ -19,9 +19,9 @@
 	lastCauses map[string]string
 }
 
-// New records the result of the call with the given name, and reports whether it failed
+// IsNew records the result of the call with the given name, and reports whether it failed
 // with another cause than the previous call with that name.
-func (f *Failures) New(name string, err error) bool {
+func (f *Failures) IsNew(name string, err error) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if err == nil {
--- a/eventlog/failures_test.go
+++ b/eventlog/failures_test.go
@@ -23,7 +23,7 @@
 		{"a", nil, false}, {"a", refused, true}, {"a", refused, false}, {"b", refused, true}, {"a", unreachable, true},
 		{"a", nil, false}, {"a", unreachable, true}, {"b", refused, false},
 	} {
-		if got := failures.New(step.name, step.err); got != step.want {
+		if got := failures.IsNew(step.name, step.err); got != step.want {
 			t.Errorf("step %d: %v is new: %t, want %t", i, step.err, got, step.want)
 		}
 	}
@@ -49,7 +49,7 @@
 func TestTrackedNamesAreBounded(t *testing.T) {
 	var failures Failures
 	for i := range 3 * maxTrackedNames {
-		failures.New(fmt.Sprint(i), errors.New("away"))
+		failures.IsNew(fmt.Sprint(i), errors.New("away"))
 	}
 	if len(failures.lastCauses) > maxTrackedNames {
 		t.Errorf("%d names are tracked, want at most %d", len(failures.lastCauses), maxTrackedNames)
--- a/fleet/dispatch_fixture_test.go
+++ b/fleet/dispatch_fixture_test.go
@@ -90,7 +90,7 @@
 	var workers []catalog.Worker
 	for _, id := range ids {
 		workers = append(workers, catalog.Worker{
-			ID: id, Service: "p", Address: string(id), Zone: "z", Slots: 64, Draining: draining, Held: []catalog.HeldModel{{Name: "m"}},
+			ID: id, Service: "p", Address: string(id), Zone: "z", Slots: 64, Draining: draining, LoadedModels: []catalog.LoadedModel{{Name: "m"}},
 		})
 	}
 	n.step(WorkersRead{Workers: workers})
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -123,7 +123,7 @@
 
 // OrderAnswered delivers the answer to a SendOrder.
 type OrderAnswered struct {
-	Answer sequence.Answered
+	Answer sequence.OrderAnswered
 	Order  sequence.Order
 	Took   time.Duration
 }
--- a/fleet/gate.go
+++ b/fleet/gate.go
@@ -109,7 +109,7 @@
 func (g *gate) proofExpired(now time.Time) bool {
 	bound := g.core.config.KeyProof
 	age, proven := g.proofAge(now)
-	return bound > 0 && g.core.compiled.Keyed() && (!proven || age >= bound)
+	return bound > 0 && g.core.compiled.RequiresKeys() && (!proven || age >= bound)
 }
 
 // tick returns unused tokens, and logs when the key proof expires or is renewed.
@@ -128,10 +128,10 @@
 // Arrivals, dispatches and sends all use this check.
 func (g *gate) checkKey(now time.Time, request *gatedRequest) *verdict.Error {
 	compiled := g.core.compiled
-	if request.public || !compiled.Keyed() {
+	if request.public || !compiled.RequiresKeys() {
 		return nil
 	}
-	holder := compiled.Holder(request.credential)
+	holder := compiled.TenantByKeyHash(request.credential)
 	switch {
 	case request.credential == "":
 		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "a key is required")
@@ -149,7 +149,7 @@
 
 // admit passes a request on to the router or refuses it.
 func (g *gate) admit(request routing.Request) {
-	if request.Credential == "" && !g.core.compiled.Keyed() {
+	if request.Credential == "" && !g.core.compiled.RequiresKeys() {
 		g.core.feedRouter(routing.RequestArrived{Request: request})
 		return
 	}
--- a/fleet/load_time.go
+++ b/fleet/load_time.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		switch {
-		case slices.ContainsFunc(worker.Held, func(held catalog.HeldModel) bool { return held.Name == name }):
+		case slices.ContainsFunc(worker.LoadedModels, func(held catalog.LoadedModel) bool { return held.Name == name }):
 			return 0
 		case slices.Contains(worker.InMemory, name):
 			shortest = min(shortest, spec.MemoryTime)
--- a/fleet/planning.go
+++ b/fleet/planning.go
@@ -163,7 +163,7 @@
 func (c *controller) sendOrder(action *placement.Action) {
 	_, _, adapter := catalog.Split(action.Model)
 	sent := false
-	c.feedLedger(sequence.Ordered{
+	c.feedLedger(sequence.OrderRequested{
 		Machine: action.Machine, Kind: action.Kind, Model: action.Model, Bytes: action.Bytes,
 		Adapter: adapter != "", ExpectedTime: c.expectedTime(action),
 	}, func(order sequence.Order) {
--- a/fleet/shell/calls.go
+++ b/fleet/shell/calls.go
@@ -31,7 +31,7 @@
 // logNewFailure logs a failed call unless the previous call of this kind to the machine failed
 // for the same cause. Calls that were cancelled because the node ends are not logged.
 func (n *Node) logNewFailure(call string, machine cluster.MachineID, err error) {
-	if n.context.Err() == nil && n.failures.New(call+" "+string(machine), err) {
+	if n.context.Err() == nil && n.failures.IsNew(call+" "+string(machine), err) {
 		n.options.Log.Write(eventlog.CallFailed{Call: call, Machine: machine, Cause: err.Error()})
 	}
 }
@@ -114,7 +114,7 @@
 func (n *Node) callOrder(effect fleet.SendOrder, decided time.Time) {
 	if n.Now().Sub(decided) > orderTimeout {
 		n.step(fleet.OrderAnswered{
-			Answer: sequence.Answered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Err: errStaleOrder},
+			Answer: sequence.OrderAnswered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Err: errStaleOrder},
 			Order:  effect.Send.Order,
 		})
 		return
@@ -125,7 +125,7 @@
 	outcome, err := n.options.Engines.Order(ctx, effect.Send.Address, effect.Send.Order)
 	n.metrics.countCall("engine order", err)
 	n.step(fleet.OrderAnswered{
-		Answer: sequence.Answered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Outcome: outcome, Err: err},
+		Answer: sequence.OrderAnswered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Outcome: outcome, Err: err},
 		Order:  effect.Send.Order, Took: n.Now().Sub(began),
 	})
 }
--- a/fleet/shell/keys.go
+++ b/fleet/shell/keys.go
@@ -51,7 +51,7 @@
 // callers' keys.
 func (f *follower) requestKeyProof(compiled *catalog.Compiled) {
 	key := ""
-	if compiled.Keyed() && f.options.Core.KeyProof > 0 {
+	if compiled.RequiresKeys() && f.options.Core.KeyProof > 0 {
 		key = f.options.Codec.ConfigurationKey()
 	}
 	if key != f.provenKey {
@@ -99,11 +99,11 @@
 // that case.
 func (n *Node) findKey(ctx context.Context, hash string) (*catalog.Tenant, *verdict.Error) {
 	if n.options.Core.KeyProof <= 0 {
-		return n.compiled.Load().Holder(hash), nil
+		return n.compiled.Load().TenantByKeyHash(hash), nil
 	}
 	for deadline := n.Now().Add(findKeyTimeout); ; {
 		age, proven := n.keyProofAge()
-		if tenant := n.compiled.Load().Holder(hash); tenant != nil {
+		if tenant := n.compiled.Load().TenantByKeyHash(hash); tenant != nil {
 			return tenant, nil
 		}
 		if proven && age < min(rejectionProofAge, n.options.Core.KeyProof) {
--- a/fleet/shell/machinestarts.go
+++ b/fleet/shell/machinestarts.go
@@ -50,9 +50,9 @@
 // may be.
 func (s machineStarts) validate(name cluster.MachineID, entry *catalog.Worker) error {
 	switch known := s[name]; {
-	case known.born != 0 && entry.Born == 0:
+	case known.born != 0 && entry.StartMillis == 0:
 		return errMissingStartTime
-	case entry.Born < known.born:
+	case entry.StartMillis < known.born:
 		return errEarlierStart
 	}
 	return nil
@@ -60,7 +60,7 @@
 
 // record records the start that an entry belongs to.
 func (s machineStarts) record(name cluster.MachineID, entry *catalog.Worker) {
-	s[name] = machineStart{id: entry.ID, born: entry.Born, address: entry.Address}
+	s[name] = machineStart{id: entry.ID, born: entry.StartMillis, address: entry.Address}
 }
 
 // forget removes a machine whose entry is gone. A later entry is not compared with the removed
--- a/fleet/shell/machinestarts_test.go
+++ b/fleet/shell/machinestarts_test.go
@@ -42,7 +42,7 @@
 
 func (c startTimeCodec) DecodeWorker(key string, value []byte) (catalog.Worker, error) {
 	born, err := strconv.ParseInt(string(value), 10, 64)
-	worker := catalog.Worker{ID: c.WorkerID(key), Born: born, Address: "a:1"}
+	worker := catalog.Worker{ID: c.WorkerID(key), StartMillis: born, Address: "a:1"}
 	if born != 0 {
 		worker.ID += cluster.MachineID("@" + string(value))
 	}
--- a/fleet/simulated_engine_test.go
+++ b/fleet/simulated_engine_test.go
@@ -71,7 +71,7 @@
 
 // worker returns the engine's entry.
 func (e *simulatedEngine) worker() catalog.Worker {
-	return catalog.Worker{ID: e.id, Service: "s", Address: string(e.id), Zone: "z", Slots: 8, Held: e.entryReport().Held}
+	return catalog.Worker{ID: e.id, Service: "s", Address: string(e.id), Zone: "z", Slots: 8, LoadedModels: e.entryReport().Held}
 }
 
 // entryReport returns the report in the engine's entry: its state at the last write.
@@ -89,15 +89,15 @@
 	report := catalog.Report{Busy: e.busy, OrderCount: e.orderCount}
 	for _, spec := range simulatedModels {
 		if adapters, held := e.held[spec.Name]; held {
-			report.Held = append(report.Held, catalog.HeldModel{Name: spec.Name, Adapters: slices.Clone(adapters)})
+			report.Held = append(report.Held, catalog.LoadedModel{Name: spec.Name, Adapters: slices.Clone(adapters)})
 		}
 	}
 	for key := range e.loading {
 		if key[len(key)-1] != '/' {
-			report.Coming = append(report.Coming, key+"@1")
+			report.LoadingAdapters = append(report.LoadingAdapters, key+"@1")
 		}
 	}
-	slices.Sort(report.Coming)
+	slices.Sort(report.LoadingAdapters)
 	e.history = append(e.history, engineState{at: now, report: report})
 	if len(e.history) > 200 {
 		e.history = slices.Delete(e.history, 1, 100)
@@ -129,7 +129,7 @@
 // handleOrder executes an order. Some orders are executed although the answer is lost, others
 // without an answer and seconds late.
 func (s *simulation) handleOrder(n *simulatedNode, send SendOrder) {
-	answer := sequence.Answered{Machine: send.Send.Order.Machine, Number: send.Send.Number}
+	answer := sequence.OrderAnswered{Machine: send.Send.Order.Machine, Number: send.Send.Number}
 	reply := func(after time.Duration) {
 		s.after(after, func() { s.step(n, OrderAnswered{Answer: answer, Order: send.Send.Order}) })
 	}
@@ -158,13 +158,13 @@
 	case e == nil:
 		return sequence.OutcomeOtherMachine
 	case s.fenced && order.Token < e.fence:
-		return sequence.OutcomeStale
+		return sequence.OutcomeStaleToken
 	case e.busy, !s.enginesIgnoreCount && order.Expected != e.orderCount:
 		return sequence.OutcomeConflict
 	}
 	_, model, adapter := catalog.Split(order.Model)
 	if adapters, held := e.held[model]; order.Kind == cluster.OrderLoad && held && (adapter == "" || slices.Contains(adapters, adapter)) {
-		return sequence.OutcomeHolds
+		return sequence.OutcomeAlreadyDone
 	}
 	e.fence = max(e.fence, order.Token)
 	e.orderCount++
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -73,13 +73,13 @@
 	before := known.worker
 	known.worker = *worker
 	same := before.ID == worker.ID && before.Draining == worker.Draining && before.Address == worker.Address &&
-		slices.EqualFunc(before.Held, worker.Held, catalog.HeldModel.Equal)
+		slices.EqualFunc(before.LoadedModels, worker.LoadedModels, catalog.LoadedModel.Equal)
 	if same {
 		return false
 	}
 	v.core.log(eventlog.WorkerChanged{
 		Machine: worker.ID, Service: worker.Service, Address: worker.Address, Draining: worker.Draining,
-		Held: len(worker.Held), Revision: revision,
+		Held: len(worker.LoadedModels), Revision: revision,
 	})
 	v.dropConfirmed(&before, worker)
 	v.report(known)
@@ -101,7 +101,7 @@
 // modelsHeldBy returns the models and adapters that an entry lists.
 func modelsHeldBy(worker *catalog.Worker) map[cluster.ModelID]bool {
 	held := make(map[cluster.ModelID]bool)
-	for _, model := range worker.Held {
+	for _, model := range worker.LoadedModels {
 		held[catalog.ModelID(worker.Service, model.Name)] = true
 		for _, adapter := range model.Adapters {
 			held[catalog.AdapterID(worker.Service, model.Name, adapter)] = true
@@ -262,7 +262,7 @@
 		add(catalog.ServiceID(worker.Service), cluster.ReplicaLoaded, 0)
 		return records
 	}
-	for _, held := range worker.Held {
+	for _, held := range worker.LoadedModels {
 		add(catalog.ModelID(worker.Service, held.Name), cluster.ReplicaLoaded, 0)
 		for _, adapter := range held.Adapters {
 			add(catalog.AdapterID(worker.Service, held.Name, adapter), cluster.ReplicaLoaded, 0)
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -25,7 +25,7 @@
 	core.Step(now, MessageReceived{Message: wire.CellStatus{Replicas: []wire.ReplicaRecord{
 		{Machine: "e", Model: "s/c", State: cluster.ReplicaLoading, ReadyIn: 3 * time.Second},
 	}}})
-	entry.Held = []catalog.HeldModel{{Name: "c"}}
+	entry.LoadedModels = []catalog.LoadedModel{{Name: "c"}}
 	effects := core.Step(now.Add(3*time.Second), WorkersRead{Workers: []catalog.Worker{entry}})
 	for _, effect := range effects {
 		if output, ok := effect.(RoutingOutput); ok {
--- a/node/apportioner.go
+++ b/node/apportioner.go
@@ -27,7 +27,7 @@
 	// reportedRevision is the allotment revision in the last zone report.
 	reportedRevision int64
 	nextDivision     time.Time
-	presence         *authority.Presence
+	tracker          *authority.MachineTracker
 	reports          map[cluster.ZoneID]receivedZoneReport
 	plannedReplicas  map[cluster.ModelID]int
 	// transactionPending is true until the transaction of the last division is answered.
@@ -41,10 +41,10 @@
 
 func newApportionerRole(core *Core) *apportionerRole {
 	return &apportionerRole{
-		core:     core,
-		lease:    newLease(core, keyApportioner),
-		presence: authority.NewPresence(machineLag(core.config.Controller)),
-		reports:  map[cluster.ZoneID]receivedZoneReport{},
+		core:    core,
+		lease:   newLease(core, keyApportioner),
+		tracker: authority.NewMachineTracker(machineLag(core.config.Controller)),
+		reports: map[cluster.ZoneID]receivedZoneReport{},
 	}
 }
 
@@ -111,7 +111,7 @@
 }
 
 func (r *apportionerRole) machinesListed(machines []cluster.Machine) {
-	r.presence.Listed(r.core.now, machines)
+	r.tracker.RecordList(r.core.now, machines)
 }
 
 // machineLag returns the configured lag of the machine list, or the default.
@@ -202,9 +202,9 @@
 // delivers the write; a division computed before that fails its compares.
 func (r *apportionerRole) transactionAnswered() { r.transactionPending = false }
 
-func (r *apportionerRole) apportionState() authority.ApportionState {
-	state := authority.ApportionState{
-		Now: r.core.now, Settings: r.core.Snapshot(), Presence: r.presence,
+func (r *apportionerRole) apportionState() authority.ApportionInput {
+	state := authority.ApportionInput{
+		Now: r.core.now, Settings: r.core.Snapshot(), Tracker: r.tracker,
 		GuardRevision: r.core.keyValue.guardRevision,
 	}
 	for _, zone := range r.knownZones() {
@@ -224,7 +224,7 @@
 // knownZones returns, sorted, the zones that have machines or an allotment record.
 func (r *apportionerRole) knownZones() []cluster.ZoneID {
 	known := map[cluster.ZoneID]bool{}
-	for _, machine := range r.presence.Retained() {
+	for _, machine := range r.tracker.Retained() {
 		known[machine.Zone] = true
 	}
 	for zone := range r.core.keyValue.allotments {
--- a/node/shell/calls.go
+++ b/node/shell/calls.go
@@ -50,7 +50,7 @@
 // logCallFailure logs a failed call unless the previous call of the same kind failed
 // for the same reason. Calls canceled by the node's shutdown are not logged.
 func (n *Node) logCallFailure(target, call string, machine cluster.MachineID, err error) {
-	if n.context.Err() != nil || !n.callFailures.New(target+" "+call+" "+string(machine), err) {
+	if n.context.Err() != nil || !n.callFailures.IsNew(target+" "+call+" "+string(machine), err) {
 		return
 	}
 	n.logger.Warn("call failed", "target", target, "call", call, "machine", machine, "error", err)
--- a/passthrough/credential.go
+++ b/passthrough/credential.go
@@ -53,14 +53,14 @@
 // authenticate returns the credential of the caller of a route. An unknown key is refused only if
 // the key store of this node is known to be recent enough; until then the caller waits.
 func (h *Handler) authenticate(compiled *catalog.Compiled, route *catalog.Route, r *http.Request) (credential, *verdict.Error) {
-	if route.Public || !compiled.Keyed() {
+	if route.Public || !compiled.RequiresKeys() {
 		return credential{}, nil
 	}
 	hash, failure := readKey(r.Header)
 	if failure != nil {
 		return credential{}, failure
 	}
-	tenant := compiled.Holder(hash)
+	tenant := compiled.TenantByKeyHash(hash)
 	if tenant == nil && h.FindKey != nil {
 		tenant, failure = h.FindKey(r.Context(), hash)
 	}
@@ -81,7 +81,7 @@
 // the priority of the route orders the requests of tenants with equal rank. With the tenant rank
 // alone, an answer that is due in 0.6 s would wait behind one that is due in 4 s.
 func (e *exchange) rank() int {
-	if e.credential.tenant != nil && e.credential.tenant.Ranked {
+	if e.credential.tenant != nil && e.credential.tenant.OverridesRank {
 		return e.credential.tenant.Rank*routeRanksPerTenantRank + min(max(e.route.Priority, 0), routeRanksPerTenantRank-1)
 	}
 	return e.route.Priority
--- a/passthrough/credential_test.go
+++ b/passthrough/credential_test.go
@@ -54,7 +54,7 @@
 func TestTenantRankPrecedesRoutePriority(t *testing.T) {
 	rank := func(tenant, route int) int {
 		return (&exchange{
-			route: &catalog.Route{Priority: route}, credential: credential{tenant: &catalog.Tenant{Ranked: true, Rank: tenant}},
+			route: &catalog.Route{Priority: route}, credential: credential{tenant: &catalog.Tenant{OverridesRank: true, Rank: tenant}},
 		}).rank()
 	}
 	if rank(0, 2) >= rank(1, 0) || rank(1, 1) >= rank(1, 2) || rank(1, 0) >= rank(1, 1) || rank(1, 2) != rank(1, 7) {
--- a/passthrough/handler.go
+++ b/passthrough/handler.go
@@ -148,7 +148,7 @@
 	}
 	current := h.newExchange(w, r, compiled, route, body, &attributes)
 	current.arrived, current.deadline = arrived, deadline
-	current.credential, current.keyed, current.reserved = caller, compiled.Keyed(), reserved
+	current.credential, current.keyed, current.reserved = caller, compiled.RequiresKeys(), reserved
 	current.recordFingerprint()
 	h.Log.Write(eventlog.RequestAccepted{
 		Request: current.id, Route: route.Name, Version: compiled.Version, Work: current.model,
@@ -209,7 +209,7 @@
 	if id == "" {
 		id = h.NewID()
 	}
-	service := route.Pick(h.splitPosition(route.Name))
+	service := route.PickService(h.splitPosition(route.Name))
 	return &exchange{
 		Handler: h, writer: w, request: r, route: route, attributes: *attributes, body: body, id: id,
 		header: endToEnd(r.Header), model: modelOf(compiled.Service(service), service, attributes),
