--- a/authority/sequence/ledger.go
+++ b/authority/sequence/ledger.go
@@ -243,7 +243,7 @@
 		m := l.machines[id]
 		machines = append(machines, placement.Machine{
 			ID: id, Rack: string(m.worker.Zone), Pool: m.worker.Service, Sealed: !m.runsUnknownOrder, Leaving: m.worker.Draining,
-			MemoryBytes: m.memoryBytes, Slots: m.worker.Slots, AdapterSlots: m.adapterSlots, Busy: m.isBlocked(l.now), BusyFor: m.remainingBusyTime(l.now),
+			MemoryBytes: m.memoryBytes, Slots: m.worker.Slots, AdapterSlots: m.adapterSlots, Busy: m.isBlocked(l.now), OrderTimeLeft: m.remainingBusyTime(l.now),
 			Replicas: m.plannerSlots(size), Cached: m.cacheTiers,
 			Load: cluster.LoadReport{Machine: id, Running: m.runningRequests, Queued: m.waitingRequests},
 		})
--- a/authority/sequence/ledger_unload_test.go
+++ b/authority/sequence/ledger_unload_test.go
@@ -89,7 +89,7 @@
 func TestBusyForReturnsRemainingTime(t *testing.T) {
 	fixture := newLedgerFixture(t, catalog.Report{OrderCount: 3})
 	busyFor := func() time.Duration {
-		return fixture.ledger.Machines(func(cluster.ModelID) int64 { return 0 })[0].BusyFor
+		return fixture.ledger.Machines(func(cluster.ModelID) int64 { return 0 })[0].OrderTimeLeft
 	}
 	if got := busyFor(); got != 0 {
 		t.Fatalf("%v for an idle engine", got)
--- a/demand/aggregator.go
+++ b/demand/aggregator.go
@@ -124,7 +124,7 @@
 	}
 	for model, sum := range l.arrivals {
 		demand := total[model]
-		demand.Arrivals, demand.PromptTokens, demand.PromptSquares = sum.requests, sum.tokens, sum.sumOfSquares
+		demand.Arrivals, demand.PromptTokens, demand.PromptSquareSum = sum.requests, sum.tokens, sum.sumOfSquares
 		total[model] = demand
 	}
 	clear(l.arrivals)
--- a/demand/aggregator_test.go
+++ b/demand/aggregator_test.go
@@ -27,10 +27,10 @@
 	if sum.Arrivals != 4 || sum.PromptTokens != 10600 {
 		t.Errorf("%d arrivals of %d tokens, want 4 of 10600", sum.Arrivals, sum.PromptTokens)
 	}
-	if want := 9000.0*9000 + 2*300*300 + 1000*1000; sum.PromptSquares != want {
-		t.Errorf("squares %.0f, want %.0f", sum.PromptSquares, want)
+	if want := 9000.0*9000 + 2*300*300 + 1000*1000; sum.PromptSquareSum != want {
+		t.Errorf("squares %.0f, want %.0f", sum.PromptSquareSum, want)
 	}
-	if again := ledger.Sum(now)["chat"]; again.Arrivals != 0 || again.PromptTokens != 0 || again.PromptSquares != 0 {
+	if again := ledger.Sum(now)["chat"]; again.Arrivals != 0 || again.PromptTokens != 0 || again.PromptSquareSum != 0 {
 		t.Errorf("the next plan counts %+v again", again)
 	}
 }
--- a/fleet/holder.go
+++ b/fleet/holder.go
@@ -189,7 +189,7 @@
 		c.writeLastHolder()
 	}
 	config := c.plannerConfig()
-	config.AssumeStarts = !c.core.config.FirstStart || c.lastHolderRevision != 0
+	config.EmptyStartBucket = !c.core.config.FirstStart || c.lastHolderRevision != 0
 	c.planner = placement.NewPlanner(config)
 	c.feedLedger(sequence.TermBegan{Holder: c.core.config.Self.ID, Token: c.lease.Token()})
 	c.planStale = true
--- a/fleet/planning.go
+++ b/fleet/planning.go
@@ -66,7 +66,7 @@
 // plannerConfig returns the planner's configuration for the engines in use.
 func (c *controller) plannerConfig() placement.Config {
 	config := c.core.config.Placement
-	config.RetainIdle, config.EvictForLoad, config.OneOrder = true, true, true
+	config.RetainIdle, config.EvictForRunning, config.SerialOrders = true, true, true
 	config.UnloadDropsAdapters, config.AdaptersUnlimited = true, true
 	config.SealGrace = engineReportGrace
 	return config
@@ -102,7 +102,7 @@
 	excess := state.StartsPerSecond * c.core.config.LoadWindow.Seconds() * (c.core.config.LoadOverrun - 1)
 	state.Burst = max(excess, 0)*burstAllowanceShare + burstLoads
 	state.Concurrency = max(int(math.Ceil(state.StartsPerSecond*c.core.config.LoadWindow.Seconds())), 1)
-	state.Bears = cmp.Or(c.learnedStoreLoads, initialStoreLoads)
+	state.InitialConcurrency = cmp.Or(c.learnedStoreLoads, initialStoreLoads)
 	return state
 }
 
@@ -175,7 +175,7 @@
 		})
 	})
 	if !sent {
-		c.planner.Withdraw(action)
+		c.planner.CancelLoad(action)
 	}
 }
 
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -127,7 +127,7 @@
 			for i := range state.Settings.Models {
 				if i%5 == 0 {
 					state.Demand[state.Settings.Models[i].ID] = Demand{
-						Running: 2, Arrivals: 2, PromptTokens: 2 * longPrompt, PromptSquares: 2 * longPrompt * longPrompt,
+						Running: 2, Arrivals: 2, PromptTokens: 2 * longPrompt, PromptSquareSum: 2 * longPrompt * longPrompt,
 					}
 				}
 			}
@@ -154,7 +154,7 @@
 	for i := range waiting {
 		state.Demand[cluster.ModelID(fmt.Sprintf("base-%04d", 300+i))] = Demand{Waiting: 1, Arrivals: 1, EarliestDeadline: 20 * time.Second}
 	}
-	planner := NewPlanner(Config{RetainIdle: true, EvictForLoad: true, AssumeStarts: true})
+	planner := NewPlanner(Config{RetainIdle: true, EvictForRunning: true, EmptyStartBucket: true})
 	b.ReportAllocs()
 	for b.Loop() {
 		planner.Plan(state)
--- a/placement/config.go
+++ b/placement/config.go
@@ -37,27 +37,27 @@
 	Candidates int
 	// RetainIdle keeps idle replicas loaded until their memory is needed for another model.
 	RetainIdle bool
-	// EvictForLoad allows loads for running requests to evict idle replicas. Loads for waiting
+	// EvictForRunning allows loads for running requests to evict idle replicas. Loads for waiting
 	// requests always may.
-	EvictForLoad bool
+	EvictForRunning bool
 	// UnloadDropsAdapters states that unloading a base model also removes its adapters.
 	// Otherwise the planner unloads the adapters first.
 	UnloadDropsAdapters bool
 	// AdaptersUnlimited states that loads of adapters don't count against the limits of the
 	// weight store.
 	AdaptersUnlimited bool
-	// OneOrder states that a machine carries out one order at a time, so that a load from the
+	// SerialOrders states that a machine carries out one order at a time, so that a load from the
 	// weight store delays loads of models that the machine has cached.
-	OneOrder bool
+	SerialOrders bool
 	// SaturatedLoad, if not zero, is the share of a machine's request slots above which running
 	// requests count as waiting, because they slow each other down.
 	SaturatedLoad float64
 	// GrowthFactor, if not zero, limits the wanted replicas to one more than GrowthFactor times
 	// the loaded ones. The queue that builds up before those are loaded does not last.
 	GrowthFactor int
-	// AssumeStarts is set for a planner that replaces another one. Its predecessor may just
+	// EmptyStartBucket is set for a planner that replaces another one. Its predecessor may just
 	// have started as many loads as the weight store allows at once.
-	AssumeStarts bool
+	EmptyStartBucket bool
 	// SealGrace is how long after a takeover no loads are planned while some machines are still
 	// unsealed, because they are about to report their replicas. The default is 3 s.
 	SealGrace time.Duration
--- a/placement/engines_test.go
+++ b/placement/engines_test.go
@@ -12,7 +12,7 @@
 // their base model and don't count adapters against the store's limits.
 func engineConfig() Config {
 	return Config{
-		RetainIdle: true, EvictForLoad: true, UnloadDropsAdapters: true, AdaptersUnlimited: true,
+		RetainIdle: true, EvictForRunning: true, UnloadDropsAdapters: true, AdaptersUnlimited: true,
 		TargetLoad: 0.5, SaturatedLoad: 0.75, GrowthFactor: 2,
 	}
 }
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -227,7 +227,7 @@
 		return cached.loss
 	}
 	cached.bytes, cached.serving = replica.slot.Bytes, serving
-	if r.config.OneOrder {
+	if r.config.SerialOrders {
 		cached.loss = r.evictionCost(replica, tier) + r.drainCost(replica.model)
 	} else {
 		reload := r.loadTime(replica.model, tier)
--- a/placement/eviction_cost.go
+++ b/placement/eviction_cost.go
@@ -81,7 +81,7 @@
 func (r *round) isPreemptible(request *loadRequest, i int32) bool {
 	model := &r.models[i]
 	spare := model.serving > max(model.neededForRequests, 1) && model.serving-model.loaded == 0
-	return r.config.OneOrder && request.class == classWaiting && spare
+	return r.config.SerialOrders && request.class == classWaiting && spare
 }
 
 // drainCost returns the cost of the streams that a replica of a model with requests must finish
--- a/placement/fleet_bench_test.go
+++ b/placement/fleet_bench_test.go
@@ -19,7 +19,7 @@
 				catalogue = append(catalogue, testModel(fmt.Sprintf("base-%04d", i), func(m *settings.Model) { m.Policy.Memory = 30 * gigabyte }))
 			}
 			state := testState(testSnapshot(1, catalogue...), s.machines)
-			state.Store = StoreState{StartsPerSecond: 2800, Concurrency: 14000, Speed: 1, Burst: 100, Bears: 400}
+			state.Store = StoreState{StartsPerSecond: 2800, Concurrency: 14000, Speed: 1, Burst: 100, InitialConcurrency: 400}
 			held := s.models * 9 / 10
 			for i := range s.machines {
 				for k := range 2 {
@@ -30,7 +30,7 @@
 				state.Demand[cluster.ModelID(fmt.Sprintf("base-%04d", held+i))] = Demand{Waiting: 1, Arrivals: 1, EarliestDeadline: 20 * time.Second}
 				state.Demand[cluster.ModelID(fmt.Sprintf("base-%04d", i))] = Demand{Running: 3, Arrivals: 1}
 			}
-			planEachSecond(b, NewPlanner(Config{RetainIdle: true, EvictForLoad: true, OneOrder: true, UnloadDropsAdapters: true, AdaptersUnlimited: true}), &state)
+			planEachSecond(b, NewPlanner(Config{RetainIdle: true, EvictForRunning: true, SerialOrders: true, UnloadDropsAdapters: true, AdaptersUnlimited: true}), &state)
 		})
 	}
 }
--- a/placement/learning_test.go
+++ b/placement/learning_test.go
@@ -115,7 +115,7 @@
 	now, begun, finished := start, 0, 0
 	bytes := int64(seconds * store.bytesPerSecond[cluster.TierRemote])
 	for finished < loads {
-		store.beginRound(now, StoreState{StartsPerSecond: 100, Concurrency: 100, Bears: 4, Speed: 1})
+		store.beginRound(now, StoreState{StartsPerSecond: 100, Concurrency: 100, InitialConcurrency: 4, Speed: 1})
 		for _, i := range slices.Backward(simulated.runFor(step.Seconds())) {
 			store.observeFinished(keys[i], now)
 			keys, simulated.secondsLeft = slices.Delete(keys, i, i+1), slices.Delete(simulated.secondsLeft, i, i+1)
@@ -194,7 +194,7 @@
 	base := testModel("base", func(m *settings.Model) { m.Policy.MaxReplicas = 9 })
 	state := testState(testSnapshot(1, base, adapterOf("base", "adapter")), 2)
 	addLoadedReplica(&state, 0, "base")
-	state.Store = StoreState{StartsPerSecond: 9, Concurrency: 99, Bears: 4, Speed: 1}
+	state.Store = StoreState{StartsPerSecond: 9, Concurrency: 99, InitialConcurrency: 4, Speed: 1}
 	state.Demand["adapter"] = Demand{Waiting: 1, Arrivals: 1}
 	planner := NewPlanner(engineConfig())
 	engine := fakeEngines{loadTimeFactor: 1, completesAt: map[loadKey]time.Time{}}
--- a/placement/place.go
+++ b/placement/place.go
@@ -202,7 +202,7 @@
 
 // mayEvict reports whether a load of the class may evict idle replicas.
 func (r *round) mayEvict(class loadClass) bool {
-	return class <= classMinimum || r.config.EvictForLoad && class <= classMissingCopy
+	return class <= classMinimum || r.config.EvictForRunning && class <= classMissingCopy
 }
 
 // bestScore returns the best score without an eviction, or infinity if there is none.
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -84,8 +84,8 @@
 	return r.finish()
 }
 
-// Withdraw undoes a load of the last plan whose order was not given.
-func (p *planner) Withdraw(a *Action) {
+// CancelLoad undoes a load of the last plan whose order was not given.
+func (p *planner) CancelLoad(a *Action) {
 	if a.Kind != cluster.OrderLoad {
 		return
 	}
--- a/placement/prefill_test.go
+++ b/placement/prefill_test.go
@@ -27,7 +27,7 @@
 	}
 	addLoadedReplica(&state, 0, "booking")
 	config := engineConfig()
-	config.OneOrder = true
+	config.SerialOrders = true
 	return state, NewPlanner(config)
 }
 
@@ -36,7 +36,7 @@
 func promptDemand(count, tokens int) Demand {
 	return Demand{
 		Running: min(count, 1), Arrivals: count, PromptTokens: count * tokens,
-		PromptSquares: float64(count) * float64(tokens) * float64(tokens),
+		PromptSquareSum: float64(count) * float64(tokens) * float64(tokens),
 	}
 }
 
--- a/placement/round.go
+++ b/placement/round.go
@@ -141,7 +141,7 @@
 	for i := range r.models {
 		id := r.catalogue.entries[i].model.ID
 		r.models[i] = modelState{firstReplica: noIndex, demand: r.state.Demand[id]}
-		r.models[i].promptsArrived = promptSum{tokens: float64(r.models[i].demand.PromptTokens), squares: r.models[i].demand.PromptSquares}
+		r.models[i].promptsArrived = promptSum{tokens: float64(r.models[i].demand.PromptTokens), squares: r.models[i].demand.PromptSquareSum}
 		for next < len(allotments) && allotments[next].Model < id {
 			next++
 		}
@@ -168,7 +168,7 @@
 	}
 	r.models[base].adapterArrivals += demand.Arrivals
 	r.models[base].promptsArrived.tokens += float64(demand.PromptTokens)
-	r.models[base].promptsArrived.squares += demand.PromptSquares
+	r.models[base].promptsArrived.squares += demand.PromptSquareSum
 }
 
 // indexMachines adds every machine and its replicas.
@@ -206,7 +206,7 @@
 			continue
 		}
 		r.models[i].bestTier = max(r.models[i].bestTier, tier)
-		if machine.BusyFor <= r.loadTime(i, tier) {
+		if machine.OrderTimeLeft <= r.loadTime(i, tier) {
 			r.models[i].localCopies++
 		}
 	}
--- a/placement/store.go
+++ b/placement/store.go
@@ -66,7 +66,7 @@
 }
 
 func newStoreModel(config Config) storeModel {
-	return storeModel{bytesPerSecond: config.BytesPerSecond, pending: make(map[loadKey]pendingLoad), speed: 1, assumeStarts: config.AssumeStarts}
+	return storeModel{bytesPerSecond: config.BytesPerSecond, pending: make(map[loadKey]pendingLoad), speed: 1, assumeStarts: config.EmptyStartBucket}
 }
 
 // beginRound takes over the store's state for a round and refills the token bucket of starts.
@@ -82,7 +82,7 @@
 		if !s.assumeStarts {
 			s.startTokens = s.startBurst()
 		}
-		s.sustainable.estimate = float64(cmp.Or(state.Bears, s.limit))
+		s.sustainable.estimate = float64(cmp.Or(state.InitialConcurrency, s.limit))
 	} else {
 		passed := max(now.Sub(s.refilledAt).Seconds(), 0)
 		s.startTokens = min(s.startBurst(), s.startTokens+s.startsPerSec*passed)
--- a/placement/store_load_gain.go
+++ b/placement/store_load_gain.go
@@ -82,7 +82,7 @@
 // storeLoadIsWorthwhile reports whether a load from the weight store serves at least as many
 // requests, by weight, as it delays on the machine.
 func (r *round) storeLoadIsWorthwhile(i, m int32, loadTime time.Duration) bool {
-	if !r.config.OneOrder {
+	if !r.config.SerialOrders {
 		return true
 	}
 	return r.storeLoadGain(i, loadTime) >= displacedRequestWeight*r.exclusiveArrivalRate(m)*loadTime.Seconds()
@@ -114,7 +114,7 @@
 // be reloaded quickly.
 func (r *round) lacksCopy(i int32) bool {
 	model, entry := &r.models[i], &r.catalogue.entries[i]
-	if !r.config.OneOrder || entry.base != noIndex || model.wanted > 0 || model.held > 0 || model.bestTier != cluster.TierRemote {
+	if !r.config.SerialOrders || entry.base != noIndex || model.wanted > 0 || model.held > 0 || model.bestTier != cluster.TierRemote {
 		return false
 	}
 	return entry.history.arrivalRate.perSecond > minArrivalRate
--- a/placement/store_load_gain_test.go
+++ b/placement/store_load_gain_test.go
@@ -26,7 +26,7 @@
 		return time.Second
 	}
 	config := engineConfig()
-	config.OneOrder = true
+	config.SerialOrders = true
 	return state, NewPlanner(config)
 }
 
--- a/placement/store_starts_test.go
+++ b/placement/store_starts_test.go
@@ -20,7 +20,7 @@
 		if len(plan.Actions) != 1 {
 			t.Fatalf("round %d: %d actions, want the load again", round, len(plan.Actions))
 		}
-		planner.Withdraw(&plan.Actions[0])
+		planner.CancelLoad(&plan.Actions[0])
 		state.Now = state.Now.Add(30 * time.Millisecond)
 	}
 }
@@ -44,7 +44,7 @@
 	var planner *AdaptivePlanner
 	for step := range 400 {
 		if step%110 == 0 {
-			planner = NewPlanner(Config{AssumeStarts: step > 0})
+			planner = NewPlanner(Config{EmptyStartBucket: step > 0})
 		}
 		state.Now = begin.Add(time.Duration(step) * 25 * time.Millisecond)
 		for _, action := range planner.Plan(state).Actions {
--- a/placement/types.go
+++ b/placement/types.go
@@ -13,8 +13,8 @@
 	// Arrivals counts the requests that arrived since the last plan, and PromptTokens the
 	// tokens of their prompts.
 	Arrivals, PromptTokens int
-	// PromptSquares is a lower bound of the sum of the squared token counts of these prompts.
-	PromptSquares float64
+	// PromptSquareSum is a lower bound of the sum of the squared token counts of these prompts.
+	PromptSquareSum float64
 	// OldestWait is the age of the oldest waiting request. EarliestDeadline is the time left
 	// until the earliest deadline of the waiting requests.
 	OldestWait, EarliestDeadline time.Duration
@@ -48,10 +48,10 @@
 	Slots        int
 	// AdapterSlots is the maximum number of adapters on the machine. Zero means no limit.
 	AdapterSlots int
-	// Busy reports that the machine is carrying out an order and takes no other. BusyFor is the
+	// Busy reports that the machine is carrying out an order and takes no other. OrderTimeLeft is the
 	// expected remaining time of that order, zero when it is unknown.
-	Busy    bool
-	BusyFor time.Duration
+	Busy          bool
+	OrderTimeLeft time.Duration
 	// Replicas lists the replicas on the machine, reserved ones included, sorted by model.
 	Replicas []Slot
 	Cached   map[cluster.ModelID]cluster.Tier
@@ -65,9 +65,9 @@
 	// at once.
 	StartsPerSecond float64
 	Concurrency     int
-	// Bears is the initial estimate of how many concurrent loads the store serves at full
+	// InitialConcurrency is the initial estimate of how many concurrent loads the store serves at full
 	// speed, used until loads have been observed. Zero stands for Concurrency.
-	Bears int
+	InitialConcurrency int
 	// Speed is the present speed of the store as a share of its full speed.
 	Speed float64
 	// Burst is how many loads may start at once after a pause. Zero stands for the starts of
--- a/placement/wait.go
+++ b/placement/wait.go
@@ -49,7 +49,7 @@
 // begins now, and it occupies neither the store nor another machine.
 func (r *round) busyWait(request *loadRequest, m int32) (pendingWait, bool) {
 	machine, i := &r.state.Machines[m], request.model
-	if machine.BusyFor <= 0 || machine.Cached[r.catalogue.entries[i].model.ID] == cluster.TierRemote {
+	if machine.OrderTimeLeft <= 0 || machine.Cached[r.catalogue.entries[i].model.ID] == cluster.TierRemote {
 		return pendingWait{}, false
 	}
 	if r.failedFilter(i, m) != filterBusy {
@@ -59,7 +59,7 @@
 	if !ok || needs.storeLoads > 0 || r.lacksAdapterSlot(i, m) {
 		return pendingWait{}, false
 	}
-	seconds := (machine.BusyFor + r.machines[m].queuedLoadTime).Seconds() + r.machineScore(i, m, &needs) + r.prefillScore(m, request.class)
+	seconds := (machine.OrderTimeLeft + r.machines[m].queuedLoadTime).Seconds() + r.machineScore(i, m, &needs) + r.prefillScore(m, request.class)
 	if needs.bytes > r.machines[m].freeAfterUnloads {
 		if _, enough := r.selectVictims(request, m, needs.bytes); !enough {
 			return pendingWait{}, false
--- a/placement/wait_test.go
+++ b/placement/wait_test.go
@@ -13,7 +13,7 @@
 func busyWaitState(busyFor time.Duration) State {
 	state := testState(testSnapshot(1, testModel("assistant", nil), testModel("booking", nil)), 2)
 	state.Machines[0].Cached["booking"] = cluster.TierDisk
-	state.Machines[0].Busy, state.Machines[0].BusyFor = true, busyFor
+	state.Machines[0].Busy, state.Machines[0].OrderTimeLeft = true, busyFor
 	state.Demand["booking"] = Demand{Waiting: 1, Arrivals: 1}
 	return state
 }
@@ -33,7 +33,7 @@
 		t.Fatalf("decisions %+v, want the cause %q", plan.Decisions, CauseMachineBusy)
 	}
 	state.Now = state.Now.Add(300 * time.Millisecond)
-	state.Machines[0].Busy, state.Machines[0].BusyFor = false, 0
+	state.Machines[0].Busy, state.Machines[0].OrderTimeLeft = false, 0
 	plan = planner.Plan(state)
 	if len(plan.Actions) != 1 || plan.Actions[0].Machine != state.Machines[0].ID || plan.Actions[0].Tier != cluster.TierDisk {
 		t.Fatalf("actions %v, want the load from disk", actionsOf(plan))
--- a/placement/world_simulation_test.go
+++ b/placement/world_simulation_test.go
@@ -109,7 +109,7 @@
 	w.state.LoadTime = w.loadTime
 	concurrency := w.between(2, 8)
 	w.state.Store = StoreState{
-		StartsPerSecond: 0.5 + 2.5*w.random.Float64(), Concurrency: concurrency, Bears: concurrency, Speed: 1, Burst: 4,
+		StartsPerSecond: 0.5 + 2.5*w.random.Float64(), Concurrency: concurrency, InitialConcurrency: concurrency, Speed: 1, Burst: 4,
 	}
 	w.planner = NewPlanner(w.config)
 	return w
@@ -119,7 +119,7 @@
 // and keep idle models.
 func serialOrderConfig() Config {
 	return Config{
-		RetainIdle: true, EvictForLoad: true, OneOrder: true, UnloadDropsAdapters: true, AdaptersUnlimited: true,
+		RetainIdle: true, EvictForRunning: true, SerialOrders: true, UnloadDropsAdapters: true, AdaptersUnlimited: true,
 		TargetLoad: 0.4, TargetRunning: 9, SaturatedLoad: 0.6, SaturatedRunning: 16, GrowthFactor: 2,
 	}
 }
@@ -297,7 +297,7 @@
 		}
 		if m.hot {
 			demand.PromptTokens = m.arrivals * w.promptTokens
-			demand.PromptSquares = float64(demand.PromptTokens) * float64(w.promptTokens)
+			demand.PromptSquareSum = float64(demand.PromptTokens) * float64(w.promptTokens)
 		}
 		m.arrivals = 0
 		if demand != (Demand{}) {
@@ -306,10 +306,10 @@
 	}
 	for i := range w.state.Machines {
 		machine := &w.state.Machines[i]
-		machine.Busy, machine.BusyFor = false, 0
+		machine.Busy, machine.OrderTimeLeft = false, 0
 		for _, slot := range machine.Replicas {
 			if due, pending := w.completesAt[loadKey{machine: machine.ID, model: slot.Model}]; pending {
-				machine.Busy, machine.BusyFor = true, max(machine.BusyFor, due.Sub(now))
+				machine.Busy, machine.OrderTimeLeft = true, max(machine.OrderTimeLeft, due.Sub(now))
 			}
 		}
 	}
@@ -324,7 +324,7 @@
 		action := &plan.Actions[k]
 		at := slices.IndexFunc(w.state.Machines, func(m Machine) bool { return m.ID == action.Machine })
 		if action.Model == w.withheld || given[action.Machine] || w.state.Machines[at].Busy {
-			w.planner.Withdraw(action)
+			w.planner.CancelLoad(action)
 			continue
 		}
 		given[action.Machine] = true
