--- a/api/callers.go
+++ b/api/callers.go
@@ -49,9 +49,9 @@
 	// BodyReadTimeout limits the time for reading a request body, and WriteStallTimeout how long a
 	// write may wait for a caller that does not read its response. Zero means the default.
 	BodyReadTimeout, WriteStallTimeout time.Duration
-	// Stopping is cancelled when the node stops, upon which requests whose body is still being
+	// ShutdownContext is cancelled when the node stops, upon which requests whose body is still being
 	// read are refused. It may be nil.
-	Stopping context.Context
+	ShutdownContext context.Context
 	// MaxDeadline limits the deadline that a caller may request. Zero means DefaultMaxDeadline.
 	MaxDeadline time.Duration
 	Logger      *slog.Logger
@@ -104,8 +104,8 @@
 	c.WriteStallTimeout = cmp.Or(c.WriteStallTimeout, DefaultWriteStallTimeout)
 	c.MaxDeadline = cmp.Or(c.MaxDeadline, DefaultMaxDeadline)
 	c.Logger = cmp.Or(c.Logger, slog.New(slog.DiscardHandler))
-	if c.Stopping == nil {
-		c.Stopping = context.Background()
+	if c.ShutdownContext == nil {
+		c.ShutdownContext = context.Background()
 	}
 	if c.Now == nil {
 		c.Now = time.Now
--- a/api/callers_body.go
+++ b/api/callers_body.go
@@ -53,7 +53,7 @@
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(c.BodyReadTimeout))
-	cancelInterrupt := context.AfterFunc(c.Stopping, func() { _ = control.SetReadDeadline(time.Now()) })
+	cancelInterrupt := context.AfterFunc(c.ShutdownContext, func() { _ = control.SetReadDeadline(time.Now()) })
 	body, err := readAll(http.MaxBytesReader(w, r.Body, c.MaxBodyBytes), r.ContentLength)
 	stopped := !cancelInterrupt()
 	var tooLarge *http.MaxBytesError
--- a/api/callers_errors.go
+++ b/api/callers_errors.go
@@ -134,11 +134,11 @@
 	}
 }
 
-// Dismissal returns a response that closes a connection without a request in progress. It has
+// UnsolicitedTimeoutResponse returns a response that closes a connection without a request in progress. It has
 // status 408, which a server may send without a request (RFC 9110, 15.5.9): clients drop an idle
 // connection on which they receive it, and treat it as the response to a request that they sent at
 // the same time.
-func Dismissal(failure *verdict.Error) []byte {
+func UnsolicitedTimeoutResponse(failure *verdict.Error) []byte {
 	body := append(encodeError(http.StatusRequestTimeout, failure, ""), '\n')
 	response := http.Response{
 		StatusCode: http.StatusRequestTimeout, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{},
--- a/api/callers_overload_test.go
+++ b/api/callers_overload_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// TestBoundedRefusesWithoutServing guards against an overloaded node that still serves requests. A
+// TestAdmissionHandlerRefusesWithoutServing guards against an overloaded node that still serves requests. A
 // refused request must get the verdict not-run and a time to retry, and its connection must be
 // closed. An admitted request must reach the next handler.
-func TestBoundedRefusesWithoutServing(t *testing.T) {
+func TestAdmissionHandlerRefusesWithoutServing(t *testing.T) {
 	for _, admitted := range []bool{true, false} {
 		served := false
 		next := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served = true })
 		recorder := httptest.NewRecorder()
-		Bounded(next, func() (time.Duration, bool) { return time.Second, admitted }).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/models", nil))
+		AdmissionHandler(next, func() (time.Duration, bool) { return time.Second, admitted }).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/models", nil))
 		if served != admitted {
 			t.Errorf("admitted %t: served %t", admitted, served)
 		}
--- a/node/keyvalue.go
+++ b/node/keyvalue.go
@@ -132,7 +132,7 @@
 		}
 		c.pairReceived(pair, answer.Revision)
 	}
-	loaded, stamp, err := settings.FromPairs(tree)
+	loaded, stamp, err := settings.DecodeTreePairs(tree)
 	switch {
 	case err != nil:
 		c.emit(RecordUnreadable{Key: settings.KeyPrefix, Err: err})
--- a/node/shell/node.go
+++ b/node/shell/node.go
@@ -196,16 +196,16 @@
 // serve starts the caller and administration HTTP servers.
 func (n *Node) serve(callers, admin net.Listener) {
 	handler := api.NewCallers(api.CallersConfig{
-		Node:         n.self.ID,
-		Runner:       n.keys,
-		Settings:     n.settings.Load,
-		MaxBodyBytes: n.config.MaxBodyBytes,
-		Logger:       n.logger,
-		Now:          n.Now,
-		Observe:      n.metrics.observeRequest,
-		Stopping:     n.admissionContext,
+		Node:            n.self.ID,
+		Runner:          n.keys,
+		Settings:        n.settings.Load,
+		MaxBodyBytes:    n.config.MaxBodyBytes,
+		Logger:          n.logger,
+		Now:             n.Now,
+		Observe:         n.metrics.observeRequest,
+		ShutdownContext: n.admissionContext,
 	})
-	n.callers = n.newServer(n.closeConnectionsOnDrain(api.Bounded(handler, n.latenessMeter.Admit)))
+	n.callers = n.newServer(n.closeConnectionsOnDrain(api.AdmissionHandler(handler, n.latenessMeter.Admit)))
 	n.callers.ConnState = n.connections.connStateChanged
 	n.listener = n.connections.wrapListener(callers)
 	n.admin = n.newServer(n.adminHandler())
--- a/node/shell/stop.go
+++ b/node/shell/stop.go
@@ -118,7 +118,7 @@
 	_ = n.listener.Close()
 	failure := verdict.New(verdict.NotRun, verdict.CodeNodeDraining,
 		"this node has stopped; another one takes the request").After(routing.DefaultDrainRetryAfter)
-	n.connections.closeIdle(ctx, api.Dismissal(failure))
+	n.connections.closeIdle(ctx, api.UnsolicitedTimeoutResponse(failure))
 }
 
 // closeConnectionsOnDrain makes connections close after the current answer while the
--- a/settings/layout.go
+++ b/settings/layout.go
@@ -154,9 +154,9 @@
 	return operations, nil
 }
 
-// FromPairs decodes the tree from all pairs below KeyPrefix, which must be read at one revision.
+// DecodeTreePairs decodes the tree from all pairs below KeyPrefix, which must be read at one revision.
 // Without a head record it returns the empty tree and a zero stamp.
-func FromPairs(pairs []keyvalue.KeyValue) (*Tree, Stamp, error) {
+func DecodeTreePairs(pairs []keyvalue.KeyValue) (*Tree, Stamp, error) {
 	var levels []*Level
 	var record headRecord
 	for _, pair := range pairs {
--- a/settings/refresh.go
+++ b/settings/refresh.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	tree, _, err := FromPairs(pairs)
+	tree, _, err := DecodeTreePairs(pairs)
 	if err != nil {
 		return nil, eris.Wrap(err, "read settings")
 	}
