--- a/fleet/shell/callerconn_test.go
+++ b/fleet/shell/callerconn_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestWriteToStalledCallerFails guards against writes that block forever on a caller that reads
-// nothing. A write must fail after StalledFor without progress, and must not while the caller
+// nothing. A write must fail after StallTimeout without progress, and must not while the caller
 // reads a byte now and then.
 func TestWriteToStalledCallerFails(t *testing.T) {
 	t.Run("nothing is read", func(t *testing.T) {
--- a/fleet/shell/slowcallers.go
+++ b/fleet/shell/slowcallers.go
@@ -40,8 +40,8 @@
 // CallerBounds limits what is buffered for callers and machines that read slowly. Zero fields
 // take defaults.
 type CallerBounds struct {
-	// StalledFor is how long a caller's connection may accept no byte before it is closed.
-	StalledFor time.Duration
+	// StallTimeout is how long a caller's connection may accept no byte before it is closed.
+	StallTimeout time.Duration
 	// SocketBytes limits the kernel buffer of a connection in each direction.
 	SocketBytes int
 	// RetainedBytes limits the bytes that the node buffers of all requests and answers.
@@ -52,7 +52,7 @@
 
 // withDefaults returns the limits with defaults for zero fields.
 func (b CallerBounds) withDefaults() CallerBounds {
-	b.StalledFor = cmp.Or(b.StalledFor, defaultStalledFor)
+	b.StallTimeout = cmp.Or(b.StallTimeout, defaultStalledFor)
 	b.SocketBytes = cmp.Or(b.SocketBytes, defaultSocketBytes)
 	b.RetainedBytes = cmp.Or(b.RetainedBytes, defaultRetainedBytes)
 	return b
@@ -98,7 +98,7 @@
 	return &callerConn{Conn: connection, node: l.node}, nil
 }
 
-// callerConn is a caller's connection. A write fails if the caller reads nothing for StalledFor,
+// callerConn is a caller's connection. A write fails if the caller reads nothing for StallTimeout,
 // or if the node has no room to buffer while it waits for that.
 type callerConn struct {
 	net.Conn
@@ -130,7 +130,7 @@
 
 // attemptTimeout returns the duration of one write attempt.
 func (c *callerConn) attemptTimeout() time.Duration {
-	return c.node.options.Callers.StalledFor / attemptsPerStall
+	return c.node.options.Callers.StallTimeout / attemptsPerStall
 }
 
 // extendDeadline extends the write deadline if less than half of an attempt is left.
--- a/fleet/shell/slowcallers_test.go
+++ b/fleet/shell/slowcallers_test.go
@@ -148,7 +148,7 @@
 			d.registerEngine("e1", machine.address)
 			// The timeout is longer than the callers take to connect, so that all are connected
 			// at once.
-			bounds := shell.CallerBounds{StalledFor: 3 * time.Second, SocketBytes: socketBytes, RetainedBytes: test.retained}
+			bounds := shell.CallerBounds{StallTimeout: 3 * time.Second, SocketBytes: socketBytes, RetainedBytes: test.retained}
 			node := d.startNode("n1", func(o *shell.Options) { o.Callers = bounds })
 			reportMemory(t, "before")
 			name := func(i int) string { return fmt.Sprintf("slow-%d", i) }
@@ -199,7 +199,7 @@
 	d.registerEngine("e1", machine.address)
 	output := &logText{}
 	node := d.startNode("n1", func(o *shell.Options) {
-		o.Callers = shell.CallerBounds{StalledFor: 300 * time.Millisecond}
+		o.Callers = shell.CallerBounds{StallTimeout: 300 * time.Millisecond}
 		o.Log = eventlog.New(output, eventlog.Options{})
 	})
 	d.requestWithoutReading(node, "slow")
