--- a/standin/metadata/server.go
+++ b/standin/metadata/server.go
@@ -124,7 +124,7 @@
 }
 
 func toItem(pair keyvalue.KeyValue) platform.Item {
-	return platform.Item{Key: pair.Key, Value: pair.Value, Changed: pair.ModRevision, Made: pair.CreateRevision, Lease: pair.Lease}
+	return platform.Item{Key: pair.Key, Value: pair.Value, ModRevision: pair.ModRevision, CreateRevision: pair.CreateRevision, Lease: pair.Lease}
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -200,7 +200,7 @@
 	changes := platform.WatchAnswer{At: batch.Revision, Events: []platform.Item{}}
 	for _, event := range batch.Events {
 		changed := s.visibleItem(event.KeyValue)
-		changed.Gone = event.Deleted
+		changed.Deleted = event.Deleted
 		changes.Events = append(changes.Events, changed)
 	}
 	return changes
