--- a/demo/race_test.go
+++ b/demo/concurrent_edits_test.go
@@ -16,34 +16,33 @@
 )
 
 const (
-	raceWriters       = 8
-	raceEditsEach     = 63
-	raceLostAnswers   = 0.1
-	raceAttempts      = 200
-	raceContestedPath = "/dental/assistant"
+	writerCount           = 8
+	editsPerWriter        = 63
+	lostAnswerProbability = 0.1
+	maxAttempts           = 200
+	contestedPath         = "/dental/assistant"
 )
 
-// TestOperatorsRace lets 8 writers make 504 edits through the administration
-// APIs of three nodes while one answer in ten of the key-value service is lost
-// after its effect. Every second edit is of a key that all writers contest.
-// Each accepted edit must stand in the history exactly once, in the order of its
-// revision, and the last be in force on every node.
-func TestOperatorsRace(t *testing.T) {
+// Eight writers commit 504 edits through the administration APIs of three nodes,
+// half of them to one path, while the key-value service loses one answer in ten
+// after it applied the transaction. Guards against edits that are lost, applied
+// twice, out of revision order or not in force on every node.
+func TestConcurrentEditsAreCommittedExactlyOnce(t *testing.T) {
 	t.Parallel()
 	running, err := Start(t.Context(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	running.platform.keyValue.Inject(fault.Order{Kind: fault.KindLoseAnswer, Probability: raceLostAnswers})
+	running.platform.keyValue.Inject(fault.Order{Kind: fault.KindLoseAnswer, Probability: lostAnswerProbability})
 	var (
 		writers  sync.WaitGroup
 		mutex    sync.Mutex
 		accepted = map[string]int64{}
 	)
-	for number := range raceWriters {
+	for number := range writerCount {
 		writers.Go(func() {
-			writer := raceWriter{client: running.adminClient(number), number: number, models: running.models}
-			for i := range raceEditsEach {
+			writer := editWriter{client: running.adminClient(number), number: number, models: running.models}
+			for i := range editsPerWriter {
 				id, revision, err := writer.edit(t.Context(), i)
 				if err != nil {
 					t.Errorf("writer %d, edit %d: %v", number, i, err)
@@ -73,24 +72,24 @@
 	}
 }
 
-// raceWriter is one operator.
-type raceWriter struct {
+// editWriter commits edits as one operator.
+type editWriter struct {
 	client *admin.Client
 	number int
 	models modelSet
 }
 
-// edit makes one edit and returns its id and revision. After a conflict it reads
-// the tree again and makes the edit anew under another id; after an unknown
-// outcome it gives the same edit again.
-func (w *raceWriter) edit(ctx context.Context, index int) (string, int64, error) {
-	path := raceContestedPath
+// edit commits one edit and returns its ID and revision. After a conflict it
+// reads the tree again and commits the edit under a new ID. After an unknown
+// outcome it sends the edit again under the same ID.
+func (w *editWriter) edit(ctx context.Context, index int) (string, int64, error) {
+	path := contestedPath
 	if index%2 == 1 {
 		path += "/" + w.models.Assistants[w.number]
 	}
 	var last error
-	for attempt := range raceAttempts {
-		_, base, err := w.client.Tree(ctx, raceContestedPath, true)
+	for attempt := range maxAttempts {
+		_, base, err := w.client.Tree(ctx, contestedPath, true)
 		if err != nil {
 			last = err
 			continue
@@ -99,10 +98,10 @@
 			ID:      fmt.Sprintf("writer-%d-edit-%d-attempt-%d", w.number, index, attempt),
 			Message: "race",
 			Changes: []settings.Change{{Path: path, Set: map[string]settings.Value{
-				"keep_alive": settings.Value(fmt.Sprintf("%q", fmt.Sprintf("%ds", 100+w.number*raceEditsEach+index))),
+				"keep_alive": settings.Value(fmt.Sprintf("%q", fmt.Sprintf("%ds", 100+w.number*editsPerWriter+index))),
 			}}},
 		}
-		entry, err := w.settle(ctx, request, base)
+		entry, err := w.commitUntilKnown(ctx, request, base)
 		if err == nil {
 			return request.ID, entry.Revision, nil
 		}
@@ -115,10 +114,10 @@
 	return "", 0, last
 }
 
-// settle gives an edit until its outcome is known.
-func (w *raceWriter) settle(ctx context.Context, request admin.EditRequest, base admin.Stamp) (settings.Entry, error) {
+// commitUntilKnown sends an edit until its outcome is known.
+func (w *editWriter) commitUntilKnown(ctx context.Context, request admin.EditRequest, base admin.Stamp) (settings.Entry, error) {
 	var last error
-	for range raceAttempts {
+	for range maxAttempts {
 		entry, err := w.client.Edit(ctx, request, base)
 		var failed *admin.RequestError
 		if err == nil || errors.As(err, &failed) && failed.Status != http.StatusServiceUnavailable {
@@ -129,7 +128,8 @@
 	return settings.Entry{}, last
 }
 
-// checkHistory reads the whole history and returns the newest revision.
+// checkHistory checks that the history has every accepted edit exactly once and
+// returns the newest revision.
 func checkHistory(t *testing.T, client *admin.Client, accepted map[string]int64) int64 {
 	t.Helper()
 	seen := map[string]int64{}
@@ -162,22 +162,23 @@
 			t.Errorf("edit %s was accepted as revision %d, the history has %d", id, revision, seen[id])
 		}
 	}
-	if len(accepted) != raceWriters*raceEditsEach || newest != int64(len(accepted))+1 {
+	if len(accepted) != writerCount*editsPerWriter || newest != int64(len(accepted))+1 {
 		t.Errorf("%d accepted edits lead to revision %d", len(accepted), newest)
 	}
 	return newest
 }
 
-// inForcePolls bounds the wait for a revision on every node.
-const inForcePolls = 1500
+// maxInForcePolls bounds the wait for a revision on each node.
+const maxInForcePolls = 1500
 
-// checkInForce waits until every node has the revision, all with one digest.
+// checkInForce waits until every node has the revision in force and checks that
+// all nodes have the same stamp.
 func (d *Demo) checkInForce(t *testing.T, revision int64) {
 	t.Helper()
 	want := settings.Stamp{}
 	for i, started := range d.nodes {
 		polls := 0
-		for started.Settings().Stamp.Revision < revision && polls < inForcePolls {
+		for started.Settings().Stamp.Revision < revision && polls < maxInForcePolls {
 			time.Sleep(20 * time.Millisecond)
 			polls++
 		}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -18,20 +18,19 @@
 )
 
 const (
-	// nodesPerZone of the demo.
 	nodesPerZone = 1
-	// readyTimeout bounds the start until every node has settings in force.
+	// readyTimeout bounds the wait until every node has settings in force.
 	readyTimeout = 20 * time.Second
-	// drainTime of the demo's nodes.
+	// drainTime is how long a stopping node waits for its running requests.
 	drainTime = 30 * time.Second
-	// closeTimeout bounds the stop of the stand-ins.
+	// closeTimeout bounds the shutdown of the platform's stand-ins.
 	closeTimeout = 5 * time.Second
 )
 
-// Addresses is what a program needs to use the demo. Its JSON form is what
-// --addresses-file writes.
+// Addresses holds the URLs, model names and tokens that a client of the demo
+// needs. The flag --addresses-file writes it as JSON.
 type Addresses struct {
-	// Callers and Admin are base URLs, one a node.
+	// Callers and Admin hold one base URL per node.
 	Callers []string `json:"callers"`
 	Admin   []string `json:"admin"`
 	// KeyValue is the base URL of the key-value service.
@@ -48,15 +47,15 @@
 	models   modelSet
 }
 
-// Start starts the stand-ins and the nodes and returns when every node takes
-// requests.
+// Start starts the platform's stand-ins and the nodes. It returns when every
+// node accepts requests.
 func Start(ctx context.Context, logger *slog.Logger) (*Demo, error) {
 	d := &Demo{models: newModelSet()}
 	var err error
 	if d.platform, err = startPlatform(); err != nil {
 		return nil, err
 	}
-	if err = d.storeTree(ctx); err == nil {
+	if err = d.storeSettings(ctx); err == nil {
 		err = d.startNodes(logger)
 	}
 	if err == nil {
@@ -68,11 +67,11 @@
 	return d, nil
 }
 
-// storeTree puts the demo's settings into the key-value service.
-func (d *Demo) storeTree(ctx context.Context) error {
-	parsed, err := settings.ParseYAML([]byte(tree(d.models)))
+// storeSettings writes the demo's settings to the key-value service.
+func (d *Demo) storeSettings(ctx context.Context) error {
+	parsed, err := settings.ParseYAML([]byte(settingsYAML(d.models)))
 	if err != nil {
-		return eris.Wrap(err, "the demo's settings")
+		return eris.Wrap(err, "parse the demo's settings")
 	}
 	store := settings.NewStore(keyvalue.NewClient(d.platform.keyValueListener.URL()))
 	_, err = store.Initialize(ctx, parsed, "demo")
@@ -92,7 +91,8 @@
 	return nil
 }
 
-// startNode starts one node; its only seeds are the nodes before it.
+// startNode starts one node at free loopback ports. The seeds are the peer
+// addresses of the nodes that were started before it.
 func (d *Demo) startNode(logger *slog.Logger, index int, seeds []string) (*shell.Node, error) {
 	return d.startNodeAt(logger, index, seeds, cluster.Node{
 		CallerAddress: loopback, AdminAddress: loopback, PeerAddress: loopback,
@@ -104,8 +104,8 @@
 	config := node.Config{
 		Zone: zoneName(index % zoneCount), Region: regionName,
 		CallerAddress: at.CallerAddress, AdminAddress: at.AdminAddress, PeerAddress: at.PeerAddress, Seeds: seeds,
-		KeyValueURL: d.platform.keyValueListener.URL(), MachineListURL: d.platform.listListener.URL(),
-		WeightStoreURL: d.platform.storeListener.URL(),
+		KeyValueURL: d.platform.keyValueListener.URL(), MachineListURL: d.platform.machineListListener.URL(),
+		WeightStoreURL: d.platform.weightStoreListener.URL(),
 		DrainTime:      drainTime, MaxBodyBytes: 4 << 20,
 	}
 	return shell.Start(context.Background(), config, shell.Options{
@@ -125,17 +125,17 @@
 	defer cancel()
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
-	for !d.ready() {
+	for !d.allReady() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return eris.Wrap(ctx.Err(), "the nodes did not become ready")
+			return eris.Wrap(ctx.Err(), "wait until every node has settings in force")
 		}
 	}
 	return nil
 }
 
-func (d *Demo) ready() bool {
+func (d *Demo) allReady() bool {
 	for _, started := range d.nodes {
 		if started.Settings() == nil {
 			return false
@@ -144,7 +144,7 @@
 	return true
 }
 
-// Addresses returns how to reach the demo.
+// Addresses returns the URLs, model names and tokens of the running demo.
 func (d *Demo) Addresses() Addresses {
 	addresses := Addresses{
 		KeyValue: d.platform.keyValueListener.URL(), Models: d.models.all(),
@@ -157,12 +157,13 @@
 	return addresses
 }
 
-// Stop drains the nodes one after the other and stops the stand-ins.
+// Stop drains and stops the nodes one after the other, then stops the
+// platform's stand-ins.
 func (d *Demo) Stop() error {
 	var failures []error
 	for i, started := range d.nodes {
 		if err := started.Stop(); err != nil {
-			failures = append(failures, fmt.Errorf("node %d: %w", i, err))
+			failures = append(failures, fmt.Errorf("stop node %d: %w", i, err))
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -12,10 +12,10 @@
 	"github.com/valveslip/valveslip/standin/engine"
 )
 
-// TestColdStartEndToEnd calls models that are loaded nowhere through the
-// official client: a base model, one of another pool and an adapter, whose base
-// must be loaded first, each at another node.
-func TestColdStartEndToEnd(t *testing.T) {
+// Each node gets a request for a model without a loaded replica: a base model, a
+// model of the other pool and an adapter. The test guards against cold starts
+// that fail or answer wrongly, such as an adapter loaded before its base model.
+func TestColdModelsAnswerThroughOfficialClient(t *testing.T) {
 	running, err := Start(t.Context(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole deployment of ordinary size in one process over
-// loopback TCP: the platform's stand-ins, model engines and nodes in three
-// zones. It can also send a bounded mixed load and check every promise that can
-// be seen from outside.
+// Package demo runs a complete deployment in one process over loopback TCP:
+// stand-ins of the platform's services, model engines, and nodes in three zones.
+// It can also send a bounded mixed load and check the promises that callers and
+// engines can observe.
 package demo
--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -12,27 +12,28 @@
 	"github.com/valveslip/valveslip/standin/fault"
 )
 
-// faultLoad is the load that runs while something fails.
-func faultLoad(d *Demo, duration time.Duration) load.Config {
+// faultLoadConfig returns the load that runs while a fault is injected.
+func faultLoadConfig(d *Demo, duration time.Duration) load.Config {
 	config := d.onceConfig(nil)
 	config.Rate, config.Duration = 40, duration
 	config.CancelShare = 0
-	// A handful of models, so that loads are not all that the test sees.
+	// Few models, so that warm requests run as well as cold starts.
 	config.Models = append(append([]string(nil), d.models.Assistants[:4]...), d.models.Bookings[:2]...)
 	return config
 }
 
-// runUnderFault starts a demo, runs the load and calls fail in the middle of it.
-func runUnderFault(t *testing.T, duration time.Duration, fail func(d *Demo)) (*Demo, load.Report) {
+// runLoadWithFault starts a demo, runs the load and calls injectFault after a
+// third of its duration. It fails the test if a promise broke.
+func runLoadWithFault(t *testing.T, duration time.Duration, injectFault func(d *Demo)) (*Demo, load.Report) {
 	t.Helper()
 	running, err := Start(t.Context(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	timer := time.AfterFunc(duration/3, func() { fail(running) })
+	timer := time.AfterFunc(duration/3, func() { injectFault(running) })
 	defer timer.Stop()
 	watch := running.watchReplicas()
-	report, err := load.Run(t.Context(), faultLoad(running, duration))
+	report, err := load.Run(t.Context(), faultLoadConfig(running, duration))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,11 +53,11 @@
 	return running, report
 }
 
-// TestNodeKilled: requests on the killed node end with a broken connection or
-// are never accepted; those on other nodes know nothing of it.
-func TestNodeKilled(t *testing.T) {
+// Guards against a killed node that affects requests on other nodes. Only
+// requests sent to the killed node may lose their connection or be unreachable.
+func TestKilledNodeFailsOnlyItsOwnRequests(t *testing.T) {
 	t.Parallel()
-	running, report := runUnderFault(t, 6*time.Second, func(d *Demo) { d.nodes[0].Kill() })
+	running, report := runLoadWithFault(t, 6*time.Second, func(d *Demo) { d.nodes[0].Kill() })
 	if report.Broken+report.Unreachable == 0 {
 		t.Error("the killed node broke no connection: the fault did not happen under load")
 	}
@@ -68,11 +69,11 @@
 	}
 }
 
-// TestEngineKilled kills one engine mid-stream and makes another die in the
-// middle of its next load: no answer is crossed, none is lost.
-func TestEngineKilled(t *testing.T) {
+// Two engines are killed while they stream, and a third dies during its next
+// load. Guards against answers that are lost or that reach the wrong caller.
+func TestKilledEngineLosesNoAnswer(t *testing.T) {
 	t.Parallel()
-	running, _ := runUnderFault(t, 6*time.Second, func(d *Demo) {
+	running, _ := runLoadWithFault(t, 6*time.Second, func(d *Demo) {
 		d.platform.engines[0].Kill()
 		d.platform.engines[1].Inject(fault.Order{Kind: fault.KindDieMidLoad, Count: 1})
 		d.platform.engines[4].Kill()
@@ -86,17 +87,17 @@
 	}
 }
 
-// TestKeyValueServiceDown lets models wake while the key-value service is down
-// for longer than the leases live.
-func TestKeyValueServiceDown(t *testing.T) {
+// The key-value service is down for longer than the lease TTL. Guards against
+// controllers that stop loading models when they can't renew their leases.
+func TestModelsLoadDuringKeyValueOutage(t *testing.T) {
 	t.Parallel()
 	running, err := Start(t.Context(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	running.awaitAllotted(t)
+	running.awaitAllotments(t)
 	running.platform.keyValue.Inject(fault.Order{Kind: fault.KindDown})
-	report, err := load.Run(t.Context(), faultLoad(running, 14*time.Second))
+	report, err := load.Run(t.Context(), faultLoadConfig(running, 14*time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,26 +113,28 @@
 	}
 }
 
-// allotmentPolls bounds awaitAllotted: a test that waits for what never comes
-// must fail, not hang.
-const allotmentPolls = 1500
+// maxAllotmentPolls bounds awaitAllotments, so that a missing allotment fails the
+// test instead of blocking it forever.
+const maxAllotmentPolls = 1500
 
-// awaitAllotted waits until every zone's allotment is stored.
-func (d *Demo) awaitAllotted(t *testing.T) {
+// awaitAllotments waits until the key-value service stores an allotment for
+// every zone.
+func (d *Demo) awaitAllotments(t *testing.T) {
 	t.Helper()
 	var err error
-	for range allotmentPolls {
+	for range maxAllotmentPolls {
 		var stored int
-		if stored, err = d.allotted(t.Context()); stored == zoneCount {
+		if stored, err = d.countAllotments(t.Context()); stored == zoneCount {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("no allotment was written; the last question ended by %v", err)
+	t.Fatalf("not every zone has a stored allotment; error of the last read: %v", err)
 }
 
-// allotted asks the key-value service how many zones' allotments it has.
-func (d *Demo) allotted(ctx context.Context) (int, error) {
+// countAllotments returns how many allotments the key-value service stores, one
+// per zone.
+func (d *Demo) countAllotments(ctx context.Context) (int, error) {
 	store := keyvalue.NewClient(d.platform.keyValueListener.URL())
 	pairs, _, err := store.Range(ctx, authority.AllotmentKeyPrefix)
 	return len(pairs), err
--- a/demo/once.go
+++ b/demo/once.go
@@ -13,37 +13,41 @@
 	"github.com/valveslip/valveslip/experiment/load"
 )
 
-// The bounded load of one run: cold and warm models, streams, callers that
-// leave and requests that must not be repeated.
+// Parameters of the bounded load: requests per second, duration, shares of all
+// requests, and the limits of a request. The load mixes cold and warm models,
+// streams, canceled requests and requests that are not repeatable.
 const (
-	onceRate          = 60
-	onceDuration      = 10 * time.Second
-	onceStreams       = 0.5
-	onceCancels       = 0.05
-	onceNotRepeatable = 0.25
-	onceMaxTokens     = 24
-	onceDeadline      = 15 * time.Second
-	// watchInterval is how often the engines' replicas are counted meanwhile.
+	onceRate               = 60
+	onceDuration           = 10 * time.Second
+	onceStreamShare        = 0.5
+	onceCancelShare        = 0.05
+	onceNotRepeatableShare = 0.25
+	onceMaxTokens          = 24
+	onceDeadline           = 15 * time.Second
+	// watchInterval is the time between two counts of the engines' replicas.
 	watchInterval = 20 * time.Millisecond
 )
 
-// maxReplicas of every model in the demo's tree.
+// maxReplicas is the max_replicas of every model in the demo's settings.
 const maxReplicas = 3
 
-// Outcome is what one run showed.
+// Outcome is the result of RunOnce.
 type Outcome struct {
 	Load load.Report
-	// MostReplicas of one model seen at once.
+	// MostReplicas is the largest number of replicas that one model had at once.
 	MostReplicas int
-	// Overcommitted loads, and the idle and busy accelerator time.
-	Overcommitted            int
+	// Overcommitted counts loads that exceeded a machine's memory.
+	Overcommitted int
+	// IdleSeconds and BusySeconds are accelerator seconds of loaded replicas.
 	IdleSeconds, BusySeconds float64
-	Loads                    int
-	// Broken promises, none when all held.
+	// Loads counts the model loads on all engines.
+	Loads int
+	// Broken describes the broken promises; it is empty when all held.
 	Broken []string
 }
 
-// RunOnce sends the bounded load and checks what can be seen from outside.
+// RunOnce sends the bounded load and checks the promises that callers and
+// engines can observe.
 func (d *Demo) RunOnce(ctx context.Context, progress io.Writer) (Outcome, error) {
 	watch := d.watchReplicas()
 	report, err := load.Run(ctx, d.onceConfig(progress))
@@ -77,18 +81,19 @@
 	return load.Config{
 		Targets: addresses.Callers, Token: addresses.CallerToken, Models: models,
 		Rate: onceRate, Duration: onceDuration, MaxTokens: onceMaxTokens, Deadline: onceDeadline,
-		StreamShare: onceStreams, CancelShare: onceCancels, NotRepeatableShare: onceNotRepeatable,
-		Seed: 1, Runs: d.platform.runs, Progress: progress,
+		StreamShare: onceStreamShare, CancelShare: onceCancelShare, NotRepeatableShare: onceNotRepeatableShare,
+		Seed: 1, Runs: d.platform.countRuns, Progress: progress,
 	}
 }
 
-// runs tells how many times each prompt ran on any engine.
-func (p *platform) runs(_ context.Context, seeds []uint64) ([]int, error) {
+// countRuns returns for each prompt seed how often the prompt ran on any engine.
+func (p *platform) countRuns(_ context.Context, seeds []uint64) ([]int, error) {
 	return p.ledger.Count(seeds), nil
 }
 
-// watchReplicas counts the replicas of every model over all engines until the
-// function it returns is called, which returns the most seen of one model.
+// watchReplicas counts the replicas of every model on all engines at each
+// watchInterval. The returned function ends the watch and returns the largest
+// number of replicas that one model had at once.
 func (d *Demo) watchReplicas() (stop func() int) {
 	most := 0
 	done := make(chan struct{})
@@ -112,10 +117,10 @@
 	}
 }
 
-// mostReplicas is the largest number of replicas of one model, in any state.
-// Engines are read one after the other, so an unload that is confirmed before a
-// load elsewhere is never counted with it: machines are read in both orders and
-// the smaller count holds.
+// mostReplicas returns the largest number of replicas of one model, in any state.
+// Engines are read one after the other, so one pass can count both a replica that
+// is then unloaded and its successor that is loaded on a later engine. To exclude
+// that, the engines are read in both orders and the smaller count is used.
 func (p *platform) mostReplicas() int {
 	forward := map[cluster.ModelID]int{}
 	for i := range p.engines {
--- a/demo/platform.go
+++ b/demo/platform.go
@@ -18,55 +18,56 @@
 
 const (
 	gibibyte = 1 << 30
-	// loopback lets the kernel choose the port.
+	// loopback is a listen address whose port the operating system chooses.
 	loopback = "127.0.0.1:0"
 )
 
-// The platform's sizes: three zones, nine assistant machines and three booking
-// machines, a store that allows two loads a second and eight at once.
+// Sizes of the platform: three zones with nine assistant machines and three
+// booking machines in total, and a weight store that starts two fetches per
+// second and runs eight at full speed at once.
 const (
-	zoneCount          = 3
-	assistantsPerZone  = 3
-	bookingsPerZone    = 1
-	machineMemory      = 40 * gibibyte
-	storeStarts        = 2
-	storeConcurrency   = 8
-	storeBytesASecond  = 8 * gibibyte
-	machineListLag     = 500 * time.Millisecond
-	engineSlots        = 16
-	engineStepTime     = 4 * time.Millisecond
-	platformFaultsSeed = 1
+	zoneCount                = 3
+	assistantMachinesPerZone = 3
+	bookingMachinesPerZone   = 1
+	machineMemory            = 40 * gibibyte
+	storeStartsPerSecond     = 2
+	storeConcurrency         = 8
+	storeBytesPerSecond      = 8 * gibibyte
+	machineListLag           = 500 * time.Millisecond
+	engineSlots              = 16
+	engineStepTime           = 4 * time.Millisecond
+	standInFaultSeed         = 1
 )
 
-// platform is the stand-ins that the demo's nodes run against.
+// platform holds the stand-ins of the platform's services and the engines.
 type platform struct {
-	keyValue *keyvalue.Server
-	store    *weights.Server
-	list     *machines.Server
-	engines  []*engine.Server
-	// listeners of the first three; engines keep their own.
-	keyValueListener, storeListener, listListener *standin.Server
-	ledger                                        *engine.Ledger
+	keyValue    *keyvalue.Server
+	weightStore *weights.Server
+	machineList *machines.Server
+	engines     []*engine.Server
+	// The listeners of the three services; engines have their own.
+	keyValueListener, weightStoreListener, machineListListener *standin.Server
+	ledger                                                     *engine.Ledger
 }
 
-// startPlatform starts all stand-ins.
+// startPlatform starts the stand-ins and the engines of all zones.
 func startPlatform() (*platform, error) {
 	p := &platform{
-		keyValue: keyvalue.NewServer(keyvalue.Config{}, platformFaultsSeed),
-		store: weights.NewServer(weights.Config{
-			StartsPerSecond: storeStarts, Concurrency: storeConcurrency, BytesPerSecond: storeBytesASecond,
-		}, platformFaultsSeed),
-		list:   machines.NewServer(machineListLag, platformFaultsSeed),
-		ledger: engine.NewLedger(),
+		keyValue: keyvalue.NewServer(keyvalue.Config{}, standInFaultSeed),
+		weightStore: weights.NewServer(weights.Config{
+			StartsPerSecond: storeStartsPerSecond, Concurrency: storeConcurrency, BytesPerSecond: storeBytesPerSecond,
+		}, standInFaultSeed),
+		machineList: machines.NewServer(machineListLag, standInFaultSeed),
+		ledger:      engine.NewLedger(),
 	}
 	var err error
 	if p.keyValueListener, err = standin.Listen(loopback, p.keyValue); err != nil {
 		return nil, err
 	}
-	if p.storeListener, err = standin.Listen(loopback, p.store); err != nil {
+	if p.weightStoreListener, err = standin.Listen(loopback, p.weightStore); err != nil {
 		return nil, err
 	}
-	if p.listListener, err = standin.Listen(loopback, p.list); err != nil {
+	if p.machineListListener, err = standin.Listen(loopback, p.machineList); err != nil {
 		return nil, err
 	}
 	return p, p.startEngines()
@@ -74,12 +75,12 @@
 
 func (p *platform) startEngines() error {
 	for zone := range zoneCount {
-		for i := range assistantsPerZone {
+		for i := range assistantMachinesPerZone {
 			if err := p.startEngine(zone, i, assistantPool); err != nil {
 				return err
 			}
 		}
-		for i := range bookingsPerZone {
+		for i := range bookingMachinesPerZone {
 			if err := p.startEngine(zone, i, bookingPool); err != nil {
 				return err
 			}
@@ -90,7 +91,7 @@
 
 func (p *platform) startEngine(zone, index int, pool string) error {
 	id := cluster.MachineID(fmt.Sprintf("%s-%s-%d", zoneName(zone), pool, index+1))
-	client := weights.NewClient(p.storeListener.URL())
+	client := weights.NewClient(p.weightStoreListener.URL())
 	config := engine.DefaultConfig(id)
 	config.Pool, config.MemoryBytes, config.Slots, config.StepTime = pool, machineMemory, engineSlots, engineStepTime
 	config.Recorder = p.ledger
@@ -106,13 +107,13 @@
 		return eris.Wrapf(err, "start engine %s", id)
 	}
 	p.engines = append(p.engines, server)
-	p.list.Put(cluster.Machine{
+	p.machineList.Put(cluster.Machine{
 		ID: id, Zone: zoneName(zone), Region: regionName, Rack: fmt.Sprintf("rack-%d", index%2+1), Address: address,
 	})
 	return nil
 }
 
-// counters sums what the engines counted.
+// counters returns the sum of the counters of all engines.
 func (p *platform) counters() engine.Counters {
 	var sum engine.Counters
 	for _, server := range p.engines {
@@ -128,14 +129,14 @@
 	return sum
 }
 
-// close stops all stand-ins.
+// close stops the engines and the stand-ins.
 func (p *platform) close(ctx context.Context) error {
 	var failures []error
 	for _, server := range p.engines {
 		failures = append(failures, server.Close(ctx))
 	}
 	p.keyValue.Close()
-	for _, listener := range []*standin.Server{p.listListener, p.storeListener, p.keyValueListener} {
+	for _, listener := range []*standin.Server{p.machineListListener, p.weightStoreListener, p.keyValueListener} {
 		failures = append(failures, listener.Close(ctx))
 	}
 	return errors.Join(failures...)
--- a/demo/platform/doc.go
+++ b/demo/platform/doc.go
@@ -1,4 +1,4 @@
-// Package platform runs a small deployment on the users' platform's dialect over
-// loopback: a stand-in of its store, workers of a plain and of a model service,
-// and nodes as they run on the platform.
+// Package platform runs a small deployment over loopback that speaks the protocol
+// of the users' platform: a stand-in of the platform's metadata store, workers of
+// a plain service and of a model service, and nodes.
 package platform
--- a/demo/platform/platform.go
+++ b/demo/platform/platform.go
@@ -24,41 +24,41 @@
 )
 
 const (
-	host         = "demo.example"
-	plainService = "booking"
-	modelService = "assistant"
-	nodes        = 2
-	engines      = 2
-	bookers      = 2
-	readyLimit   = 10 * time.Second
-	callLimit    = 10 * time.Second
+	host             = "demo.example"
+	plainService     = "booking"
+	modelService     = "assistant"
+	nodeCount        = 2
+	modelWorkerCount = 2
+	plainWorkerCount = 2
+	readyTimeout     = 10 * time.Second
+	callTimeout      = 10 * time.Second
 )
 
 // Demo is a running deployment.
 type Demo struct {
-	store   *metadata.Server
-	servers []*standin.Server
-	nodes   []*shell.Node
-	workers []*worker.Worker
+	metadataStore *metadata.Server
+	servers       []*standin.Server
+	nodes         []*shell.Node
+	workers       []*worker.Worker
 }
 
-// Start starts the deployment; lines of the nodes' logs go to log.
+// Start starts the deployment. The nodes write their logs to log.
 func Start(log io.Writer) (*Demo, error) {
-	d := &Demo{store: metadata.New(1)}
-	server, err := standin.Listen("127.0.0.1:0", d.store)
+	d := &Demo{metadataStore: metadata.New(1)}
+	server, err := standin.Listen("127.0.0.1:0", d.metadataStore)
 	if err != nil {
 		return nil, err
 	}
 	d.servers = append(d.servers, server)
-	if err := d.store.Put(platform.KeyConfiguration, configuration()); err != nil {
+	if err := d.metadataStore.Put(platform.KeyConfiguration, configuration()); err != nil {
 		return nil, err
 	}
-	for n := range bookers {
+	for n := range plainWorkerCount {
 		if err := d.addWorker(worker.Config{ID: fmt.Sprintf("booker-%d", n+1), Service: plainService, Slots: 8}); err != nil {
 			return nil, err
 		}
 	}
-	for n := range engines {
+	for n := range modelWorkerCount {
 		config := worker.Config{
 			ID: fmt.Sprintf("engine-%d", n+1), Service: modelService, Slots: 64, Events: 8, Pause: 15 * time.Millisecond,
 			LoadTime: 600 * time.Millisecond, Held: []string{"daily"},
@@ -68,8 +68,8 @@
 			return nil, err
 		}
 	}
-	for n := range nodes {
-		node, err := shell.Start(d.options(fmt.Sprintf("node-%d", n+1), server.Address(), log))
+	for n := range nodeCount {
+		node, err := shell.Start(d.nodeOptions(fmt.Sprintf("node-%d", n+1), server.Address(), log))
 		if err != nil {
 			d.Stop()
 			return nil, err
@@ -82,18 +82,18 @@
 func (d *Demo) addWorker(config worker.Config) error {
 	config.Zone = "zone"
 	added := worker.New(config)
-	added.Publish = func(key string, entry platform.WorkerDocument) { _ = d.store.Put(key, entry) }
+	added.Publish = func(key string, entry platform.WorkerDocument) { _ = d.metadataStore.Put(key, entry) }
 	server, err := standin.Listen("127.0.0.1:0", added)
 	if err != nil {
 		return err
 	}
 	added.SetAddress(server.Address())
 	d.servers, d.workers = append(d.servers, server), append(d.workers, added)
-	return d.store.Put(added.Key(), added.Entry())
+	return d.metadataStore.Put(added.Key(), added.Entry())
 }
 
-// options of one node.
-func (d *Demo) options(name, store string, log io.Writer) shell.Options {
+// nodeOptions returns the options of one node.
+func (d *Demo) nodeOptions(name, store string, log io.Writer) shell.Options {
 	const anyPort = "127.0.0.1:0"
 	return shell.Options{
 		Core: fleet.Config{
@@ -107,7 +107,7 @@
 	}
 }
 
-// configuration is what an operator would write.
+// configuration returns the routes and services of the demo.
 func configuration() platform.ConfigurationDocument {
 	route := func(name, kind, service string, attempts int, resumable bool) platform.RouteDocument {
 		return platform.RouteDocument{
@@ -129,9 +129,9 @@
 	}
 }
 
-// awaitReady waits until all nodes are ready and one gives the orders.
+// awaitReady waits until all nodes are ready and exactly one is the lease holder.
 func (d *Demo) awaitReady() error {
-	for limit := time.Now().Add(readyLimit); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		ready, holding := 0, 0
 		for _, node := range d.nodes {
 			if response, err := http.Get(node.ReadyURL()); err == nil {
@@ -148,10 +148,10 @@
 			return nil
 		}
 	}
-	return eris.New("the nodes did not become ready")
+	return eris.New("the nodes did not become ready with one lease holder in time")
 }
 
-// Announce tells how the deployment can be called.
+// Announce prints the nodes' addresses and an example request.
 func (d *Demo) Announce(out io.Writer) {
 	for _, node := range d.nodes {
 		fmt.Fprintf(out, "node %s, figures %s\n", node.Address(), node.MetricsURL())
@@ -160,28 +160,29 @@
 		host, platform.HeaderRequestID, platform.HeaderModel, platform.HeaderDeadline, d.nodes[0].Address())
 }
 
-// Report is what a bounded load met.
+// Report counts the outcomes of a bounded load.
 type Report struct {
 	Sent, Served, RefusedNotRun, Failed int
-	// RanTwice counts requests that are not repeatable and ran more than once,
-	// RanThoughRefused those that ran although the caller was told they had not.
+	// RanTwice counts the repeated runs of requests that are not repeatable.
+	// RanThoughRefused counts runs of requests that were refused as not run.
 	RanTwice, RanThoughRefused int
 }
 
 // Broken reports whether a promise broke.
 func (r *Report) Broken() bool { return r.RanTwice+r.RanThoughRefused > 0 }
 
-// Load sends a bounded mix of requests to all nodes and checks what ran.
+// Load sends a number of mixed requests to all nodes, at most 16 at once, and
+// compares the outcomes with the workers' runs.
 func (d *Demo) Load(ctx context.Context, requests int) Report {
 	var mutex sync.Mutex
-	var waiting sync.WaitGroup
+	var calls sync.WaitGroup
 	report := Report{Sent: requests}
 	refused := map[string]bool{}
-	gate := make(chan struct{}, 16)
+	slots := make(chan struct{}, 16)
 	for n := range requests {
-		gate <- struct{}{}
-		waiting.Go(func() {
-			defer func() { <-gate }()
+		slots <- struct{}{}
+		calls.Go(func() {
+			defer func() { <-slots }()
 			id := fmt.Sprintf("load-%d", n)
 			status := d.call(ctx, n, id)
 			mutex.Lock()
@@ -197,14 +198,15 @@
 			}
 		})
 	}
-	waiting.Wait()
+	calls.Wait()
 	d.checkRuns(&report, refused)
 	return report
 }
 
-// call sends one request and reads its answer; zero without a whole one.
+// call sends one request and returns the status of its answer, zero if the
+// answer is missing or incomplete.
 func (d *Demo) call(ctx context.Context, n int, id string) int {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	path, model := "/confirm/", ""
 	if n%3 != 0 {
@@ -229,7 +231,7 @@
 	return response.StatusCode
 }
 
-// checkRuns counts what ran against the promises.
+// checkRuns counts the runs on all workers that break a promise.
 func (d *Demo) checkRuns(report *Report, refused map[string]bool) {
 	runs := map[string]int{}
 	for _, w := range d.workers {
@@ -245,7 +247,7 @@
 	}
 }
 
-// Stop ends everything.
+// Stop kills the nodes and workers and closes the metadata store.
 func (d *Demo) Stop() {
 	for _, node := range d.nodes {
 		node.Kill()
@@ -253,5 +255,5 @@
 	for _, server := range d.servers {
 		server.Kill()
 	}
-	d.store.Close()
+	d.metadataStore.Close()
 }
--- a/demo/platform/platform_test.go
+++ b/demo/platform/platform_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestDemoServesAndKeepsItsPromises runs the whole deployment with a bounded load.
-func TestDemoServesAndKeepsItsPromises(t *testing.T) {
+// Guards against a bounded load that gets no answers or breaks a promise.
+func TestBoundedLoadBreaksNoPromise(t *testing.T) {
 	d, err := Start(io.Discard)
 	if err != nil {
 		t.Fatal(err)
--- a/demo/rolling.go
+++ b/demo/rolling.go
@@ -18,33 +18,34 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// The rolling restart: its load, and the time between two nodes.
 const (
+	// rollingRate is the load in requests per second.
 	rollingRate     = 40
 	rollingDuration = 15 * time.Second
-	rollingPause    = 2 * time.Second
-	// sampleInterval is how often the nodes' configuration is read meanwhile.
+	// rollingPause is the time before each node's restart.
+	rollingPause = 2 * time.Second
+	// sampleInterval is the time between two reads of the nodes' revisions.
 	sampleInterval = 5 * time.Millisecond
 )
 
-// RestartOutcome is what a rolling restart showed.
+// RestartOutcome is the result of RollingRestart.
 type RestartOutcome struct {
 	Load load.Report
-	// Drains are how long each node took to stop, Starts until it had settings
-	// in force again.
+	// Drains holds the time that each node took to stop; Starts the time from
+	// its new start until it had settings in force.
 	Drains, Starts []time.Duration
-	// SteppedBack counts nodes seen with an older configuration than before,
-	// over the restart of their process too.
+	// SteppedBack counts the samples in which a node had an older revision than
+	// in the sample before, including samples across its restart.
 	SteppedBack int
-	// Revisions that operators stored meanwhile.
+	// Revisions counts the edits that were committed during the restarts.
 	Revisions int
-	// Broken promises, none when all held.
+	// Broken describes the broken promises; it is empty when all held.
 	Broken []string
 }
 
-// RollingRestart restarts every node, one after the other, under a load of
-// callers that move on when a node refuses them while it drains, and with an
-// edit before each. Restarted nodes keep their addresses.
+// RollingRestart restarts the nodes one after the other under load and commits
+// an edit before each restart. Callers that a draining node refuses retry on
+// another node. Restarted nodes keep their addresses.
 func (d *Demo) RollingRestart(ctx context.Context, logger *slog.Logger, progress io.Writer) (RestartOutcome, error) {
 	config := d.onceConfig(progress)
 	config.Rate, config.Duration, config.CancelShare, config.MoveOn = rollingRate, rollingDuration, 0, true
@@ -54,23 +55,23 @@
 		report load.Report
 		err    error
 	}
-	loaded := make(chan ended, 1)
+	loadResults := make(chan ended, 1)
 	go func() {
 		report, err := load.Run(ctx, config)
-		loaded <- ended{report, err}
+		loadResults <- ended{report, err}
 	}()
 	restartErr := d.restartAll(ctx, logger, watch, &outcome)
-	result := <-loaded
-	outcome.Load, outcome.SteppedBack = result.report, watch.end()
+	result := <-loadResults
+	outcome.Load, outcome.SteppedBack = result.report, watch.stop()
 	if restartErr != nil {
 		return outcome, restartErr
 	}
-	outcome.judge()
+	outcome.listBroken()
 	return outcome, eris.Wrap(result.err, "run the load")
 }
 
-// judge lists the promises that the restart broke.
-func (o *RestartOutcome) judge() {
+// listBroken sets Broken to the promises that the restart broke.
+func (o *RestartOutcome) listBroken() {
 	o.Broken = o.Load.BrokenPromises()
 	unserved := o.Load.Requests - o.Load.Served
 	if unserved > 0 {
@@ -82,19 +83,19 @@
 	}
 }
 
-// restartAll restarts the nodes in turn.
+// restartAll commits an edit and restarts a node, for each node in turn.
 func (d *Demo) restartAll(ctx context.Context, logger *slog.Logger, watch *revisionWatch, outcome *RestartOutcome) error {
 	for i := range d.nodes {
 		if !sleep.For(ctx, rollingPause) {
 			return ctx.Err()
 		}
-		if err := d.edit(ctx, i); err != nil {
+		if err := d.commitEdit(ctx, i); err != nil {
 			return err
 		}
 		outcome.Revisions++
 		began := time.Now()
 		if err := d.nodes[i].Stop(); err != nil {
-			return eris.Wrapf(err, "node %d cut requests off", i)
+			return eris.Wrapf(err, "stop node %d", i)
 		}
 		outcome.Drains = append(outcome.Drains, time.Since(began))
 		began = time.Now()
@@ -107,16 +108,16 @@
 	return nil
 }
 
-// restart starts a stopped node again at its former addresses.
+// restart starts a stopped node at its previous addresses.
 func (d *Demo) restart(ctx context.Context, logger *slog.Logger, index int) error {
-	former := d.nodes[index].Self()
+	previous := d.nodes[index].Self()
 	var seeds []string
 	for i, other := range d.nodes {
 		if i != index {
 			seeds = append(seeds, other.Self().PeerAddress)
 		}
 	}
-	started, err := d.startNodeAt(logger, index, seeds, former)
+	started, err := d.startNodeAt(logger, index, seeds, previous)
 	if err != nil {
 		return eris.Wrapf(err, "restart node %d", index)
 	}
@@ -124,12 +125,12 @@
 	return d.awaitReady(ctx)
 }
 
-// edit stores a new keep-alive, as an operator would.
-func (d *Demo) edit(ctx context.Context, number int) error {
+// commitEdit commits a new keep_alive in the name of an operator.
+func (d *Demo) commitEdit(ctx context.Context, number int) error {
 	store := settings.NewStore(keyvalue.NewClient(d.platform.keyValueListener.URL()))
 	_, stamp, err := store.Load(ctx)
 	if err != nil {
-		return eris.Wrap(err, "read the tree")
+		return eris.Wrap(err, "read the settings tree")
 	}
 	_, err = store.Commit(ctx, settings.Edit{
 		ID: fmt.Sprintf("rolling-%d", number), Author: "operator", BaseRevision: stamp.Revision, At: time.Now(),
@@ -137,15 +138,16 @@
 			"keep_alive": settings.Value(fmt.Sprintf(`"%ds"`, 20+number)),
 		}}},
 	})
-	return eris.Wrap(err, "store an edit")
+	return eris.Wrap(err, "commit the edit of keep_alive")
 }
 
-// revisionWatch samples the nodes' configurations.
+// revisionWatch samples the revisions of the nodes' settings and counts those
+// that are older than the one before.
 type revisionWatch struct {
-	nodes   []atomic.Pointer[shell.Node]
-	stepped int
-	done    chan struct{}
-	ended   sync.WaitGroup
+	nodes       []atomic.Pointer[shell.Node]
+	regressions int
+	done        chan struct{}
+	sampler     sync.WaitGroup
 }
 
 func newRevisionWatch(nodes []*shell.Node) *revisionWatch {
@@ -153,11 +155,11 @@
 	for i, started := range nodes {
 		watch.nodes[i].Store(started)
 	}
-	watch.ended.Go(watch.run)
+	watch.sampler.Go(watch.sample)
 	return watch
 }
 
-func (w *revisionWatch) run() {
+func (w *revisionWatch) sample() {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	seen := make([]int64, len(w.nodes))
@@ -173,16 +175,17 @@
 				continue
 			}
 			if snapshot.Stamp.Revision < seen[i] {
-				w.stepped++
+				w.regressions++
 			}
 			seen[i] = snapshot.Stamp.Revision
 		}
 	}
 }
 
-// end stops the watch and returns how often a configuration stepped back.
-func (w *revisionWatch) end() int {
+// stop ends the sampling and returns how often a node had an older revision than
+// in the sample before.
+func (w *revisionWatch) stop() int {
 	close(w.done)
-	w.ended.Wait()
-	return w.stepped
+	w.sampler.Wait()
+	return w.regressions
 }
--- a/demo/rolling_test.go
+++ b/demo/rolling_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRollingRestart restarts every node under load: callers that move on lose
-// nothing, and no configuration steps back.
+// TestRollingRestart guards against a planned restart that fails requests of
+// callers that retry on another node, or that puts older settings in force.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	running, err := Start(t.Context(), slog.New(slog.DiscardHandler))
--- a/demo/tree.go
+++ b/demo/tree.go
@@ -7,60 +7,61 @@
 	"strings"
 )
 
-// Pools of the demo's engines.
+// Engine pools of the demo.
 const (
 	assistantPool = "assistant"
 	bookingPool   = "booking"
 )
 
-// Names of the demo's tokens. Their secrets are fixed: the demo listens on
+// Secrets of the demo's tokens. They are fixed because the demo listens on
 // loopback only.
 const (
 	CallerToken = "demo-caller-token"
 	AdminToken  = "demo-admin-token"
 )
 
-// Sizes of the demo's tree, those of a booking service for dental clinics.
+// Numbers of models in the demo's settings, which describe a booking service for
+// dental clinics.
 const (
-	assistantModels = 42
-	bookingModels   = 8
-	adapters        = 60
+	assistantModelCount = 42
+	bookingModelCount   = 8
+	adapterCount        = 60
 )
 
-// modelSet names what the demo's tree serves.
+// modelSet holds the names of the demo's models.
 type modelSet struct {
-	// Assistants and Adapters are repeatable, Bookings are not.
+	// Requests for Assistants and Adapters are repeatable, for Bookings not.
 	Assistants, Adapters, Bookings []string
 }
 
-// all returns every name, assistants first.
+// all returns the names of assistants, bookings and adapters in this order.
 func (m modelSet) all() []string {
 	names := append([]string(nil), m.Assistants...)
 	names = append(names, m.Bookings...)
 	return append(names, m.Adapters...)
 }
 
-// topics name the assistants' tasks.
+// topics are the name prefixes of the assistant models.
 var topics = []string{"recall-letters", "treatment-notes", "checkup-questions", "school-visits", "after-hours"}
 
 func newModelSet() modelSet {
 	var set modelSet
-	for i := range assistantModels {
+	for i := range assistantModelCount {
 		set.Assistants = append(set.Assistants, fmt.Sprintf("%s-%02d", topics[i%len(topics)], i/len(topics)+1))
 	}
-	for i := range bookingModels {
+	for i := range bookingModelCount {
 		set.Bookings = append(set.Bookings, fmt.Sprintf("booking-%02d", i+1))
 	}
-	for i := range adapters {
+	for i := range adapterCount {
 		set.Adapters = append(set.Adapters, fmt.Sprintf("clinic-%02d", i+1))
 	}
 	return set
 }
 
-// tree returns the demo's settings as YAML.
-func tree(set modelSet) string {
+// settingsYAML returns the demo's settings as YAML.
+func settingsYAML(set modelSet) string {
 	var text strings.Builder
-	text.WriteString(treeHead())
+	text.WriteString(settingsHeader())
 	for _, name := range set.Assistants {
 		fmt.Fprintf(&text, "          %s: {kind: model}\n", name)
 	}
@@ -68,14 +69,14 @@
 		base := set.Assistants[i%len(topics)]
 		fmt.Fprintf(&text, "          %s: {kind: adapter, base: %s, memory: 256MiB}\n", name, base)
 	}
-	text.WriteString(bookingHead)
+	text.WriteString(bookingServiceHeader)
 	for _, name := range set.Bookings {
 		fmt.Fprintf(&text, "          %s: {kind: model}\n", name)
 	}
 	return text.String()
 }
 
-func treeHead() string {
+func settingsHeader() string {
 	return fmt.Sprintf(`# Settings of the demo: a booking service for dental clinics.
 engine_pool: %s
 memory: 4GiB
@@ -98,10 +99,10 @@
         kind: service
         cold_start_weight: 0.8
         children:
-`, assistantPool, hash(AdminToken), hash(CallerToken))
+`, assistantPool, hexSHA256(AdminToken), hexSHA256(CallerToken))
 }
 
-const bookingHead = `      booking:
+const bookingServiceHeader = `      booking:
         kind: service
         engine_pool: ` + bookingPool + `
         repeatable: false
@@ -110,7 +111,7 @@
         children:
 `
 
-func hash(secret string) string {
+func hexSHA256(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
