--- a/simulation/arrival.go
+++ b/simulation/arrival.go
@@ -7,21 +7,22 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Arrival is one caller's request as the traffic makes it.
+// Arrival is one request of a caller.
 type Arrival struct {
 	At    time.Time
 	Model cluster.ModelID
-	// Zone whose nodes the caller asks.
+	// Zone is the zone to whose nodes the caller sends the request.
 	Zone cluster.ZoneID
-	// TokenPath is the subtree of the caller's token and Team its team.
+	// TokenPath is the settings path of the caller's token, Team that of its team.
 	TokenPath, Team string
 	Priority        int
 	// Deadline counts from At.
 	Deadline   time.Duration
 	Repeatable bool
-	// PromptTokens and Tokens that the request takes.
+	// PromptTokens is the length of the prompt, Tokens that of the whole answer.
 	PromptTokens, Tokens int
-	Prefixes             []uint64
+	// Prefixes are the hashes of the prompt's prefix blocks.
+	Prefixes []uint64
 }
 
 // Source yields arrivals in order of time.
@@ -30,44 +31,44 @@
 	Next() (Arrival, bool)
 }
 
-// Outcome is how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome uint8
 
-// The outcomes.
 const (
-	// OutcomePending is a request that has not ended.
+	// OutcomePending means that the request has not ended.
 	OutcomePending Outcome = iota
-	// OutcomeServed got its whole answer.
+	// OutcomeServed means that the caller got the whole answer.
 	OutcomeServed
-	// OutcomeRefused was refused with a verdict.
+	// OutcomeRefused means that the request was refused as not run.
 	OutcomeRefused
-	// OutcomeFailed ended with an error after it may have run.
+	// OutcomeFailed means that the request ended with an error and may have run.
 	OutcomeFailed
-	// OutcomeConnectionLost lost its connection because its node died.
+	// OutcomeConnectionLost means that the request's node died.
 	OutcomeConnectionLost
 )
 
-// Result is what became of one request.
+// Result describes the end of one request.
 type Result struct {
 	Arrival Arrival
 	Outcome Outcome
 	Code    verdict.Code
 	Verdict verdict.Verdict
-	// Ended is when the caller had its outcome.
+	// Ended is when the caller received the outcome.
 	Ended time.Time
-	// FirstToken is when the caller had the first byte; zero for none.
+	// FirstToken is when the first byte arrived; zero if none did.
 	FirstToken time.Time
 	// ColdStart is the part of the wait during which no replica of the model
 	// was loaded anywhere.
 	ColdStart time.Duration
-	// Waited from the arrival to the dispatch that served it.
+	// Waited is the time from the arrival to the last dispatch.
 	Waited time.Duration
-	// Runs is how often an engine began to execute the request.
+	// Runs counts how often an engine began to execute the request.
 	Runs int
 }
 
-// feed schedules the arrivals of a source one after the other.
-func feed(kernel *Kernel, source Source, arrive func(Arrival)) {
+// scheduleArrivals schedules the arrivals of a source. It reads each arrival when
+// the one before it has happened.
+func scheduleArrivals(kernel *Kernel, source Source, arrive func(Arrival)) {
 	var next func()
 	next = func() {
 		arrival, ok := source.Next()
--- a/simulation/cache.go
+++ b/simulation/cache.go
@@ -7,12 +7,12 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// checkpointCache models the disk and host memory of one machine, each with
-// eviction of the least recently used checkpoint.
+// checkpointCache models the checkpoint caches on one machine's disk and in its
+// host memory. Each evicts the least recently used checkpoint.
 type checkpointCache struct {
 	disk, host *lru
-	// fastest is the last answer of tiers; nil after a change.
-	fastest map[cluster.ModelID]cluster.Tier
+	// fastestTiers caches the result of tiers; nil after a change.
+	fastestTiers map[cluster.ModelID]cluster.Tier
 }
 
 // newCheckpointCache returns empty caches of the given sizes in bytes.
@@ -20,9 +20,9 @@
 	return &checkpointCache{disk: newLRU(diskBytes), host: newLRU(hostBytes)}
 }
 
-// add puts a checkpoint into tier and, from memory, into disk too.
+// add adds a checkpoint to the tier. A checkpoint in memory is added to disk too.
 func (c *checkpointCache) add(model cluster.ModelID, bytes int64, tier cluster.Tier) {
-	c.fastest = nil
+	c.fastestTiers = nil
 	if tier == cluster.TierMemory {
 		c.host.add(model, bytes)
 	}
@@ -46,8 +46,8 @@
 // tiers returns the fastest tier of every cached checkpoint. The map is shared
 // until the next change and must not be written.
 func (c *checkpointCache) tiers() map[cluster.ModelID]cluster.Tier {
-	if c.fastest != nil {
-		return c.fastest
+	if c.fastestTiers != nil {
+		return c.fastestTiers
 	}
 	tiers := make(map[cluster.ModelID]cluster.Tier, len(c.disk.order))
 	for _, entry := range c.disk.order {
@@ -56,17 +56,18 @@
 	for _, entry := range c.host.order {
 		tiers[entry.model] = cluster.TierMemory
 	}
-	c.fastest = tiers
+	c.fastestTiers = tiers
 	return tiers
 }
 
-// dropMemory forgets what host memory held.
+// dropMemory empties the cache in host memory.
 func (c *checkpointCache) dropMemory() {
 	c.host = newLRU(c.host.limit)
-	c.fastest = nil
+	c.fastestTiers = nil
 }
 
-// lru holds models up to a size in bytes, least recently used first.
+// lru is a cache of models up to a size in bytes. Its order begins with the least
+// recently used model.
 type lru struct {
 	limit, used int64
 	order       []lruEntry
@@ -78,10 +79,10 @@
 	bytes int64
 }
 
-// newLRU returns an empty cache.
+// newLRU returns an empty cache of limit bytes.
 func newLRU(limit int64) *lru { return &lru{limit: limit} }
 
-// has reports whether the model is held.
+// has reports whether the model is in the cache.
 func (c *lru) has(model cluster.ModelID) bool {
 	for i := range c.order {
 		if c.order[i].model == model {
@@ -91,7 +92,8 @@
 	return false
 }
 
-// add makes the model the most recent and evicts the oldest ones above limit.
+// add makes the model the most recently used and evicts the least recently used
+// models above the limit. A model larger than the limit is not added.
 func (c *lru) add(model cluster.ModelID, bytes int64) {
 	if bytes > c.limit {
 		return
@@ -111,64 +113,65 @@
 	}
 }
 
-// prefixCacheBlocks bounds the prompt prefix blocks an engine keeps.
+// prefixCacheBlocks is the number of prompt prefix blocks that an engine caches.
 const prefixCacheBlocks = 4096
 
-// prefixCache holds hashes of prompt prefix blocks, oldest evicted first.
+// prefixCache holds the hashes of prompt prefix blocks and evicts the oldest first.
 type prefixCache struct {
-	limit int
-	held  map[uint64]bool
-	order []uint64
-	// sequence numbers the published events.
+	limit  int
+	blocks map[uint64]bool
+	order  []uint64
+	// sequence is the number of the last published event.
 	sequence uint64
 	events   []cluster.CacheEvent
 }
 
 // newPrefixCache returns an empty cache of limit blocks.
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, held: map[uint64]bool{}}
+	return &prefixCache{limit: limit, blocks: map[uint64]bool{}}
 }
 
-// match returns how many leading blocks are held.
+// match returns how many leading blocks are cached.
 func (c *prefixCache) match(prefixes []uint64) int {
 	for i, hash := range prefixes {
-		if !c.held[hash] {
+		if !c.blocks[hash] {
 			return i
 		}
 	}
 	return len(prefixes)
 }
 
-// add holds the blocks and publishes events; the caller drops some of them.
+// add caches the blocks of a prompt and publishes an event for each block that is
+// added or evicted.
 func (c *prefixCache) add(machine cluster.MachineID, model cluster.ModelID, prefixes []uint64) {
 	for _, hash := range prefixes {
-		if c.held[hash] {
+		if c.blocks[hash] {
 			continue
 		}
-		c.held[hash] = true
+		c.blocks[hash] = true
 		c.order = append(c.order, hash)
 		c.publish(cluster.CacheEvent{Machine: machine, Model: model, PrefixHash: hash})
 	}
 	for len(c.order) > c.limit {
-		delete(c.held, c.order[0])
+		delete(c.blocks, c.order[0])
 		c.publish(cluster.CacheEvent{Machine: machine, Model: model, PrefixHash: c.order[0], Evicted: true})
 		c.order = c.order[1:]
 	}
 }
 
-// publish numbers an event and keeps the newest ones.
+// publish numbers an event, keeps it and drops the oldest events above the bound.
 func (c *prefixCache) publish(event cluster.CacheEvent) {
-	const kept = 512
+	const maxKeptEvents = 512
 	c.sequence++
 	event.Sequence = c.sequence
 	c.events = append(c.events, event)
-	if len(c.events) > kept {
-		c.events = append([]cluster.CacheEvent(nil), c.events[len(c.events)-kept:]...)
+	if len(c.events) > maxKeptEvents {
+		c.events = append([]cluster.CacheEvent(nil), c.events[len(c.events)-maxKeptEvents:]...)
 	}
 }
 
-// after returns the events with a larger sequence.
-func (c *prefixCache) after(sequence uint64) []cluster.CacheEvent {
+// eventsAfter returns the kept events with a larger sequence number.
+func (c *prefixCache) eventsAfter(sequence uint64) []cluster.CacheEvent {
 	var newer []cluster.CacheEvent
 	for _, event := range c.events {
 		if event.Sequence > sequence {
@@ -178,8 +181,8 @@
 	return newer
 }
 
-// moveCache copies the cached prefixes of a model to another engine; both must
-// follow the token and have the version loaded.
+// moveCache copies the cached prefixes to another engine. Both engines must be
+// sealed with the call's token and have the model loaded in its version.
 func (e *Engine) moveCache(call node.EngineCall, target *Engine) error {
 	for _, each := range []*Engine{e, target} {
 		if each == nil || !each.Alive {
--- a/simulation/callers.go
+++ b/simulation/callers.go
@@ -11,41 +11,43 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// connectTimeout is how long a relay tries to reach an engine.
+// connectTimeout is how long a node tries to connect to an engine.
 const connectTimeout = time.Second
 
-// Callers are the callers of a deployment together with the nodes' relays: they
-// send requests, run the attempts that the routing cores dispatch and pass
-// answers back.
+// Callers models the callers of a deployment and the relays of its nodes. It sends
+// requests to nodes, runs the attempts that the routing cores dispatch, and passes
+// the answers back.
 type Callers struct {
-	world    *World
-	random   *rand.Rand
-	requests map[cluster.RequestID]*request
-	sequence uint64
-	fed      bool
-	// Outcomes counts ended requests; Refusals counts refused ones by code.
+	world           *World
+	random          *rand.Rand
+	requests        map[cluster.RequestID]*request
+	sequence        uint64
+	sourceScheduled bool
+	// Outcomes counts the ended requests, Refusals the refused ones by code.
 	Outcomes map[Outcome]int
 	Refusals map[verdict.Code]int
-	// Arrived counts requests; Unreached found no node at all.
+	// Arrived counts all requests, Unreached those for which no node accepted
+	// connections.
 	Arrived, Unreached int
 }
 
-// request is one request on its way.
+// request is one request that has not ended.
 type request struct {
 	id     cluster.RequestID
 	result Result
 	node   *Node
-	run    int
-	// attempt is the current dispatch, zero before the first.
+	// incarnation is that of the node that received the request.
+	incarnation int
+	// attempt is the last dispatched attempt, zero before the first.
 	attempt cluster.Attempt
 	machine cluster.MachineID
-	// received is what came of the current attempt's answer.
-	received answer
+	// received is the answer to the current attempt, zero before it arrived.
+	received receivedAnswer
 	ended    bool
 }
 
-// answer is what a relay received for an attempt.
-type answer struct {
+// receivedAnswer is the answer that a relay received for an attempt.
+type receivedAnswer struct {
 	request cluster.RequestID
 	attempt cluster.Attempt
 	tokens  int
@@ -59,31 +61,31 @@
 	}
 }
 
-// Pending returns how many requests have not ended.
+// Pending returns the number of requests that have not ended.
 func (c *Callers) Pending() int { return len(c.requests) }
 
-// arrive sends a request to a node of the caller's zone, or of another one when
-// none there accepts connections.
-func (c *Callers) arrive(arrival Arrival) {
-	to := c.pick(arrival.Zone)
+// send sends a request to a node of the caller's zone, or of another zone if no
+// node there accepts connections.
+func (c *Callers) send(arrival Arrival) {
+	to := c.pickNode(arrival.Zone)
 	if to == nil {
 		c.Arrived++
 		c.Unreached++
 		return
 	}
-	c.ask(to, arrival)
+	c.sendTo(to, arrival)
 }
 
-// ask sends a request to a node.
-func (c *Callers) ask(to *Node, arrival Arrival) {
+// sendTo sends a request to a node.
+func (c *Callers) sendTo(to *Node, arrival Arrival) {
 	c.Arrived++
 	c.sequence++
 	added := &request{
 		id:     cluster.RequestID(fmt.Sprintf("%s-%d", to.ID, c.sequence)),
-		result: Result{Arrival: arrival}, node: to, run: to.run,
+		result: Result{Arrival: arrival}, node: to, incarnation: to.incarnation,
 	}
 	c.requests[added.id] = added
-	c.world.Checkers.arrived(added)
+	c.world.Checkers.trackRequest(added)
 	input := node.RoutingInput{Event: routing.RequestArrived{Request: routing.Request{
 		ID: added.id, Model: arrival.Model, TokenPath: arrival.TokenPath, Team: arrival.Team,
 		Priority: arrival.Priority, Deadline: arrival.At.Add(arrival.Deadline), Repeatable: arrival.Repeatable,
@@ -91,16 +93,17 @@
 		MaxTokens: arrival.Tokens, Prefixes: arrival.Prefixes,
 	}}}
 	c.world.Kernel.After(c.world.config.Deployment.ClientDelay, LabelArrival, func() {
-		if to.run != added.run || !to.alive {
-			c.lost(added)
+		if to.incarnation != added.incarnation || !to.alive {
+			c.loseConnection(added)
 			return
 		}
 		to.deliver(input)
 	})
 }
 
-// pick chooses a node that accepts connections, of the zone if possible.
-func (c *Callers) pick(zone cluster.ZoneID) *Node {
+// pickNode picks a random node that accepts connections, in the zone if possible.
+// It returns nil if no node accepts connections.
+func (c *Callers) pickNode(zone cluster.ZoneID) *Node {
 	var near, far []*Node
 	for _, candidate := range c.world.nodes {
 		switch {
@@ -120,29 +123,29 @@
 	return near[c.random.IntN(len(near))]
 }
 
-// nodeDied ends the connections of a dead process.
-func (c *Callers) nodeDied(dead *Node) {
+// loseConnections ends the requests on a dead process.
+func (c *Callers) loseConnections(dead *Node) {
 	var lost []*request
 	for _, pending := range c.requests {
-		if pending.node == dead && pending.run == dead.run {
+		if pending.node == dead && pending.incarnation == dead.incarnation {
 			lost = append(lost, pending)
 		}
 	}
 	sortRequests(lost)
 	for _, pending := range lost {
-		c.world.cancelAttempt(pending)
-		c.lost(pending)
+		c.world.cancelOrphanedAttempt(pending)
+		c.loseConnection(pending)
 	}
 }
 
-// lost ends a request whose connection broke.
-func (c *Callers) lost(broken *request) {
+// loseConnection ends a request whose node died.
+func (c *Callers) loseConnection(broken *request) {
 	broken.result.Verdict = verdict.MayHaveRun
-	c.end(broken, OutcomeConnectionLost)
+	c.recordOutcome(broken, OutcomeConnectionLost)
 }
 
-// end records the one outcome of a request.
-func (c *Callers) end(ended *request, outcome Outcome) {
+// recordOutcome records the outcome of a request.
+func (c *Callers) recordOutcome(ended *request, outcome Outcome) {
 	ended.ended = true
 	ended.result.Outcome = outcome
 	ended.result.Ended = c.world.Kernel.Now()
@@ -151,14 +154,14 @@
 	if outcome == OutcomeRefused {
 		c.Refusals[ended.result.Code]++
 	}
-	c.world.Checkers.finished(ended)
+	c.world.Checkers.checkOutcome(ended)
 	if c.world.config.Finished != nil {
 		c.world.config.Finished(ended.result)
 	}
 }
 
-// carryOut does what a routing core asks of the request path.
-func (c *Callers) carryOut(from *Node, effect routing.Effect) {
+// applyEffect applies an effect of a routing core to the request path.
+func (c *Callers) applyEffect(from *Node, effect routing.Effect) {
 	switch e := effect.(type) {
 	case routing.Dispatch:
 		c.dispatch(from, e)
@@ -169,28 +172,28 @@
 	}
 }
 
-// finish gives the caller its outcome.
+// finish passes the outcome of a request to the caller.
 func (c *Callers) finish(finish routing.Finish) {
 	ended, ok := c.requests[finish.Request]
 	if !ok {
-		c.world.Checkers.finishedTwice(finish.Request)
+		c.world.Checkers.checkNoOutcome(finish.Request)
 		return
 	}
 	if finish.Failure == nil {
-		c.world.Checkers.answered(ended)
-		c.end(ended, OutcomeServed)
+		c.world.Checkers.checkAnswer(ended)
+		c.recordOutcome(ended, OutcomeServed)
 		return
 	}
 	ended.result.Code = finish.Failure.Code
 	ended.result.Verdict = finish.Failure.Verdict
 	if finish.Failure.Verdict == verdict.NotRun {
-		c.end(ended, OutcomeRefused)
+		c.recordOutcome(ended, OutcomeRefused)
 		return
 	}
-	c.end(ended, OutcomeFailed)
+	c.recordOutcome(ended, OutcomeFailed)
 }
 
-// cancel stops an attempt at its engine.
+// cancel sends the cancellation of an attempt to its engine.
 func (c *Callers) cancel(from *Node, effect routing.CancelAttempt) {
 	w := c.world
 	machine, ok := w.engines[effect.Machine]
@@ -202,9 +205,9 @@
 	})
 }
 
-// cancelAttempt stops what runs for a request whose node died: the engine sees
-// the broken connection.
-func (w *World) cancelAttempt(broken *request) {
+// cancelOrphanedAttempt cancels the attempt of a request whose node died, because
+// the engine sees the broken connection.
+func (w *World) cancelOrphanedAttempt(broken *request) {
 	machine, ok := w.engines[broken.machine]
 	if !ok || broken.attempt == 0 {
 		return
@@ -214,5 +217,5 @@
 	})
 }
 
-// place is where the machine stands.
+// place returns the zone and region of the engine's machine.
 func (e *Engine) place() Place { return Place{Zone: e.Machine.Zone, Region: e.Machine.Region} }
--- a/simulation/cell.go
+++ b/simulation/cell.go
@@ -11,25 +11,26 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Deployment is what a simulation consists of besides its traffic.
+// Deployment describes the zones, machines and services of a simulation.
 type Deployment struct {
 	Zones   []ZoneConfig
 	Network NetworkConfig
 	// ClientDelay is the one-way delay between callers and nodes.
 	ClientDelay time.Duration
 	Store       WeightStoreConfig
-	// MachineListLag is how late the machine list shows changes.
+	// MachineListLag is the time until the machine list shows a change.
 	MachineListLag time.Duration
-	// KeyValueDelay is the service's own time for an answer.
+	// KeyValueDelay is the key-value service's processing time per call.
 	KeyValueDelay time.Duration
-	// KeyValueRate bounds the service's answers a second; zero is unlimited.
+	// KeyValueRate bounds the key-value service's calls per second; zero means
+	// unlimited.
 	KeyValueRate float64
 	Machines     []MachineConfig
-	// Preloaded checkpoints in the machines' caches when a run begins.
+	// Preloaded lists the checkpoints in the machines' caches when a run begins.
 	Preloaded []Preload
 }
 
-// ZoneConfig is one zone with its nodes.
+// ZoneConfig is one zone with its number of nodes.
 type ZoneConfig struct {
 	ID     cluster.ZoneID
 	Region cluster.RegionID
@@ -57,41 +58,45 @@
 	Settings   *settings.Snapshot
 	Planner    placement.Planner
 	Source     Source
-	// PlanInterval between rounds; a model that begins to wait is planned for
-	// at the next WakeInterval.
+	// PlanInterval is the time between regular planning rounds. WakeInterval is
+	// the delay of the extra round after a request had to wait.
 	PlanInterval, WakeInterval time.Duration
 	// Finished is called for every request that ended.
 	Finished func(Result)
 }
 
-// Cell drives a planner alone: all machines form one cell, nothing fails, and
-// requests wait in one queue a model. It isolates what the placement policy
-// costs from the rest of the system.
+// Cell runs a planner without the rest of the product: all machines form one cell,
+// nothing fails, and each model has one queue. It isolates the cost of the
+// placement policy from that of the other parts.
 type Cell struct {
 	Kernel  *Kernel
 	Store   *WeightStore
 	Usage   *Usage
 	config  CellConfig
 	engines []*Engine
-	byModel map[cluster.ModelID]*modelQueue
-	// waiting counts queued requests over all models.
-	waiting   int
-	planned   time.Time
-	planning  bool
-	orders    int
+	queues  map[cluster.ModelID]*modelQueue
+	// waiting counts the queued requests of all models.
+	waiting int
+	// lastPlan is the time of the last planning round.
+	lastPlan time.Time
+	// planScheduled reports whether an extra planning round is scheduled.
+	planScheduled bool
+	// lastID is the last number given to a request or an order.
+	lastID int
+	// arrivals counts the requests since the last planning round.
 	arrivals  map[cluster.ModelID]int
 	allotment cluster.Allotment
-	// Rounds counts plans.
+	// Rounds counts the planning rounds.
 	Rounds int
 }
 
-// modelQueue is one model's waiting requests and replicas.
+// modelQueue holds one model's waiting requests and loaded replicas.
 type modelQueue struct {
 	model    *settings.Model
 	waiting  []*cellRequest
 	replicas []*Engine
 	running  int
-	// warmSince is when the model last became loaded after having no replica.
+	// warmSince is when the model last went from no loaded replica to one.
 	warmSince time.Time
 }
 
@@ -102,18 +107,18 @@
 	expiry Timer
 }
 
-// NewCell returns a cell whose clock stands at Epoch.
+// NewCell returns a cell whose virtual time is Epoch.
 func NewCell(config CellConfig) *Cell {
 	kernel := NewKernel(config.Seed)
 	cell := &Cell{
 		Kernel: kernel, Store: NewWeightStore(kernel, config.Deployment.Store), Usage: NewUsage(kernel),
-		config: config, byModel: map[cluster.ModelID]*modelQueue{}, arrivals: map[cluster.ModelID]int{},
+		config: config, queues: map[cluster.ModelID]*modelQueue{}, arrivals: map[cluster.ModelID]int{},
 	}
 	engines := map[cluster.MachineID]*Engine{}
 	for _, machine := range config.Deployment.Machines {
 		added := NewEngine(kernel, cell.Store, machine.Machine, machine.Engine, cell)
 		if _, err := added.Seal(1); err != nil {
-			panic(err) // a fresh engine holds no token
+			panic(err) // a new engine has no token and accepts any
 		}
 		cell.engines = append(cell.engines, added)
 		engines[machine.Machine.ID] = added
@@ -125,19 +130,19 @@
 	cell.allotment.Revision = 1
 	for i := range config.Settings.Models {
 		model := &config.Settings.Models[i]
-		cell.byModel[model.ID] = &modelQueue{model: model}
+		cell.queues[model.ID] = &modelQueue{model: model}
 		cell.allotment.Models = append(cell.allotment.Models,
 			cluster.ModelAllotment{Model: model.ID, MaxReplicas: model.Policy.MaxReplicas})
 	}
 	return cell
 }
 
-// Run drives the cell until the given time.
+// Run runs the cell until the given virtual time.
 func (c *Cell) Run(until time.Time) {
 	if c.Rounds == 0 {
 		c.plan()
 		c.Kernel.Every(c.config.PlanInterval, c.config.PlanInterval, LabelPlan, func() bool { c.plan(); return true })
-		feed(c.Kernel, c.config.Source, c.arrive)
+		scheduleArrivals(c.Kernel, c.config.Source, c.arrive)
 	}
 	c.Kernel.Run(until)
 	c.Usage.Settle()
@@ -146,7 +151,7 @@
 // ReplicaChanged implements EngineObserver.
 func (c *Cell) ReplicaChanged(machine *Engine, model cluster.ModelID, next cluster.ReplicaState) {
 	c.Usage.ReplicaChanged(machine, model, next)
-	queue := c.byModel[model]
+	queue := c.queues[model]
 	before := machine.State(model) == cluster.ReplicaLoaded
 	switch {
 	case next == cluster.ReplicaLoaded:
@@ -154,9 +159,9 @@
 			queue.warmSince = c.Kernel.Now()
 		}
 		queue.replicas = append(queue.replicas, machine)
-		c.Kernel.After(0, LabelDispatch, func() { c.drain(queue) })
+		c.Kernel.After(0, LabelDispatch, func() { c.startWaiting(queue) })
 	case before:
-		queue.remove(machine)
+		queue.removeReplica(machine)
 	}
 }
 
@@ -168,8 +173,8 @@
 // Executed implements EngineObserver.
 func (c *Cell) Executed(*Engine, Run) {}
 
-// remove forgets a replica.
-func (q *modelQueue) remove(machine *Engine) {
+// removeReplica removes the machine's replica from the queue's replicas.
+func (q *modelQueue) removeReplica(machine *Engine) {
 	for i, held := range q.replicas {
 		if held == machine {
 			q.replicas = append(q.replicas[:i], q.replicas[i+1:]...)
@@ -178,23 +183,24 @@
 	}
 }
 
-// arrive admits a request or lets it wait.
+// arrive starts a request, or queues it if others wait or no slot is free.
 func (c *Cell) arrive(arrival Arrival) {
-	queue := c.byModel[arrival.Model]
+	queue := c.queues[arrival.Model]
 	c.arrivals[arrival.Model]++
-	c.orders++
+	c.lastID++
 	request := &cellRequest{
-		id:     cluster.RequestID("r" + strconv.Itoa(c.orders)),
+		id:     cluster.RequestID("r" + strconv.Itoa(c.lastID)),
 		result: Result{Arrival: arrival},
 	}
-	if len(queue.waiting) == 0 && c.start(queue, request) {
+	if len(queue.waiting) == 0 && c.tryStart(queue, request) {
 		return
 	}
-	c.wait(queue, request)
+	c.enqueue(queue, request)
 }
 
-// wait queues a request until its deadline or the policy's queue time.
-func (c *Cell) wait(queue *modelQueue, request *cellRequest) {
+// enqueue queues a request until its deadline or the policy's queue time. It
+// refuses the request if the queue is full.
+func (c *Cell) enqueue(queue *modelQueue, request *cellRequest) {
 	policy := &queue.model.Policy
 	if policy.QueueLength > 0 && len(queue.waiting) >= policy.QueueLength {
 		c.refuse(queue, request, verdict.CodeQueueFull)
@@ -207,15 +213,15 @@
 		limit = min(limit, policy.QueueTime)
 	}
 	request.expiry = c.Kernel.After(limit, LabelDispatch, func() {
-		queue.forget(request)
+		queue.removeRequest(request)
 		c.waiting--
 		c.refuse(queue, request, verdict.CodeQueueTimeout)
 	})
-	c.wake()
+	c.planSoon()
 }
 
-// forget takes a request out of the queue.
-func (q *modelQueue) forget(request *cellRequest) {
+// removeRequest removes a request from the queue.
+func (q *modelQueue) removeRequest(request *cellRequest) {
 	for i, waiting := range q.waiting {
 		if waiting == request {
 			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
@@ -224,7 +230,7 @@
 	}
 }
 
-// refuse ends a request that did not run.
+// refuse ends a request with a refusal as not run.
 func (c *Cell) refuse(queue *modelQueue, request *cellRequest, code verdict.Code) {
 	request.result.Outcome = OutcomeRefused
 	request.result.Code = code
@@ -235,7 +241,7 @@
 	c.finish(request)
 }
 
-// finish reports a request that ended.
+// finish reports the result of a request that ended.
 func (c *Cell) finish(request *cellRequest) {
 	request.result.Ended = c.Kernel.Now()
 	if c.config.Finished != nil {
@@ -243,8 +249,9 @@
 	}
 }
 
-// start runs a request on the replica with the fewest running requests.
-func (c *Cell) start(queue *modelQueue, request *cellRequest) bool {
+// tryStart runs a request on the machine with a replica of the model that has the
+// fewest running requests. It reports whether a slot was free.
+func (c *Cell) tryStart(queue *modelQueue, request *cellRequest) bool {
 	var best *Engine
 	for _, machine := range queue.replicas {
 		if len(machine.attempts) >= machine.Config.Slots {
@@ -271,9 +278,9 @@
 			request.result.Outcome = OutcomeServed
 			request.result.Verdict = verdict.Ran
 			c.finish(request)
-			c.drainMachine(best)
+			c.startWaitingOn(best)
 		},
-		Cut: func() {
+		StreamBroken: func() {
 			queue.running--
 			request.result.Outcome = OutcomeFailed
 			request.result.Code = verdict.CodeStreamCut
@@ -284,21 +291,22 @@
 	return true
 }
 
-// drainMachine gives a free slot to the models that the machine holds.
-func (c *Cell) drainMachine(machine *Engine) {
+// startWaitingOn starts waiting requests of the models on a machine, after one of
+// its slots became free.
+func (c *Cell) startWaitingOn(machine *Engine) {
 	if c.waiting == 0 {
 		return
 	}
 	for _, model := range machine.models() {
-		c.drain(c.byModel[model])
+		c.startWaiting(c.queues[model])
 	}
 }
 
-// drain starts waiting requests while slots last.
-func (c *Cell) drain(queue *modelQueue) {
+// startWaiting starts the queue's waiting requests while slots are free.
+func (c *Cell) startWaiting(queue *modelQueue) {
 	for len(queue.waiting) > 0 {
 		request := queue.waiting[0]
-		if !c.start(queue, request) {
+		if !c.tryStart(queue, request) {
 			return
 		}
 		queue.waiting = queue.waiting[1:]
--- a/simulation/cellplan.go
+++ b/simulation/cellplan.go
@@ -7,49 +7,51 @@
 	"github.com/valveslip/valveslip/placement"
 )
 
-// wake makes a plan soon for a model that begins to wait.
-func (c *Cell) wake() {
-	if c.planning {
+// planSoon schedules an extra planning round for a request that has to wait,
+// unless one is scheduled.
+func (c *Cell) planSoon() {
+	if c.planScheduled {
 		return
 	}
-	c.planning = true
+	c.planScheduled = true
 	c.Kernel.After(c.config.WakeInterval, LabelPlan, func() {
-		c.planning = false
-		if c.planned.Before(c.Kernel.Now()) {
+		c.planScheduled = false
+		if c.lastPlan.Before(c.Kernel.Now()) {
 			c.plan()
 		}
 	})
 }
 
-// plan runs one round of the planner and gives its orders.
+// plan runs one planning round and sends its orders to the engines.
 func (c *Cell) plan() {
-	c.planned = c.Kernel.Now()
+	c.lastPlan = c.Kernel.Now()
 	c.Rounds++
-	plan := c.config.Planner.Plan(c.state())
+	plan := c.config.Planner.Plan(c.plannerState())
 	clear(c.arrivals)
 	for i := range plan.Actions {
-		c.order(&plan.Actions[i])
+		c.sendOrder(&plan.Actions[i])
 	}
 }
 
-// order gives one action to its engine.
-func (c *Cell) order(action *placement.Action) {
-	c.orders++
+// sendOrder sends one action as an order to its engine.
+func (c *Cell) sendOrder(action *placement.Action) {
+	c.lastID++
 	for _, machine := range c.engines {
 		if machine.Machine.ID != action.Machine {
 			continue
 		}
-		// A refused order shows in the next state, as it does to a controller.
+		// The error is ignored: the planner sees the effect of a refused order in
+		// the next state, as a controller does.
 		_, _ = machine.Order(cluster.Order{
-			ID: strconv.Itoa(c.orders), Token: 1, Epoch: machine.epoch, Machine: action.Machine, Kind: action.Kind,
+			ID: strconv.Itoa(c.lastID), Token: 1, Epoch: machine.epoch, Machine: action.Machine, Kind: action.Kind,
 			Model: action.Model, Base: action.Base, Version: action.Version, Bytes: action.Bytes,
 			Pool: action.Pool, DrainTime: action.DrainTime,
 		})
 	}
 }
 
-// state is the planner's input, without any lag.
-func (c *Cell) state() placement.State {
+// plannerState returns the planner's input from the true state, without lag.
+func (c *Cell) plannerState() placement.State {
 	status := c.Store.Status()
 	state := placement.State{
 		Now: c.Kernel.Now(), Zone: "cell", Token: 1, Settings: c.config.Settings, Allotment: &c.allotment,
@@ -61,17 +63,17 @@
 	for _, machine := range c.engines {
 		state.Machines = append(state.Machines, machine.placementMachine())
 	}
-	for model, queue := range c.byModel {
+	for model, queue := range c.queues {
 		arrivals := c.arrivals[model]
 		if arrivals > 0 || len(queue.waiting) > 0 || queue.running > 0 {
-			state.Demand[model] = c.demand(queue, arrivals)
+			state.Demand[model] = c.queueDemand(queue, arrivals)
 		}
 	}
 	return state
 }
 
-// demand summarises one model's queue.
-func (c *Cell) demand(queue *modelQueue, arrivals int) placement.Demand {
+// queueDemand returns the planner's view of one model's queue.
+func (c *Cell) queueDemand(queue *modelQueue, arrivals int) placement.Demand {
 	demand := placement.Demand{Waiting: len(queue.waiting), Running: queue.running, Arrivals: arrivals}
 	for i, request := range queue.waiting {
 		waited := c.Kernel.Now().Sub(request.result.Arrival.At)
@@ -84,7 +86,7 @@
 	return demand
 }
 
-// placementMachine is the engine as a planner without lag sees it.
+// placementMachine returns the planner's view of the engine, without lag.
 func (e *Engine) placementMachine() placement.Machine {
 	machine := placement.Machine{
 		ID: e.Machine.ID, Rack: e.Machine.Rack, Pool: e.Config.Pool, Sealed: e.Alive, Leaving: e.Leaving,
@@ -106,5 +108,5 @@
 	return machine
 }
 
-// RunningOn returns how many requests run on the machine.
-func (e *Engine) RunningOn() int { return len(e.attempts) }
+// RunningRequests returns how many requests run on the engine.
+func (e *Engine) RunningRequests() int { return len(e.attempts) }
--- a/simulation/checkers_test.go
+++ b/simulation/checkers_test.go
@@ -12,8 +12,8 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// tamperOrders changes the orders to load that reach engines.
-func tamperOrders(change func(w *World, order *cluster.Order)) func(*World, *Node, node.Effect) node.Effect {
+// changeLoadOrders returns a Tamper effect that changes the load orders to engines.
+func changeLoadOrders(change func(w *World, order *cluster.Order)) func(*World, *Node, node.Effect) node.Effect {
 	return func(w *World, _ *Node, effect node.Effect) node.Effect {
 		if call, ok := effect.(node.EngineCall); ok && call.Operation == node.EngineOrder && call.Order.Kind == cluster.OrderLoad {
 			change(w, &call.Order)
@@ -23,8 +23,9 @@
 	}
 }
 
-// tamperRouting changes effects of the request path; nil drops them.
-func tamperRouting(change func(w *World, from *Node, effect routing.Effect) routing.Effect) func(*World, *Node, node.Effect) node.Effect {
+// changeRoutingEffects returns a Tamper effect that changes the effects of routing
+// cores. If change returns nil, the effect is dropped.
+func changeRoutingEffects(change func(w *World, from *Node, effect routing.Effect) routing.Effect) func(*World, *Node, node.Effect) node.Effect {
 	return func(w *World, from *Node, effect node.Effect) node.Effect {
 		output, ok := effect.(node.RoutingOutput)
 		if !ok {
@@ -37,8 +38,7 @@
 	}
 }
 
-// defects are planted one at a time; each must be noticed by the checker of the
-// promise it breaks.
+// defects lists the injected defects, each with the promise that it breaks.
 var defects = []struct {
 	name    string
 	promise Promise
@@ -47,7 +47,7 @@
 	answer  func(request *cluster.RequestID, tokens *int)
 }{
 	{name: "a load is also given to every other machine", promise: PromiseReplicas,
-		effect: tamperOrders(func(w *World, order *cluster.Order) {
+		effect: changeLoadOrders(func(w *World, order *cluster.Order) {
 			for _, machine := range w.Engines() {
 				if order.Base == "" && machine.Machine.ID != order.Machine {
 					_ = machine.load(*order)
@@ -55,16 +55,16 @@
 			}
 		})},
 	{name: "a load takes more memory than was reserved", promise: PromiseMemory,
-		effect: tamperOrders(func(_ *World, order *cluster.Order) { order.Bytes += 30 << 30 })},
+		effect: changeLoadOrders(func(_ *World, order *cluster.Order) { order.Bytes += 30 << 30 })},
 	{name: "the outcome of a request is dropped", promise: PromiseOutcome,
-		effect: tamperRouting(func(_ *World, _ *Node, effect routing.Effect) routing.Effect {
+		effect: changeRoutingEffects(func(_ *World, _ *Node, effect routing.Effect) routing.Effect {
 			if finish, ok := effect.(routing.Finish); ok && finish.Failure == nil {
 				return nil
 			}
 			return effect
 		})},
 	{name: "the outcome of a request is given twice", promise: PromiseOutcome,
-		effect: tamperRouting(func(w *World, _ *Node, effect routing.Effect) routing.Effect {
+		effect: changeRoutingEffects(func(w *World, _ *Node, effect routing.Effect) routing.Effect {
 			if finish, ok := effect.(routing.Finish); ok {
 				w.Callers.finish(finish)
 			}
@@ -75,7 +75,7 @@
 	{name: "an answer is cut short", promise: PromiseAnswer,
 		answer: func(_ *cluster.RequestID, tokens *int) { *tokens-- }},
 	{name: "a request that ran is refused as not run", promise: PromiseNotRun,
-		effect: tamperRouting(func(_ *World, _ *Node, effect routing.Effect) routing.Effect {
+		effect: changeRoutingEffects(func(_ *World, _ *Node, effect routing.Effect) routing.Effect {
 			if finish, ok := effect.(routing.Finish); ok && finish.Failure == nil {
 				finish.Failure = verdict.New(verdict.NotRun, verdict.CodeNoCapacity, "planted")
 				return finish
@@ -83,7 +83,7 @@
 			return effect
 		})},
 	{name: "a request is dispatched twice", promise: PromiseAtMostOnce,
-		effect: tamperRouting(func(w *World, from *Node, effect routing.Effect) routing.Effect {
+		effect: changeRoutingEffects(func(w *World, from *Node, effect routing.Effect) routing.Effect {
 			if dispatch, ok := effect.(routing.Dispatch); ok {
 				w.Callers.dispatch(from, dispatch)
 				dispatch.Attempt++
@@ -91,7 +91,7 @@
 			}
 			return effect
 		})},
-	{name: "the end of a machine is overlooked", promise: PromiseLeaving, event: overlookLeaving},
+	{name: "the end of a machine is overlooked", promise: PromiseLeaving, event: hideLeaving},
 	{name: "a planned stop does not wait", promise: PromisePlannedStop,
 		effect: func(_ *World, from *Node, effect node.Effect) node.Effect {
 			if from.draining {
@@ -117,8 +117,8 @@
 		}},
 }
 
-// overlookLeaving hides from the cores that a machine leaves.
-func overlookLeaving(event node.Event) node.Event {
+// hideLeaving removes from an event that a machine leaves.
+func hideLeaving(event node.Event) node.Event {
 	switch e := event.(type) {
 	case node.MachinesListed:
 		e.Machines = slices.Clone(e.Machines)
@@ -133,9 +133,9 @@
 	return event
 }
 
-// runWithEvents runs a small world through a reclaimed machine, a planned stop
-// and edits.
-func runWithEvents(t *testing.T, tamper Tamper, world **World) *Checkers {
+// runWithFaults runs a small world with reclaimed machines, planned stops and
+// edits. It sets world before the run, so that tamper can use it.
+func runWithFaults(t *testing.T, tamper Tamper, world **World) *Checkers {
 	t.Helper()
 	*world = newSmallWorld(t, 11, tamper)
 	w := *world
@@ -146,8 +146,8 @@
 		{Kind: FaultMachineReclaim, After: 75 * time.Second, Duration: 40 * time.Second},
 		{Kind: FaultNodeStop, After: 150*time.Second + 500*time.Millisecond},
 		{Kind: FaultNodeStop, After: 170 * time.Second},
-		// Stops at many offsets from the arrivals, so that some meet requests in
-		// flight whatever the timing of loads.
+		// The stops have different offsets from the arrivals, so that some happen
+		// while requests are in flight, whatever the timing of loads.
 		{Kind: FaultNodeStop, After: 190*time.Second + 50*time.Millisecond},
 		{Kind: FaultNodeStop, After: 205*time.Second + 100*time.Millisecond},
 		{Kind: FaultNodeStop, After: 220*time.Second + 300*time.Millisecond},
@@ -157,9 +157,11 @@
 	return w.Checkers
 }
 
-func TestCheckersNoticePlantedDefects(t *testing.T) {
+// Each defect breaks one promise. Guards against a checker that never checks, that
+// misses the violation of its promise, or that reports one without a defect.
+func TestCheckersDetectInjectedDefects(t *testing.T) {
 	var world *World
-	clean := runWithEvents(t, Tamper{}, &world)
+	clean := runWithFaults(t, Tamper{}, &world)
 	if clean.Total() != 0 {
 		t.Fatalf("violations without a defect: %v", clean.Violations)
 	}
@@ -174,15 +176,17 @@
 			if defect.effect != nil {
 				tamper.Effect = func(from *Node, effect node.Effect) node.Effect { return defect.effect(world, from, effect) }
 			}
-			checkers := runWithEvents(t, tamper, &world)
+			checkers := runWithFaults(t, tamper, &world)
 			if checkers.Count[defect.promise] == 0 {
-				t.Errorf("the checker of %q noticed nothing; violations: %v", defect.promise, checkers.Violations)
+				t.Errorf("the checker of %q did not detect the defect; violations: %v", defect.promise, checkers.Violations)
 			}
 		})
 	}
 }
 
-func TestControlGoesOnAfterKeyValueOutage(t *testing.T) {
+// Leases expire while the key-value service is down for 40 seconds. Guards against
+// controllers that don't act on edits after the outage, which here turn off a model.
+func TestControllersApplyEditsAfterKeyValueOutage(t *testing.T) {
 	world := newSmallWorld(t, 5, Tamper{})
 	world.Schedule([]Fault{{Kind: FaultKeyValueDown, After: 30 * time.Second, Duration: 40 * time.Second}})
 	world.Run(Epoch.Add(80 * time.Second))
@@ -194,7 +198,7 @@
 		t.Fatal(err)
 	}
 	world.Run(Epoch.Add(3 * time.Minute))
-	if held := world.Checkers.held["small"]; held != 0 {
+	if held := world.Checkers.replicaCounts["small"]; held != 0 {
 		t.Errorf("%d replicas are held of a model that was turned off after the outage", held)
 	}
 	if served == 0 || world.Callers.Outcomes[OutcomeServed] == served {
--- a/simulation/engine.go
+++ b/simulation/engine.go
@@ -9,41 +9,41 @@
 	"github.com/valveslip/valveslip/engine"
 )
 
-// EngineConfig describes one class of machines and its engine.
+// EngineConfig describes a machine and its engine.
 type EngineConfig struct {
 	Pool         string
 	MemoryBytes  int64
 	Accelerators int
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that can run at once.
 	Slots int
-	// DiskBytes and HostBytes bound the checkpoint caches.
+	// DiskBytes and HostBytes are the sizes of the checkpoint caches.
 	DiskBytes, HostBytes int64
-	// DiskRate and HostRate are bytes a second of one load by tier; remote
-	// loads take the weight store's.
+	// DiskRate and HostRate are the bytes per second of a load from disk or host
+	// memory. The weight store determines the rate of remote loads.
 	DiskRate, HostRate float64
 	// LoadOverhead is added to every load.
 	LoadOverhead time.Duration
-	// PrefillRate is prompt tokens a second.
+	// PrefillRate is the number of prompt tokens processed per second.
 	PrefillRate float64
-	// TokenTime is the time between tokens with one request; TokenTimeSlope is
-	// added for each further request in the batch.
+	// TokenTime is the time between two tokens of a single running request;
+	// TokenTimeSlope is added for each further request in the batch.
 	TokenTime, TokenTimeSlope time.Duration
-	// RestartTime is how long a crashed engine needs to answer again.
+	// RestartTime is the time from a crash until the engine answers again.
 	RestartTime time.Duration
 }
 
-// replica is the engine's true state of one model.
+// replica is the true state of one model on the engine.
 type replica struct {
 	cluster.Replica
 	base    cluster.ModelID
 	running int
 	fetch   *Fetch
 	timer   Timer
-	// drainEnd bounds an unload; zero unless unloading.
+	// drainEnd is the timer of the drain time; zero unless the replica unloads.
 	drainEnd Timer
 }
 
-// Engine is the model of one machine with its engine: fenced orders, memory,
+// Engine models one machine and its engine: orders under fencing tokens, memory,
 // checkpoint caches and continuous batching.
 type Engine struct {
 	kernel  *Kernel
@@ -52,22 +52,22 @@
 	Config  EngineConfig
 	Machine cluster.Machine
 
-	Alive    bool
-	Leaving  bool
-	epoch    uint64
-	token    cluster.FencingToken
-	sequence uint64
-	replicas map[cluster.ModelID]*replica
-	cache    *checkpointCache
-	prefixes *prefixCache
-	orders   map[string]bool
-	attempts map[attemptKey]*attempt
-	observer EngineObserver
-	// report is what the engine last published.
+	Alive         bool
+	Leaving       bool
+	epoch         uint64
+	token         cluster.FencingToken
+	sequence      uint64
+	replicas      map[cluster.ModelID]*replica
+	cache         *checkpointCache
+	prefixes      *prefixCache
+	appliedOrders map[string]bool
+	attempts      map[attemptKey]*attempt
+	observer      EngineObserver
+	// report is the last published load.
 	report cluster.LoadReport
 }
 
-// EngineObserver sees the true changes of an engine.
+// EngineObserver is notified of the true changes of an engine.
 type EngineObserver interface {
 	// ReplicaChanged is called before the state of a replica changes.
 	ReplicaChanged(machine *Engine, model cluster.ModelID, next cluster.ReplicaState)
@@ -81,15 +81,16 @@
 func NewEngine(kernel *Kernel, store *WeightStore, machine cluster.Machine, config EngineConfig, observer EngineObserver) *Engine {
 	return &Engine{
 		kernel: kernel, store: store, Config: config, Machine: machine, Alive: true, epoch: 1,
-		random:   kernel.Stream("engine/" + string(machine.ID)),
-		replicas: map[cluster.ModelID]*replica{},
-		cache:    newCheckpointCache(config.DiskBytes, config.HostBytes),
-		prefixes: newPrefixCache(prefixCacheBlocks),
-		orders:   map[string]bool{}, attempts: map[attemptKey]*attempt{}, observer: observer,
+		random:        kernel.Stream("engine/" + string(machine.ID)),
+		replicas:      map[cluster.ModelID]*replica{},
+		cache:         newCheckpointCache(config.DiskBytes, config.HostBytes),
+		prefixes:      newPrefixCache(prefixCacheBlocks),
+		appliedOrders: map[string]bool{}, attempts: map[attemptKey]*attempt{}, observer: observer,
 	}
 }
 
-// Seal raises the engine's token and answers its inventory.
+// Seal raises the engine's fencing token and returns its inventory. It fails if
+// the engine has a newer token.
 func (e *Engine) Seal(token cluster.FencingToken) (cluster.Inventory, error) {
 	if token < e.token {
 		return cluster.Inventory{}, &engine.StaleTokenError{Held: e.token}
@@ -101,7 +102,7 @@
 	return e.Inventory(), nil
 }
 
-// Inventory returns the engine's account of itself.
+// Inventory returns the engine's configuration, token and replicas.
 func (e *Engine) Inventory() cluster.Inventory {
 	inventory := cluster.Inventory{
 		Machine: e.Machine.ID, Token: e.token, Sequence: e.sequence, Epoch: e.epoch,
@@ -114,7 +115,7 @@
 	return inventory
 }
 
-// Models returns the models that are not absent, sorted.
+// models returns the models with a replica on the engine, sorted.
 func (e *Engine) models() []cluster.ModelID {
 	models := make([]cluster.ModelID, 0, len(e.replicas))
 	for model := range e.replicas {
@@ -124,7 +125,7 @@
 	return models
 }
 
-// UsedBytes is the true memory in use.
+// UsedBytes returns the memory that all replicas use.
 func (e *Engine) UsedBytes() int64 {
 	var used int64
 	for _, held := range e.replicas {
@@ -141,7 +142,7 @@
 	return cluster.ReplicaAbsent
 }
 
-// Tier returns the fastest tier of the model's checkpoint here.
+// Tier returns the fastest tier that holds the model's checkpoint.
 func (e *Engine) Tier(model cluster.ModelID) cluster.Tier { return e.cache.tier(model) }
 
 // Preload puts a checkpoint into the cache tiers before a run begins.
@@ -149,19 +150,19 @@
 	e.cache.add(model, bytes, tier)
 }
 
-// reportInterval is how often an engine renews its published load.
+// reportInterval is the shortest time between two updates of the published load.
 const reportInterval = time.Second
 
-// Report returns the published load, which lags the true one.
+// Report returns the published load, which is up to reportInterval old.
 func (e *Engine) Report() cluster.LoadReport {
 	if e.report.At.IsZero() || e.kernel.Now().Sub(e.report.At) >= reportInterval {
-		e.report = e.measure()
+		e.report = e.measureLoad()
 	}
 	return e.report
 }
 
-// measure returns the present load.
-func (e *Engine) measure() cluster.LoadReport {
+// measureLoad returns the current load.
+func (e *Engine) measureLoad() cluster.LoadReport {
 	report := cluster.LoadReport{Machine: e.Machine.ID, At: e.kernel.Now(), PerModel: map[cluster.ModelID]int{}}
 	for model, held := range e.replicas {
 		if held.running > 0 {
@@ -169,12 +170,12 @@
 			report.Running += held.running
 		}
 	}
-	report.TokensPerSecond = float64(report.Running) / e.interval(report.Running).Seconds()
+	report.TokensPerSecond = float64(report.Running) / e.tokenInterval(report.Running).Seconds()
 	return report
 }
 
-// Order applies a fenced order once. It takes only orders for this run of the
-// engine under the token it was last sealed with.
+// Order applies an order once. It accepts only orders for the current epoch of the
+// engine under the token with which the engine was last sealed.
 func (e *Engine) Order(order cluster.Order) (cluster.Inventory, error) {
 	switch {
 	case order.Token < e.token:
@@ -184,10 +185,10 @@
 	case order.Epoch != e.epoch:
 		return cluster.Inventory{}, &engine.RefusedError{Reason: engine.ReasonOtherRun}
 	}
-	if e.orders[order.ID] {
+	if e.appliedOrders[order.ID] {
 		return e.Inventory(), nil
 	}
-	e.orders[order.ID] = true
+	e.appliedOrders[order.ID] = true
 	switch order.Kind {
 	case cluster.OrderLoad:
 		if err := e.load(order); err != nil {
@@ -205,8 +206,8 @@
 	return e.Inventory(), nil
 }
 
-// load begins to load a model. The engine trusts the order's bytes, so a
-// controller that overcommits memory is seen by the checkers.
+// load begins to load a model. The engine doesn't check the order's bytes against
+// its memory, so that the checkers detect a controller that overcommits it.
 func (e *Engine) load(order cluster.Order) error {
 	if held, ok := e.replicas[order.Model]; ok {
 		if held.State != cluster.ReplicaUnloading && held.Version == order.Version {
@@ -225,7 +226,7 @@
 	if tier == cluster.TierRemote {
 		loading.fetch = e.store.Start(order.Bytes, func() {
 			e.cache.add(order.Model, order.Bytes, cluster.TierDisk)
-			loading.timer = e.kernel.After(e.Config.LoadOverhead, LabelLoadDone, func() { e.loaded(loading) })
+			loading.timer = e.kernel.After(e.Config.LoadOverhead, LabelLoadDone, func() { e.completeLoad(loading) })
 		})
 		return nil
 	}
@@ -234,12 +235,12 @@
 		rate = e.Config.HostRate
 	}
 	wait := e.Config.LoadOverhead + transferTime(order.Bytes, rate)
-	loading.timer = e.kernel.After(wait, LabelLoadDone, func() { e.loaded(loading) })
+	loading.timer = e.kernel.After(wait, LabelLoadDone, func() { e.completeLoad(loading) })
 	return nil
 }
 
-// loaded ends a load.
-func (e *Engine) loaded(loading *replica) {
+// completeLoad marks a replica as loaded, unless it was unloaded meanwhile.
+func (e *Engine) completeLoad(loading *replica) {
 	if e.replicas[loading.Model] != loading || loading.State != cluster.ReplicaLoading {
 		return
 	}
@@ -247,7 +248,7 @@
 	e.setState(loading, cluster.ReplicaLoaded)
 }
 
-// isBase reports whether an adapter here needs the model.
+// isBase reports whether the model is the base of an adapter on the engine.
 func (e *Engine) isBase(model cluster.ModelID) bool {
 	for _, held := range e.replicas {
 		if held.base == model {
@@ -257,7 +258,8 @@
 	return false
 }
 
-// unload lets a replica finish its requests for the drain time at most.
+// unload begins to unload a replica. Its running requests may finish within the
+// drain time.
 func (e *Engine) unload(order cluster.Order) {
 	held, ok := e.replicas[order.Model]
 	if !ok || held.State == cluster.ReplicaUnloading {
@@ -268,24 +270,24 @@
 		e.store.Cancel(held.fetch)
 	}
 	e.setState(held, cluster.ReplicaUnloading)
-	held.drainEnd = e.kernel.After(order.DrainTime, LabelUnloadDone, func() { e.absent(held) })
+	held.drainEnd = e.kernel.After(order.DrainTime, LabelUnloadDone, func() { e.removeReplica(held) })
 	if held.running == 0 {
 		held.drainEnd.Cancel()
-		e.kernel.After(unloadTime, LabelUnloadDone, func() { e.absent(held) })
+		e.kernel.After(unloadTime, LabelUnloadDone, func() { e.removeReplica(held) })
 	}
 }
 
-// absent frees the memory of a replica and cuts what still runs on it.
-func (e *Engine) absent(held *replica) {
+// removeReplica removes a replica and breaks the streams that still run on it.
+func (e *Engine) removeReplica(held *replica) {
 	if e.replicas[held.Model] != held {
 		return
 	}
-	e.cutModel(held.Model)
+	e.breakStreams(held.Model)
 	e.setState(held, cluster.ReplicaAbsent)
 	delete(e.replicas, held.Model)
 }
 
-// setState changes a replica's state and tells the observer first.
+// setState notifies the observer, then changes the replica's state.
 func (e *Engine) setState(held *replica, state cluster.ReplicaState) {
 	e.observer.ReplicaChanged(e, held.Model, state)
 	held.State = state
@@ -293,15 +295,15 @@
 	e.sequence++
 }
 
-// Crash ends the engine process: replicas and requests are gone, the disk
-// cache stays.
+// Crash ends the engine process. Replicas, running requests and the caches in
+// memory are lost; the disk cache stays.
 func (e *Engine) Crash() {
 	if !e.Alive {
 		return
 	}
 	e.Alive = false
 	for _, key := range e.attemptKeys() {
-		e.cut(e.attempts[key])
+		e.breakStream(e.attempts[key])
 	}
 	for _, model := range e.models() {
 		held := e.replicas[model]
@@ -316,7 +318,7 @@
 	e.report = cluster.LoadReport{}
 }
 
-// Restart begins a new run of the engine process; it keeps no token.
+// Restart starts a crashed engine in a new epoch without a token.
 func (e *Engine) Restart() {
 	if e.Alive {
 		return
@@ -325,13 +327,13 @@
 	e.epoch++
 	e.sequence = 0
 	e.token = 0
-	e.orders = map[string]bool{}
+	e.appliedOrders = map[string]bool{}
 }
 
-// transferTime is the time to move bytes at a rate in bytes a second.
+// transferTime returns the time to move bytes at a rate in bytes per second.
 func transferTime(bytes int64, rate float64) time.Duration {
 	return time.Duration(float64(bytes) / rate * float64(time.Second))
 }
 
-// unloadTime frees a replica's memory.
+// unloadTime is the time to free the memory of a replica without requests.
 const unloadTime = 200 * time.Millisecond
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -14,7 +14,7 @@
 // FaultKind is a kind of injected fault.
 type FaultKind string
 
-// The kinds of faults.
+// Kinds of faults.
 const (
 	FaultNodeCrash        FaultKind = "node-crash"
 	FaultNodePause        FaultKind = "node-pause"
@@ -34,7 +34,7 @@
 	FaultMachineListStale FaultKind = "machine-list-stale"
 )
 
-// FaultKinds lists every kind.
+// FaultKinds returns all kinds of faults.
 func FaultKinds() []FaultKind {
 	return []FaultKind{
 		FaultNodeCrash, FaultNodePause, FaultNodeStop, FaultEngineCrash, FaultMachineReclaim, FaultStoreSlow,
@@ -46,33 +46,38 @@
 // Fault is one fault of a schedule.
 type Fault struct {
 	Kind FaultKind
-	// After the start of the simulation.
+	// After is the time from the start of the simulation to the fault.
 	After time.Duration
-	// Duration of a state, or until what died is replaced.
+	// Duration is how long the fault lasts, or the time until a dead process or
+	// machine is replaced.
 	Duration time.Duration
-	// Zone or Region of cuts and of the node or machine, empty for any.
+	// Zone and Region restrict the fault; empty picks one at random.
 	Zone   cluster.ZoneID
 	Region cluster.RegionID
-	// Node or Machine that is hit, empty for any.
+	// Node and Machine are the targets of the fault; empty picks one at random.
 	Node    cluster.NodeID
 	Machine cluster.MachineID
 }
 
-// FaultRate injects a kind at random times.
+// FaultRate describes faults of one kind at random times.
 type FaultRate struct {
 	Kind FaultKind
-	// PerDay is the mean number a virtual day.
+	// PerDay is the mean number of faults per virtual day.
 	PerDay float64
-	// Duration is the mean length; the lengths are exponential.
+	// Duration is the mean of the exponentially distributed durations, which are
+	// cut off at five times the mean.
 	Duration time.Duration
 }
 
-// disturbance is the state of faults that several nodes feel.
-type disturbance struct {
-	// until is when the last fault that may delay the configuration ends.
-	until             time.Time
-	lostEngineAnswers float64
-	down              map[cluster.ZoneID]bool
+// sharedFaults is the state of faults that affect several nodes.
+type sharedFaults struct {
+	// recoveredAt is when nodes have recovered from the last fault that may delay new
+	// settings.
+	recoveredAt time.Time
+	// lostEngineAnswerProbability is the probability that an engine's answer to a control
+	// call is lost.
+	lostEngineAnswerProbability float64
+	downZones                   map[cluster.ZoneID]bool
 }
 
 // Schedule injects faults at their times.
@@ -82,7 +87,7 @@
 	}
 }
 
-// InjectAtRandom injects faults at the given rates until a time.
+// InjectAtRandom injects faults at the given rates until the given time.
 func (w *World) InjectAtRandom(rates []FaultRate, until time.Time) {
 	for _, rate := range rates {
 		random := w.Kernel.Stream("fault/" + string(rate.Kind))
@@ -102,7 +107,7 @@
 	}
 }
 
-// Inject makes a fault happen now.
+// Inject injects a fault at the current virtual time.
 func (w *World) Inject(fault Fault) {
 	w.Faults[fault.Kind]++
 	w.Kernel.Record(LabelFault, uint64(fault.Duration))
@@ -121,53 +126,55 @@
 	}
 }
 
-// disturb remembers until when a fault lasts, with some time to recover.
-func (w *World) disturb(duration time.Duration) {
-	const recovery = 15 * time.Second
-	if until := w.Kernel.Now().Add(duration + recovery); until.After(w.disturbed.until) {
-		w.disturbed.until = until
+// extendRecovery records that nodes need the fault's duration and the recovery
+// time until they can have new settings in force.
+func (w *World) extendRecovery(duration time.Duration) {
+	const recoveryTime = 15 * time.Second
+	if recoveredAt := w.Kernel.Now().Add(duration + recoveryTime); recoveredAt.After(w.activeFaults.recoveredAt) {
+		w.activeFaults.recoveredAt = recoveredAt
 	}
 }
 
-// injectNode hits one process.
+// injectNode crashes, pauses or stops one process.
 func (w *World) injectNode(fault Fault) {
 	victim := w.anyNode(fault.Zone, fault.Node)
 	if victim == nil {
 		return
 	}
-	run := victim.run
+	incarnation := victim.incarnation
 	w.trace("%s of %s", fault.Kind, victim.ID)
 	switch fault.Kind {
 	case FaultNodeCrash:
 		victim.crash()
-		w.disturb(0)
-		w.Kernel.After(fault.Duration, LabelFault, func() { victim.restart(run) })
+		w.extendRecovery(0)
+		w.Kernel.After(fault.Duration, LabelFault, func() { victim.restart(incarnation) })
 	case FaultNodePause:
 		victim.pause()
-		w.disturb(fault.Duration)
-		w.Kernel.After(fault.Duration, LabelFault, func() { victim.resume(run) })
+		w.extendRecovery(fault.Duration)
+		w.Kernel.After(fault.Duration, LabelFault, func() { victim.resume(incarnation) })
 	case FaultNodeStop:
 		victim.draining = true
-		w.disturb(0)
+		w.extendRecovery(0)
 		victim.deliver(node.DrainStarted{})
 		const drainTime = 2 * time.Minute
 		w.Kernel.After(drainTime+fault.Duration, LabelFault, func() {
-			if victim.run == run && victim.alive {
+			if victim.incarnation == incarnation && victim.alive {
 				victim.crash()
 			}
-			victim.restart(run)
+			victim.restart(incarnation)
 		})
 	}
 }
 
-// restart begins a new process in place of a dead one.
-func (n *Node) restart(run int) {
-	if n.run == run && !n.alive && !n.world.disturbed.down[n.Place.Zone] {
+// restart starts a new process if the given incarnation is dead and its zone is up.
+func (n *Node) restart(incarnation int) {
+	if n.incarnation == incarnation && !n.alive && !n.world.activeFaults.downZones[n.Place.Zone] {
 		n.start()
 	}
 }
 
-// anyNode picks a live process of a zone and with an ID, if these are given.
+// anyNode picks a random running process, of the given zone and ID unless these
+// are empty. It returns nil if there is none.
 func (w *World) anyNode(zone cluster.ZoneID, id cluster.NodeID) *Node {
 	var live []*Node
 	for _, candidate := range w.nodes {
@@ -178,10 +185,10 @@
 	if len(live) == 0 {
 		return nil
 	}
-	return live[w.faults.IntN(len(live))]
+	return live[w.faultRandom.IntN(len(live))]
 }
 
-// injectMachine hits one engine.
+// injectMachine crashes one engine or reclaims its machine.
 func (w *World) injectMachine(fault Fault) {
 	var live []*Engine
 	for _, candidate := range w.Engines() {
@@ -193,7 +200,7 @@
 	if len(live) == 0 {
 		return
 	}
-	victim := live[w.faults.IntN(len(live))]
+	victim := live[w.faultRandom.IntN(len(live))]
 	w.trace("%s of %s", fault.Kind, victim.Machine.ID)
 	if fault.Kind == FaultEngineCrash {
 		victim.Crash()
@@ -203,42 +210,43 @@
 	w.reclaim(victim, fault.Duration)
 }
 
-// reclaim takes a machine away after a notice and brings a new one later.
+// reclaim announces that a machine leaves, removes it after the notice, and adds a
+// replacement after the engine's restart time.
 func (w *World) reclaim(victim *Engine, notice time.Duration) {
 	now := w.Kernel.Now()
 	victim.Leaving = true
 	victim.sequence++
-	w.Checkers.machineLeaving(victim.Machine.ID)
+	w.Checkers.recordLeaving(victim.Machine.ID)
 	w.List.state.Reclaim(now, victim.Machine.ID, notice)
 	w.Kernel.After(notice, LabelFault, func() {
 		victim.Crash()
-		w.Checkers.machineGone(victim.Machine.ID)
+		w.Checkers.clearLeaving(victim.Machine.ID)
 		w.Kernel.After(victim.Config.RestartTime, LabelFault, func() { w.replace(victim) })
 	})
 }
 
-// replace brings a new machine in place of a reclaimed one.
+// replace adds a new machine in place of a reclaimed one.
 func (w *World) replace(gone *Engine) {
 	machine := gone.Machine
 	machine.ID = cluster.MachineID(fmt.Sprintf("%s+", gone.Machine.ID))
 	machine.Leaving = false
 	added := NewEngine(w.Kernel, w.Store, machine, gone.Config, w)
 	w.engines[machine.ID] = added
-	w.order = append(w.order, machine.ID)
+	w.machineOrder = append(w.machineOrder, machine.ID)
 	w.List.state.Put(w.Kernel.Now(), machine)
 }
 
-// injectZone cuts off or kills a whole zone or region.
+// injectZone isolates a zone or region, or kills all processes of a zone.
 func (w *World) injectZone(fault Fault) {
 	zones := w.config.Deployment.Zones
-	zone := zones[w.faults.IntN(len(zones))]
+	zone := zones[w.faultRandom.IntN(len(zones))]
 	if fault.Zone == "" {
 		fault.Zone = zone.ID
 	}
 	if fault.Region == "" {
 		fault.Region = zone.Region
 	}
-	w.disturb(fault.Duration)
+	w.extendRecovery(fault.Duration)
 	w.trace("%s of zone %s, region %s", fault.Kind, fault.Zone, fault.Region)
 	switch fault.Kind {
 	case FaultZoneCut:
@@ -248,16 +256,16 @@
 		w.Network.IsolateRegion(fault.Region, true)
 		w.Kernel.After(fault.Duration, LabelFault, func() { w.Network.IsolateRegion(fault.Region, false) })
 	case FaultZoneDown:
-		w.zoneDown(fault)
+		w.killZone(fault)
 	}
 }
 
-// zoneDown kills every process of a zone at once.
-func (w *World) zoneDown(fault Fault) {
-	if w.disturbed.down == nil {
-		w.disturbed.down = map[cluster.ZoneID]bool{}
+// killZone kills every node and engine of a zone at once.
+func (w *World) killZone(fault Fault) {
+	if w.activeFaults.downZones == nil {
+		w.activeFaults.downZones = map[cluster.ZoneID]bool{}
 	}
-	w.disturbed.down[fault.Zone] = true
+	w.activeFaults.downZones[fault.Zone] = true
 	for _, victim := range w.nodes {
 		if victim.Place.Zone == fault.Zone {
 			victim.crash()
@@ -268,13 +276,14 @@
 			victim.Crash()
 		}
 	}
-	w.Kernel.After(fault.Duration, LabelFault, func() { w.zoneUp(fault.Zone) })
+	w.Kernel.After(fault.Duration, LabelFault, func() { w.restartZone(fault.Zone) })
 }
 
-// zoneUp starts the processes of a zone again.
-func (w *World) zoneUp(zone cluster.ZoneID) {
-	w.disturbed.down[zone] = false
-	w.disturb(0)
+// restartZone restarts the nodes and engines of a zone, except engines on machines that
+// leave.
+func (w *World) restartZone(zone cluster.ZoneID) {
+	w.activeFaults.downZones[zone] = false
+	w.extendRecovery(0)
 	for _, dead := range w.nodes {
 		if dead.Place.Zone == zone && !dead.alive {
 			dead.start()
@@ -287,45 +296,46 @@
 	}
 }
 
-// injectPlatform hits the platform or the network.
+// injectPlatform degrades a service of the platform, the engines' answers or the
+// network, and restores it after the fault's duration.
 func (w *World) injectPlatform(fault Fault) {
 	const (
-		slowStore   = 0.1
-		slowFactor  = 200
-		lostAnswers = 0.3
-		lostShare   = 0.2
+		slowStoreSpeed         = 0.1
+		slowKeyValueFactor     = 200
+		lostAnswerProbability  = 0.3
+		messageLossProbability = 0.2
 	)
-	undo := func() {}
+	restore := func() {}
 	switch fault.Kind {
 	case FaultStoreSlow:
-		w.Store.SetSpeed(slowStore)
-		undo = func() { w.Store.SetSpeed(1) }
+		w.Store.SetSpeed(slowStoreSpeed)
+		restore = func() { w.Store.SetSpeed(1) }
 	case FaultKeyValueDown:
 		w.KeyValue.SetDown(true)
-		undo = func() { w.KeyValue.SetDown(false) }
+		restore = func() { w.KeyValue.SetDown(false) }
 	case FaultKeyValueSlow:
-		w.KeyValue.SlowFactor = slowFactor
-		undo = func() { w.KeyValue.SlowFactor = 1 }
+		w.KeyValue.SlowFactor = slowKeyValueFactor
+		restore = func() { w.KeyValue.SlowFactor = 1 }
 	case FaultKeyValueLost:
-		w.KeyValue.LostAnswers = lostAnswers
-		undo = func() { w.KeyValue.LostAnswers = 0 }
+		w.KeyValue.LostAnswers = lostAnswerProbability
+		restore = func() { w.KeyValue.LostAnswers = 0 }
 	case FaultEngineLost:
-		w.disturbed.lostEngineAnswers = lostAnswers
-		undo = func() { w.disturbed.lostEngineAnswers = 0 }
+		w.activeFaults.lostEngineAnswerProbability = lostAnswerProbability
+		restore = func() { w.activeFaults.lostEngineAnswerProbability = 0 }
 	case FaultMessageLoss:
 		before := w.Network.Config.Loss
-		w.Network.Config.Loss = lostShare
-		undo = func() { w.Network.Config.Loss = before }
+		w.Network.Config.Loss = messageLossProbability
+		restore = func() { w.Network.Config.Loss = before }
 	case FaultMachineListStale:
 		w.List.state.Freeze(w.Kernel.Now())
-		undo = w.List.state.Thaw
+		restore = w.List.state.Thaw
 	}
-	w.disturb(fault.Duration)
-	w.Kernel.After(fault.Duration, LabelFault, undo)
+	w.extendRecovery(fault.Duration)
+	w.Kernel.After(fault.Duration, LabelFault, restore)
 }
 
-// injectEdit changes one key of one model, through the administration API of
-// some node.
+// injectEdit commits an edit of one key of one model through the administration
+// API of a random node. It does nothing if no node reaches the key-value service.
 func (w *World) injectEdit() {
 	through := w.anyNode("", "")
 	if through == nil || w.KeyValue.Down || !w.Network.Reachable(through.Place, w.KeyValue.place) {
@@ -341,7 +351,7 @@
 			models = append(models, path)
 		}
 	}
-	path := models[w.faults.IntN(len(models))]
+	path := models[w.faultRandom.IntN(len(models))]
 	edit := settings.Edit{
 		ID: fmt.Sprintf("edit-%d", w.Faults[FaultEdit]), Author: "operator", BaseRevision: stamp.Revision,
 		Changes: []settings.Change{{Path: path, Set: w.randomValue(tree, path)}},
@@ -352,17 +362,17 @@
 	}
 }
 
-// randomValue draws a new value for one key of a model.
+// randomValue returns a random value for one key of a model.
 func (w *World) randomValue(tree *settings.Tree, path string) map[string]settings.Value {
-	const maxCount = 4
-	switch w.faults.IntN(4) {
+	const replicaChoices = 4
+	switch w.faultRandom.IntN(4) {
 	case 0:
-		return map[string]settings.Value{"keep_alive": settings.Value(fmt.Sprintf(`"%dm"`, 1+w.faults.IntN(20)))}
+		return map[string]settings.Value{"keep_alive": settings.Value(fmt.Sprintf(`"%dm"`, 1+w.faultRandom.IntN(20)))}
 	case 1:
-		return map[string]settings.Value{"priority": settings.Value(fmt.Sprint(w.faults.IntN(10)))}
+		return map[string]settings.Value{"priority": settings.Value(fmt.Sprint(w.faultRandom.IntN(10)))}
 	default:
 		effective, _ := tree.Effective(path)
 		least := max(effective.Policy.MinReplicas, 1)
-		return map[string]settings.Value{"max_replicas": settings.Value(fmt.Sprint(least + w.faults.IntN(maxCount)))}
+		return map[string]settings.Value{"max_replicas": settings.Value(fmt.Sprint(least + w.faultRandom.IntN(replicaChoices)))}
 	}
 }
--- a/simulation/inference.go
+++ b/simulation/inference.go
@@ -20,18 +20,19 @@
 	Model    cluster.ModelID
 	Version  string
 	Priority int
-	// PromptTokens and Tokens that the request really takes.
+	// PromptTokens is the true length of the prompt, Tokens that of the answer.
 	PromptTokens, Tokens int
 	Prefixes             []uint64
-	// FirstToken, Done and Cut are called at the engine; Cut when the stream
-	// breaks before its end. Each is called at most once.
-	FirstToken, Done, Cut func()
+	// FirstToken and Done are called when the engine sends the first token and
+	// the end of the answer, StreamBroken when the stream breaks before its end.
+	// Each is called at most once and without network delay.
+	FirstToken, Done, StreamBroken func()
 }
 
-// Refusal says why an engine did not start a request.
+// Refusal is the reason why an engine did not start a request.
 type Refusal uint8
 
-// The refusals.
+// Reasons of a refusal; Accepted means that the request was started.
 const (
 	Accepted Refusal = iota
 	RefusedFull
@@ -39,13 +40,14 @@
 	RefusedDown
 )
 
-// attempt is a running request.
+// attempt is a running attempt with the timers of its first token and its end.
 type attempt struct {
 	run         Run
 	first, done Timer
 }
 
-// Run starts a request or refuses it; a refused request was not executed.
+// Run starts a request or returns the reason of a refusal. A refused request is
+// not executed.
 func (e *Engine) Run(run Run) Refusal {
 	if !e.Alive {
 		return RefusedDown
@@ -68,27 +70,28 @@
 		fresh -= run.PromptTokens * cached / len(run.Prefixes)
 	}
 	e.prefixes.add(e.Machine.ID, run.Model, run.Prefixes)
-	prefill := time.Duration(float64(fresh)/e.Config.PrefillRate*float64(time.Second)) + e.interval(len(e.attempts))
-	decode := time.Duration(max(run.Tokens-1, 0)) * e.interval(len(e.attempts))
+	prefill := time.Duration(float64(fresh)/e.Config.PrefillRate*float64(time.Second)) + e.tokenInterval(len(e.attempts))
+	decode := time.Duration(max(run.Tokens-1, 0)) * e.tokenInterval(len(e.attempts))
 	if run.FirstToken != nil {
 		started.first = e.kernel.After(prefill, LabelFirstToken, run.FirstToken)
 	}
-	started.done = e.kernel.After(prefill+decode, LabelAnswer, func() { e.complete(key) })
+	started.done = e.kernel.After(prefill+decode, LabelAnswer, func() { e.completeAttempt(key) })
 	return Accepted
 }
 
-// interval is the time between tokens with a number of running requests.
-func (e *Engine) interval(running int) time.Duration {
+// tokenInterval returns the time between two tokens of a request while the given
+// number of requests run.
+func (e *Engine) tokenInterval(running int) time.Duration {
 	return e.Config.TokenTime + time.Duration(max(running-1, 0))*e.Config.TokenTimeSlope
 }
 
-// complete ends a request whose answer is whole.
-func (e *Engine) complete(key attemptKey) {
+// completeAttempt ends an attempt whose answer is complete.
+func (e *Engine) completeAttempt(key attemptKey) {
 	ended, ok := e.attempts[key]
 	if !ok {
 		return
 	}
-	e.forget(key)
+	e.removeAttempt(key)
 	if ended.run.Done != nil {
 		ended.run.Done()
 	}
@@ -100,31 +103,32 @@
 	if running, ok := e.attempts[key]; ok {
 		running.first.Cancel()
 		running.done.Cancel()
-		e.forget(key)
+		e.removeAttempt(key)
 	}
 }
 
-// cut breaks the stream of an attempt.
-func (e *Engine) cut(broken *attempt) {
+// breakStream ends an attempt and breaks its stream.
+func (e *Engine) breakStream(broken *attempt) {
 	broken.first.Cancel()
 	broken.done.Cancel()
-	e.forget(attemptKey{broken.run.Request, broken.run.Attempt})
-	if broken.run.Cut != nil {
-		broken.run.Cut()
+	e.removeAttempt(attemptKey{broken.run.Request, broken.run.Attempt})
+	if broken.run.StreamBroken != nil {
+		broken.run.StreamBroken()
 	}
 }
 
-// cutModel breaks the streams of one model.
-func (e *Engine) cutModel(model cluster.ModelID) {
+// breakStreams breaks all streams of one model.
+func (e *Engine) breakStreams(model cluster.ModelID) {
 	for _, key := range e.attemptKeys() {
 		if e.attempts[key].run.Model == model {
-			e.cut(e.attempts[key])
+			e.breakStream(e.attempts[key])
 		}
 	}
 }
 
-// forget takes an attempt out and lets a drained replica go.
-func (e *Engine) forget(key attemptKey) {
+// removeAttempt removes an attempt, and schedules the removal of an unloading
+// replica that has no other requests.
+func (e *Engine) removeAttempt(key attemptKey) {
 	ended := e.attempts[key]
 	delete(e.attempts, key)
 	held, ok := e.replicas[ended.run.Model]
@@ -134,11 +138,12 @@
 	e.changeRunning(held, -1)
 	if held.State == cluster.ReplicaUnloading && held.running == 0 {
 		held.drainEnd.Cancel()
-		e.kernel.After(unloadTime, LabelUnloadDone, func() { e.absent(held) })
+		e.kernel.After(unloadTime, LabelUnloadDone, func() { e.removeReplica(held) })
 	}
 }
 
-// changeRunning counts running requests and tells the observer first.
+// changeRunning notifies the observer, then changes the replica's number of
+// running requests.
 func (e *Engine) changeRunning(held *replica, change int) {
 	e.observer.RunningChanged(e, held.Model, held.running+change)
 	held.running += change
@@ -159,13 +164,13 @@
 	return keys
 }
 
-// CacheEvents returns the published cache events after a sequence; some are
-// dropped, as engines publish with gaps.
+// CacheEvents returns the published cache events after a sequence number. It drops
+// some at random, because real engines publish with gaps.
 func (e *Engine) CacheEvents(after uint64) []cluster.CacheEvent {
-	const gap = 0.05
+	const dropProbability = 0.05
 	var events []cluster.CacheEvent
-	for _, event := range e.prefixes.after(after) {
-		if e.random.Float64() >= gap {
+	for _, event := range e.prefixes.eventsAfter(after) {
+		if e.random.Float64() >= dropProbability {
 			events = append(events, event)
 		}
 	}
--- a/simulation/kernel_test.go
+++ b/simulation/kernel_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// exercise schedules random events and returns the order in which they ran.
-func exercise(seed uint64) ([]int64, uint64) {
+// runRandomEvents schedules events at random times and returns the order in which
+// they ran and the event log hash.
+func runRandomEvents(seed uint64) ([]int64, uint64) {
 	kernel := NewKernel(seed)
 	random := kernel.Stream("test")
 	var order []int64
@@ -18,13 +19,15 @@
 	return order, kernel.Hash()
 }
 
-func TestKernelRepeatsItselfBySeed(t *testing.T) {
-	first, firstHash := exercise(7)
-	second, secondHash := exercise(7)
+// Guards against runs that can't be reproduced from their seed, and against a hash
+// that doesn't depend on the events.
+func TestKernelRunsAreEqualForEqualSeeds(t *testing.T) {
+	first, firstHash := runRandomEvents(7)
+	second, secondHash := runRandomEvents(7)
 	if !slices.Equal(first, second) || firstHash != secondHash {
 		t.Fatalf("one seed gave two runs: hashes %x and %x", firstHash, secondHash)
 	}
-	if _, other := exercise(8); other == firstHash {
+	if _, other := runRandomEvents(8); other == firstHash {
 		t.Fatal("two seeds have the same event log hash")
 	}
 	if len(first) != 200 {
@@ -32,7 +35,9 @@
 	}
 }
 
-func TestKernelKeepsOrderOfSchedulingAtOneInstant(t *testing.T) {
+// Guards against an event queue that reorders events with the same time, or that
+// runs a canceled event.
+func TestKernelRunsSimultaneousEventsInSchedulingOrder(t *testing.T) {
 	kernel := NewKernel(1)
 	var order []int
 	for i := range 10 {
@@ -45,11 +50,13 @@
 		t.Fatalf("events at one instant ran in order %v", order)
 	}
 	if want := Epoch.Add(2 * time.Second); !kernel.Now().Equal(want) {
-		t.Fatalf("clock stands at %v, want %v", kernel.Now(), want)
+		t.Fatalf("virtual time is %v, want %v", kernel.Now(), want)
 	}
 }
 
-func TestNetworkCutsIsolatedZonesAndCountsFaults(t *testing.T) {
+// Guards against messages that pass into an isolated zone, and against counts that
+// don't match the messages delivered under loss and duplication.
+func TestNetworkDropsMessagesToIsolatedZoneAndCountsFaults(t *testing.T) {
 	kernel := NewKernel(3)
 	network := NewNetwork(kernel, NetworkConfig{WithinZone: time.Millisecond, BetweenZones: 2 * time.Millisecond, Loss: 0.5, Duplication: 0.5})
 	west, east := Place{Zone: "west", Region: "r"}, Place{Zone: "east", Region: "r"}
@@ -63,7 +70,7 @@
 	network.IsolateZone("east", true)
 	send(100)
 	if delivered != 0 || network.Counts.Cut != 100 {
-		t.Fatalf("a cut zone got %d messages, %d counted as cut", delivered, network.Counts.Cut)
+		t.Fatalf("an isolated zone got %d messages, %d counted as cut", delivered, network.Counts.Cut)
 	}
 	network.IsolateZone("east", false)
 	send(1000)
@@ -73,7 +80,8 @@
 	}
 }
 
-func TestWeightStoreSharesItsThroughput(t *testing.T) {
+// Guards against a store that runs more fetches than its concurrency at full speed.
+func TestWeightStoreSharesThroughputBeyondConcurrency(t *testing.T) {
 	kernel := NewKernel(1)
 	store := NewWeightStore(kernel, WeightStoreConfig{StartsPerSecond: 100, Concurrency: 2, BytesPerSecond: 100})
 	var ends []time.Duration
@@ -81,7 +89,7 @@
 		store.Start(1000, func() { ends = append(ends, kernel.Now().Sub(Epoch).Round(time.Second)) })
 	}
 	kernel.Run(Epoch.Add(time.Minute))
-	// Four fetches of 10 s on a store for two take twice as long each.
+	// Four fetches share the throughput of two, so each takes 20 s instead of 10 s.
 	if !slices.Equal(ends, []time.Duration{20 * time.Second, 20 * time.Second, 20 * time.Second, 20 * time.Second}) {
 		t.Fatalf("fetches ended at %v", ends)
 	}
--- a/simulation/keyvalue.go
+++ b/simulation/keyvalue.go
@@ -11,30 +11,32 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// callTimeout is how long a process waits for the platform or an engine.
+// callTimeout is how long a process waits for an answer of the platform or of an
+// engine.
 const callTimeout = 2 * time.Second
 
-// errWatchBroken ends watches.
+// errWatchBroken ends a watch. It is also the error of reads that fail.
 var errWatchBroken = errors.New("watch broken")
 
-// KeyValueCounts counts the use of the key-value service.
+// KeyValueCounts counts the calls, watches and bytes of the key-value service.
 type KeyValueCounts struct {
 	Reads, Writes, Grants, KeepAlives, Watches, WatchBatches, Refused, Lost uint64
-	// BytesIn and BytesOut count keys and values.
+	// BytesIn and BytesOut are the bytes of keys and values.
 	BytesIn, BytesOut uint64
 }
 
-// KeyValue is the model of the key-value service.
+// KeyValue models the key-value service and its network connections.
 type KeyValue struct {
-	kernel  *Kernel
-	network *Network
-	random  *rand.Rand
-	place   Place
-	state   *standin.State
-	delay   time.Duration
-	watches []*watch
-	// Down refuses every call; SlowFactor multiplies the delay; LostAnswers is
-	// the probability that an answer is lost after the effect.
+	kernel         *Kernel
+	network        *Network
+	random         *rand.Rand
+	place          Place
+	state          *standin.State
+	processingTime time.Duration
+	watches        []*watch
+	// Down makes the service refuse every call. SlowFactor multiplies its
+	// processing time. LostAnswers is the probability that an answer is lost
+	// after the call took effect.
 	Down        bool
 	SlowFactor  float64
 	LostAnswers float64
@@ -43,13 +45,17 @@
 
 // watch is one node's stream of changes.
 type watch struct {
-	owner   *Node
-	run     int
-	id      uint64
-	prefix  string
-	next    int64
-	arrives time.Time
-	ended   bool
+	owner *Node
+	// incarnation is that of the process that opened the watch.
+	incarnation int
+	id          uint64
+	prefix      string
+	// nextRevision is the first revision that was not sent.
+	nextRevision int64
+	// lastArrival is when the last batch arrives. Later batches arrive no earlier, so
+	// that jitter does not reorder them.
+	lastArrival time.Time
+	ended       bool
 }
 
 // newKeyValue returns a healthy, empty service.
@@ -57,20 +63,20 @@
 	limit := standin.Config{RequestsPerSecond: deployment.KeyValueRate, Burst: int(deployment.KeyValueRate)}
 	service := &KeyValue{
 		kernel: kernel, network: network, random: kernel.Stream("key-value"), place: place,
-		state: standin.NewState(limit), delay: deployment.KeyValueDelay, SlowFactor: 1,
+		state: standin.NewState(limit), processingTime: deployment.KeyValueDelay, SlowFactor: 1,
 	}
 	const expiryInterval = 250 * time.Millisecond
 	kernel.Every(expiryInterval, expiryInterval, LabelLeaseEnd, func() bool {
-		service.expire()
+		service.expireLeases()
 		return true
 	})
 	return service
 }
 
-// State is the service's content.
+// State returns the service's content.
 func (s *KeyValue) State() *standin.State { return s.state }
 
-// SetDown begins or ends an outage; its beginning breaks every watch.
+// SetDown begins or ends an outage. The beginning of an outage breaks all watches.
 func (s *KeyValue) SetDown(down bool) {
 	s.Down = down
 	if !down {
@@ -82,11 +88,12 @@
 	s.watches = nil
 }
 
-// Call carries out a node's call.
+// Call executes a node's call and delivers the answer to the node, with network
+// delays and faults.
 func (s *KeyValue) Call(from *Node, call node.KeyValueCall) {
-	run := from.run
+	incarnation := from.incarnation
 	answer := func(after time.Duration, event node.Event) {
-		s.kernel.After(after, LabelKeyValueAnswer, func() { from.deliverTo(run, event) })
+		s.kernel.After(after, LabelKeyValueAnswer, func() { from.deliverTo(incarnation, event) })
 	}
 	fail := func(after time.Duration, v verdict.Verdict) {
 		err := verdict.New(v, verdict.CodeUnavailable, "key-value service unavailable")
@@ -100,26 +107,26 @@
 		fail(callTimeout, verdict.MayHaveRun)
 		return
 	}
-	there := s.network.Delay(from.Place, s.place)
-	s.kernel.After(there, LabelKeyValueCall, func() {
+	networkDelay := s.network.Delay(from.Place, s.place)
+	s.kernel.After(networkDelay, LabelKeyValueCall, func() {
 		if s.Down || !s.state.Allow(s.kernel.Now()) {
 			s.Counts.Refused++
-			fail(there, verdict.NotRun)
+			fail(networkDelay, verdict.NotRun)
 			return
 		}
 		if call.Operation == node.KeyValueWatch {
-			s.open(from, run, call)
+			s.openWatch(from, incarnation, call)
 			return
 		}
 		event := s.apply(call)
 		lost := s.random.Float64() < s.LostAnswers || !s.network.Reachable(s.place, from.Place)
-		back := time.Duration(float64(s.delay)*s.SlowFactor) + there
-		if lost || back > callTimeout {
+		responseTime := time.Duration(float64(s.processingTime)*s.SlowFactor) + networkDelay
+		if lost || responseTime > callTimeout {
 			s.Counts.Lost++
 			fail(callTimeout, verdict.MayHaveRun)
 			return
 		}
-		answer(back, event)
+		answer(responseTime, event)
 	})
 }
 
@@ -163,8 +170,8 @@
 	return answered
 }
 
-// expire ends leases whose time is over.
-func (s *KeyValue) expire() {
+// expireLeases ends expired leases and publishes the changes.
+func (s *KeyValue) expireLeases() {
 	before := s.state.Revision()
 	s.state.Expire(s.kernel.Now())
 	if s.state.Revision() != before {
@@ -172,26 +179,26 @@
 	}
 }
 
-// open begins a watch and replaces an earlier one of the same node.
-func (s *KeyValue) open(from *Node, run int, call node.KeyValueCall) {
+// openWatch opens a watch and ends an earlier one of the same node.
+func (s *KeyValue) openWatch(from *Node, incarnation int, call node.KeyValueCall) {
 	s.Counts.Watches++
 	for _, older := range s.watches {
 		if older.owner == from {
 			older.ended = true
 		}
 	}
-	s.watches = append(s.watches, &watch{owner: from, run: run, id: call.ID, prefix: call.Prefix, next: call.StartRevision})
+	s.watches = append(s.watches, &watch{owner: from, incarnation: incarnation, id: call.ID, prefix: call.Prefix, nextRevision: call.StartRevision})
 	s.publish()
 }
 
-// publish sends every watch what it has not seen.
+// publish sends the new changes to every open watch.
 func (s *KeyValue) publish() {
 	open := s.watches[:0]
 	for _, current := range s.watches {
-		if current.ended || current.run != current.owner.run || !current.owner.alive {
+		if current.ended || current.incarnation != current.owner.incarnation || !current.owner.alive {
 			continue
 		}
-		s.send(current)
+		s.sendChanges(current)
 		if !current.ended {
 			open = append(open, current)
 		}
@@ -199,17 +206,17 @@
 	s.watches = open
 }
 
-// send delivers the unseen changes of one watch, in order.
-func (s *KeyValue) send(open *watch) {
-	if open.next > s.state.Revision() {
+// sendChanges sends the new changes of one watch in order.
+func (s *KeyValue) sendChanges(open *watch) {
+	if open.nextRevision > s.state.Revision() {
 		return
 	}
 	if !s.network.Reachable(s.place, open.owner.Place) {
 		s.breakWatch(open, callTimeout)
 		return
 	}
-	batch := s.state.EventsSince(s.kernel.Now(), open.prefix, open.next)
-	open.next = batch.Revision + 1
+	batch := s.state.EventsSince(s.kernel.Now(), open.prefix, open.nextRevision)
+	open.nextRevision = batch.Revision + 1
 	if len(batch.Events) == 0 && !batch.Compacted {
 		return
 	}
@@ -218,20 +225,20 @@
 		s.Counts.BytesOut += uint64(len(event.KeyValue.Key) + len(event.KeyValue.Value))
 	}
 	arrives := s.kernel.Now().Add(s.network.Delay(s.place, open.owner.Place))
-	if arrives.Before(open.arrives) {
-		arrives = open.arrives
+	if arrives.Before(open.lastArrival) {
+		arrives = open.lastArrival
 	}
-	open.arrives = arrives
+	open.lastArrival = arrives
 	s.kernel.At(arrives, LabelWatch, func() {
-		open.owner.deliverTo(open.run, node.WatchDelivered{ID: open.id, Batch: batch})
+		open.owner.deliverTo(open.incarnation, node.WatchDelivered{ID: open.id, Batch: batch})
 	})
 	open.ended = batch.Compacted
 }
 
-// breakWatch ends a watch and tells its node later.
+// breakWatch ends a watch and notifies its node after a delay.
 func (s *KeyValue) breakWatch(open *watch, after time.Duration) {
 	open.ended = true
 	s.kernel.After(after, LabelWatch, func() {
-		open.owner.deliverTo(open.run, node.WatchEnded{ID: open.id, Err: errWatchBroken})
+		open.owner.deliverTo(open.incarnation, node.WatchEnded{ID: open.id, Err: errWatchBroken})
 	})
 }
--- a/simulation/labels.go
+++ b/simulation/labels.go
@@ -1,6 +1,6 @@
 package simulation
 
-// The labels of events.
+// Labels of the events. Their values are part of the event log hash.
 const (
 	LabelTick Label = iota + 1
 	LabelMessage
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -7,7 +7,7 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// Place is where a process runs.
+// Place is the location of a process.
 type Place struct {
 	Zone   cluster.ZoneID
 	Region cluster.RegionID
@@ -17,15 +17,16 @@
 type NetworkConfig struct {
 	// WithinZone, BetweenZones and BetweenRegions are one-way delays.
 	WithinZone, BetweenZones, BetweenRegions time.Duration
-	// Jitter is the share of the delay that is added at random.
+	// Jitter is the largest random addition to a delay, as a share of the delay.
 	Jitter float64
-	// Loss, Duplication and Reordering are probabilities per message. A
-	// reordered message is held back by up to ReorderDelay.
+	// Loss, Duplication and Reordering are probabilities per message. A reordered
+	// message is delayed by up to ReorderDelay.
 	Loss, Duplication, Reordering float64
 	ReorderDelay                  time.Duration
 }
 
-// NetworkCounts counts what happened to messages.
+// NetworkCounts counts sent messages and their faults. Cut counts the messages
+// between places that could not reach each other.
 type NetworkCounts struct {
 	Sent, Lost, Duplicated, Reordered, Cut uint64
 }
@@ -36,14 +37,13 @@
 	random *rand.Rand
 	// Config may be changed while the simulation runs.
 	Config NetworkConfig
-	// Counts so far.
 	Counts NetworkCounts
 
 	isolatedZones   map[cluster.ZoneID]bool
 	isolatedRegions map[cluster.RegionID]bool
 }
 
-// NewNetwork returns a network without faults but those of config.
+// NewNetwork returns a network without isolated zones or regions.
 func NewNetwork(kernel *Kernel, config NetworkConfig) *Network {
 	return &Network{
 		kernel: kernel, random: kernel.Stream("network"), Config: config,
@@ -52,17 +52,17 @@
 	}
 }
 
-// IsolateZone cuts the zone off from all others, or heals it.
+// IsolateZone disconnects the zone from all others, or reconnects it.
 func (n *Network) IsolateZone(zone cluster.ZoneID, isolated bool) {
 	n.isolatedZones[zone] = isolated
 }
 
-// IsolateRegion cuts the region off from all others, or heals it.
+// IsolateRegion disconnects the region from all others, or reconnects it.
 func (n *Network) IsolateRegion(region cluster.RegionID, isolated bool) {
 	n.isolatedRegions[region] = isolated
 }
 
-// Reachable reports whether messages pass between two places.
+// Reachable reports whether no isolated zone or region separates two places.
 func (n *Network) Reachable(from, to Place) bool {
 	if from.Zone != to.Zone && (n.isolatedZones[from.Zone] || n.isolatedZones[to.Zone]) {
 		return false
@@ -73,7 +73,7 @@
 	return true
 }
 
-// Delay draws the one-way delay between two places.
+// Delay returns a random one-way delay between two places.
 func (n *Network) Delay(from, to Place) time.Duration {
 	base := n.Config.WithinZone
 	switch {
@@ -85,7 +85,8 @@
 	return base + time.Duration(n.random.Float64()*n.Config.Jitter*float64(base))
 }
 
-// Send delivers a datagram-like message: it may be lost, doubled or overtaken.
+// Send delivers a message like a datagram: it may be lost, duplicated or
+// reordered.
 func (n *Network) Send(from, to Place, deliver func()) {
 	n.Counts.Sent++
 	if !n.Reachable(from, to) {
--- a/simulation/node.go
+++ b/simulation/node.go
@@ -10,14 +10,14 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Traffic counts messages and their encoded bytes.
+// Traffic holds a number of messages and of their encoded bytes.
 type Traffic struct {
 	Messages, Bytes uint64
 }
 
-// Meter measures what the processes spend.
+// Meter measures the time that cores and the codec take.
 type Meter interface {
-	// Now reads the clock that the times below are measured with.
+	// Now returns the reading of the clock for Stepped and Coded.
 	Now() time.Duration
 	// Stepped is called after a core handled an event.
 	Stepped(on *Node, event node.Event, took time.Duration)
@@ -25,8 +25,8 @@
 	Coded(on *Node, took time.Duration)
 }
 
-// Node is one process: a core between virtual clock and network. After a
-// restart it is a new process at the same address.
+// Node is one process that runs a core on the virtual clock and the simulated
+// network. A restart starts a new process at the same address.
 type Node struct {
 	world   *World
 	Place   Place
@@ -34,50 +34,54 @@
 	address string
 	seeds   []string
 	number  int
-	// run counts starts; events for an earlier run are dropped.
-	run      int
-	core     Core
-	alive    bool
-	draining bool
-	paused   bool
-	backlog  []node.Event
-	// Steps counts events; Sent and Received what went to and came from peers
-	// by message type, when messages are encoded.
+	// incarnation counts the starts of the process. Events for an earlier incarnation are
+	// dropped.
+	incarnation int
+	core        Core
+	alive       bool
+	draining    bool
+	paused      bool
+	// backlog holds the events that arrived while the process was paused.
+	backlog []node.Event
+	// Steps counts the core's events. Sent and Received count messages by type if
+	// messages are encoded.
 	Steps          uint64
 	Sent, Received map[string]Traffic
-	// revision of the settings last put in force in this run.
+	// revision and history belong to the settings that are in force.
 	revision int64
 	history  string
 	started  time.Time
-	// disturbedAt is when the node last was paused, restarted or cut off.
-	disturbedAt time.Time
+	// interruptedAt is when the process was last started, paused, resumed or
+	// crashed.
+	interruptedAt time.Time
 }
 
-// Alive reports whether the process runs.
+// Alive reports whether the process is alive, paused or not.
 func (n *Node) Alive() bool { return n.alive }
 
-// Core returns the running core, nil when the process is dead.
+// Core returns the running core, nil if the process is dead.
 func (n *Node) Core() Core { return n.core }
 
-// Forget drops the process without an end, to see what it kept in memory.
+// Forget drops the process without ending its requests, so that a caller can
+// measure the memory that the core held.
 func (n *Node) Forget() { n.alive, n.core, n.backlog = false, nil, nil }
 
-// start begins a new process.
+// start starts a new process with its ticks.
 func (n *Node) start() {
-	n.run++
-	n.ID = cluster.NodeID(fmt.Sprintf("n%03d-%d", n.number, n.run))
+	n.incarnation++
+	n.ID = cluster.NodeID(fmt.Sprintf("n%03d-%d", n.number, n.incarnation))
 	n.alive, n.paused, n.draining, n.backlog = true, false, false, nil
 	n.revision, n.history = 0, ""
-	n.started, n.disturbedAt = n.world.Kernel.Now(), n.world.Kernel.Now()
+	n.started, n.interruptedAt = n.world.Kernel.Now(), n.world.Kernel.Now()
 	self := cluster.Node{
 		ID: n.ID, Zone: n.Place.Zone, Region: n.Place.Region,
 		PeerAddress: n.address, AdminAddress: n.address, CallerAddress: n.address,
 	}
-	seed := n.world.config.Seed ^ uint64(n.number+1)<<32 ^ uint64(n.run)<<8
+	seed := n.world.config.Seed ^ uint64(n.number+1)<<32 ^ uint64(n.incarnation)<<8
 	n.core = n.world.config.NewCore(self, n.seeds, seed)
-	run := n.run
+	incarnation := n.incarnation
 	n.world.Kernel.Every(0, n.world.config.TickInterval, LabelTick, func() bool {
-		if n.run != run || !n.alive {
+		if n.incarnation != incarnation || !n.alive {
 			return false
 		}
 		if !n.paused {
@@ -93,23 +97,24 @@
 		return
 	}
 	n.alive, n.core, n.backlog = false, nil, nil
-	n.disturbedAt = n.world.Kernel.Now()
-	n.world.Callers.nodeDied(n)
+	n.interruptedAt = n.world.Kernel.Now()
+	n.world.Callers.loseConnections(n)
 }
 
-// pause stops the process without ending it, as a stalled virtual machine does.
+// pause stops the process without ending it, like a stalled virtual machine.
 func (n *Node) pause() {
 	n.paused = n.alive
-	n.disturbedAt = n.world.Kernel.Now()
+	n.interruptedAt = n.world.Kernel.Now()
 }
 
-// resume lets the process go on with what came meanwhile.
-func (n *Node) resume(run int) {
-	if n.run != run || !n.alive || !n.paused {
+// resume continues a paused process and delivers the events that arrived during
+// the pause.
+func (n *Node) resume(incarnation int) {
+	if n.incarnation != incarnation || !n.alive || !n.paused {
 		return
 	}
 	n.paused = false
-	n.disturbedAt = n.world.Kernel.Now()
+	n.interruptedAt = n.world.Kernel.Now()
 	backlog := n.backlog
 	n.backlog = nil
 	for _, event := range backlog {
@@ -118,14 +123,15 @@
 	n.deliver(node.Tick{})
 }
 
-// deliverTo passes an event to one run of the process.
-func (n *Node) deliverTo(run int, event node.Event) {
-	if n.run == run {
+// deliverTo passes an event to one incarnation of the process.
+func (n *Node) deliverTo(incarnation int, event node.Event) {
+	if n.incarnation == incarnation {
 		n.deliver(event)
 	}
 }
 
-// deliver passes an event to the core and carries out the effects.
+// deliver passes an event to the core and applies the effects. A paused process
+// queues the event.
 func (n *Node) deliver(event node.Event) {
 	if !n.alive {
 		return
@@ -138,14 +144,14 @@
 		event = n.world.config.Tamper.Event(event)
 	}
 	n.Steps++
-	effects := n.step(event)
+	effects := n.runCore(event)
 	for _, effect := range effects {
-		n.carryOut(effect)
+		n.applyEffect(effect)
 	}
 }
 
-// step runs the core, metered if asked.
-func (n *Node) step(event node.Event) []node.Effect {
+// runCore runs the core on an event and measures it if there is a meter.
+func (n *Node) runCore(event node.Event) []node.Effect {
 	meter := n.world.config.Meter
 	if meter == nil {
 		return n.core.Step(n.world.Kernel.Now(), event)
@@ -156,8 +162,8 @@
 	return effects
 }
 
-// carryOut does what one effect asks for.
-func (n *Node) carryOut(effect node.Effect) {
+// applyEffect applies one effect of the core.
+func (n *Node) applyEffect(effect node.Effect) {
 	w := n.world
 	if w.config.Tamper.Effect != nil {
 		if effect = w.config.Tamper.Effect(n, effect); effect == nil {
@@ -176,26 +182,26 @@
 	case node.ReadStoreStatus:
 		n.readStoreStatus()
 	case node.RoutingOutput:
-		w.Callers.carryOut(n, e.Effect)
+		w.Callers.applyEffect(n, e.Effect)
 	case node.SettingsInForce:
-		w.Checkers.inForce(n, e.Snapshot.Stamp)
+		w.Checkers.checkInForce(n, e.Snapshot.Stamp)
 	case node.Drained:
-		w.Checkers.drained(n)
-		n.drained()
+		w.Checkers.checkDrained(n)
+		n.endPlannedStop()
 	}
 }
 
-// drained ends a planned stop.
-func (n *Node) drained() {
-	run := n.run
+// endPlannedStop ends a drained process.
+func (n *Node) endPlannedStop() {
+	incarnation := n.incarnation
 	n.world.Kernel.After(0, LabelFault, func() {
-		if n.run == run && n.alive {
+		if n.incarnation == incarnation && n.alive {
 			n.alive, n.core = false, nil
 		}
 	})
 }
 
-// sendMessage gives a message to the network.
+// sendMessage sends a message to another node over the network.
 func (n *Node) sendMessage(send node.SendMessage) {
 	w := n.world
 	w.Messages.Messages++
@@ -211,16 +217,16 @@
 	w.Network.Send(n.Place, to.Place, func() { to.receive(data) })
 }
 
-// encode passes a message through the codec and counts it.
+// encode encodes a message, measures the time and counts the bytes.
 func (n *Node) encode(message wire.Message) []byte {
 	began := n.meterNow()
 	data, err := wire.Encode(message)
 	if err != nil {
 		panic(fmt.Sprintf("simulation: encode %T: %v", message, err))
 	}
-	n.coded(began)
+	n.meterCodec(began)
 	n.world.Messages.Bytes += uint64(len(data))
-	count(&n.Sent, message, len(data))
+	addTraffic(&n.Sent, message, len(data))
 	return data
 }
 
@@ -234,12 +240,12 @@
 	if err != nil {
 		panic(fmt.Sprintf("simulation: decode %d bytes: %v", len(data), err))
 	}
-	n.coded(began)
-	count(&n.Received, message, len(data))
+	n.meterCodec(began)
+	addTraffic(&n.Received, message, len(data))
 	n.deliver(node.MessageReceived{Message: message})
 }
 
-// meterNow reads the meter's clock, if there is a meter.
+// meterNow returns the meter's time, zero without a meter.
 func (n *Node) meterNow() time.Duration {
 	if n.world.config.Meter == nil {
 		return 0
@@ -247,15 +253,15 @@
 	return n.world.config.Meter.Now()
 }
 
-// coded meters the codec.
-func (n *Node) coded(began time.Duration) {
+// meterCodec reports the time since began to the meter, if there is one.
+func (n *Node) meterCodec(began time.Duration) {
 	if meter := n.world.config.Meter; meter != nil {
 		meter.Coded(n, meter.Now()-began)
 	}
 }
 
-// count adds a message to the traffic by type.
-func count(by *map[string]Traffic, message wire.Message, bytes int) {
+// addTraffic adds a message to the traffic of its type.
+func addTraffic(by *map[string]Traffic, message wire.Message, bytes int) {
 	if *by == nil {
 		*by = map[string]Traffic{}
 	}
@@ -266,44 +272,46 @@
 	(*by)[kind] = counted
 }
 
-// answer passes an event to the process after a delay.
-func (n *Node) answer(after time.Duration, event node.Event) {
-	run := n.run
-	n.world.Kernel.After(after, LabelEngineAnswer, func() { n.deliverTo(run, event) })
+// deliverAfter passes an event to the process after a delay, unless it restarts
+// meanwhile.
+func (n *Node) deliverAfter(after time.Duration, event node.Event) {
+	incarnation := n.incarnation
+	n.world.Kernel.After(after, LabelEngineAnswer, func() { n.deliverTo(incarnation, event) })
 }
 
-// callEngine carries a control call to an engine and its answer back.
+// callEngine sends a control call to an engine and delivers the answer, with
+// network delays and faults.
 func (n *Node) callEngine(call node.EngineCall) {
 	w := n.world
 	w.EngineCalls[call.Operation]++
 	place := Place{Zone: call.Machine.Zone, Region: call.Machine.Region}
 	fail := func(after time.Duration, v verdict.Verdict) {
 		err := verdict.New(v, verdict.CodeUnavailable, "engine unreachable")
-		n.answer(after, node.EngineAnswered{Call: call, Err: err})
+		n.deliverAfter(after, node.EngineAnswered{Call: call, Err: err})
 	}
 	if !w.Network.Reachable(n.Place, place) {
 		fail(callTimeout, verdict.MayHaveRun)
 		return
 	}
-	there := w.Network.Delay(n.Place, place)
-	run := n.run
-	w.Kernel.After(there, LabelEngineCall, func() {
-		if n.run != run {
-			// The order was on its way when the process died; it still counts.
+	delay := w.Network.Delay(n.Place, place)
+	incarnation := n.incarnation
+	w.Kernel.After(delay, LabelEngineCall, func() {
+		if n.incarnation != incarnation {
+			// The process died after it sent the call, which still takes effect.
 			w.applyEngineCall(call)
 			return
 		}
 		machine, ok := w.engines[call.Machine.ID]
 		if !ok || !machine.Alive {
-			fail(there, verdict.NotRun)
+			fail(delay, verdict.NotRun)
 			return
 		}
 		answered := w.applyEngineCall(call)
-		if w.faults.Float64() < w.disturbed.lostEngineAnswers || !w.Network.Reachable(place, n.Place) {
+		if w.faultRandom.Float64() < w.activeFaults.lostEngineAnswerProbability || !w.Network.Reachable(place, n.Place) {
 			fail(callTimeout, verdict.MayHaveRun)
 			return
 		}
-		n.answer(there, answered)
+		n.deliverAfter(delay, answered)
 	})
 }
 
@@ -334,11 +342,11 @@
 	w := n.world
 	w.ListReads++
 	if !w.Network.Reachable(n.Place, w.List.place) {
-		n.answer(callTimeout, node.MachinesListed{Err: errWatchBroken})
+		n.deliverAfter(callTimeout, node.MachinesListed{Err: errWatchBroken})
 		return
 	}
 	list, version := w.List.read(w.Kernel.Now())
-	n.answer(2*w.Network.Delay(n.Place, w.List.place), node.MachinesListed{Machines: list, Version: version})
+	n.deliverAfter(2*w.Network.Delay(n.Place, w.List.place), node.MachinesListed{Machines: list, Version: version})
 }
 
 // readStoreStatus reads the weight store's status.
@@ -346,8 +354,8 @@
 	w := n.world
 	w.StoreReads++
 	if !w.Network.Reachable(n.Place, w.List.place) {
-		n.answer(callTimeout, node.StoreStatusRead{Err: errWatchBroken})
+		n.deliverAfter(callTimeout, node.StoreStatusRead{Err: errWatchBroken})
 		return
 	}
-	n.answer(2*w.Network.Delay(n.Place, w.List.place), node.StoreStatusRead{Status: w.Store.Status()})
+	n.deliverAfter(2*w.Network.Delay(n.Place, w.List.place), node.StoreStatusRead{Status: w.Store.Status()})
 }
--- a/simulation/operators.go
+++ b/simulation/operators.go
@@ -10,8 +10,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// directStore is the key-value service without a network: every call takes
-// effect at once and at the present virtual time.
+// directStore is a client of the key-value service without a network: every call
+// takes effect immediately at the current virtual time.
 type directStore struct{ service *KeyValue }
 
 // Range implements keyvalue.Store.
@@ -40,25 +40,25 @@
 	return d.service.state.Revoke(d.service.kernel.Now(), lease)
 }
 
-// Watch implements keyvalue.Store; the settings store does not watch here.
+// Watch implements keyvalue.Store. It always fails because operators don't watch.
 func (d directStore) Watch(context.Context, string, int64, func(keyvalue.WatchBatch)) error {
 	return errWatchBroken
 }
 
-// settingsStore returns the operators' way to the tree.
+// settingsStore returns the settings store that commits the operators' edits.
 func (w *World) settingsStore() *settings.Store {
 	return settings.NewStore(directStore{service: w.KeyValue},
 		settings.WithClock(w.Kernel.Now),
 		settings.WithHistoryNames(func() string { return "simulation" }))
 }
 
-// commitTree stores the first tree.
+// commitTree commits the initial settings tree.
 func (w *World) commitTree(tree *settings.Tree) error {
 	return w.commit(settings.Edit{ID: "initial", Author: "operator", Changes: tree.Diff(settings.Empty())}, nil)
 }
 
-// commit applies an edit and tells the node, if any, whose administration API
-// took it.
+// commit commits an edit, informs the checkers and the watches, and notifies the
+// node whose administration API accepted the edit, if any.
 func (w *World) commit(edit settings.Edit, through *Node) error {
 	store := w.settingsStore()
 	edit.At = w.Kernel.Now()
@@ -74,10 +74,10 @@
 	if err != nil {
 		return fmt.Errorf("compile tree: %w", err)
 	}
-	w.Checkers.settingsAccepted(snapshot)
+	w.Checkers.acceptSettings(snapshot)
 	w.KeyValue.publish()
 	if through != nil {
-		through.answer(w.Network.Delay(through.Place, w.KeyValue.place), node.EditCommitted{History: stamp.History, Entry: entry})
+		through.deliverAfter(w.Network.Delay(through.Place, w.KeyValue.place), node.EditCommitted{History: stamp.History, Entry: entry})
 	}
 	return nil
 }
--- a/simulation/target.go
+++ b/simulation/roles.go
@@ -7,19 +7,20 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// inspected is what a core shows of the roles that it has.
-type inspected interface {
+// roleInspector is implemented by cores that expose their controller and the
+// controller claims that they know.
+type roleInspector interface {
 	Controller() *authority.Controller
 	Claims() []wire.ControllerClaim
 }
 
-// Controller returns the live process that controls the zone under the newest
-// token, nil when there is none.
+// Controller returns the live process in the zone whose controller has the newest
+// fencing token, nil if there is none.
 func (w *World) Controller(zone cluster.ZoneID) *Node {
 	var holder *Node
 	var newest cluster.FencingToken
 	for _, candidate := range w.nodes {
-		core, ok := candidate.core.(inspected)
+		core, ok := candidate.core.(roleInspector)
 		if !ok || !candidate.alive || candidate.Place.Zone != zone {
 			continue
 		}
@@ -30,12 +31,12 @@
 	return holder
 }
 
-// Apportioner returns the live process that the nodes' newest claim names as
-// apportioner, nil when there is none.
+// Apportioner returns the live process that the newest claim known to any node
+// names as apportioner, nil if there is none.
 func (w *World) Apportioner() *Node {
 	var newest wire.ControllerClaim
 	for _, candidate := range w.nodes {
-		core, ok := candidate.core.(inspected)
+		core, ok := candidate.core.(roleInspector)
 		if !ok || !candidate.alive {
 			continue
 		}
@@ -53,15 +54,15 @@
 	return nil
 }
 
-// Ask sends a request to a live process of the zone, if possible not to the one
-// to avoid.
+// Ask sends a request to a live process of the zone other than avoid. If there is
+// none, it sends the request like any other arrival.
 func (w *World) Ask(arrival Arrival, avoid *Node) {
 	for _, candidate := range w.nodes {
 		if candidate != avoid && candidate.Place.Zone == arrival.Zone && candidate.alive &&
 			!candidate.draining && !candidate.paused {
-			w.Callers.ask(candidate, arrival)
+			w.Callers.sendTo(candidate, arrival)
 			return
 		}
 	}
-	w.Callers.arrive(arrival)
+	w.Callers.send(arrival)
 }
--- a/simulation/tamper.go
+++ b/simulation/tamper.go
@@ -5,14 +5,15 @@
 	"github.com/valveslip/valveslip/node"
 )
 
-// Tamper plants defects between the cores and the world, so that tests can show
-// that a checker notices them. Product code has no such switches.
+// Tamper injects defects between the cores and the world, so that tests can show
+// that a checker detects them. Product code has no such hooks.
 type Tamper struct {
-	// Effect may change an effect before it is carried out, or drop it by
-	// returning nil.
+	// Effect may change an effect before it is applied, or drop it by returning
+	// nil.
 	Effect func(from *Node, effect node.Effect) node.Effect
-	// Event may change an event before a core sees it.
+	// Event may change an event before it is passed to a core.
 	Event func(event node.Event) node.Event
-	// Answer may change what a relay received.
+	// Answer may change the request ID and the number of tokens of an answer that
+	// a relay received.
 	Answer func(request *cluster.RequestID, tokens *int)
 }
--- a/simulation/weightstore.go
+++ b/simulation/weightstore.go
@@ -10,16 +10,17 @@
 
 // WeightStoreConfig holds the store's limits.
 type WeightStoreConfig struct {
-	// StartsPerSecond bounds how many fetches begin a second; later ones try
-	// again when the store tells them to.
+	// StartsPerSecond bounds the fetches that start per second. The store tells a
+	// refused fetch when to retry.
 	StartsPerSecond float64
-	// Concurrency is how many fetches run at full speed; more share it.
+	// Concurrency is the number of fetches that can run at full speed. More
+	// fetches share their throughput.
 	Concurrency int
-	// BytesPerSecond of one fetch at full speed.
+	// BytesPerSecond is the full speed of one fetch.
 	BytesPerSecond float64
 }
 
-// WeightStore puts the stand-in of the weight store on the virtual clock.
+// WeightStore runs the stand-in of the weight store on the virtual clock.
 type WeightStore struct {
 	kernel  *Kernel
 	state   *standin.State
@@ -27,15 +28,15 @@
 	nextID  uint64
 	timer   Timer
 	updated time.Time
-	// Started counts fetches, Retried the starts that were refused for the
-	// rate, Busy integrates the running ones over time in seconds, Peak is the
-	// most that ran at once.
+	// Started counts the started fetches, Retried the starts that the rate limit
+	// refused. Busy is the sum of the running times of all fetches in seconds.
+	// Peak is the largest number of fetches that ran at once.
 	Started, Retried uint64
 	Busy             float64
 	Peak             int
 }
 
-// Fetch is one checkpoint on its way from the store to a machine.
+// Fetch is the transfer of one checkpoint from the store to a machine.
 type Fetch struct {
 	id    string
 	bytes int64
@@ -51,43 +52,43 @@
 	return &WeightStore{kernel: kernel, state: state, fetches: map[string]*Fetch{}, updated: kernel.Now()}
 }
 
-// SetSpeed changes the store's speed as a share of full speed.
+// SetSpeed sets the store's speed as a share of its full speed.
 func (s *WeightStore) SetSpeed(speed float64) {
 	s.state.SetSpeed(s.kernel.Now(), speed)
-	s.progress()
+	s.advance()
 }
 
-// Status returns the published state.
+// Status returns the status that the store publishes.
 func (s *WeightStore) Status() weights.Status { return s.state.Status(s.kernel.Now()) }
 
 // Active returns the number of fetches that run now.
 func (s *WeightStore) Active() int { return len(s.fetches) }
 
-// Start begins a fetch, as soon as the start rate allows it, and calls done at
-// its end.
+// Start starts a fetch as soon as the start rate allows it, and calls done when
+// the fetch is complete.
 func (s *WeightStore) Start(bytes int64, done func()) *Fetch {
 	s.nextID++
 	fetch := &Fetch{id: strconv.FormatUint(s.nextID, 10), bytes: bytes, done: done}
-	s.try(fetch)
+	s.tryStart(fetch)
 	return fetch
 }
 
-// try asks the store to begin a fetch.
-func (s *WeightStore) try(fetch *Fetch) {
+// tryStart asks the store to start a fetch, and retries when the store refuses.
+func (s *WeightStore) tryStart(fetch *Fetch) {
 	if fetch.ended {
 		return
 	}
 	retryAfter, ok := s.state.Start(s.kernel.Now(), fetch.id, fetch.bytes)
 	if !ok {
 		s.Retried++
-		s.kernel.After(max(retryAfter, time.Millisecond), LabelStore, func() { s.try(fetch) })
+		s.kernel.After(max(retryAfter, time.Millisecond), LabelStore, func() { s.tryStart(fetch) })
 		return
 	}
-	s.integrate()
+	s.updateBusy()
 	s.Started++
 	s.fetches[fetch.id] = fetch
 	s.Peak = max(s.Peak, len(s.fetches))
-	s.progress()
+	s.advance()
 }
 
 // Cancel ends a fetch without calling done.
@@ -99,15 +100,15 @@
 	if _, running := s.fetches[fetch.id]; !running {
 		return
 	}
-	s.integrate()
+	s.updateBusy()
 	delete(s.fetches, fetch.id)
 	s.state.Abort(s.kernel.Now(), fetch.id)
-	s.progress()
+	s.advance()
 }
 
-// progress ends the fetches that are done and waits for the next one.
-func (s *WeightStore) progress() {
-	s.integrate()
+// advance ends the complete fetches and schedules itself for the next end.
+func (s *WeightStore) advance() {
+	s.updateBusy()
 	for _, id := range s.state.Advance(s.kernel.Now()) {
 		fetch := s.fetches[id]
 		if fetch == nil {
@@ -119,12 +120,12 @@
 	}
 	s.timer.Cancel()
 	if next, ok := s.state.Next(); ok {
-		s.timer = s.kernel.At(next.Add(time.Microsecond), LabelStore, s.progress)
+		s.timer = s.kernel.At(next.Add(time.Microsecond), LabelStore, s.advance)
 	}
 }
 
-// integrate adds the running fetches over the time since the last change.
-func (s *WeightStore) integrate() {
+// updateBusy adds the running time of the fetches since the last call to Busy.
+func (s *WeightStore) updateBusy() {
 	s.Busy += s.kernel.Now().Sub(s.updated).Seconds() * float64(len(s.fetches))
 	s.updated = s.kernel.Now()
 }
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -12,20 +12,20 @@
 	"github.com/valveslip/valveslip/standin/machines"
 )
 
-// platformZone is where the platform's services are; it is never isolated, so
-// only cuts of the callers' side part them.
+// platformZone is the zone of the platform's services. It is never isolated, so a
+// node loses these services only when the node's own zone or region is isolated.
 const platformZone cluster.ZoneID = "_platform"
 
-// Core is what a simulated process runs; node.Core implements it.
+// Core is the state machine of a simulated process; node.Core implements it.
 type Core interface {
 	Step(now time.Time, event node.Event) []node.Effect
 }
 
-// CoreFactory makes the core of a process that starts. Seed differs between
-// starts.
+// CoreFactory returns the core of a starting process. The seed differs between
+// the starts of a node.
 type CoreFactory func(self cluster.Node, seeds []string, seed uint64) Core
 
-// NodeCores makes the product's own cores from a common configuration.
+// NodeCores returns a factory of the product's cores with a common configuration.
 func NodeCores(config node.CoreConfig) CoreFactory {
 	return func(self cluster.Node, seeds []string, seed uint64) Core {
 		own := config
@@ -40,25 +40,26 @@
 	Deployment Deployment
 	// Tree is committed before the nodes start.
 	Tree *settings.Tree
-	// NewCore makes the cores.
+	// NewCore creates the core of each starting process.
 	NewCore CoreFactory
-	// Source of the traffic; nil means none.
+	// Source yields the traffic; nil means no traffic.
 	Source Source
-	// TickInterval between Ticks of a node; the default is the node's own.
+	// TickInterval is the time between two node.Tick events of a node; zero means
+	// node.TickInterval.
 	TickInterval time.Duration
-	// EncodeMessages passes every message between nodes through the codec, so
-	// that no core can share memory with another.
+	// EncodeMessages encodes and decodes every message between nodes, so that
+	// cores share no memory.
 	EncodeMessages bool
-	// Finished is called for every request that ended; nil means none.
+	// Finished is called for every request that ended; nil means no call.
 	Finished func(Result)
-	// Meter measures what the processes spend; nil measures nothing.
+	// Meter measures the time that cores and the codec take; nil measures nothing.
 	Meter Meter
-	// Tamper lets tests plant defects; the zero value changes nothing.
+	// Tamper lets tests inject defects; the zero value changes nothing.
 	Tamper Tamper
 }
 
-// World is a whole deployment on a virtual clock: nodes that run the product's
-// cores, engines, the platform and callers.
+// World is a complete deployment on a virtual clock: nodes that run the product's
+// cores, engines, the platform's services and callers.
 type World struct {
 	Kernel   *Kernel
 	Network  *Network
@@ -68,30 +69,33 @@
 	Usage    *Usage
 	Checkers *Checkers
 	Callers  *Callers
-	// Messages between nodes; bytes when messages are encoded.
+	// Messages counts the messages between nodes, and their bytes if
+	// EncodeMessages is set.
 	Messages Traffic
 
-	// Trace, when set, is told of faults and edits.
+	// Trace is called for every fault and edit, if set.
 	Trace func(format string, arguments ...any)
-	// OnInForce, when set, is told how long after its acceptance a revision
-	// was in force on a node.
-	OnInForce func(on *Node, took time.Duration)
-	config    WorldConfig
-	engines   map[cluster.MachineID]*Engine
-	order     []cluster.MachineID
-	nodes     []*Node
-	byPeer    map[string]*Node
-	faults    *rand.Rand
-	// Faults counts injected faults by kind.
+	// OnInForce is called when a revision is in force on a node, if set, with the
+	// time since the revision was accepted.
+	OnInForce    func(on *Node, took time.Duration)
+	config       WorldConfig
+	engines      map[cluster.MachineID]*Engine
+	machineOrder []cluster.MachineID
+	nodes        []*Node
+	byPeer       map[string]*Node
+	faultRandom  *rand.Rand
+	// Faults counts the injected faults by kind.
 	Faults map[FaultKind]int
-	// EngineCalls counts control calls by operation.
+	// EngineCalls counts the control calls by operation.
 	EngineCalls map[node.EngineOperation]uint64
-	// ListReads and StoreReads count reads of the platform's other services.
+	// ListReads counts reads of the machine list, StoreReads reads of the weight
+	// store's status.
 	ListReads, StoreReads uint64
-	disturbed             disturbance
+	activeFaults          sharedFaults
 }
 
-// NewWorld builds the deployment; its processes start with Run.
+// NewWorld builds the deployment and commits its settings. The processes start
+// when Run is called.
 func NewWorld(config WorldConfig) (*World, error) {
 	kernel := NewKernel(config.Seed)
 	network := NewNetwork(kernel, config.Deployment.Network)
@@ -102,7 +106,7 @@
 		Kernel: kernel, Network: network, Store: NewWeightStore(kernel, config.Deployment.Store),
 		Usage: NewUsage(kernel), config: config,
 		engines: map[cluster.MachineID]*Engine{}, byPeer: map[string]*Node{},
-		faults: kernel.Stream("faults"), Faults: map[FaultKind]int{},
+		faultRandom: kernel.Stream("faults"), Faults: map[FaultKind]int{},
 		EngineCalls: map[node.EngineOperation]uint64{},
 	}
 	platform := Place{Zone: platformZone, Region: config.Deployment.Zones[0].Region}
@@ -123,17 +127,18 @@
 	return w, nil
 }
 
-// addMachine starts an engine and lists its machine.
+// addMachine starts an engine and adds its machine to the machine list.
 func (w *World) addMachine(machine MachineConfig) *Engine {
 	added := NewEngine(w.Kernel, w.Store, machine.Machine, machine.Engine, w)
 	w.engines[machine.Machine.ID] = added
-	w.order = append(w.order, machine.Machine.ID)
-	sort.Slice(w.order, func(i, j int) bool { return w.order[i] < w.order[j] })
+	w.machineOrder = append(w.machineOrder, machine.Machine.ID)
+	sort.Slice(w.machineOrder, func(i, j int) bool { return w.machineOrder[i] < w.machineOrder[j] })
 	w.List.state.Put(w.Kernel.Now().Add(-w.config.Deployment.MachineListLag), machine.Machine)
 	return added
 }
 
-// addNodes starts the nodes of every zone; a few of each zone are seeds.
+// addNodes schedules the start of the nodes of every zone. The first nodes of
+// each zone are the seeds of all nodes.
 func (w *World) addNodes() {
 	const seedsPerZone = 2
 	var seeds []string
@@ -153,28 +158,29 @@
 	}
 	for _, added := range w.nodes {
 		added.seeds = seeds
-		offset := time.Duration(w.faults.Int64N(int64(time.Second)))
+		offset := time.Duration(w.faultRandom.Int64N(int64(time.Second)))
 		w.Kernel.After(offset, LabelTick, added.start)
 	}
 }
 
-// Run drives the world until the given virtual time.
+// Run runs the world until the given virtual time.
 func (w *World) Run(until time.Time) {
-	if !w.Callers.fed && w.config.Source != nil {
-		w.Callers.fed = true
-		feed(w.Kernel, w.config.Source, w.Callers.arrive)
+	if !w.Callers.sourceScheduled && w.config.Source != nil {
+		w.Callers.sourceScheduled = true
+		scheduleArrivals(w.Kernel, w.config.Source, w.Callers.send)
 	}
 	w.Kernel.Run(until)
 	w.Usage.Settle()
 }
 
-// Nodes returns the processes' places in a fixed order.
+// Nodes returns all nodes, dead ones too, in a fixed order.
 func (w *World) Nodes() []*Node { return w.nodes }
 
-// Engines returns the engines sorted by machine.
+// Engines returns the engines in a fixed order: those of the deployment sorted by
+// machine ID, then replacements of reclaimed machines in order of their start.
 func (w *World) Engines() []*Engine {
-	engines := make([]*Engine, 0, len(w.order))
-	for _, id := range w.order {
+	engines := make([]*Engine, 0, len(w.machineOrder))
+	for _, id := range w.machineOrder {
 		engines = append(engines, w.engines[id])
 	}
 	return engines
@@ -183,7 +189,7 @@
 // ReplicaChanged implements EngineObserver.
 func (w *World) ReplicaChanged(machine *Engine, model cluster.ModelID, next cluster.ReplicaState) {
 	w.Usage.ReplicaChanged(machine, model, next)
-	w.Checkers.replicaChanged(machine, model, next)
+	w.Checkers.trackReplica(machine, model, next)
 }
 
 // RunningChanged implements EngineObserver.
@@ -192,35 +198,37 @@
 }
 
 // Executed implements EngineObserver.
-func (w *World) Executed(machine *Engine, run Run) { w.Checkers.executed(machine, run) }
+func (w *World) Executed(machine *Engine, run Run) { w.Checkers.checkRun(machine, run) }
 
-// listRefresh is how long a reading of the machine list serves all readers.
-const listRefresh = 100 * time.Millisecond
+// machineListRefresh is how long all nodes share one snapshot of the machine
+// list.
+const machineListRefresh = 100 * time.Millisecond
 
-// machineList is the machine list as the nodes read it.
+// machineList is the machine list service with a snapshot that its readers share.
 type machineList struct {
-	state   *machines.State
-	place   Place
-	readAt  time.Time
-	shown   []cluster.Machine
-	version uint64
+	state    *machines.State
+	place    Place
+	readAt   time.Time
+	snapshot []cluster.Machine
+	version  uint64
 }
 
-// newMachineList returns an empty list.
+// newMachineList returns a machine list without a snapshot.
 func newMachineList(state *machines.State, place Place) *machineList {
 	return &machineList{state: state, place: place}
 }
 
-// read returns the list as it is shown now.
+// read returns the current snapshot and its version. It takes a new snapshot when
+// the last one is older than machineListRefresh.
 func (l *machineList) read(now time.Time) ([]cluster.Machine, uint64) {
-	if l.shown == nil || now.Sub(l.readAt) >= listRefresh {
-		l.shown, l.version = l.state.List(now)
+	if l.snapshot == nil || now.Sub(l.readAt) >= machineListRefresh {
+		l.snapshot, l.version = l.state.List(now)
 		l.readAt = now
 	}
-	return l.shown, l.version
+	return l.snapshot, l.version
 }
 
-// trace tells Trace, if set.
+// trace calls Trace, if set.
 func (w *World) trace(format string, arguments ...any) {
 	if w.Trace != nil {
 		w.Trace(format, arguments...)
--- a/simulation/world_test.go
+++ b/simulation/world_test.go
@@ -9,7 +9,7 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// smallTree has a base model with an adapter and two more models.
+// smallTree is a settings tree with a base model, its adapter and two more models.
 const smallTree = `
 max_replicas: 2
 queue_time: 20s
@@ -28,7 +28,7 @@
       small: {kind: model, memory: 4GiB, repeatable: true}
 `
 
-// smallDeployment has three zones with two nodes and two machines each.
+// smallDeployment returns three zones with two nodes and two machines each.
 func smallDeployment() Deployment {
 	deployment := Deployment{
 		Network: NetworkConfig{
@@ -56,7 +56,7 @@
 	return deployment
 }
 
-// steadySource sends a request to one model after the other.
+// steadySource yields requests at a fixed interval for each model in turn.
 type steadySource struct {
 	at       time.Time
 	interval time.Duration
@@ -76,7 +76,8 @@
 	}, s.at.Before(s.until)
 }
 
-// newSmallWorld returns a world with traffic from the tenth second on.
+// newSmallWorld returns a world with four requests per second from the 10th second
+// to the end of the fourth minute.
 func newSmallWorld(t testing.TB, seed uint64, tamper Tamper) *World {
 	t.Helper()
 	tree, err := settings.ParseYAML([]byte(smallTree))
@@ -94,7 +95,9 @@
 	return world
 }
 
-func TestWorldServesWithoutFaults(t *testing.T) {
+// Guards against broken promises, requests that never end and needless refusals in
+// a deployment without faults.
+func TestWorldWithoutFaultsServesAndKeepsPromises(t *testing.T) {
 	world := newSmallWorld(t, 1, Tamper{})
 	world.Run(Epoch.Add(5 * time.Minute))
 	for _, violation := range world.Checkers.Violations {
