--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -6,38 +6,41 @@
 	"github.com/valveslip/valveslip/internal/binaryheap"
 )
 
-// Agenda runs entries in the order of their times, those of one time in the order in which they
-// were added. The zero value is empty and ready.
+// Agenda is a queue of functions ordered by their scheduled times. Functions of the same time
+// are ordered as they were added. The zero value is an empty queue that is ready for use.
 type Agenda struct {
-	queue binaryheap.Heap[*entry]
-	added int
+	queue        binaryheap.Heap[*entry]
+	lastSequence int
 }
 
-// entry is what runs at a time.
+// entry is a function with its scheduled time. The sequence number orders entries of the
+// same time.
 type entry struct {
-	at    time.Time
-	order int
-	run   func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
 // Before implements binaryheap.Element.
 func (e *entry) Before(other *entry) bool {
-	return e.at.Before(other.at) || e.at.Equal(other.at) && e.order < other.order
+	return e.at.Before(other.at) || e.at.Equal(other.at) && e.sequence < other.sequence
 }
 
-// Moved implements binaryheap.Element; entries are never moved or removed.
+// Moved implements binaryheap.Element. It ignores the index, because entries are never fixed
+// or removed by index.
 func (e *entry) Moved(int) {}
 
-// Add has a function run at a time.
+// Add schedules a function to run at a time.
 func (a *Agenda) Add(at time.Time, run func()) {
-	a.added++
-	a.queue.Push(&entry{at: at, order: a.added, run: run})
+	a.lastSequence++
+	a.queue.Push(&entry{at: at, sequence: a.lastSequence, run: run})
 }
 
-// Len returns the number of entries.
+// Len returns the number of scheduled functions.
 func (a *Agenda) Len() int { return a.queue.Len() }
 
-// Next takes the first entry out; false where none is due by end.
+// Next removes the first scheduled function and returns it with its time. It returns false if
+// no function is scheduled at or before end.
 func (a *Agenda) Next(end time.Time) (at time.Time, run func(), due bool) {
 	if a.queue.Len() == 0 || a.queue.First().at.After(end) {
 		return time.Time{}, nil, false
--- a/internal/agenda/agenda_test.go
+++ b/internal/agenda/agenda_test.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// TestEntriesRunInOrder guards against entries that run before others of an earlier time, or of the
-// same time that were added before, and against entries beyond the end.
-func TestEntriesRunInOrder(t *testing.T) {
+// TestNextReturnsEntriesInTimeOrderUntilEnd guards against an entry that runs before another of
+// an earlier time, or before one of the same time that was added first, and against an entry
+// that runs although its time is after the end.
+func TestNextReturnsEntriesInTimeOrderUntilEnd(t *testing.T) {
 	var a Agenda
 	start := time.Unix(1000, 0)
 	var ran []int
-	for i, after := range []time.Duration{3, 1, 2, 1, 5} {
-		a.Add(start.Add(after*time.Second), func() { ran = append(ran, i) })
+	for i, delay := range []time.Duration{3, 1, 2, 1, 5} {
+		a.Add(start.Add(delay*time.Second), func() { ran = append(ran, i) })
 	}
 	end := start.Add(3 * time.Second)
 	for at, run, due := a.Next(end); due; at, run, due = a.Next(end) {
 		if at.After(end) {
-			t.Errorf("an entry of %s runs by %s", at, end)
+			t.Errorf("Next returned an entry scheduled at %s, after the end %s", at, end)
 		}
 		run()
 	}
--- a/internal/agenda/doc.go
+++ b/internal/agenda/doc.go
@@ -1,2 +1,3 @@
-// Package agenda keeps what is to run at which time of a virtual clock.
+// Package agenda is an event queue for simulations: it orders functions by the time of a
+// virtual clock at which they are to run.
 package agenda
--- a/internal/binaryheap/binaryheap.go
+++ b/internal/binaryheap/binaryheap.go
@@ -2,15 +2,15 @@
 
 import "container/heap"
 
-// Element is what a heap holds.
+// Element is the constraint on the elements of a Heap.
 type Element[E any] interface {
-	// Before reports whether this element comes first.
+	// Before reports whether this element sorts before the other.
 	Before(other E) bool
-	// Moved tells the element its place, for Fix and Remove.
+	// Moved tells the element its current index, which Fix and Remove take.
 	Moved(index int)
 }
 
-// Heap is a binary heap. The zero value is empty and ready.
+// Heap is a binary heap. The zero value is an empty heap that is ready for use.
 type Heap[E Element[E]] struct{ items items[E] }
 
 // Len returns the number of elements.
@@ -19,7 +19,7 @@
 // First returns the first element; the heap must not be empty.
 func (h *Heap[E]) First() E { return h.items[0] }
 
-// All returns the elements in no particular order; it must not be changed.
+// All returns the elements in no particular order. The caller must not modify the slice.
 func (h *Heap[E]) All() []E { return h.items }
 
 // Push adds an element.
@@ -55,8 +55,8 @@
 func (s *items[E]) Pop() any {
 	last := len(*s) - 1
 	element := (*s)[last]
-	var none E
-	(*s)[last] = none
+	var zero E
+	(*s)[last] = zero
 	*s = (*s)[:last]
 	return element
 }
--- a/internal/binaryheap/doc.go
+++ b/internal/binaryheap/doc.go
@@ -1,3 +1,3 @@
-// Package binaryheap adds a type parameter to container/heap, so that each
-// user states only the order of its elements.
+// Package binaryheap wraps container/heap in a generic type, so that each user
+// implements only the order of its elements.
 package binaryheap
--- a/internal/blackhole/blackhole.go
+++ b/internal/blackhole/blackhole.go
@@ -13,32 +13,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// dropAll is a packet filter that keeps no byte of any packet.
-var dropAll = []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
+// dropAllFilter is a BPF program that drops every packet.
+var dropAllFilter = []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 
-// Silence has the kernel drop whatever arrives for a TCP connection from now on, before
-// it is acknowledged. The connection's own end learns nothing either.
+// Silence makes the kernel drop every packet that arrives on a TCP connection from now on,
+// before the packet is acknowledged. The local end of the connection sees no error either.
 func Silence(connection net.Conn) error {
 	raw, err := connection.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failure error
+	var optionErr error
 	err = raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptSockFprog(int(descriptor), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
-			&unix.SockFprog{Len: uint16(len(dropAll)), Filter: &dropAll[0]})
+		optionErr = unix.SetsockoptSockFprog(int(descriptor), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
+			&unix.SockFprog{Len: uint16(len(dropAllFilter)), Filter: &dropAllFilter[0]})
 	})
-	return errors.Join(err, failure)
+	return errors.Join(err, optionErr)
 }
 
-// Listener keeps the connections that it accepted, so that they can be silenced.
+// Listener records the connections that it accepts, so that a test can silence them.
 type Listener struct {
 	net.Listener
 	mutex    sync.Mutex
 	accepted []net.Conn
 }
 
-// Listen listens on a port of loopback that the kernel chooses.
+// Listen returns a Listener on a loopback port that the kernel chooses.
 func Listen() (*Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,28 +59,28 @@
 	return connection, nil
 }
 
-// Accepted counts the connections so far.
+// Accepted returns the number of connections accepted so far, closed ones included.
 func (l *Listener) Accepted() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.accepted)
 }
 
-// Silence silences the connections accepted so far and returns how many they were.
+// Silence silences all connections accepted so far and returns their number.
 func (l *Listener) Silence() (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var failures []error
+	var errs []error
 	for _, connection := range l.accepted {
-		// One that is closed already needs no silence.
+		// A connection that is already closed receives nothing, so the error is ignored.
 		if err := Silence(connection); !errors.Is(err, net.ErrClosed) {
-			failures = append(failures, err)
+			errs = append(errs, err)
 		}
 	}
-	return len(l.accepted), errors.Join(failures...)
+	return len(l.accepted), errors.Join(errs...)
 }
 
-// Close ends the listener and every connection.
+// Close closes the listener and every accepted connection.
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
 	l.mutex.Lock()
@@ -91,44 +91,45 @@
 	return err
 }
 
-// Proxy forwards connections to another address.
+// Proxy is a TCP proxy that forwards its connections to a target address.
 type Proxy struct {
 	*Listener
-	target string
-	// Pause follows each piece of at most pieceBytes that is forwarded to the target,
-	// as on a slow link; set it before the first connection.
+	targetAddress string
+	// Pause is the delay before each chunk of at most chunkBytes is forwarded to the
+	// target, which simulates a slow link. It must be set before the first connection.
 	Pause time.Duration
-	// longest is the longest time that a piece took; begun is when the connections'
-	// present ones were. The mutex guards both.
-	longest time.Duration
-	begun   map[net.Conn]time.Time
+	// longestForward is the longest time that forwarding one chunk took. forwardStarts
+	// holds, for each connection with a chunk in progress, when forwarding it started.
+	// The mutex guards both.
+	longestForward time.Duration
+	forwardStarts  map[net.Conn]time.Time
 }
 
-// pieceBytes is how much a Proxy forwards at once.
-const pieceBytes = 32 << 10
+// chunkBytes is the maximum number of bytes that a Proxy reads and forwards at once.
+const chunkBytes = 32 << 10
 
-// NewProxy starts a Proxy, which ends with its Listener.
-func NewProxy(target string, pause time.Duration) (*Proxy, error) {
+// NewProxy starts a Proxy to the target address, which runs until its Listener is closed.
+func NewProxy(targetAddress string, pause time.Duration) (*Proxy, error) {
 	listener, err := Listen()
 	if err != nil {
 		return nil, err
 	}
-	proxy := &Proxy{Listener: listener, target: target, Pause: pause, begun: map[net.Conn]time.Time{}}
+	proxy := &Proxy{Listener: listener, targetAddress: targetAddress, Pause: pause, forwardStarts: map[net.Conn]time.Time{}}
 	go proxy.serve()
 	return proxy, nil
 }
 
-// Address is where the proxy listens, host:port.
+// Address returns the address on which the proxy listens, as host:port.
 func (p *Proxy) Address() string { return p.Addr().String() }
 
-// Longest is the longest time so far that a piece took to be forwarded. It is not much more
-// than Pause unless this process stood still.
+// Longest returns the longest time that forwarding one chunk has taken so far, chunks in
+// progress included. It exceeds Pause by much only if this process was stalled.
 func (p *Proxy) Longest() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	longest := p.longest
-	for _, begun := range p.begun {
-		longest = max(longest, time.Since(begun))
+	longest := p.longestForward
+	for _, started := range p.forwardStarts {
+		longest = max(longest, time.Since(started))
 	}
 	return longest
 }
@@ -143,34 +144,35 @@
 	}
 }
 
-// forward carries one connection until either end closes it.
+// forward copies the data of one connection in both directions until either end closes it.
 func (p *Proxy) forward(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	if p.Pause > 0 {
-		_ = connection.(*net.TCPConn).SetReadBuffer(pieceBytes)
+		_ = connection.(*net.TCPConn).SetReadBuffer(chunkBytes)
 	}
-	onward, err := net.Dial("tcp", p.target)
+	targetConnection, err := net.Dial("tcp", p.targetAddress)
 	if err != nil {
 		return
 	}
-	defer func() { _ = onward.Close() }()
+	defer func() { _ = targetConnection.Close() }()
 	go func() {
-		_, _ = io.Copy(connection, onward)
+		_, _ = io.Copy(connection, targetConnection)
 		_ = connection.Close()
 	}()
-	piece := make([]byte, pieceBytes)
-	// A pause that ended late is made up for, time without bytes is not.
+	chunk := make([]byte, chunkBytes)
+	// due is the time of the next forward. If a pause ends late, the following pauses are
+	// shorter to compensate; time spent waiting for data shifts due by the same amount.
 	for due := time.Now(); ; {
-		idle := time.Now()
-		n, err := connection.Read(piece)
-		due = due.Add(time.Since(idle))
+		readStart := time.Now()
+		n, err := connection.Read(chunk)
+		due = due.Add(time.Since(readStart))
 		if n > 0 {
-			p.begin(connection)
+			p.recordForwardStart(connection)
 			due = due.Add(p.Pause)
 			time.Sleep(time.Until(due))
-			_, failure := onward.Write(piece[:n])
-			p.end(connection)
-			if failure != nil {
+			_, writeErr := targetConnection.Write(chunk[:n])
+			p.recordForwardEnd(connection)
+			if writeErr != nil {
 				return
 			}
 		}
@@ -180,42 +182,44 @@
 	}
 }
 
-// begin notes that a piece of a connection is being forwarded, end that it has been.
-func (p *Proxy) begin(connection net.Conn) {
+// recordForwardStart records that forwarding a chunk of the connection starts now.
+func (p *Proxy) recordForwardStart(connection net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.begun[connection] = time.Now()
+	p.forwardStarts[connection] = time.Now()
 }
 
-func (p *Proxy) end(connection net.Conn) {
+// recordForwardEnd records that the connection's chunk in progress has been forwarded.
+func (p *Proxy) recordForwardEnd(connection net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.longest = max(p.longest, time.Since(p.begun[connection]))
-	delete(p.begun, connection)
+	p.longestForward = max(p.longestForward, time.Since(p.forwardStarts[connection]))
+	delete(p.forwardStarts, connection)
 }
 
-// dialFunc opens a connection.
+// dialFunc opens a network connection, like net.Dialer.DialContext.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NoticeClose has a dial function's connections set closed once one of them is closed.
+// NoticeClose wraps a dial function so that closing any of its connections on the local side
+// sets closed to true.
 func NoticeClose(dial dialFunc, closed *atomic.Bool) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return closeNotice{Conn: connection, closed: closed}, nil
+		return closeNotifyingConn{Conn: connection, closed: closed}, nil
 	}
 }
 
-// closeNotice tells of the end of a connection.
-type closeNotice struct {
+// closeNotifyingConn is a connection that sets a flag when it is closed locally.
+type closeNotifyingConn struct {
 	net.Conn
 	closed *atomic.Bool
 }
 
 // Close implements net.Conn.
-func (c closeNotice) Close() error {
+func (c closeNotifyingConn) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
--- a/internal/blackhole/doc.go
+++ b/internal/blackhole/doc.go
@@ -1,4 +1,4 @@
-// Package blackhole lets tests have open connections go silent, as behind a firewall
-// that forgot them: what the peer sends is neither acknowledged nor reset, while new
-// connections work.
+// Package blackhole lets tests turn open TCP connections into black holes, as a firewall
+// does that has dropped their state: packets from the peer are neither acknowledged nor
+// answered with a reset, while new connections still work.
 package blackhole
--- a/internal/constants/constants_test.go
+++ b/internal/constants/constants_test.go
@@ -12,41 +12,43 @@
 	"testing"
 )
 
-// checked are the packages whose constants bound, space or weigh what is decided.
-var checked = []string{"fleet", "placement", "routing", "membership"}
+// checkedPackages are the packages whose constants set the limits, intervals and weights of
+// scheduling decisions.
+var checkedPackages = []string{"fleet", "placement", "routing", "membership"}
 
-// TestNumbersSayWhatTheyAre: each named number has a comment, its own or that of the
-// constant before it in the same group which names it. Defaults of a configuration are
-// told of at its fields.
-func TestNumbersSayWhatTheyAre(t *testing.T) {
+// TestNumericConstantsAreDocumented guards against numeric constants of unexplained meaning:
+// each needs a comment of its own, or must be named in the comment of a constant before it in
+// the same group. Groups of configuration defaults ("Defaults of ...") are exempt, because the
+// fields of the configuration document them.
+func TestNumericConstantsAreDocumented(t *testing.T) {
 	count := 0
 	for c := range constantsOf(t) {
-		if !isNumber(c.value) {
+		if !isNumeric(c.value) {
 			continue
 		}
 		count++
 		if c.comment == "" && !strings.HasPrefix(c.group, "Defaults of ") {
-			t.Errorf("%s: %s has no comment that says what it is", c.position, c.name)
+			t.Errorf("%s: constant %s has no comment that states its meaning", c.position, c.name)
 		}
 	}
 	if count == 0 {
-		t.Fatal("no constant was found")
+		t.Fatal("found no numeric constant in the checked packages")
 	}
 }
 
-// constant is a named constant of the checked packages.
+// constant is a named constant with its documentation.
 type constant struct {
 	position token.Position
 	name     string
 	value    *ast.ValueSpec
-	// comment that speaks of it, and that of its group.
+	// comment is the text that documents the constant, group that of its declaration group.
 	comment, group string
 }
 
-// constantsOf yields the constants of the checked packages.
+// constantsOf yields the constants of checkedPackages, those in test files excepted.
 func constantsOf(t *testing.T) iter.Seq[constant] {
 	return func(yield func(constant) bool) {
-		for _, root := range checked {
+		for _, root := range checkedPackages {
 			err := filepath.WalkDir(filepath.Join("..", "..", root), func(path string, _ fs.DirEntry, err error) error {
 				if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 					return err
@@ -65,7 +67,7 @@
 	}
 }
 
-// constantsIn returns the constants of a file.
+// constantsIn returns the constants that are declared at the top level of a file.
 func constantsIn(t *testing.T, path string) []constant {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, nil, parser.ParseComments)
@@ -83,7 +85,7 @@
 			value := spec.(*ast.ValueSpec)
 			if own := value.Doc.Text() + value.Comment.Text(); own != "" {
 				comment = own
-			} else if group.Lparen.IsValid() && !named(comment, value.Names[0].Name) {
+			} else if group.Lparen.IsValid() && !mentions(comment, value.Names[0].Name) {
 				comment = ""
 			}
 			found = append(found, constant{
@@ -95,13 +97,14 @@
 	return found
 }
 
-// named reports whether a comment speaks of a constant.
-func named(comment, name string) bool {
+// mentions reports whether a comment contains a constant's name as a whole word.
+func mentions(comment, name string) bool {
 	return regexp.MustCompile(`\b` + regexp.QuoteMeta(name) + `\b`).MatchString(comment)
 }
 
-// isNumber reports whether a constant is a number of its own, not a name out of a list.
-func isNumber(value *ast.ValueSpec) bool {
+// isNumeric reports whether a constant is untyped and its value contains a numeric literal.
+// Enumerations with iota don't count.
+func isNumeric(value *ast.ValueSpec) bool {
 	if len(value.Values) == 0 || value.Type != nil {
 		return false
 	}
--- a/internal/constants/doc.go
+++ b/internal/constants/doc.go
@@ -1,3 +1,3 @@
-// Package constants holds the test that each named number of the deciding cores says what
-// it is.
+// Package constants holds tests which check that the numeric constants of the fleet,
+// placement, routing and membership packages are documented.
 package constants
--- a/internal/constants/reason_test.go
+++ b/internal/constants/reason_test.go
@@ -7,13 +7,15 @@
 	"testing"
 )
 
-// reason matches what a comment says beyond what a constant is: what follows from it, what
-// it is compared with, a figure, or that it was chosen without one.
-var reason = regexp.MustCompile(`(?i)[:;]\s|\b(so that|so long|so many|because|since|lest|enough|than|chosen)\b|\d`)
+// reasonPattern matches a comment that gives a reason for a constant's value and not only
+// its meaning: a consequence, a comparison, a figure, or a statement that the value was
+// chosen without one.
+var reasonPattern = regexp.MustCompile(`(?i)[:;]\s|\b(so that|so long|so many|because|since|lest|enough|than|chosen)\b|\d`)
 
-// TestDurationsAndWeightsSayWhy: the comment of a named duration or weight, or for defaults
-// that of their group, gives a reason for the value.
-func TestDurationsAndWeightsSayWhy(t *testing.T) {
+// TestDurationAndWeightConstantsGiveReason guards against durations and weights whose value
+// nobody can judge later: the comment of each such constant, or that of its group if it has
+// none of its own, must give a reason for the value.
+func TestDurationAndWeightConstantsGiveReason(t *testing.T) {
 	count := 0
 	for c := range constantsOf(t) {
 		if !isDurationOrWeight(c.value) {
@@ -24,17 +26,18 @@
 		if comment == "" {
 			comment = c.group
 		}
-		if !reason.MatchString(comment) {
-			t.Errorf("%s: %s has no comment that says why: %q", c.position, c.name, comment)
+		if !reasonPattern.MatchString(comment) {
+			t.Errorf("%s: the comment of constant %s gives no reason for its value: %q", c.position, c.name, comment)
 		}
 	}
 	if count == 0 {
-		t.Fatal("no duration or weight was found")
+		t.Fatal("found no duration or weight constant in the checked packages")
 	}
 }
 
-// TestReasonsAreTold: what a constant is tells no reason for its value.
-func TestReasonsAreTold(t *testing.T) {
+// TestReasonPatternRejectsCommentsWithoutReason guards against a pattern that accepts every
+// comment: one that states only the meaning of a constant gives no reason for its value.
+func TestReasonPatternRejectsCommentsWithoutReason(t *testing.T) {
 	for comment, want := range map[string]bool{
 		"planSpacing is the least time between two plans.":               false,
 		"planSpacing is the least time between two plans: one takes 3.":  true,
@@ -43,20 +46,20 @@
 		"planSpacing, chosen, not measured.":                             true,
 		"":                                                               false,
 	} {
-		if got := reason.MatchString(comment); got != want {
+		if got := reasonPattern.MatchString(comment); got != want {
 			t.Errorf("%q: %t, want %t", comment, got, want)
 		}
 	}
 }
 
-// isDurationOrWeight reports whether a constant is typed as a duration or a float, or given
-// in units of time or with a fraction.
+// isDurationOrWeight reports whether a constant's type is a duration or a float, or its value
+// uses a unit of time or a floating-point literal.
 func isDurationOrWeight(value *ast.ValueSpec) bool {
 	found := false
-	look := func(node ast.Node) bool {
+	inspect := func(node ast.Node) bool {
 		switch n := node.(type) {
 		case *ast.SelectorExpr:
-			found = found || inTime(n)
+			found = found || isFromPackageTime(n)
 		case *ast.Ident:
 			found = found || n.Name == "float64" || n.Name == "float32"
 		case *ast.BasicLit:
@@ -65,16 +68,17 @@
 		return true
 	}
 	if value.Type != nil {
-		ast.Inspect(value.Type, look)
+		ast.Inspect(value.Type, inspect)
 	}
 	for _, expression := range value.Values {
-		ast.Inspect(expression, look)
+		ast.Inspect(expression, inspect)
 	}
 	return found
 }
 
-// inTime reports whether a name is one of package time: a unit, or the type of durations.
-func inTime(selector *ast.SelectorExpr) bool {
-	of, isName := selector.X.(*ast.Ident)
-	return isName && of.Name == "time"
+// isFromPackageTime reports whether a qualified identifier is of package time, such as a unit
+// or the type Duration.
+func isFromPackageTime(selector *ast.SelectorExpr) bool {
+	qualifier, isName := selector.X.(*ast.Ident)
+	return isName && qualifier.Name == "time"
 }
--- a/internal/pipe/doc.go
+++ b/internal/pipe/doc.go
@@ -1,3 +1,3 @@
-// Package pipe serves tests: it joins a server to its callers by connections in memory, so
-// that within a bubble of testing/synctest their time is the bubble's.
+// Package pipe provides an in-memory listener for tests. A server and its clients that use
+// it inside a testing/synctest bubble run entirely on the bubble's fake clock.
 package pipe
--- a/internal/pipe/pipe.go
+++ b/internal/pipe/pipe.go
@@ -6,24 +6,26 @@
 	"sync"
 )
 
-// Listener hands out connections in memory.
+// Listener is a net.Listener whose connections are in-memory pipes.
 type Listener struct {
 	dialed chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-// NewListener returns a Listener; within a bubble it is the bubble's.
+// NewListener returns a Listener. If it is called inside a synctest bubble, the Listener
+// belongs to that bubble and may be used only there.
 func NewListener() *Listener {
 	return &Listener{dialed: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// DialContext returns the callers' end of a new connection, whatever the address.
+// DialContext opens a connection to the listener, whatever the address, and returns its
+// client end.
 func (l *Listener) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.dialed <- theirs:
-		return ours, nil
+	case l.dialed <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
--- a/internal/propertytest/doc.go
+++ b/internal/propertytest/doc.go
@@ -1,4 +1,4 @@
-// Package propertytest runs the tests of a package whose property tests use
-// rapid, with a fixed seed and without failure files, so that every run gives
-// the same verdict. Flags given on the command line win.
+// Package propertytest runs the tests of a package that has property tests with
+// rapid. It sets a fixed seed and disables failure files, so that every run
+// gives the same result. Flags given on the command line take precedence.
 package propertytest
--- a/internal/propertytest/propertytest.go
+++ b/internal/propertytest/propertytest.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// defaults of rapid's flags.
-var defaults = []struct{ name, value string }{
+// flagDefaults are the values of rapid's flags that the command line doesn't set.
+var flagDefaults = []struct{ name, value string }{
 	{"rapid.seed", "20260301"},
 	{"rapid.nofailfile", "true"},
 }
 
-// Main is the body of a package's TestMain.
+// Main runs the tests of a package with flagDefaults and exits. A package calls it in TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	for _, preset := range defaults {
-		if given[preset.name] {
+	setFlags := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { setFlags[f.Name] = true })
+	for _, flagDefault := range flagDefaults {
+		if setFlags[flagDefault.name] {
 			continue
 		}
-		if err := flag.Set(preset.name, preset.value); err != nil {
+		if err := flag.Set(flagDefault.name, flagDefault.value); err != nil {
 			panic(err)
 		}
 	}
--- a/internal/sleep/doc.go
+++ b/internal/sleep/doc.go
@@ -1,2 +1,2 @@
-// Package sleep waits for a time that may be cut short.
+// Package sleep provides a sleep that a context can interrupt.
 package sleep
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// For waits, and reports whether the time passed before ctx ended. Nothing is waited for
-// where the time is not positive.
-func For(ctx context.Context, wait time.Duration) bool {
-	if wait <= 0 {
+// For sleeps for a duration and reports whether it elapsed before ctx ended. If the duration
+// is not positive, For returns at once and reports whether ctx is still active.
+func For(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// TestForEndsWithTheTimeOrTheContext, whichever is first.
-func TestForEndsWithTheTimeOrTheContext(t *testing.T) {
+// TestForReturnsAtDurationOrContextEnd guards against a sleep that outlasts its context or its
+// duration, or reports the wrong one of them as the reason for its return.
+func TestForReturnsAtDurationOrContextEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
-			wait, ends, want time.Duration
-			passed           bool
+			wait, contextTimeout, want time.Duration
+			elapsed                    bool
 		}{
-			{wait: time.Second, ends: time.Minute, want: time.Second, passed: true},
-			{wait: time.Minute, ends: time.Second, want: time.Second},
-			{wait: 0, ends: time.Second, passed: true},
-			{wait: -time.Second, ends: 0},
+			{wait: time.Second, contextTimeout: time.Minute, want: time.Second, elapsed: true},
+			{wait: time.Minute, contextTimeout: time.Second, want: time.Second},
+			{wait: 0, contextTimeout: time.Second, elapsed: true},
+			{wait: -time.Second, contextTimeout: 0},
 		} {
-			ctx, cancel := context.WithTimeout(t.Context(), c.ends)
+			ctx, cancel := context.WithTimeout(t.Context(), c.contextTimeout)
 			began := time.Now()
-			passed := For(ctx, c.wait)
-			if took := time.Since(began); passed != c.passed || took != c.want {
-				t.Errorf("%s before %s: %t after %s", c.wait, c.ends, passed, took)
+			elapsed := For(ctx, c.wait)
+			if took := time.Since(began); elapsed != c.elapsed || took != c.want {
+				t.Errorf("For(%s) with a context of %s returned %t after %s", c.wait, c.contextTimeout, elapsed, took)
 			}
 			cancel()
 		}
--- a/internal/spelling/doc.go
+++ b/internal/spelling/doc.go
@@ -1,2 +1,2 @@
-// Package spelling names the known word that somebody most likely meant by an unknown one.
+// Package spelling suggests the known word that is closest to a misspelt one.
 package spelling
--- a/internal/spelling/spelling.go
+++ b/internal/spelling/spelling.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// Nearest returns the known word that is spelt most like an unknown one, the first of
-// several, or nothing where all differ in more than a third of their letters.
+// Nearest returns the known word with the smallest edit distance to an unknown one, the first
+// of several. It returns an empty string if that distance is more than a third of the known
+// word's length.
 func Nearest(unknown string, known []string) string {
 	best, distance := "", math.MaxInt
 	for _, word := range known {
@@ -17,7 +18,8 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance of two short names.
+// editDistance returns the Levenshtein distance of two words, in bytes. Its time grows with
+// the product of their lengths, so the words should be short.
 func editDistance(a, b string) int {
 	previous := make([]int, len(b)+1)
 	for j := range previous {
--- a/internal/topk/doc.go
+++ b/internal/topk/doc.go
@@ -1,2 +1,2 @@
-// Package topk keeps the first few of many values by an order.
+// Package topk selects the first k of many values in a given order.
 package topk
--- a/internal/topk/topk.go
+++ b/internal/topk/topk.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// Insert puts a value into the sorted list of the first ones by an order, of which most are
-// kept, and returns the list. The first few of n values are found so with n comparisons and
-// few more, where sorting all takes n log n.
-func Insert[T any](first []T, value T, most int, compare func(a, b T) int) []T {
-	at, _ := slices.BinarySearchFunc(first, value, compare)
-	if at >= most {
+// Insert inserts a value into a sorted list that holds the first values in the order of
+// compare, truncates the list to limit values and returns it. For a small limit this finds
+// the first of n values with little more than n comparisons, whereas sorting all of them
+// takes n log n.
+func Insert[T any](first []T, value T, limit int, compare func(a, b T) int) []T {
+	index, _ := slices.BinarySearchFunc(first, value, compare)
+	if index >= limit {
 		return first
 	}
-	return slices.Insert(first[:min(len(first), most-1)], at, value)
+	return slices.Insert(first[:min(len(first), limit-1)], index, value)
 }
