--- a/cmd/valveslip/admin.go
+++ b/cmd/valveslip/admin.go
@@ -23,57 +23,59 @@
 )
 
 const (
-	// defaultAdminURL is where operators' commands look for a node.
+	// defaultAdminURL is the default URL of the administration API.
 	defaultAdminURL = "http://127.0.0.1:8081"
-	// adminEnvironment begins the variables of operators' commands, such as
-	// VALVESLIP_ADMIN_URL and VALVESLIP_ADMIN_TOKEN.
-	adminEnvironment = "VALVESLIP_ADMIN"
-	// adminTimeout bounds one call, except an event stream.
+	// adminEnvPrefix is the prefix of the environment variables that set the flags
+	// of operator commands, such as VALVESLIP_ADMIN_URL and VALVESLIP_ADMIN_TOKEN.
+	adminEnvPrefix = "VALVESLIP_ADMIN"
+	// adminTimeout is the timeout of one API request. Event streams have none.
 	adminTimeout = 30 * time.Second
 )
 
-// operator is what operators' commands share: where the node is, who asks and
-// how the answer is shown.
-type operator struct {
+// operatorOptions are the options that operator commands share: the URL of the
+// node, the access token and the output format.
+type operatorOptions struct {
 	out       io.Writer
 	url       string
 	token     string
 	tokenFile string
-	authority string
+	caFile    string
 	json      bool
 }
 
-// operatorFlags returns a flag set with the flags that operators' commands
-// share.
-func operatorFlags(name string, out io.Writer) (*flag.FlagSet, *operator) {
+// operatorFlags returns a flag set with the flags that operator commands share,
+// and the options that the flags set.
+func operatorFlags(name string, out io.Writer) (*flag.FlagSet, *operatorOptions) {
 	flags := flag.NewFlagSet("valveslip "+name, flag.ContinueOnError)
-	o := &operator{out: out}
+	o := &operatorOptions{out: out}
 	flags.StringVar(&o.url, "url", defaultAdminURL, "URL of a node's administration API")
-	flags.StringVar(&o.token, "token", "", "access token; better set by "+adminEnvironment+"_TOKEN or --token-file, as others may see arguments")
+	flags.StringVar(&o.token, "token", "", "access token; better set by "+adminEnvPrefix+"_TOKEN or --token-file, as others may see arguments")
 	flags.StringVar(&o.tokenFile, "token-file", "", "file that holds the access token")
-	flags.StringVar(&o.authority, "ca-file", "", "PEM certificates of the authorities to trust; the system's when empty")
+	flags.StringVar(&o.caFile, "ca-file", "", "PEM certificates of the authorities to trust; the system's when empty")
 	flags.BoolVar(&o.json, "json", false, "print JSON for programs")
 	return flags, o
 }
 
-// operatorCommand is the common shape of operators' commands. Arguments after
-// the flags are passed on; there must be between least and most of them.
-func operatorCommand(usage, help string, flags *flag.FlagSet, least, most int, run func(ctx context.Context, arguments []string) error) *ffcli.Command {
-	words := strings.Fields(flags.Name())
+// operatorCommand returns an operator command that passes the arguments after the
+// flags to run. Their number must be between minArguments and maxArguments. Errors
+// of the API get the exit code of their cause.
+func operatorCommand(usage, help string, flags *flag.FlagSet, minArguments, maxArguments int, run func(ctx context.Context, arguments []string) error) *ffcli.Command {
+	nameParts := strings.Fields(flags.Name())
 	return &ffcli.Command{
-		Name: words[len(words)-1], ShortUsage: flags.Name() + " " + usage, ShortHelp: help, FlagSet: flags,
-		Options: []ff.Option{ff.WithEnvVarPrefix(adminEnvironment)},
+		Name: nameParts[len(nameParts)-1], ShortUsage: flags.Name() + " " + usage, ShortHelp: help, FlagSet: flags,
+		Options: []ff.Option{ff.WithEnvVarPrefix(adminEnvPrefix)},
 		Exec: func(ctx context.Context, arguments []string) error {
-			if len(arguments) < least || len(arguments) > most {
+			if len(arguments) < minArguments || len(arguments) > maxArguments {
 				return &exitError{code: exitUsage, err: fmt.Errorf("usage: %s %s", flags.Name(), usage)}
 			}
-			return adminError(run(ctx, arguments))
+			return withExitCode(run(ctx, arguments))
 		},
 	}
 }
 
-// client returns the API's client.
-func (o *operator) client(timeout time.Duration) (*admin.Client, error) {
+// newClient returns a client of the administration API. A timeout of zero means
+// none.
+func (o *operatorOptions) newClient(timeout time.Duration) (*admin.Client, error) {
 	token := o.token
 	if o.tokenFile != "" {
 		data, err := os.ReadFile(o.tokenFile)
@@ -83,22 +85,22 @@
 		token = strings.TrimSpace(string(data))
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
-	if o.authority != "" {
-		data, err := os.ReadFile(o.authority)
+	if o.caFile != "" {
+		data, err := os.ReadFile(o.caFile)
 		if err != nil {
 			return nil, eris.Wrap(err, "read the authorities")
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(data) {
-			return nil, eris.Errorf("%s holds no PEM certificate", o.authority)
+			return nil, eris.Errorf("%s holds no PEM certificate", o.caFile)
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}
 	}
 	return &admin.Client{URL: o.url, Token: token, HTTP: &http.Client{Transport: transport, Timeout: timeout}}, nil
 }
 
-// show prints a value as JSON, or as text prints it.
-func (o *operator) show(value any, text func(io.Writer) error) error {
+// printValue prints a value as JSON if --json was given; otherwise it calls text.
+func (o *operatorOptions) printValue(value any, text func(io.Writer) error) error {
 	if !o.json {
 		return text(o.out)
 	}
@@ -108,26 +110,27 @@
 	return encoder.Encode(value)
 }
 
-// adminError gives an error of the API the exit code of its cause.
-func adminError(err error) error {
-	var failed *admin.RequestError
-	if !errors.As(err, &failed) {
+// withExitCode wraps an error of the API in an exitError with the code of its cause.
+// It returns other errors unchanged.
+func withExitCode(err error) error {
+	var requestErr *admin.RequestError
+	if !errors.As(err, &requestErr) {
 		return err
 	}
 	code := exitFailure
 	switch {
-	case failed.OutcomePath != "" || failed.Code == verdict.CodeOutcomeUnknown:
-		code = exitUnknown
-		err = eris.Errorf("%s\nthe edit may have taken effect; repeat the command, or read %s", failed.Error(), failed.OutcomePath)
-	case failed.Status == http.StatusUnauthorized || failed.Status == http.StatusForbidden:
+	case requestErr.OutcomePath != "" || requestErr.Code == verdict.CodeOutcomeUnknown:
+		code = exitOutcomeUnknown
+		err = eris.Errorf("%s\nthe edit may have taken effect; repeat the command, or read %s", requestErr.Error(), requestErr.OutcomePath)
+	case requestErr.Status == http.StatusUnauthorized || requestErr.Status == http.StatusForbidden:
 		code = exitDenied
-	case failed.Status == http.StatusConflict:
+	case requestErr.Status == http.StatusConflict:
 		code = exitConflict
-	case failed.Status == http.StatusBadRequest || failed.Status == http.StatusUnprocessableEntity || failed.Status == http.StatusRequestEntityTooLarge:
+	case requestErr.Status == http.StatusBadRequest || requestErr.Status == http.StatusUnprocessableEntity || requestErr.Status == http.StatusRequestEntityTooLarge:
 		code = exitInvalid
-	case failed.Status == http.StatusNotFound:
+	case requestErr.Status == http.StatusNotFound:
 		code = exitNotFound
-	case failed.Status == 0 || failed.Status == http.StatusServiceUnavailable:
+	case requestErr.Status == 0 || requestErr.Status == http.StatusServiceUnavailable:
 		code = exitUnavailable
 	}
 	return &exitError{code: code, err: err}
--- a/cmd/valveslip/arguments.go
+++ b/cmd/valveslip/arguments.go
@@ -9,10 +9,11 @@
 	"github.com/valveslip/valveslip/internal/spelling"
 )
 
-// flagsFirst moves flags that stand after arguments before them, so that both
-// orders mean the same. What follows "--" stays as it is.
-func flagsFirst(root *ffcli.Command, arguments []string) []string {
-	command, ordered, arguments := resolve(root, arguments)
+// moveFlagsFirst moves the flags of a subcommand before its arguments, so that flags
+// may also follow arguments, which the flag package does not support. Arguments
+// after "--" keep their order.
+func moveFlagsFirst(root *ffcli.Command, arguments []string) []string {
+	command, ordered, arguments := resolveSubcommand(root, arguments)
 	var flags, rest []string
 	for len(arguments) > 0 {
 		argument := arguments[0]
@@ -23,7 +24,7 @@
 			arguments = nil
 		case len(argument) > 1 && strings.HasPrefix(argument, "-"):
 			flags = append(flags, argument)
-			if takesValue(command.FlagSet, argument) && len(arguments) > 0 {
+			if takesNextArgument(command.FlagSet, argument) && len(arguments) > 0 {
 				flags, arguments = append(flags, arguments[0]), arguments[1:]
 			}
 		default:
@@ -33,12 +34,12 @@
 	return append(ordered, append(flags, rest...)...)
 }
 
-// resolve follows the names of subcommands that arguments begin with. It returns the
-// command that they lead to, the names and the arguments after them.
-func resolve(root *ffcli.Command, arguments []string) (command *ffcli.Command, names, rest []string) {
+// resolveSubcommand follows the subcommand names at the start of arguments. It returns
+// the innermost subcommand, the names and the arguments after them.
+func resolveSubcommand(root *ffcli.Command, arguments []string) (command *ffcli.Command, names, rest []string) {
 	command = root
 	for len(arguments) > 0 {
-		next := subcommand(command, arguments[0])
+		next := findSubcommand(command, arguments[0])
 		if next == nil {
 			break
 		}
@@ -47,17 +48,17 @@
 	return command, names, arguments
 }
 
-// checkSubcommand returns an error for arguments that name a subcommand which doesn't exist,
-// also where they ask for its help.
-func checkSubcommand(root *ffcli.Command, arguments []string) error {
-	command, names, rest := resolve(root, arguments)
+// checkSubcommandExists returns a usage error if the arguments name a subcommand that does
+// not exist, even if they also ask for help.
+func checkSubcommandExists(root *ffcli.Command, arguments []string) error {
+	command, names, rest := resolveSubcommand(root, arguments)
 	name := firstArgument(command.FlagSet, rest)
 	if len(command.Subcommands) == 0 || name == "" {
 		return nil
 	}
 	known := make([]string, len(command.Subcommands))
-	for i, below := range command.Subcommands {
-		known[i] = below.Name
+	for i, child := range command.Subcommands {
+		known[i] = child.Name
 	}
 	hint := ""
 	if nearest := spelling.Nearest(name, known); nearest != "" {
@@ -67,8 +68,9 @@
 	return usageError("there is no subcommand %q%s; %s --help lists them", name, hint, path)
 }
 
-// firstArgument returns the first argument that is neither a flag nor a flag's value, empty
-// without one. What stands after an unknown flag may be its value, so none is returned then.
+// firstArgument returns the first argument that is neither a flag nor the value of a flag,
+// or an empty string if there is none. It also returns an empty string at an unknown flag,
+// because the argument after it may be its value.
 func firstArgument(set *flag.FlagSet, arguments []string) string {
 	for len(arguments) > 0 {
 		argument := arguments[0]
@@ -78,24 +80,24 @@
 			continue
 		case len(argument) < 2 || !strings.HasPrefix(argument, "-"):
 			return argument
-		case takesValue(set, argument) && len(arguments) > 0:
+		case takesNextArgument(set, argument) && len(arguments) > 0:
 			arguments = arguments[1:]
-		case !knownFlag(set, argument):
+		case !isKnownFlag(set, argument):
 			return ""
 		}
 	}
 	return ""
 }
 
-// knownFlag reports whether an argument is a flag of the set, or one that asks for help.
-func knownFlag(set *flag.FlagSet, argument string) bool {
+// isKnownFlag reports whether an argument is a flag of the set or a help flag.
+func isKnownFlag(set *flag.FlagSet, argument string) bool {
 	name, _, _ := strings.Cut(strings.TrimLeft(argument, "-"), "=")
 	return name == "help" || name == "h" || set != nil && set.Lookup(name) != nil
 }
 
-// subcommand returns the command of a name below another, or nil.
-func subcommand(of *ffcli.Command, name string) *ffcli.Command {
-	for _, command := range of.Subcommands {
+// findSubcommand returns the direct subcommand with a name, or nil.
+func findSubcommand(parent *ffcli.Command, name string) *ffcli.Command {
+	for _, command := range parent.Subcommands {
 		if command.Name == name {
 			return command
 		}
@@ -103,16 +105,17 @@
 	return nil
 }
 
-// takesValue reports whether a flag's value is the argument after it.
-func takesValue(set *flag.FlagSet, argument string) bool {
+// takesNextArgument reports whether the argument after a flag is the flag's value. That is
+// so for a known flag that is not boolean and has no "=".
+func takesNextArgument(set *flag.FlagSet, argument string) bool {
 	name := strings.TrimLeft(argument, "-")
 	if strings.Contains(name, "=") || set == nil {
 		return false
 	}
-	known := set.Lookup(name)
-	if known == nil {
+	definition := set.Lookup(name)
+	if definition == nil {
 		return false
 	}
-	boolean, isBoolean := known.Value.(interface{ IsBoolFlag() bool })
-	return !isBoolean || !boolean.IsBoolFlag()
+	boolFlag, hasBoolMethod := definition.Value.(interface{ IsBoolFlag() bool })
+	return !hasBoolMethod || !boolFlag.IsBoolFlag()
 }
--- a/cmd/valveslip/arguments_test.go
+++ b/cmd/valveslip/arguments_test.go
@@ -9,16 +9,19 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// TestWatchIsGivenUpInTime: a watch that was cut without a word must be given up
-// before the two seconds are over in which changes have to be in force.
-func TestWatchIsGivenUpInTime(t *testing.T) {
-	const inForce = 2 * time.Second
-	if unnoticed := watchWait + platform.WatchMargin; unnoticed > inForce-250*time.Millisecond {
-		t.Errorf("a cut watch goes unnoticed for %s", unnoticed)
+// TestSilentlyCutWatchTimesOutBeforeConfigDeadline guards against configuration that takes
+// effect too late: changes must be in force within 2 s, so a watch whose connection was cut
+// silently must time out before that.
+func TestSilentlyCutWatchTimesOutBeforeConfigDeadline(t *testing.T) {
+	const configDeadline = 2 * time.Second
+	if detectionTime := watchPollTime + platform.WatchMargin; detectionTime > configDeadline-250*time.Millisecond {
+		t.Errorf("a silently cut watch is detected only after %s", detectionTime)
 	}
 }
 
-func TestFlagsMayFollowArguments(t *testing.T) {
+// TestFlagsAfterArgumentsAreMovedFirst guards against flags that are taken for arguments
+// because they follow an argument, and against values that are separated from their flag.
+func TestFlagsAfterArgumentsAreMovedFirst(t *testing.T) {
 	for given, want := range map[string]string{
 		"experiment run dental --seeds 1":      "experiment run --seeds 1 dental",
 		"explain abc --logs f --json":          "explain --logs f --json abc",
@@ -27,15 +30,15 @@
 		"explain -- --odd":                     "explain -- --odd",
 		"--version":                            "--version",
 	} {
-		if got := flagsFirst(rootCommand(), strings.Fields(given)); !slices.Equal(got, strings.Fields(want)) {
+		if got := moveFlagsFirst(rootCommand(), strings.Fields(given)); !slices.Equal(got, strings.Fields(want)) {
 			t.Errorf("%q became %q, want %q", given, got, want)
 		}
 	}
 }
 
-// TestUnknownSubcommands: a name that doesn't exist is a wrong command line, with a request
-// for help too, and the nearest name is told.
-func TestUnknownSubcommands(t *testing.T) {
+// TestUnknownSubcommandIsUsageErrorWithSuggestion guards against an unknown subcommand that
+// succeeds because a help flag is given, and against a wrong or missing suggestion.
+func TestUnknownSubcommandIsUsageErrorWithSuggestion(t *testing.T) {
 	for given, want := range map[string]string{
 		"staus":                       `there is no subcommand "staus"; did you mean status?; valveslip --help lists them`,
 		"staus --help":                `there is no subcommand "staus"; did you mean status?; valveslip --help lists them`,
@@ -55,28 +58,29 @@
 		"--flag value":                "",
 		"":                            "",
 	} {
-		err := checkSubcommand(rootCommand(), strings.Fields(given))
+		err := checkSubcommandExists(rootCommand(), strings.Fields(given))
 		got := ""
 		if err != nil {
 			got = err.Error()
 		}
 		if got != want {
-			t.Errorf("%q: %q, want %q", given, got, want)
+			t.Errorf("%q: got error %q, want %q", given, got, want)
 		}
 		if err != nil && exitCode(err) != exitUsage {
-			t.Errorf("%q ends with %d", given, exitCode(err))
+			t.Errorf("%q: exit code %d, want that of a usage error", given, exitCode(err))
 		}
 	}
 }
 
-// TestExitCodeOfHelp: only help on what exists is success.
-func TestExitCodeOfHelp(t *testing.T) {
+// TestHelpSucceedsOnlyForExistingSubcommands guards against an exit code of zero for a
+// misspelt subcommand.
+func TestHelpSucceedsOnlyForExistingSubcommands(t *testing.T) {
 	for given, want := range map[string]int{
 		"--help": exitOK, "tree --help": exitOK, "tree get --help": exitOK,
 		"bogus --help": exitUsage, "tree bogus --help": exitUsage, "bogus": exitUsage, "tree bogus": exitUsage,
 	} {
 		if got := run(strings.Fields(given)); got != want {
-			t.Errorf("%q ends with %d, want %d", given, got, want)
+			t.Errorf("%q: exit code %d, want %d", given, got, want)
 		}
 	}
 }
--- a/cmd/valveslip/check.go
+++ b/cmd/valveslip/check.go
@@ -14,10 +14,11 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// checkCommand validates a node's configuration and does nothing else.
+// checkCommand returns the check command, which validates configuration files. Its
+// subcommand explores the control protocols.
 func checkCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip check", flag.ContinueOnError)
-	read := configFlags(flags)
+	loadConfig := configFlags(flags)
 	platformSettings := flags.String("platform-settings", "", "check the settings file of a node on the users' platform instead")
 	deploy := flags.String("deploy", "", "check a deploy file of the users' platform instead")
 	return &ffcli.Command{
@@ -33,7 +34,7 @@
 			if *platformSettings != "" || *deploy != "" {
 				return checkPlatformFiles(os.Stdout, *platformSettings, *deploy)
 			}
-			config, err := read()
+			config, err := loadConfig()
 			if err != nil {
 				return &exitError{code: exitInvalid, err: err}
 			}
@@ -44,8 +45,8 @@
 	}
 }
 
-// configFlags adds --config and a flag for every node setting. The function it
-// returns loads the configuration once the flags are parsed.
+// configFlags adds --config and a flag for every node setting. It returns a function
+// that loads the configuration, to be called after the flags have been parsed.
 func configFlags(flags *flag.FlagSet) func() (node.Config, error) {
 	file := flags.String("config", "", "YAML file of the node's settings")
 	values := make(map[string]*string)
@@ -54,11 +55,11 @@
 		values[key.FlagName()] = flags.String(key.FlagName(), "", key.Usage)
 	}
 	return func() (node.Config, error) {
-		set := make(map[string]bool)
-		flags.Visit(func(f *flag.Flag) { set[f.Name] = true })
+		setFlags := make(map[string]bool)
+		flags.Visit(func(f *flag.Flag) { setFlags[f.Name] = true })
 		var overrides []node.Override
 		for _, key := range keys {
-			if set[key.FlagName()] {
+			if setFlags[key.FlagName()] {
 				overrides = append(overrides, node.Override{Key: key.Name, Value: *values[key.FlagName()], Source: "flag or environment"})
 			}
 		}
@@ -66,8 +67,8 @@
 	}
 }
 
-// checkPlatformFiles checks files of the users' platform; an empty name leaves one
-// out.
+// checkPlatformFiles validates a settings file and a deploy file of the users'
+// platform. An empty name skips the file.
 func checkPlatformFiles(output io.Writer, settingsFile, deployFile string) error {
 	if settingsFile != "" {
 		settings, err := platform.ReadSettings(settingsFile)
--- a/cmd/valveslip/check_takeover.go
+++ b/cmd/valveslip/check_takeover.go
@@ -15,26 +15,26 @@
 	"github.com/valveslip/valveslip/authority/explore"
 )
 
-// defaultTakeoverStates bounds each exploration of the command.
+// defaultTakeoverStates is the default maximum number of states of an exploration.
 const defaultTakeoverStates = 300_000
 
-// checkTakeoverCommand explores the takeover of cells and the division of
-// replica counts exhaustively at small size.
+// checkTakeoverCommand returns the command that explores the takeover of cells and
+// the division of replica counts exhaustively for small configurations.
 func checkTakeoverCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip check takeover", flag.ContinueOnError)
 	states := flags.Int("states", defaultTakeoverStates, "bound of the states of each scenario; 0 for none")
-	own := explore.Scenario{Name: "own", Memory: 1}
-	flags.IntVar(&own.Controllers, "controllers", 0, "explore one scenario with so many controllers instead of the usual ones")
-	flags.IntVar(&own.Machines, "machines", 2, "machines of the own scenario, at most 10")
-	flags.IntVar(&own.Joining, "joining", 0, "machines that may join")
-	flags.IntVar(&own.Depth, "depth", 1000, "bound of the steps")
-	flags.IntVar(&own.Lapses, "lapses", 1, "lapses of all leases in one run")
-	flags.IntVar(&own.Faults, "faults", 1, "lost or delayed calls and answers in one run")
-	flags.IntVar(&own.EngineRestarts, "engine-restarts", 0, "restarts of engines in one run")
-	flags.IntVar(&own.NodeRestarts, "node-restarts", 0, "restarts of controllers in one run")
-	flags.IntVar(&own.Outages, "outages", 0, "outages of the key-value service in one run")
-	flags.IntVar(&own.Leaves, "leaves", 0, "machines that go in one run")
-	flags.IntVar(&own.Unloads, "unloads", 0, "unloads in one run")
+	custom := explore.Scenario{Name: "own", Memory: 1}
+	flags.IntVar(&custom.Controllers, "controllers", 0, "explore one scenario with so many controllers instead of the usual ones")
+	flags.IntVar(&custom.Machines, "machines", 2, "machines of the own scenario, at most 10")
+	flags.IntVar(&custom.Joining, "joining", 0, "machines that may join")
+	flags.IntVar(&custom.Depth, "depth", 1000, "bound of the steps")
+	flags.IntVar(&custom.Lapses, "lapses", 1, "lapses of all leases in one run")
+	flags.IntVar(&custom.Faults, "faults", 1, "lost or delayed calls and answers in one run")
+	flags.IntVar(&custom.EngineRestarts, "engine-restarts", 0, "restarts of engines in one run")
+	flags.IntVar(&custom.NodeRestarts, "node-restarts", 0, "restarts of controllers in one run")
+	flags.IntVar(&custom.Outages, "outages", 0, "outages of the key-value service in one run")
+	flags.IntVar(&custom.Leaves, "leaves", 0, "machines that go in one run")
+	flags.IntVar(&custom.Unloads, "unloads", 0, "unloads in one run")
 	replicas := flags.Int("replicas", 1, "decided replicas of the one model")
 	return &ffcli.Command{
 		Name:       "takeover",
@@ -44,21 +44,21 @@
 			"code that a node runs, and checks replica counts and memory in every state.",
 		FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
-			if own.Controllers == 0 {
-				return checkTakeovers(ctx, out, explore.Scenarios(*states), explore.EscrowScenarios(*states))
+			if custom.Controllers == 0 {
+				return exploreScenarios(ctx, out, explore.Scenarios(*states), explore.EscrowScenarios(*states))
 			}
-			if own.Controllers < 0 || own.Machines < 1 || own.Machines+own.Joining > 10 {
+			if custom.Controllers < 0 || custom.Machines < 1 || custom.Machines+custom.Joining > 10 {
 				return &exitError{code: exitUsage, err: errors.New("between 1 and 10 machines are needed")}
 			}
-			own.Limits, own.States = []int{*replicas}, *states
-			return checkTakeovers(ctx, out, []explore.Scenario{own}, nil)
+			custom.Limits, custom.States = []int{*replicas}, *states
+			return exploreScenarios(ctx, out, []explore.Scenario{custom}, nil)
 		},
 	}
 }
 
-// checkTakeovers explores the scenarios and prints a line for each. It fails
-// when any has a violation, whose steps it prints.
-func checkTakeovers(ctx context.Context, out io.Writer, takeovers []explore.Scenario, escrows []explore.EscrowScenario) error {
+// exploreScenarios explores the scenarios and prints a line for each. It fails if a
+// scenario has a violation, and prints the steps that lead to it.
+func exploreScenarios(ctx context.Context, out io.Writer, takeovers []explore.Scenario, escrows []explore.EscrowScenario) error {
 	var results []explore.Result
 	for _, scenario := range takeovers {
 		result, err := explore.Takeover(ctx, scenario, explore.VariantNone)
@@ -74,15 +74,15 @@
 		}
 		results = append(results, result)
 	}
-	return printTakeovers(out, results)
+	return printExplorations(out, results)
 }
 
-// printTakeovers prints the results, their total and the steps to violations.
-func printTakeovers(out io.Writer, results []explore.Result) error {
+// printExplorations prints the results, their total and the steps to each violation.
+func printExplorations(out io.Writer, results []explore.Result) error {
 	var rows [][]string
 	total := explore.Result{Name: "total", Complete: true}
 	for _, result := range results {
-		rows = append(rows, takeoverRow(result))
+		rows = append(rows, explorationRow(result))
 		total.States += result.States
 		total.Transitions += result.Transitions
 		total.Depth = max(total.Depth, result.Depth)
@@ -90,7 +90,7 @@
 		total.Complete = total.Complete && result.Complete
 		total.Violation = cmp.Or(total.Violation, result.Violation)
 	}
-	rows = append(rows, takeoverRow(total))
+	rows = append(rows, explorationRow(total))
 	if err := writeTable(out, []string{"scenario", "states", "transitions", "depth", "complete", "safe", "time"}, rows); err != nil {
 		return err
 	}
@@ -104,13 +104,13 @@
 		}
 	}
 	if total.Violation != "" {
-		return &exitError{code: exitBroken, err: errors.New("a promise can be broken")}
+		return &exitError{code: exitViolation, err: errors.New("a promise can be broken")}
 	}
 	return nil
 }
 
-// takeoverRow is the line of one exploration.
-func takeoverRow(result explore.Result) []string {
+// explorationRow returns the table row of one exploration.
+func explorationRow(result explore.Result) []string {
 	return []string{
 		result.Name, strconv.Itoa(result.States), strconv.Itoa(result.Transitions), strconv.Itoa(result.Depth),
 		yesNo(result.Complete), yesNo(result.Violation == ""), result.Elapsed.Round(time.Millisecond).String(),
--- a/cmd/valveslip/completion.go
+++ b/cmd/valveslip/completion.go
@@ -10,8 +10,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// completionCommand prints a script that completes subcommands and flags. root
-// returns the whole command tree.
+// completionCommand returns the command that prints a script for shell completion of
+// subcommands and flags. The function root returns the root command.
 func completionCommand(out io.Writer, root func() *ffcli.Command) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "completion",
@@ -40,28 +40,29 @@
 	}
 }
 
-// completion is what may follow a command.
+// completion holds the words that may follow a command.
 type completion struct {
-	// command with its parents, such as "valveslip tree get".
+	// command is the command's full name, such as "valveslip tree get".
 	command string
-	// words are subcommands, then flags.
+	// words are the names of the subcommands, followed by the flags.
 	words []string
 }
 
-// completionWords walks the command tree.
+// completionWords returns the completions of a command and all commands below it.
 func completionWords(command *ffcli.Command, name string) []completion {
-	here := completion{command: name}
-	var below []completion
+	current := completion{command: name}
+	var descendants []completion
 	for _, subcommand := range command.Subcommands {
-		here.words = append(here.words, subcommand.Name)
-		below = append(below, completionWords(subcommand, name+" "+subcommand.Name)...)
+		current.words = append(current.words, subcommand.Name)
+		descendants = append(descendants, completionWords(subcommand, name+" "+subcommand.Name)...)
 	}
 	if command.FlagSet != nil {
-		command.FlagSet.VisitAll(func(f *flag.Flag) { here.words = append(here.words, "--"+f.Name) })
+		command.FlagSet.VisitAll(func(f *flag.Flag) { current.words = append(current.words, "--"+f.Name) })
 	}
-	return append([]completion{here}, below...)
+	return append([]completion{current}, descendants...)
 }
 
+// writeBashCompletion writes a completion script for Bash.
 func writeBashCompletion(out io.Writer, words []completion) error {
 	var script strings.Builder
 	script.WriteString("_valveslip() {\n  local word command=valveslip\n")
@@ -78,12 +79,13 @@
 	return err
 }
 
+// writeFishCompletion writes a completion script for fish.
 func writeFishCompletion(out io.Writer, words []completion) error {
 	var script strings.Builder
 	for _, entry := range words {
 		condition := "__fish_use_subcommand"
-		if above := strings.Fields(entry.command)[1:]; len(above) > 0 {
-			condition = "__fish_seen_subcommand_from " + above[len(above)-1]
+		if parents := strings.Fields(entry.command)[1:]; len(parents) > 0 {
+			condition = "__fish_seen_subcommand_from " + parents[len(parents)-1]
 		}
 		for _, word := range entry.words {
 			if name, isFlag := strings.CutPrefix(word, "--"); isFlag {
--- a/cmd/valveslip/completion_test.go
+++ b/cmd/valveslip/completion_test.go
@@ -7,7 +7,9 @@
 	"testing"
 )
 
-func TestCompletionKnowsEveryCommandAndFlag(t *testing.T) {
+// TestCompletionScriptsContainAllCommandsAndFlags guards against a subcommand or flag that
+// the completion script of a shell lacks.
+func TestCompletionScriptsContainAllCommandsAndFlags(t *testing.T) {
 	for _, shell := range []string{"bash", "zsh", "fish"} {
 		var out bytes.Buffer
 		if err := completionCommand(&out, rootCommand).Exec(context.Background(), []string{shell}); err != nil {
@@ -19,12 +21,12 @@
 					word = strings.TrimPrefix(word, "--")
 				}
 				if !strings.Contains(out.String(), word) {
-					t.Errorf("%s: %s of %s is missing", shell, word, entry.command)
+					t.Errorf("the %s script lacks %s of %s", shell, word, entry.command)
 				}
 			}
 		}
 	}
 	if err := completionCommand(&bytes.Buffer{}, rootCommand).Exec(context.Background(), []string{"csh"}); exitCode(err) != exitUsage {
-		t.Errorf("an unknown shell: %v", err)
+		t.Errorf("completion for an unknown shell: got %v, want a usage error", err)
 	}
 }
--- a/cmd/valveslip/days_test.go
+++ b/cmd/valveslip/days_test.go
@@ -8,18 +8,20 @@
 	"testing"
 )
 
-// dayKeys are the fields that a day of our own may have: its troubles and plan, nothing that
-// says on which deployment it is played.
-var dayKeys = map[string]bool{
+// allowedDayKeys are the fields that a day file of this repository may have: its plan and
+// its faults, but nothing that identifies a deployment.
+var allowedDayKeys = map[string]bool{
 	"name": true, "plan": true, "faults": true, "closing": true, "at": true, "kind": true, "for_s": true, "share": true, "count": true,
 	"x": true, "gap_s": true, "how": true, "on": true, "class": true, "service": true, "zone": true, "down_s": true,
 }
 
+// dayField matches a field of a day file with its value.
 var dayField = regexp.MustCompile(`([a-z_]+) = ("[^"]*"|\S)`)
 
-// TestDaysNameNoDeployment: days of our own hold troubles and plan only, and name a class, a
-// service or a zone by its place in the site's list.
-func TestDaysNameNoDeployment(t *testing.T) {
+// TestDayFilesAreIndependentOfDeployment guards against day files that work on one
+// deployment only. They may contain a plan and faults, must refer to a class, a service or a
+// zone by its index in the site's list, and must be documented for operators.
+func TestDayFilesAreIndependentOfDeployment(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/days/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d days, %v", len(files), err)
@@ -35,10 +37,10 @@
 		}
 		name := strings.TrimSuffix(filepath.Base(file), ".toml")
 		if !strings.Contains(string(data), `name = "`+name+`"`) || strings.Count(string(data), "[[day]]") != 1 {
-			t.Errorf("%s holds another day than its name says", file)
+			t.Errorf("%s must contain exactly one day, with the name of the file", file)
 		}
 		if !strings.Contains(string(page), "`"+name+"`") {
-			t.Errorf("%s is not on the operators' page", file)
+			t.Errorf("%s is not documented on the operators' page", file)
 		}
 		for line := range strings.Lines(string(data)) {
 			if strings.HasPrefix(line, "#") {
@@ -46,9 +48,9 @@
 			}
 			for _, field := range dayField.FindAllStringSubmatch(line, -1) {
 				key, value := field[1], strings.Trim(field[2], `"`)
-				named := key == "class" || key == "service" || key == "zone"
-				if !dayKeys[key] || named && !strings.HasPrefix(value, "@") {
-					t.Errorf("%s: %s", file, field[0])
+				mustBeIndex := key == "class" || key == "service" || key == "zone"
+				if !allowedDayKeys[key] || mustBeIndex && !strings.HasPrefix(value, "@") {
+					t.Errorf("%s: field is not allowed or names an object of a deployment: %s", file, field[0])
 				}
 			}
 		}
--- a/cmd/valveslip/demo.go
+++ b/cmd/valveslip/demo.go
@@ -20,7 +20,7 @@
 	"github.com/valveslip/valveslip/demo"
 )
 
-// demoCommand runs a whole deployment in this process.
+// demoCommand returns the command that runs a complete deployment in this process.
 func demoCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("demo", flag.ContinueOnError)
 	once := flags.Bool("once", false, "send a bounded mixed load, print a table and exit; non-zero when a promise broke")
@@ -41,6 +41,8 @@
 	}
 }
 
+// runDemo starts the demo and runs it until it is interrupted, or runs a bounded load
+// or a rolling restart and stops it.
 func runDemo(ctx context.Context, once, rolling bool, addressesFile string, verbose bool) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -52,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	if err := announce(running, addressesFile); err != nil {
+	if err := publishAddresses(running, addressesFile); err != nil {
 		_ = running.Stop()
 		return err
 	}
@@ -66,8 +68,8 @@
 	return running.Stop()
 }
 
-// runDemoOnce sends the bounded load, stops the demo and prints what both
-// showed.
+// runDemoOnce sends a bounded load, stops the demo and prints the results. It returns
+// an error if a promise was broken, by the load or by the stop.
 func runDemoOnce(ctx context.Context, running *demo.Demo) error {
 	var progress io.Writer
 	if isTerminal(os.Stderr) {
@@ -84,12 +86,13 @@
 		return err
 	}
 	if len(outcome.Broken) > 0 {
-		return &exitError{code: exitBroken, err: fmt.Errorf("broken: %s", strings.Join(outcome.Broken, "; "))}
+		return &exitError{code: exitViolation, err: fmt.Errorf("broken: %s", strings.Join(outcome.Broken, "; "))}
 	}
 	return nil
 }
 
-// runRollingRestart restarts every node under load and prints what it showed.
+// runRollingRestart restarts every node under load, stops the demo and prints the
+// results. It returns an error if a promise was broken.
 func runRollingRestart(ctx context.Context, running *demo.Demo, logger *slog.Logger) error {
 	var progress io.Writer
 	if isTerminal(os.Stderr) {
@@ -109,12 +112,12 @@
 	fmt.Printf("revisions stored meanwhile %d, configurations stepped back %d\n", outcome.Revisions, outcome.SteppedBack)
 	fmt.Printf("promises broken: %d\n", len(outcome.Broken))
 	if len(outcome.Broken) > 0 {
-		return &exitError{code: exitBroken, err: fmt.Errorf("broken: %s", strings.Join(outcome.Broken, "; "))}
+		return &exitError{code: exitViolation, err: fmt.Errorf("broken: %s", strings.Join(outcome.Broken, "; "))}
 	}
 	return nil
 }
 
-// printOutcome prints the load's table and what the engines counted.
+// printOutcome prints the table of the load and the counters of the engines.
 func printOutcome(out io.Writer, outcome demo.Outcome) error {
 	if err := outcome.Load.WriteTable(out); err != nil {
 		return err
@@ -126,20 +129,21 @@
 	return nil
 }
 
-// announce writes the addresses file, if asked for, and says how to call.
-func announce(running *demo.Demo, addressesFile string) error {
+// publishAddresses writes the addresses file, unless its name is empty, and prints
+// example calls.
+func publishAddresses(running *demo.Demo, addressesFile string) error {
 	addresses := running.Addresses()
 	if addressesFile != "" {
 		if err := writeAddresses(addressesFile, addresses); err != nil {
 			return err
 		}
 	}
-	printCalls(os.Stdout, addresses)
+	printExampleCalls(os.Stdout, addresses)
 	return nil
 }
 
-// writeAddresses writes the file whole or not at all: a reader that waits for
-// it never sees a part.
+// writeAddresses writes the file atomically, so that a process that waits for the
+// file never reads a partial one.
 func writeAddresses(file string, addresses demo.Addresses) error {
 	data, err := json.MarshalIndent(addresses, "", "  ")
 	if err != nil {
@@ -159,8 +163,8 @@
 	return eris.Wrap(err, "write addresses")
 }
 
-// printCalls says how to call the demo with curl.
-func printCalls(out io.Writer, addresses demo.Addresses) {
+// printExampleCalls prints how to call the demo with curl.
+func printExampleCalls(out io.Writer, addresses demo.Addresses) {
 	fmt.Fprintf(out, "A deployment of %d nodes serves %d models. Call it:\n\n", len(addresses.Callers), len(addresses.Models))
 	fmt.Fprintf(out, "  curl -s %s/v1/chat/completions -H 'Authorization: Bearer %s' \\\n", addresses.Callers[0], addresses.CallerToken)
 	fmt.Fprintf(out, "    -d '{\"model\":%q,\"messages\":[{\"role\":\"user\",\"content\":\"Hello\"}],\"max_tokens\":16}'\n\n", addresses.Models[0])
--- a/cmd/valveslip/demo_platform.go
+++ b/cmd/valveslip/demo_platform.go
@@ -13,11 +13,11 @@
 	demo "github.com/valveslip/valveslip/demo/platform"
 )
 
-// platformLoad is how many requests a bounded load sends.
-const platformLoad = 300
+// platformLoadRequests is the number of requests of a bounded load.
+const platformLoadRequests = 300
 
-// runPlatformDemo runs a deployment on the users' platform's dialect until it is
-// interrupted, or with once a bounded load against it.
+// runPlatformDemo runs a deployment that uses the API dialect of the users' platform
+// until it is interrupted. If once is true, it sends a bounded load and stops.
 func runPlatformDemo(ctx context.Context, output io.Writer, once, verbose bool) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -35,11 +35,11 @@
 		<-ctx.Done()
 		return nil
 	}
-	report := running.Load(ctx, platformLoad)
+	report := running.Load(ctx, platformLoadRequests)
 	fmt.Fprintf(output, "\nsent %d, served %d, refused as not run %d, failed %d; ran twice %d, ran though refused %d\n",
 		report.Sent, report.Served, report.RefusedNotRun, report.Failed, report.RanTwice, report.RanThoughRefused)
 	if report.Broken() {
-		return &exitError{code: exitBroken, err: eris.New("a promise broke")}
+		return &exitError{code: exitViolation, err: eris.New("a promise broke")}
 	}
 	return nil
 }
--- a/cmd/valveslip/doc.go
+++ b/cmd/valveslip/doc.go
@@ -1,2 +1,3 @@
-// Command valveslip is the whole program: the node and the tools around it.
+// Command valveslip runs a node of the serving system. Its other subcommands are the
+// tools for operators, tests and experiments.
 package main
--- a/cmd/valveslip/events.go
+++ b/cmd/valveslip/events.go
@@ -15,10 +15,10 @@
 	"github.com/valveslip/valveslip/api/admin"
 )
 
-// eventsReconnect is the wait before a broken stream is opened again.
-const eventsReconnect = time.Second
+// eventsReconnectDelay is the delay before a broken event stream is reopened.
+const eventsReconnectDelay = time.Second
 
-// eventsCommand prints decisions and changes as they happen.
+// eventsCommand returns the command that prints decisions and changes as they happen.
 func eventsCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("events", out)
 	kind := flags.String("kind", "", "only events of this kind: settings, decision, order, controller, member, machine or request")
@@ -26,7 +26,7 @@
 	return operatorCommand("[flags]", "print decisions and changes as they happen", flags, 0, 0, func(ctx context.Context, _ []string) error {
 		ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		client, err := o.client(0)
+		client, err := o.newClient(0)
 		if err != nil {
 			return err
 		}
@@ -43,7 +43,7 @@
 				return err
 			}
 			select {
-			case <-time.After(eventsReconnect):
+			case <-time.After(eventsReconnectDelay):
 			case <-ctx.Done():
 				return nil
 			}
@@ -51,8 +51,8 @@
 	})
 }
 
-// printEvent prints one line.
-func (o *operator) printEvent(event admin.Event) error {
+// printEvent prints an event on one line, as text or as JSON.
+func (o *operatorOptions) printEvent(event admin.Event) error {
 	if o.json {
 		return json.NewEncoder(o.out).Encode(event)
 	}
--- a/cmd/valveslip/experiment.go
+++ b/cmd/valveslip/experiment.go
@@ -9,7 +9,7 @@
 	"github.com/schollz/progressbar/v3"
 )
 
-// experimentCommand groups the simulator's subcommands.
+// experimentCommand returns the command that groups the simulator's subcommands.
 func experimentCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "experiment",
@@ -25,9 +25,9 @@
 	}
 }
 
-// progress returns a function that advances a bar on standard error, and does
-// nothing when that is no terminal.
-func progress(total int, description string) func() {
+// newProgress returns a function that advances a progress bar on standard error by
+// one step. If standard error is not a terminal, the function does nothing.
+func newProgress(total int, description string) func() {
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return func() {}
 	}
--- a/cmd/valveslip/experiment_capacity.go
+++ b/cmd/valveslip/experiment_capacity.go
@@ -17,7 +17,8 @@
 	"github.com/valveslip/valveslip/experiment"
 )
 
-// experimentCapacityCommand measures control at growing sizes.
+// experimentCapacityCommand returns the command that measures the cost of control at
+// growing deployment sizes and extrapolates it to the scenario's full size.
 func experimentCapacityCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip experiment capacity", flag.ContinueOnError)
 	name := flags.String("scenario", "two-year", "scenario whose whole size is asked about")
@@ -63,8 +64,8 @@
 	}
 }
 
-// printCapacity writes the page's table.
-func printCapacity(to io.Writer, report *experiment.CapacityReport, markdown bool) error {
+// printCapacity prints the report as a table, in Markdown for the capacity page.
+func printCapacity(out io.Writer, report *experiment.CapacityReport, markdown bool) error {
 	header := []string{"WHO", "WHAT", "UNIT"}
 	for _, sample := range report.Samples {
 		header = append(header, fmt.Sprintf("%d NODES", sample.Nodes))
@@ -75,42 +76,42 @@
 		rows = append(rows, capacityCells(row))
 	}
 	if markdown {
-		return printMarkdown(to, header, rows)
+		return printMarkdown(out, header, rows)
 	}
-	return writeSection(to, fmt.Sprintf("%s: %d nodes, %d zones, %d regions, %d workers, %d models, %d adapters",
+	return writeSection(out, fmt.Sprintf("%s: %d nodes, %d zones, %d regions, %d workers, %d models, %d adapters",
 		report.Scenario, report.Whole.Nodes, report.Whole.Zones, report.Whole.Regions, report.Whole.Workers,
 		report.Whole.Models, report.Whole.Adapters), header, rows)
 }
 
-// capacityCells writes one row.
+// capacityCells returns the cells of a table row.
 func capacityCells(row *experiment.CapacityRow) []string {
 	cells := []string{row.Who, row.What, row.Unit}
 	for _, value := range row.Values {
-		cells = append(cells, number(value))
+		cells = append(cells, formatNumber(value))
 	}
 	budget, mark := "-", "-"
 	if row.Budget > 0 {
-		budget, mark = number(row.Budget), "within"
+		budget, mark = formatNumber(row.Budget), "within"
 	}
 	if row.Over() {
 		mark = "OVER"
 	}
-	return append(cells, number(row.Slope), number(row.Whole), budget, mark)
+	return append(cells, formatNumber(row.Slope), formatNumber(row.Whole), budget, mark)
 }
 
-// printMarkdown writes a table in Markdown.
-func printMarkdown(to io.Writer, header []string, rows [][]string) error {
+// printMarkdown prints a table in Markdown.
+func printMarkdown(out io.Writer, header []string, rows [][]string) error {
 	lines := append([][]string{header, slices.Repeat([]string{"---"}, len(header))}, rows...)
 	for _, cells := range lines {
-		if _, err := fmt.Fprintf(to, "| %s |\n", strings.Join(cells, " | ")); err != nil {
+		if _, err := fmt.Fprintf(out, "| %s |\n", strings.Join(cells, " | ")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// number writes a value with three digits, without an exponent.
-func number(value float64) string {
+// formatNumber formats a value with three significant digits and without an exponent.
+func formatNumber(value float64) string {
 	rounded, err := strconv.ParseFloat(strconv.FormatFloat(value, 'e', 2, 64), 64)
 	if err != nil {
 		rounded = value
--- a/cmd/valveslip/experiment_faults.go
+++ b/cmd/valveslip/experiment_faults.go
@@ -17,7 +17,8 @@
 	"github.com/valveslip/valveslip/simulation"
 )
 
-// experimentFaultsCommand runs the fault campaign.
+// experimentFaultsCommand returns the command that simulates many seeds with random
+// faults and checks the promises of the product.
 func experimentFaultsCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip experiment faults", flag.ContinueOnError)
 	name := flags.String("scenario", "faults", "scenario file, or the name of a committed one")
@@ -42,9 +43,9 @@
 			}
 			campaign := experiment.Campaign{
 				Scenario: scenario, FirstSeed: *first, Seeds: *seeds, Workers: *workers,
-				Progress: progress(*seeds, "seeds"),
+				Progress: newProgress(*seeds, "seeds"),
 			}
-			began := time.Now()
+			start := time.Now()
 			report, err := campaign.Run(ctx)
 			if err != nil {
 				return err
@@ -54,25 +55,25 @@
 			} else {
 				err = printCampaign(os.Stdout, report)
 			}
-			fmt.Fprintf(os.Stderr, "took %s\n", time.Since(began).Round(time.Second))
+			fmt.Fprintf(os.Stderr, "took %s\n", time.Since(start).Round(time.Second))
 			if err == nil && report.Violations() > 0 {
-				err = &exitError{code: exitBroken, err: eris.Errorf("%d violations in %d seeds", report.Violations(), len(report.Failing))}
+				err = &exitError{code: exitViolation, err: eris.Errorf("%d violations in %d seeds", report.Violations(), len(report.Failing))}
 			}
 			return err
 		},
 	}
 }
 
-// printCampaign writes the report for people.
-func printCampaign(to io.Writer, report *experiment.CampaignReport) error {
-	fmt.Fprintf(to, "scenario %s: %d seeds, %d events\n", report.Scenario, report.Seeds, report.Events)
-	fmt.Fprintf(to, "requests: %d arrived, %d served, %d refused, %d failed, %d connections lost with their node\n",
+// printCampaign prints the report as text.
+func printCampaign(out io.Writer, report *experiment.CampaignReport) error {
+	fmt.Fprintf(out, "scenario %s: %d seeds, %d events\n", report.Scenario, report.Seeds, report.Events)
+	fmt.Fprintf(out, "requests: %d arrived, %d served, %d refused, %d failed, %d connections lost with their node\n",
 		report.Arrived, report.Served, report.Refused, report.Failed, report.Lost)
 	var faults, promises [][]string
 	for _, kind := range simulation.FaultKinds() {
 		faults = append(faults, []string{string(kind), strconv.Itoa(report.Faults[kind])})
 	}
-	if err := writeSection(to, "faults", []string{"KIND", "INJECTED"}, faults); err != nil {
+	if err := writeSection(out, "faults", []string{"KIND", "INJECTED"}, faults); err != nil {
 		return err
 	}
 	for _, promise := range simulation.Promises() {
@@ -80,13 +81,13 @@
 			string(promise), strconv.FormatUint(report.Checked[promise], 10), strconv.Itoa(report.Violated[promise]),
 		})
 	}
-	if err := writeSection(to, "promises", []string{"PROMISE", "CHECKS", "VIOLATIONS"}, promises); err != nil {
+	if err := writeSection(out, "promises", []string{"PROMISE", "CHECKS", "VIOLATIONS"}, promises); err != nil {
 		return err
 	}
 	for _, failing := range report.Failing {
-		fmt.Fprintf(to, "failing seed %d:\n", failing.Seed)
+		fmt.Fprintf(out, "failing seed %d:\n", failing.Seed)
 		for _, violation := range failing.Violations[:min(len(failing.Violations), 3)] {
-			fmt.Fprintln(to, "  "+violation.String())
+			fmt.Fprintln(out, "  "+violation.String())
 		}
 	}
 	return nil
--- a/cmd/valveslip/experiment_membership.go
+++ b/cmd/valveslip/experiment_membership.go
@@ -13,13 +13,14 @@
 	"github.com/valveslip/valveslip/experiment/hollow"
 )
 
-// deploymentSize is a number of nodes with its regions and zones.
+// deploymentSize is the number of nodes, regions and zones of a deployment.
 type deploymentSize struct{ nodes, regions, zones int }
 
-// membershipSizes are measured one after another.
+// membershipSizes are the deployment sizes to measure, in this order.
 var membershipSizes = []deploymentSize{{20, 1, 3}, {80, 2, 6}, {340, 5, 18}}
 
-// experimentMembershipCommand measures how nodes notice one another's failures.
+// experimentMembershipCommand returns the command that measures the failure detection
+// between nodes.
 func experimentMembershipCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("membership", flag.ContinueOnError)
 	options := hollow.MembershipOptions{PauseMax: 20 * time.Second}
@@ -49,7 +50,7 @@
 	}
 }
 
-// printMembership prints the reports, a column a size.
+// printMembership prints the reports with one column for each deployment size.
 func printMembership(out io.Writer, reports []hollow.MembershipReport, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(reports)
@@ -68,8 +69,8 @@
 	type report = hollow.MembershipReport
 	rows := [][]string{
 		row("crashes", func(r *report) string { return fmt.Sprint(r.Crashes) }),
-		row("detection in the zone, p50 p99 max", func(r *report) string { return quantiles(r.InZone) }),
-		row("detection anywhere, p50 p99 max", func(r *report) string { return quantiles(r.Anywhere) }),
+		row("detection in the zone, p50 p99 max", func(r *report) string { return formatQuantiles(r.InZone) }),
+		row("detection anywhere, p50 p99 max", func(r *report) string { return formatQuantiles(r.Anywhere) }),
 		row("crashes a node did not notice", func(r *report) string { return fmt.Sprint(r.Missed) }),
 		row("pauses under 6 s, and given up for it", func(r *report) string {
 			return fmt.Sprintf("%d, %d", r.ShortPauses, r.ShortPausesGivenUp)
@@ -77,7 +78,7 @@
 		row("longer pauses, and given up for it", func(r *report) string {
 			return fmt.Sprintf("%d, %d", r.LongPauses, r.LongPausesGivenUp)
 		}),
-		row("known again after a pause, p50 p99 max", func(r *report) string { return quantiles(r.Returned) }),
+		row("known again after a pause, p50 p99 max", func(r *report) string { return formatQuantiles(r.Returned) }),
 		row("given up without crash or pause", func(r *report) string { return fmt.Sprint(r.FalseDeaths) }),
 		row("wrong views after a minute of rest", func(r *report) string { return fmt.Sprint(r.StillWrong) }),
 	}
@@ -88,7 +89,8 @@
 	return writeTable(out, header, append(rows, usageRows(usage)...))
 }
 
-// usageRows are the rows of a table on what a node spends, a column a report.
+// usageRows returns the table rows of a node's resource usage, with one column for
+// each report.
 func usageRows(usage []hollow.Usage) [][]string {
 	row := func(name string, value func(hollow.Usage) string) []string {
 		cells := []string{name}
@@ -111,12 +113,13 @@
 	}
 }
 
-// quantiles shows the median, the 99th percentile and the maximum.
-func quantiles(durations hollow.Durations) string {
+// formatQuantiles formats the median, the 99th percentile and the maximum.
+func formatQuantiles(durations hollow.Durations) string {
 	if len(durations) == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%s %s %s", seconds(durations.Quantile(0.5)), seconds(durations.Quantile(0.99)), seconds(durations.Max()))
+	return fmt.Sprintf("%s %s %s", formatSeconds(durations.Quantile(0.5)), formatSeconds(durations.Quantile(0.99)), formatSeconds(durations.Max()))
 }
 
-func seconds(d time.Duration) string { return fmt.Sprintf("%.2fs", d.Seconds()) }
+// formatSeconds formats a duration in seconds with two decimals.
+func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.2fs", d.Seconds()) }
--- a/cmd/valveslip/experiment_recovery.go
+++ b/cmd/valveslip/experiment_recovery.go
@@ -18,7 +18,8 @@
 	"github.com/valveslip/valveslip/experiment/recovery"
 )
 
-// experimentRecoveryCommand measures the time from faults to control again.
+// experimentRecoveryCommand returns the command that measures the recovery time of
+// control and of service after each kind of fault.
 func experimentRecoveryCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip experiment recovery", flag.ContinueOnError)
 	name := flags.String("scenario", "faults", "scenario file, or the name of a committed one; its faults are not used")
@@ -56,19 +57,20 @@
 				err = printRecovery(out, measured)
 			}
 			if violations := measured.violations(); err == nil && violations > 0 {
-				err = &exitError{code: exitBroken, err: eris.Errorf("%d violations", violations)}
+				err = &exitError{code: exitViolation, err: eris.Errorf("%d violations", violations)}
 			}
 			return err
 		},
 	}
 }
 
-// recoveryReports is what one run of the command measured.
+// recoveryReports holds the measurements of one run of the command.
 type recoveryReports struct {
 	Control []recovery.Report        `json:"control,omitempty"`
 	Service []recovery.ServiceReport `json:"service,omitempty"`
 }
 
+// violations returns the total number of violations.
 func (r *recoveryReports) violations() int {
 	total := 0
 	for i := range r.Control {
@@ -80,7 +82,8 @@
 	return total
 }
 
-// measureService measures how long requests wait on the scenario made for it.
+// measureService measures how long requests wait after faults, in the scenario
+// "recovery".
 func measureService(ctx context.Context, options recovery.Options, faults []recovery.Fault) ([]recovery.ServiceReport, error) {
 	scenario, err := experiment.Load("recovery")
 	if err != nil {
@@ -88,11 +91,11 @@
 	}
 	return recovery.MeasureService(ctx, recovery.ServiceOptions{
 		Scenario: scenario, Faults: faults, Seeds: options.Seeds, Workers: options.Workers,
-		Progress: progress(options.Seeds*len(faults), "runs"),
+		Progress: newProgress(options.Seeds*len(faults), "runs"),
 	})
 }
 
-// recoveryFaults parses the names of faults.
+// recoveryFaults parses a comma-separated list of faults. An empty list means all.
 func recoveryFaults(names string) ([]recovery.Fault, error) {
 	if names == "" {
 		return recovery.Faults(), nil
@@ -108,7 +111,7 @@
 	return chosen, nil
 }
 
-// printRecovery prints the tables that were measured.
+// printRecovery prints a table for each kind of measurement that was made.
 func printRecovery(out io.Writer, measured recoveryReports) error {
 	if measured.Control != nil {
 		if err := printControl(out, measured.Control); err != nil {
@@ -121,15 +124,15 @@
 	return nil
 }
 
-// printService prints a line for each fault.
+// printService prints the service measurements, one line for each fault.
 func printService(out io.Writer, reports []recovery.ServiceReport) error {
 	fmt.Fprintln(out, "seconds after the fault, p50/p99/max; -n: did not happen in n seeds")
 	var rows [][]string
 	for i := range reports {
 		report := &reports[i]
 		rows = append(rows, []string{
-			string(report.Fault), quantileText(report.Planning), quantileText(report.Apportioner),
-			quantileText(report.UnderWay), quantileText(report.Here), quantileText(report.Anywhere),
+			string(report.Fault), formatRecoveryQuantiles(report.Planning), formatRecoveryQuantiles(report.Apportioner),
+			formatRecoveryQuantiles(report.UnderWay), formatRecoveryQuantiles(report.Here), formatRecoveryQuantiles(report.Anywhere),
 			fmt.Sprintf("%d of %d", report.Served, report.Arrived),
 			strconv.Itoa(len(report.Seeds)), strconv.Itoa(report.Violations),
 		})
@@ -139,8 +142,9 @@
 	}, rows)
 }
 
-// quantileText shows quantiles in seconds.
-func quantileText(quantiles recovery.Quantiles) string {
+// formatRecoveryQuantiles formats quantiles in seconds, with the number of seeds
+// without a measurement.
+func formatRecoveryQuantiles(quantiles recovery.Quantiles) string {
 	text := fmt.Sprintf("%.1f/%.1f/%.1f", quantiles.P50.Seconds(), quantiles.P99.Seconds(), quantiles.Max.Seconds())
 	if quantiles.Missing > 0 {
 		text += fmt.Sprintf(" -%d", quantiles.Missing)
@@ -148,15 +152,15 @@
 	return text
 }
 
-// printControl prints a line for each measure.
+// printControl prints the control measurements, one line for each.
 func printControl(out io.Writer, reports []recovery.Report) error {
-	text := func(value time.Duration) string { return value.Round(10 * time.Millisecond).String() }
+	format := func(value time.Duration) string { return value.Round(10 * time.Millisecond).String() }
 	var rows [][]string
 	for i := range reports {
 		report := &reports[i]
 		rows = append(rows, []string{
 			report.Name, report.Measure, strconv.Itoa(len(report.Times)), strconv.Itoa(report.Without),
-			text(report.Quantile(0.5)), text(report.Quantile(0.9)), text(report.Quantile(1)), strconv.Itoa(report.Violations),
+			format(report.Quantile(0.5)), format(report.Quantile(0.9)), format(report.Quantile(1)), strconv.Itoa(report.Violations),
 			strconv.Itoa(report.Served), strconv.Itoa(report.Refused), strconv.Itoa(report.Other),
 		})
 	}
--- a/cmd/valveslip/experiment_run.go
+++ b/cmd/valveslip/experiment_run.go
@@ -14,10 +14,11 @@
 	"github.com/valveslip/valveslip/experiment"
 )
 
-// defaultPolicies of a comparison.
+// defaultPolicies are the policies that are compared by default.
 const defaultPolicies = "adaptive,always,fixed-1m,fixed-5m,fixed-15m,lru,oracle"
 
-// experimentRunCommand compares policies on scenarios.
+// experimentRunCommand returns the command that compares placement policies in
+// scenarios.
 func experimentRunCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip experiment run", flag.ContinueOnError)
 	policies := flags.String("policy", defaultPolicies, "policies: adaptive, adaptive@WEIGHT, always, fixed-DURATION, lru, oracle")
@@ -37,8 +38,8 @@
 				return &exitError{code: exitInvalid, err: err}
 			}
 			plan.FirstSeed, plan.Seeds, plan.Workers = *first, *seeds, *workers
-			plan.Progress = progress(len(plan.Scenarios)*len(plan.Policies)**seeds, "runs")
-			began := time.Now()
+			plan.Progress = newProgress(len(plan.Scenarios)*len(plan.Policies)**seeds, "runs")
+			start := time.Now()
 			measurements, err := plan.Run(ctx)
 			if err != nil {
 				return err
@@ -47,9 +48,9 @@
 			if err := printReport(os.Stdout, report); err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "took %s\n", time.Since(began).Round(time.Second))
+			fmt.Fprintf(os.Stderr, "took %s\n", time.Since(start).Round(time.Second))
 			if *against != "" {
-				if err := printAgainst(os.Stdout, report, *against); err != nil {
+				if err := printComparison(os.Stdout, report, *against); err != nil {
 					return err
 				}
 			}
@@ -61,7 +62,7 @@
 	}
 }
 
-// experimentPlan reads the scenarios and policies.
+// experimentPlan returns a plan with the named scenarios and policies.
 func experimentPlan(names []string, policies string) (*experiment.Plan, error) {
 	if len(names) == 0 {
 		return nil, eris.New("name at least one scenario")
@@ -81,8 +82,9 @@
 	return plan, nil
 }
 
-// printReport writes a row for each scenario and policy.
-func printReport(to io.Writer, report *experiment.Report) error {
+// printReport prints a row for each scenario and policy: first the medians, then
+// their ratios to the reference policy.
+func printReport(out io.Writer, report *experiment.Report) error {
 	header := []string{"SCENARIO", "POLICY", "SEEDS"}
 	for _, metric := range experiment.Metrics() {
 		header = append(header, metric.Title)
@@ -107,36 +109,37 @@
 		}
 		ratios = append(ratios, row)
 	}
-	if err := writeSection(to, "median [95% of the seeds]", header, rows); err != nil {
+	if err := writeSection(out, "median [95% of the seeds]", header, rows); err != nil {
 		return err
 	}
-	if err := writeSection(to, "ratio to "+report.Reference, append([]string{"SCENARIO", "POLICY"}, header[3:]...), ratios); err != nil {
+	if err := writeSection(out, "ratio to "+report.Reference, append([]string{"SCENARIO", "POLICY"}, header[3:]...), ratios); err != nil {
 		return err
 	}
-	return printGoals(to, report.Goals)
+	return printGoals(out, report.Goals)
 }
 
-// printGoals compares with the fixed keep-alives at equal idle hours and at
-// equal cold start.
-func printGoals(to io.Writer, goals []experiment.Goal) error {
+// printGoals prints the comparison with fixed keep-alive times, at equal idle hours and
+// at equal cold start time.
+func printGoals(out io.Writer, goals []experiment.Goal) error {
 	var rows [][]string
 	for _, goal := range goals {
-		rows = append(rows, []string{goal.Scenario, goal.Policy, goalText(goal.AtEqualIdle), goalText(goal.AtEqualColdStart)})
+		rows = append(rows, []string{goal.Scenario, goal.Policy, formatGoal(goal.AtEqualIdle), formatGoal(goal.AtEqualColdStart)})
 	}
-	return writeSection(to, "against the fixed keep-alives that ran, interpolated",
+	return writeSection(out, "against the fixed keep-alives that ran, interpolated",
 		[]string{"SCENARIO", "POLICY", "p99 COLD START AT EQUAL IDLE HOURS", "IDLE HOURS AT EQUAL p99"}, rows)
 }
 
-// goalText writes a ratio, or that the fixed keep-alives do not reach there.
-func goalText(value float64) string {
+// formatGoal formats a ratio, or states that it is outside the range of the fixed
+// keep-alive times.
+func formatGoal(value float64) string {
 	if value == 0 {
 		return "out of their range"
 	}
 	return fmt.Sprintf("%.3g", value)
 }
 
-// printAgainst compares the medians with those of an earlier run.
-func printAgainst(to io.Writer, report *experiment.Report, path string) error {
+// printComparison prints the medians beside those of an earlier run.
+func printComparison(out io.Writer, report *experiment.Report, path string) error {
 	earlier, err := experiment.ReadReport(path)
 	if err != nil {
 		return &exitError{code: exitInvalid, err: err}
@@ -157,10 +160,10 @@
 		}
 		rows = append(rows, row)
 	}
-	return writeSection(to, "medians before and now", header, rows)
+	return writeSection(out, "medians before and now", header, rows)
 }
 
-// experimentListCommand lists the committed scenarios.
+// experimentListCommand returns the command that lists the committed scenarios.
 func experimentListCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "list", ShortUsage: "valveslip experiment list", ShortHelp: "list the committed scenarios",
--- a/cmd/valveslip/experiment_spread.go
+++ b/cmd/valveslip/experiment_spread.go
@@ -13,7 +13,8 @@
 	"github.com/valveslip/valveslip/experiment/hollow"
 )
 
-// experimentSpreadCommand compares ways to spread configuration.
+// experimentSpreadCommand returns the command that compares schemes to distribute
+// configuration to all nodes.
 func experimentSpreadCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("spread", flag.ContinueOnError)
 	options := hollow.SpreadOptions{
@@ -58,7 +59,7 @@
 	}
 }
 
-// printSpread prints the reports, a column a scheme.
+// printSpread prints the reports with one column for each scheme.
 func printSpread(out io.Writer, reports []hollow.SpreadReport, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(reports)
@@ -80,10 +81,10 @@
 	rows := [][]string{
 		row("edits", func(r *report) string { return fmt.Sprint(r.Edits) }),
 		row("bytes of an edit and of the tree", func(r *report) string { return fmt.Sprintf("%d, %d", r.EditBytes, r.TreeBytes) }),
-		row("in force, p50 p99 max", func(r *report) string { return quantiles(r.InForce) }),
-		row("cut-off region after the cut, p50 p99 max", func(r *report) string { return quantiles(r.CutOff) }),
-		row("new process, p50 p99 max", func(r *report) string { return quantiles(r.Started) }),
-		row("new process in the outage, p50 p99 max", func(r *report) string { return quantiles(r.StartedInOutage) }),
+		row("in force, p50 p99 max", func(r *report) string { return formatQuantiles(r.InForce) }),
+		row("cut-off region after the cut, p50 p99 max", func(r *report) string { return formatQuantiles(r.CutOff) }),
+		row("new process, p50 p99 max", func(r *report) string { return formatQuantiles(r.Started) }),
+		row("new process in the outage, p50 p99 max", func(r *report) string { return formatQuantiles(r.StartedInOutage) }),
 		row("nodes behind at the end", func(r *report) string { return fmt.Sprint(r.Behind) }),
 		row("steps back", func(r *report) string { return fmt.Sprint(r.StepsBack) }),
 		row("events of the key-value service", func(r *report) string { return fmt.Sprint(r.ServiceEvents) }),
--- a/cmd/valveslip/explain.go
+++ b/cmd/valveslip/explain.go
@@ -14,7 +14,7 @@
 	"github.com/valveslip/valveslip/explain"
 )
 
-// fileList collects the values of a flag that may be given several times.
+// fileList is a flag value that collects all values of a repeated flag.
 type fileList []string
 
 // String implements flag.Value.
@@ -26,7 +26,8 @@
 	return nil
 }
 
-// explainCommand tells from logs what became of a request.
+// explainCommand returns the command that explains from logs what happened to a
+// request.
 func explainCommand(output io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip explain", flag.ContinueOnError)
 	var files fileList
@@ -57,7 +58,7 @@
 	}
 }
 
-// readLogs reads the files, or standard input without any.
+// readLogs reads the log files, or standard input if there are none.
 func readLogs(files fileList) (*explain.Log, error) {
 	if len(files) == 0 {
 		return explain.Read(os.Stdin)
@@ -74,6 +75,7 @@
 	return explain.Read(inputs...)
 }
 
+// writeStory writes the explanation of one request.
 func writeStory(output io.Writer, log *explain.Log, id string, asJSON bool) error {
 	story, known := log.Tell(id)
 	if !known {
@@ -86,6 +88,7 @@
 	return err
 }
 
+// writeGroups writes groups of requests with the same cause, and their total.
 func writeGroups(output io.Writer, groups []explain.Group, what string, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(output).Encode(groups)
--- a/cmd/valveslip/hangup/hangup.go
+++ b/cmd/valveslip/hangup/hangup.go
@@ -11,13 +11,13 @@
 // Command is the name of the subcommand that runs a node.
 const Command = "node"
 
-// Signals receives the hang-ups of a process that runs a node. Those of any other process
-// end it, as is usual for a tool on a terminal.
-var Signals = take(os.Args[1:])
+// Signals receives SIGHUP in a process that runs a node. In any other process SIGHUP
+// terminates the process, as is usual for a command on a terminal.
+var Signals = notifyIfNode(os.Args[1:])
 
-// take has the signal come to a channel if the arguments are those of a node. One hang-up
-// is enough to be kept: each has the same effect.
-func take(arguments []string) <-chan os.Signal {
+// notifyIfNode returns a channel that receives SIGHUP if the arguments run a node. The
+// channel buffers one signal, which is enough because every SIGHUP has the same effect.
+func notifyIfNode(arguments []string) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	if runsNode(arguments) {
 		signal.Notify(signals, syscall.SIGHUP)
@@ -25,11 +25,11 @@
 	return signals
 }
 
-// Release has the signal end the process again.
+// Release restores the default action of SIGHUP, which terminates the process.
 func Release() { signal.Reset(syscall.SIGHUP) }
 
-// runsNode reports whether the first argument that is no flag is the node's subcommand.
+// runsNode reports whether the first argument that is not a flag is Command.
 func runsNode(arguments []string) bool {
-	named := slices.IndexFunc(arguments, func(argument string) bool { return !strings.HasPrefix(argument, "-") })
-	return named >= 0 && arguments[named] == Command
+	first := slices.IndexFunc(arguments, func(argument string) bool { return !strings.HasPrefix(argument, "-") })
+	return first >= 0 && arguments[first] == Command
 }
--- a/cmd/valveslip/hangup_test.go
+++ b/cmd/valveslip/hangup_test.go
@@ -13,18 +13,14 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// Seen: nodes that got SIGHUP within 20 ms of their start were gone. The signal was taken
-// by the code that runs a node, after all packages had been initialized and the command
-// line had been read; until then the system ends the program. The program says on request
-// which package it has initialized: from the one that takes the signal on, none may end it.
+// initTracePrefix precedes the name of an initialized package of this program in the
+// output of GODEBUG=inittrace=1.
+const initTracePrefix = "init github.com/valveslip/valveslip/"
 
-// traced is how the runtime names an initialized package of this program.
-const traced = "init github.com/valveslip/valveslip/"
-
-// TestHangUpAtStartEndsNoNode: the real program gets SIGHUP as soon as it can bear one, and
-// again when it reads its settings, for which it waits at a pipe. It ends by itself, since
-// the settings are none.
-func TestHangUpAtStartEndsNoNode(t *testing.T) {
+// TestHangupDuringStartDoesNotTerminateNode guards against a node that SIGHUP terminates
+// within the first 20 ms after its start. This happened when the handler was installed only
+// after all packages had been initialized and the command line had been parsed.
+func TestHangupDuringStartDoesNotTerminateNode(t *testing.T) {
 	settings := filepath.Join(t.TempDir(), "settings")
 	if err := syscall.Mkfifo(settings, 0o600); err != nil {
 		t.Fatal(err)
@@ -39,15 +35,18 @@
 		t.Fatal(err)
 	}
 	lines := bufio.NewReader(output)
-	awaitTaken(t, lines)
-	hangUp(t, command)
+	// The first SIGHUP arrives once the trace shows that package hangup is initialized.
+	waitForHandler(t, lines)
+	sendHangup(t, command)
 	go func() {
 		pipe, err := os.OpenFile(settings, os.O_WRONLY, 0)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		hangUp(t, command)
+		// The second SIGHUP arrives while the program reads its settings from the named pipe.
+		// The invalid settings then make the program exit by itself.
+		sendHangup(t, command)
 		_, _ = pipe.WriteString("no settings")
 		_ = pipe.Close()
 	}()
@@ -57,36 +56,37 @@
 	}
 	_ = command.Wait()
 	if code := command.ProcessState.ExitCode(); code != exitInvalid {
-		t.Fatalf("ended with %s instead of a complaint about the settings:\n%s", command.ProcessState, rest)
+		t.Fatalf("the node ended with %s, want the exit code for invalid settings:\n%s", command.ProcessState, rest)
 	}
 }
 
-// hangUp sends SIGHUP to the program, which runs.
-func hangUp(t *testing.T, command *exec.Cmd) {
+// sendHangup sends SIGHUP to the running program.
+func sendHangup(t *testing.T, command *exec.Cmd) {
 	if err := command.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Error(err)
 	}
 }
 
-// awaitTaken reads until the signal is taken, and sees to it that this comes before the
-// packages that take long to initialize.
-func awaitTaken(t *testing.T, lines *bufio.Reader) {
+// waitForHandler reads the trace until package hangup, which installs the handler, is
+// initialized. It checks that this happens before package wire, whose initialization is
+// slow.
+func waitForHandler(t *testing.T, lines *bufio.Reader) {
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			t.Fatalf("the signal was never taken: %v", err)
+			t.Fatalf("the trace ended before package hangup was initialized: %v", err)
 		}
-		name, own := strings.CutPrefix(line, traced)
+		name, own := strings.CutPrefix(line, initTracePrefix)
 		switch {
 		case strings.HasPrefix(name, "cmd/valveslip/hangup "):
 			return
 		case own && strings.HasPrefix(name, "wire "):
-			t.Errorf("initialized before the signal was taken: %s", line)
+			t.Errorf("a slow package was initialized before package hangup: %s", line)
 		}
 	}
 }
 
-// buildProgram builds the program.
+// buildProgram builds the program and returns its path.
 func buildProgram(t *testing.T) string {
 	program := filepath.Join(t.TempDir(), "valveslip")
 	if output, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
--- a/cmd/valveslip/load.go
+++ b/cmd/valveslip/load.go
@@ -18,7 +18,7 @@
 	"github.com/valveslip/valveslip/experiment/load"
 )
 
-// loadCommand sends an open loop of requests to the callers' API.
+// loadCommand returns the command that sends an open-loop load to the callers' API.
 func loadCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("load", flag.ContinueOnError)
 	var config load.Config
@@ -53,19 +53,21 @@
 	}
 }
 
-// appendValues is a flag that appends values separated by commas.
-func appendValues(to *[]string) func(string) error {
+// appendValues returns a flag function that appends comma-separated values to a list,
+// without spaces around them or a trailing slash.
+func appendValues(list *[]string) func(string) error {
 	return func(value string) error {
 		for _, part := range strings.Split(value, ",") {
 			if part = strings.TrimSpace(part); part != "" {
-				*to = append(*to, strings.TrimSuffix(part, "/"))
+				*list = append(*list, strings.TrimSuffix(part, "/"))
 			}
 		}
 		return nil
 	}
 }
 
-// runLoad runs the load and prints the report; broken promises are an error.
+// runLoad runs the load and prints the report. It returns an error if a promise was
+// broken.
 func runLoad(ctx context.Context, config load.Config, asJSON bool) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -88,7 +90,7 @@
 		fmt.Fprintln(os.Stderr, example)
 	}
 	if broken := report.BrokenPromises(); len(broken) > 0 {
-		return &exitError{code: exitBroken, err: errors.New(strings.Join(broken, "; "))}
+		return &exitError{code: exitViolation, err: errors.New(strings.Join(broken, "; "))}
 	}
 	return nil
 }
--- a/cmd/valveslip/main.go
+++ b/cmd/valveslip/main.go
@@ -17,13 +17,14 @@
 // run parses arguments, executes one subcommand and returns the exit code.
 func run(arguments []string) int {
 	root := rootCommand()
-	err := checkSubcommand(root, arguments)
+	err := checkSubcommandExists(root, arguments)
 	if err == nil {
-		err = root.Parse(flagsFirst(root, arguments))
+		err = root.Parse(moveFlagsFirst(root, arguments))
 	}
 	switch {
 	case errors.Is(err, flag.ErrHelp):
-		// Help that was asked for is what was wanted, unlike a command that lacks a part.
+		// Help was requested by a flag. An incomplete command, which also prints help, is a
+		// usage error and handled below.
 		return exitOK
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "valveslip:", err)
@@ -41,18 +42,19 @@
 	}
 }
 
-// returnErrors has a command and those below it return errors of the command line: without
-// flags of their own they would end the program.
+// returnErrors makes a command and all commands below it return errors of the command line.
+// The default flag set of a command without flags would terminate the program instead.
 func returnErrors(command *ffcli.Command) {
 	if command.FlagSet == nil {
 		command.FlagSet = flag.NewFlagSet(command.Name, flag.ContinueOnError)
 	}
-	for _, below := range command.Subcommands {
-		returnErrors(below)
+	for _, child := range command.Subcommands {
+		returnErrors(child)
 	}
 }
 
-// rootCommand assembles the subcommands; each stands in a file of its own.
+// rootCommand returns the root command with all subcommands. Each subcommand is in a file
+// of its own.
 func rootCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip", flag.ContinueOnError)
 	version := flags.Bool("version", false, "print the version")
--- a/cmd/valveslip/node.go
+++ b/cmd/valveslip/node.go
@@ -16,12 +16,12 @@
 	"github.com/valveslip/valveslip/node/shell"
 )
 
-// nodeCommand runs one node until it is told to stop.
+// nodeCommand returns the command that runs one node until a signal stops it.
 func nodeCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip node", flag.ContinueOnError)
-	read := configFlags(flags)
+	loadConfig := configFlags(flags)
 	onPlatform := flags.Bool("platform", false, "run on the users' platform, with the settings file that its environment names")
-	refuses := poisonFlags(flags)
+	poisonConfig := poisonFlags(flags)
 	return &ffcli.Command{
 		Name:       hangup.Command,
 		ShortUsage: "valveslip node --config FILE [flags] | valveslip node --platform",
@@ -30,9 +30,9 @@
 		Options:    []ff.Option{ff.WithEnvVarPrefix(node.EnvironmentPrefix)},
 		Exec: func(ctx context.Context, _ []string) error {
 			if *onPlatform {
-				return runPlatformNode(ctx, refuses())
+				return runPlatformNode(ctx, poisonConfig())
 			}
-			config, err := read()
+			config, err := loadConfig()
 			if err != nil {
 				return &exitError{code: exitInvalid, err: err}
 			}
@@ -41,8 +41,8 @@
 	}
 }
 
-// runNode runs a node until SIGTERM or SIGINT and drains it. SIGHUP ends it as it does
-// other programs.
+// runNode runs a node until SIGTERM or SIGINT and then drains it. SIGHUP terminates the
+// process, as is the default.
 func runNode(ctx context.Context, config node.Config) error {
 	hangup.Release()
 	var level slog.Level
--- a/cmd/valveslip/platform_node.go
+++ b/cmd/valveslip/platform_node.go
@@ -28,48 +28,51 @@
 )
 
 const (
-	// watchWait is how long a call for changes without news is held: hardly, since a
-	// held call may be cut without a word and its answer's age is not known.
-	watchWait = 20 * time.Millisecond
-	// retainedShare is the part of the machine's memory that requests and answers may take
-	// of callers and workers that read slowly, kernel included: a fifth of memoryShare.
-	retainedShare = 0.12
-	// requestsPerMB is how many requests may be under way for each megabyte of the machine's
-	// memory: each holds about 40 KB in the node and 30 KB in the kernel, its connections to
-	// caller and worker among them, so that they take a fifth. Beyond that the collector takes
-	// the processor: with 470 requests in 64 MB it had three quarters of what a node used, and
-	// callers waited 7 s for what they had given 1.5 s.
+	// watchPollTime is how long the store may hold a request for changes if there are none.
+	// It is short because a connection may be cut silently while a request is held, and
+	// because the age of a held response is not known.
+	watchPollTime = 20 * time.Millisecond
+	// retainedMemoryShare is the share of the machine's memory, kernel buffers included, that
+	// requests and responses of slow callers and workers may occupy: a fifth of
+	// runtimeMemoryShare.
+	retainedMemoryShare = 0.12
+	// requestsPerMB is the maximum number of concurrent requests for each megabyte of the
+	// machine's memory. A request takes about 40 KB in the node and 30 KB in the kernel,
+	// including its connections to the caller and the worker, so all of them take a fifth of
+	// the memory. With more requests, garbage collection takes most of the CPU time: with 470
+	// requests in 64 MB it used three quarters of the node's CPU time, and callers waited 7 s
+	// for requests with a deadline of 1.5 s.
 	requestsPerMB = 3
-	// memoryShare is the part of the machine's memory that the runtime may use.
-	memoryShare = 0.6
-	// collectAt is by how many percent the heap grows between collections.
-	collectAt = 200
-	// retryShare is the part of the shared retry budget that nodes divide; the
-	// rest is kept for a change of their number.
-	retryShare = 0.75
-	// metricsPort is where every node serves its figures.
+	// runtimeMemoryShare is the share of the machine's memory that the Go runtime may use.
+	runtimeMemoryShare = 0.6
+	// gcPercent is the growth of the heap between garbage collections, in percent.
+	gcPercent = 200
+	// retryBudgetShare is the share of the common retry budget that the nodes divide. The
+	// rest is a reserve for changes in the number of nodes.
+	retryBudgetShare = 0.75
+	// metricsPort is the port on which every node serves its metrics.
 	metricsPort = 9464
-	// The router's tuning for this platform.
+	// The router's settings for this platform.
 	platformRegionPenalty   = 12 * time.Millisecond
 	platformFailurePenalty  = 800 * time.Millisecond
 	platformMaxBackOff      = 1500 * time.Millisecond
 	platformPrefixBlockTime = 8 * time.Millisecond
-	// platformHeedShare is up to what part of the time that they have left callers heed the
-	// time that they are told to come back.
+	// platformHeedShare is the maximum share of its remaining deadline for which a caller is
+	// assumed to honor a Retry-After delay.
 	platformHeedShare = 1.0 / 3
-	// platformDrainRetry is when callers of a stopping node should come back:
-	// another node takes them at once.
-	platformDrainRetry = 50 * time.Millisecond
-	// keyProofShare is the part of the time for which a key may be used after it was taken
-	// away that the proof of keys may be old at a send. The rest is for what lies between the
-	// last look and the worker, and for clocks that run apart.
+	// platformDrainRetryAfter is the Retry-After delay that a stopping node sends. It is short
+	// because another node accepts the requests at once.
+	platformDrainRetryAfter = 50 * time.Millisecond
+	// keyProofShare is the maximum age of the proof that a key is valid when a request is
+	// sent, as a share of the time for which a revoked key may still be used. The rest
+	// allows for the delay between the last check and the worker, and for clock drift.
 	keyProofShare = 0.9
-	// platformSubset is how many machines of a distance a node prefers.
+	// platformSubset is the number of machines at the same distance that a node prefers.
 	platformSubset = 4
-	// platformTargetLoad is the share of an engine's slots that one replica should
-	// fill, and platformTargetRunning how many requests at most: few, because prompts
-	// are read one after the other. From platformSaturatedLoad, or
-	// platformSaturatedRunning, on requests hold each other up.
+	// platformTargetLoad is the share of an engine's slots that the requests of one replica
+	// should occupy, and platformTargetRunning is the maximum number of these requests. It
+	// is small because an engine processes prompts one after the other. From
+	// platformSaturatedLoad or platformSaturatedRunning on, requests delay each other.
 	platformTargetLoad       = 0.4
 	platformTargetRunning    = 9
 	platformSaturatedLoad    = 0.6
@@ -78,7 +81,7 @@
 )
 
 // runPlatformNode runs a node on the users' platform until SIGTERM or SIGINT.
-func runPlatformNode(ctx context.Context, refuses poison.Config) error {
+func runPlatformNode(ctx context.Context, poisonConfig poison.Config) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	path := settingsPath()
@@ -90,7 +93,7 @@
 	log := eventlog.New(os.Stdout, eventlog.Options{Node: settings.NodeName})
 	log.Write(eventlog.SettingsRead{Path: path})
 	options := platformOptions(&settings, log)
-	options.Core.Routing.Poison = refuses
+	options.Core.Routing.Poison = poisonConfig
 	node, err := shell.Start(options)
 	if err != nil {
 		return err
@@ -98,7 +101,7 @@
 	for {
 		select {
 		case <-hangup.Signals:
-			reload(path, log)
+			reloadSettings(path, log)
 		case <-ctx.Done():
 			node.Stop()
 			return nil
@@ -109,16 +112,17 @@
 	}
 }
 
-// settingsPath is where the platform put the settings file, empty without one.
+// settingsPath returns the path of the platform's settings file from the environment,
+// empty if there is none.
 func settingsPath() string { return os.Getenv(platform.SettingsVariable) }
 
-// poisonFlags adds the flags that say when a request is refused because machines end under
-// it, and returns what they say.
+// poisonFlags adds the flags that configure the refusal of requests under which machines
+// end. It returns a function that returns the configuration after the flags are parsed.
 func poisonFlags(flags *flag.FlagSet) func() poison.Config {
 	ends := flags.Int("poison-ends", poison.DefaultEnds, "machines that end under a request until all nodes refuse it; 0 refuses none")
-	lasts := flags.Duration("poison-for", poison.DefaultConviction, "how long such a request is refused")
+	duration := flags.Duration("poison-for", poison.DefaultConviction, "how long such a request is refused")
 	return func() poison.Config {
-		cfg := poison.Config{Ends: *ends, Conviction: *lasts}
+		cfg := poison.Config{Ends: *ends, Conviction: *duration}
 		if cfg.Ends <= 0 {
 			cfg.Ends = -1
 		}
@@ -126,26 +130,27 @@
 	}
 }
 
-// reload reads the settings again. Addresses and limits hold for the life of a
-// process; a file that can't be read is reported and changes nothing.
-func reload(path string, log *eventlog.Log) {
-	line := eventlog.SettingsRead{Path: path}
+// reloadSettings reads the settings file again and logs the result. It changes nothing,
+// because addresses and limits stay the same for the life of the process.
+func reloadSettings(path string, log *eventlog.Log) {
+	event := eventlog.SettingsRead{Path: path}
 	if _, err := platform.ReadSettings(path); err != nil {
-		line.Error = err.Error()
+		event.Error = err.Error()
 	}
-	log.Write(line)
+	log.Write(event)
 }
 
-// limitResources has the runtime keep within what the process is given.
+// limitResources configures the memory limit, the garbage collector and the number of
+// processors that the Go runtime uses from the limits of the process.
 func limitResources(limits *platform.Limits) {
-	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryShare * (1 << 20)))
-	debug.SetGCPercent(collectAt)
+	debug.SetMemoryLimit(int64(limits.MemoryMB * runtimeMemoryShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(limits.Cores)
 	}
 }
 
-// platformOptions converts the settings.
+// platformOptions converts the platform's settings to the options of a node.
 func platformOptions(settings *platform.Settings, log *eventlog.Log) shell.Options {
 	regions := make(map[cluster.ZoneID]cluster.RegionID, len(settings.Zones))
 	for zone, region := range settings.Zones {
@@ -162,11 +167,11 @@
 		LoadWindow:  platform.Seconds(settings.Bounds.LoadWindowSeconds),
 		LoadOverrun: settings.Bounds.LoadOverrun,
 		Routing: routing.Config{
-			ExpectedRouters: 4, RetryRatio: settings.Bounds.RetryRatio * retryShare,
+			ExpectedRouters: 4, RetryRatio: settings.Bounds.RetryRatio * retryBudgetShare,
 			RetryWindow: platform.Seconds(settings.Bounds.RetryWindowSeconds),
-			RetryExtra:  settings.Bounds.RetryExtra * retryShare, FailurePenalty: platformFailurePenalty,
+			RetryExtra:  settings.Bounds.RetryExtra * retryBudgetShare, FailurePenalty: platformFailurePenalty,
 			MaxBackOff: platformMaxBackOff, RegionPenalty: platformRegionPenalty, PrefixBlockTime: platformPrefixBlockTime,
-			Subset: platformSubset, DrainRetryAfter: platformDrainRetry,
+			Subset: platformSubset, DrainRetryAfter: platformDrainRetryAfter,
 		},
 	}
 	core.Dispatching, core.Fetches = true, true
@@ -181,14 +186,14 @@
 	core.Placement.TargetRunning, core.Placement.SaturatedRunning = platformTargetRunning, platformSaturatedRunning
 	core.Placement.GrowthFactor = platformGrowthFactor
 	return shell.Options{
-		Core: core, Seed: seed(), CallersAddress: settings.Listen.Callers, ReadyAddress: settings.Listen.Readiness,
+		Core: core, Seed: randomSeed(), CallersAddress: settings.Listen.Callers, ReadyAddress: settings.Listen.Readiness,
 		PeerAddress:    net.JoinHostPort(settings.IP, strconv.Itoa(settings.InternalPorts[0])),
 		MetricsAddress: net.JoinHostPort(settings.IP, strconv.Itoa(metricsPort)), ReadyPath: platform.ReadyPath,
 		Grace: platform.Seconds(settings.Bounds.GraceSeconds),
-		Store: platform.NewStoreClient(settings.Store.Address, watchWait), Engines: platform.NewEngineClient(),
+		Store: platform.NewStoreClient(settings.Store.Address, watchPollTime), Engines: platform.NewEngineClient(),
 		Feed: feed.Config{Within: platform.Milliseconds(min(settings.Bounds.DrainMillis, settings.Bounds.ConfigMillis))},
 		Callers: shell.CallerBounds{
-			RetainedBytes: int64(settings.Resources.MemoryMB * retainedShare * (1 << 20)), Requests: int(settings.Resources.MemoryMB * requestsPerMB),
+			RetainedBytes: int64(settings.Resources.MemoryMB * retainedMemoryShare * (1 << 20)), Requests: int(settings.Resources.MemoryMB * requestsPerMB),
 		},
 		Codec: platform.Codec{}, Dialect: platform.Dialect{}, Log: log,
 		Logger:  slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})),
@@ -196,22 +201,23 @@
 	}
 }
 
+// suffixBytes is the number of random bytes in a node ID's suffix.
 const suffixBytes = 4
 
-// uniqueSuffix tells the starts of one node apart.
+// uniqueSuffix returns a random suffix that distinguishes the processes of one node.
 func uniqueSuffix() string {
 	data := make([]byte, suffixBytes)
 	_, _ = rand.Read(data)
 	return hex.EncodeToString(data)
 }
 
-// seed draws the seed of the core's choices.
-func seed() uint64 {
+// randomSeed returns a random seed for the choices of the node's core.
+func randomSeed() uint64 {
 	data := make([]byte, 8)
 	_, _ = rand.Read(data)
 	var value uint64
-	for _, part := range data {
-		value = value<<8 | uint64(part)
+	for _, b := range data {
+		value = value<<8 | uint64(b)
 	}
 	return value
 }
--- a/cmd/valveslip/poison.go
+++ b/cmd/valveslip/poison.go
@@ -21,10 +21,11 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// poisonTimeout bounds the calls of one command to the store.
+// poisonTimeout is the timeout of a read or a write of poison records in the store.
 const poisonTimeout = 10 * time.Second
 
-// poisonCommand shows and lifts what the nodes refuse because machines ended under it.
+// poisonCommand returns the command that lists and pardons requests that all nodes refuse
+// because machines ended under them.
 func poisonCommand(out io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name:        "poison",
@@ -35,12 +36,13 @@
 	}
 }
 
-// storeFlag adds the flag that says where the store is.
+// storeFlag adds the flag for the address of the metadata store.
 func storeFlag(flags *flag.FlagSet) *string {
 	return flags.String("store", "", "host:port of the metadata store; the one of the settings file in "+platform.SettingsVariable+" when empty")
 }
 
-// openStore returns the store at an address, or that of the settings file.
+// openStore returns a client of the store at an address. If the address is empty, it is
+// read from the settings file.
 func openStore(address, settingsPath string) (*platform.StoreClient, error) {
 	if address == "" && settingsPath == "" {
 		return nil, usageError("--store names no metadata store, and %s no settings file", platform.SettingsVariable)
@@ -52,23 +54,24 @@
 		}
 		address = settings.Store.Address
 	}
-	return platform.NewStoreClient(address, watchWait), nil
+	return platform.NewStoreClient(address, watchPollTime), nil
 }
 
-// poisonRow is a convicted request as the commands show it.
+// poisonRow is a refused request as the commands print it.
 type poisonRow struct {
 	Content  string              `json:"content"`
 	Machines []cluster.MachineID `json:"machines"`
 	Tests    int                 `json:"tests"`
 	Revision int64               `json:"revision"`
-	// Error says why the record can't be read.
+	// Error is the reason why the record can't be decoded, empty if it can.
 	Error string `json:"error,omitempty"`
 }
 
+// poisonListCommand returns the command that lists the refused requests.
 func poisonListCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip poison list", flag.ContinueOnError)
 	store := storeFlag(flags)
-	o := &operator{out: out}
+	o := &operatorOptions{out: out}
 	flags.BoolVar(&o.json, "json", false, "print JSON for programs")
 	return &ffcli.Command{
 		Name: "list", ShortUsage: "valveslip poison list [--store HOST:PORT] [--json]", FlagSet: flags,
@@ -85,12 +88,12 @@
 			if err != nil {
 				return err
 			}
-			return o.show(rows, func(out io.Writer) error { return writePoison(out, rows) })
+			return o.printValue(rows, func(out io.Writer) error { return writePoison(out, rows) })
 		},
 	}
 }
 
-// poisonRows reads all records.
+// poisonRows reads all poison records from the store, sorted by fingerprint.
 func poisonRows(ctx context.Context, client *platform.StoreClient) ([]poisonRow, error) {
 	ctx, cancel := context.WithTimeout(ctx, poisonTimeout)
 	defer cancel()
@@ -100,13 +103,14 @@
 	}
 	rows := []poisonRow{}
 	for i := range pairs {
-		rows = append(rows, poisonRowOf(&pairs[i]))
+		rows = append(rows, newPoisonRow(&pairs[i]))
 	}
 	slices.SortFunc(rows, func(a, b poisonRow) int { return strings.Compare(a.Content, b.Content) })
 	return rows, nil
 }
 
-func poisonRowOf(pair *keyvalue.KeyValue) poisonRow {
+// newPoisonRow decodes a poison record.
+func newPoisonRow(pair *keyvalue.KeyValue) poisonRow {
 	row := poisonRow{Content: strings.TrimPrefix(pair.Key, fleet.KeyPoison), Revision: pair.ModRevision}
 	stored, err := fleet.DecodePoison(pair.Key, pair.Value)
 	if err != nil {
@@ -117,6 +121,7 @@
 	return row
 }
 
+// writePoison prints the refused requests as a table.
 func writePoison(out io.Writer, rows []poisonRow) error {
 	if len(rows) == 0 {
 		_, err := fmt.Fprintln(out, "no request is refused because of machines that ended")
@@ -126,8 +131,8 @@
 	for i := range rows {
 		row := &rows[i]
 		names := make([]string, len(row.Machines))
-		for at, machine := range row.Machines {
-			names[at] = string(machine)
+		for j, machine := range row.Machines {
+			names[j] = string(machine)
 		}
 		machines := strings.Join(names, ", ")
 		if row.Error != "" {
@@ -138,9 +143,11 @@
 	return writeTable(out, []string{"CONTENT", "TESTS", "MACHINES THAT ENDED"}, cells)
 }
 
-// errNotRefused is why a request can't be pardoned.
+// errNotRefused is the error for a pardon of a request that is not refused.
 var errNotRefused = errors.New("no such request is refused")
 
+// poisonPardonCommand returns the command that makes all nodes accept a refused request
+// again.
 func poisonPardonCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip poison pardon", flag.ContinueOnError)
 	store := storeFlag(flags)
@@ -168,25 +175,25 @@
 	}
 }
 
-// pardon deletes the record of a request.
+// pardon deletes the poison record of a request, unless the record changes meanwhile.
 func pardon(ctx context.Context, client *platform.StoreClient, content poison.Fingerprint) error {
 	rows, err := poisonRows(ctx, client)
 	if err != nil {
 		return err
 	}
-	at := slices.IndexFunc(rows, func(row poisonRow) bool { return row.Content == content.String() })
-	if at < 0 {
+	index := slices.IndexFunc(rows, func(row poisonRow) bool { return row.Content == content.String() })
+	if index < 0 {
 		return &exitError{code: exitNotFound, err: errNotRefused}
 	}
 	ctx, cancel := context.WithTimeout(ctx, poisonTimeout)
 	defer cancel()
 	key := fleet.KeyPoison + content.String()
 	result, err := client.Txn(ctx, keyvalue.Transaction{
-		Compares: []keyvalue.Compare{{Key: key, ModRevision: rows[at].Revision}}, Operations: []keyvalue.Operation{{Key: key, Delete: true}},
+		Compares: []keyvalue.Compare{{Key: key, ModRevision: rows[index].Revision}}, Operations: []keyvalue.Operation{{Key: key, Delete: true}},
 	})
 	switch {
 	case err != nil:
-		return &exitError{code: exitUnknown, err: eris.Wrap(err, "the record may have been deleted; look with poison list")}
+		return &exitError{code: exitOutcomeUnknown, err: eris.Wrap(err, "the record may have been deleted; look with poison list")}
 	case !result.Succeeded:
 		return &exitError{code: exitConflict, err: errors.New("the record changed meanwhile; look again with poison list")}
 	}
--- a/cmd/valveslip/poison_test.go
+++ b/cmd/valveslip/poison_test.go
@@ -14,9 +14,9 @@
 	"github.com/valveslip/valveslip/standin/metadata"
 )
 
-// TestPoisonCommands: the list shows what is refused and what can't be read, and a pardon
-// takes its record away, once.
-func TestPoisonCommands(t *testing.T) {
+// TestPoisonListAndPardonRefusedRequests guards against refused requests or unreadable
+// records that the list omits, and against a pardon that leaves the record or succeeds twice.
+func TestPoisonListAndPardonRefusedRequests(t *testing.T) {
 	store := metadata.New(1)
 	server, err := standin.Listen("127.0.0.1:0", store)
 	if err != nil {
@@ -26,9 +26,9 @@
 		server.Kill()
 		store.Close()
 	})
-	const refused, unread = "000102030405060708090a0b0c0d0e0f", "ff0102030405060708090a0b0c0d0e0f"
+	const refused, unreadable = "000102030405060708090a0b0c0d0e0f", "ff0102030405060708090a0b0c0d0e0f"
 	client := platform.NewStoreClient(server.Address(), time.Second)
-	for content, value := range map[string]string{refused: `{"ends":["i-1","i-2","i-3"],"tests":1}`, unread: "?"} {
+	for content, value := range map[string]string{refused: `{"ends":["i-1","i-2","i-3"],"tests":1}`, unreadable: "?"} {
 		if _, err := client.Txn(context.Background(), keyvalue.Transaction{Operations: []keyvalue.Operation{{Key: fleet.KeyPoison + content, Value: []byte(value)}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -48,12 +48,12 @@
 	}
 	pardon := func(content string) int {
 		command := poisonPardonCommand(&bytes.Buffer{})
-		return exitCodeOf(command.ParseAndRun(context.Background(), []string{"--store", server.Address(), content}))
+		return exitCodeOrOK(command.ParseAndRun(context.Background(), []string{"--store", server.Address(), content}))
 	}
 	for _, c := range []struct {
 		content string
 		code    int
-	}{{"xyz", exitInvalid}, {refused, exitOK}, {refused, exitNotFound}, {unread, exitOK}} {
+	}{{"xyz", exitInvalid}, {refused, exitOK}, {refused, exitNotFound}, {unreadable, exitOK}} {
 		if got := pardon(c.content); got != c.code {
 			t.Errorf("pardon %s: exit %d, want %d", c.content, got, c.code)
 		}
@@ -63,17 +63,17 @@
 	}
 }
 
-// exitCodeOf is exitCode of an error, exitOK without one.
-func exitCodeOf(err error) int {
+// exitCodeOrOK returns the exit code for an error; nil is exitOK.
+func exitCodeOrOK(err error) int {
 	if err == nil {
 		return exitOK
 	}
 	return exitCode(err)
 }
 
-// TestHelpIsNoFailure: help that was asked for ends with 0, for the program and each
-// subcommand; a command that lacks a part ends with the code of a wrong command line.
-func TestHelpIsNoFailure(t *testing.T) {
+// TestRequestedHelpSucceedsAndIncompleteCommandFails guards against a help flag that fails,
+// for the program or a subcommand, and against an incomplete or invalid command that succeeds.
+func TestRequestedHelpSucceedsAndIncompleteCommandFails(t *testing.T) {
 	root := rootCommand()
 	if code := run([]string{"--help"}); code != exitOK {
 		t.Errorf("valveslip --help: exit %d", code)
@@ -84,9 +84,9 @@
 				t.Errorf("valveslip %s %s: exit %d", command.Name, help, code)
 			}
 		}
-		for _, below := range command.Subcommands {
-			if code := run([]string{command.Name, below.Name, "--help"}); code != exitOK {
-				t.Errorf("valveslip %s %s --help: exit %d", command.Name, below.Name, code)
+		for _, child := range command.Subcommands {
+			if code := run([]string{command.Name, child.Name, "--help"}); code != exitOK {
+				t.Errorf("valveslip %s %s --help: exit %d", command.Name, child.Name, code)
 			}
 		}
 	}
--- a/cmd/valveslip/soak.go
+++ b/cmd/valveslip/soak.go
@@ -26,40 +26,42 @@
 
 // Defaults of the soak.
 const (
-	soakDuration = 45 * time.Second
-	soakNodes    = 4
-	// shrinkTrials bounds the runs of a shrinking.
-	shrinkTrials = 40
-	// shownBreaches of each promise are printed; the report holds all.
-	shownBreaches = 5
+	defaultSoakDuration = 45 * time.Second
+	defaultSoakNodes    = 4
+	// maxShrinkRuns is the maximum number of runs to shrink a schedule.
+	maxShrinkRuns = 40
+	// maxShownBreaches is the maximum number of breaches of each promise that are printed.
+	// The report file contains all of them.
+	maxShownBreaches = 5
 )
 
-// soakFlags are the flags of the soak.
+// soakFlags holds the values of the soak command's flags.
 type soakFlags struct {
-	seed                            uint64
-	duration, until                 time.Duration
-	nodes                           int
-	schedule, report, logs          string
-	binary, from                    string
-	printOnly, shrinks, regressions bool
+	seed                                 uint64
+	duration, until                      time.Duration
+	nodes                                int
+	schedule, report, logs               string
+	binary, previousBinary               string
+	printOnly, shrinkFaults, regressions bool
 }
 
-// soakCommand runs real processes under faults.
+// soakCommand returns the command that runs nodes as processes under faults and checks the
+// promises of the product.
 func soakCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip soak", flag.ContinueOnError)
 	var f soakFlags
 	flags.Uint64Var(&f.seed, "seed", 1, "seed that the schedule is drawn from")
-	flags.DurationVar(&f.duration, "duration", soakDuration, "time within which the run ends; with --schedule it follows from the file")
-	flags.IntVar(&f.nodes, "nodes", soakNodes, "processes of nodes")
+	flags.DurationVar(&f.duration, "duration", defaultSoakDuration, "time within which the run ends; with --schedule it follows from the file")
+	flags.IntVar(&f.nodes, "nodes", defaultSoakNodes, "processes of nodes")
 	flags.StringVar(&f.schedule, "schedule", "", "schedule file to play instead of a seed's")
 	flags.DurationVar(&f.until, "until", 0, "leave out the faults from this time on, 0 for none")
 	flags.BoolVar(&f.printOnly, "print", false, "print the schedule and run nothing")
-	flags.BoolVar(&f.shrinks, "shrink", false, "drop faults while the run still fails and print what is left")
+	flags.BoolVar(&f.shrinkFaults, "shrink", false, "drop faults while the run still fails and print what is left")
 	flags.BoolVar(&f.regressions, "regressions", false, "run every schedule that once failed")
 	flags.StringVar(&f.report, "report", "", "file for the report as JSON")
 	flags.StringVar(&f.logs, "logs", "", "folder for the nodes' settings and logs; by default one that stays when a promise is broken")
 	flags.StringVar(&f.binary, "binary", "", "program whose nodes are run, by default this one")
-	flags.StringVar(&f.from, "from", "", "earlier build that nodes begin with; the schedule's stops and upgrades bring the other in its place")
+	flags.StringVar(&f.previousBinary, "from", "", "earlier build that nodes begin with; the schedule's stops and upgrades bring the other in its place")
 	return &ffcli.Command{
 		Name: "soak", ShortUsage: "valveslip soak [flags]", ShortHelp: "run real nodes under faults and check every promise",
 		LongHelp: "Nodes run as processes of this machine over loopback, against stand-ins of the platform.\nIt ends with 1 when a promise is broken.",
@@ -72,32 +74,33 @@
 	}
 }
 
-// run does what the flags ask for.
+// run executes the command according to the flags.
 func (f *soakFlags) run(ctx context.Context, out io.Writer) error {
 	if f.regressions {
 		return f.runRegressions(ctx, out)
 	}
-	schedule, err := f.drawn()
+	schedule, err := f.loadSchedule()
 	if err != nil {
 		return &exitError{code: exitInvalid, err: err}
 	}
 	if err := printSchedule(out, &schedule); err != nil || f.printOnly {
 		return err
 	}
-	if f.shrinks {
+	if f.shrinkFaults {
 		return f.shrink(ctx, out, schedule)
 	}
 	return f.runOne(ctx, out, schedule)
 }
 
-// drawn returns the schedule to play.
-func (f *soakFlags) drawn() (schedule plan.Schedule, err error) {
+// loadSchedule returns the schedule to run: that of the schedule file, or one drawn from
+// the seed.
+func (f *soakFlags) loadSchedule() (schedule plan.Schedule, err error) {
 	if f.schedule != "" {
 		schedule, err = plan.Read(f.schedule)
 	} else {
 		var size plan.Size
 		size, err = soak.Size(f.nodes, f.duration)
-		size.Upgrades = f.from != ""
+		size.Upgrades = f.previousBinary != ""
 		schedule = plan.Draw(f.seed, size)
 	}
 	if f.until > 0 {
@@ -106,9 +109,10 @@
 	return schedule, err
 }
 
-// runOne plays a schedule and reports; broken promises are an error.
+// runOne runs a schedule and prints the report. It returns an error if a promise was
+// broken, or if a drawn schedule tested a promise too rarely to judge it.
 func (f *soakFlags) runOne(ctx context.Context, out io.Writer, schedule plan.Schedule) error {
-	report, err := f.play(ctx, schedule)
+	report, err := f.runSchedule(ctx, schedule)
 	if err != nil {
 		return err
 	}
@@ -120,8 +124,8 @@
 	if err := printSoak(out, report); err != nil {
 		return err
 	}
-	drawn := f.schedule == "" && !f.regressions
-	if missing := report.NotJudged(); drawn && len(missing) > 0 && len(report.Breaches()) == 0 {
+	isDrawn := f.schedule == "" && !f.regressions
+	if missing := report.NotJudged(); isDrawn && len(missing) > 0 && len(report.Breaches()) == 0 {
 		return &exitError{code: exitFailure, err: eris.Errorf("seed %d: %d promises were tested and not judged", schedule.Seed, len(missing))}
 	}
 	if breaches := report.Breaches(); len(breaches) > 0 {
@@ -130,9 +134,9 @@
 	return nil
 }
 
-// play plays a schedule. The logs of a run that broke nothing are removed unless
-// their folder was named.
-func (f *soakFlags) play(ctx context.Context, schedule plan.Schedule) (*soak.Report, error) {
+// runSchedule runs a schedule and returns its report. The logs of a run without breaches
+// are removed, unless their folder was given by a flag.
+func (f *soakFlags) runSchedule(ctx context.Context, schedule plan.Schedule) (*soak.Report, error) {
 	binary, logs := f.binary, f.logs
 	var err error
 	if binary == "" {
@@ -150,8 +154,8 @@
 	}
 	duration := soak.DurationOf(&schedule)
 	report, err := soak.Run(ctx, soak.Options{
-		Schedule: schedule, Duration: duration, Binary: binary, From: f.from, LogDir: logs,
-		Tick: progress(int(duration.Seconds()), fmt.Sprintf("seed %d, seconds", schedule.Seed)),
+		Schedule: schedule, Duration: duration, Binary: binary, From: f.previousBinary, LogDir: logs,
+		Tick: newProgress(int(duration.Seconds()), fmt.Sprintf("seed %d, seconds", schedule.Seed)),
 	})
 	if f.logs == "" && err == nil && len(report.Breaches()) == 0 {
 		err = os.RemoveAll(logs)
@@ -159,10 +163,11 @@
 	return report, err
 }
 
-// shrink drops faults while the run fails.
+// shrink removes faults from the schedule while its run still fails, and prints the
+// smallest schedule found.
 func (f *soakFlags) shrink(ctx context.Context, out io.Writer, schedule plan.Schedule) error {
-	smallest, err := plan.Shrink(schedule, shrinkTrials, func(smaller plan.Schedule) (bool, error) {
-		report, err := f.play(ctx, smaller)
+	smallest, err := plan.Shrink(schedule, maxShrinkRuns, func(smaller plan.Schedule) (bool, error) {
+		report, err := f.runSchedule(ctx, smaller)
 		if err != nil {
 			return false, err
 		}
@@ -175,16 +180,16 @@
 	return printSchedule(out, &smallest)
 }
 
-// runRegressions plays every kept schedule.
+// runRegressions runs all saved schedules, each of which once failed.
 func (f *soakFlags) runRegressions(ctx context.Context, out io.Writer) error {
-	kept, err := schedules.All()
+	saved, err := schedules.All()
 	if err != nil {
 		return err
 	}
 	broken := 0
-	for _, name := range slices.Sorted(maps.Keys(kept)) {
-		fmt.Fprintf(out, "%s: %s\n", name, kept[name].Cause)
-		err := f.runOne(ctx, out, kept[name])
+	for _, name := range slices.Sorted(maps.Keys(saved)) {
+		fmt.Fprintf(out, "%s: %s\n", name, saved[name].Cause)
+		err := f.runOne(ctx, out, saved[name])
 		if ctx.Err() != nil {
 			return err
 		}
@@ -194,12 +199,12 @@
 		}
 	}
 	if broken > 0 {
-		return &exitError{code: exitFailure, err: eris.Errorf("%d of %d schedules broke a promise", broken, len(kept))}
+		return &exitError{code: exitFailure, err: eris.Errorf("%d of %d schedules broke a promise", broken, len(saved))}
 	}
 	return nil
 }
 
-// printSchedule writes a schedule's text.
+// printSchedule prints a schedule in the format of a schedule file.
 func printSchedule(out io.Writer, schedule *plan.Schedule) error {
 	text, err := schedule.Encode()
 	if err != nil {
@@ -209,7 +214,7 @@
 	return err
 }
 
-// printSoak writes a report for people.
+// printSoak prints a report as text.
 func printSoak(out io.Writer, report *soak.Report) error {
 	fmt.Fprintf(out, "\nseed %d: %s, %d nodes in %d lives, recovered after %s, %d runs on workers, %d orders\n",
 		report.Schedule.Seed, report.Took.Round(time.Millisecond), report.Schedule.Nodes, report.Lives,
@@ -234,15 +239,15 @@
 	if err := writeSection(out, "promises", []string{"PROMISE", "JUDGED", "BROKEN", ""}, rows); err != nil {
 		return err
 	}
-	took := [][]string{
-		spreadRow("a version was taken, to its first answer by a node", &report.ConfigurationTook),
-		spreadRow("a worker left, to the last request of a node", &report.LeavingTook),
+	latencyRows := [][]string{
+		latencyRow("a version was taken, to its first answer by a node", &report.ConfigurationTook),
+		latencyRow("a worker left, to the last request of a node", &report.LeavingTook),
 	}
-	if err := writeSection(out, "times", []string{"FROM", "COUNT", "P50", "P99", "MAX", "SLOWEST"}, took); err != nil {
+	if err := writeSection(out, "times", []string{"FROM", "COUNT", "P50", "P99", "MAX", "SLOWEST"}, latencyRows); err != nil {
 		return err
 	}
 	for _, finding := range report.Findings {
-		for _, breach := range finding.Breaches[:min(len(finding.Breaches), shownBreaches)] {
+		for _, breach := range finding.Breaches[:min(len(finding.Breaches), maxShownBreaches)] {
 			fmt.Fprintln(out, breach)
 		}
 	}
@@ -252,22 +257,23 @@
 	return nil
 }
 
-// spreadRow lists how long something took, and the node with the longest time.
-func spreadRow(name string, took *check.Spreads) []string {
+// latencyRow returns a table row with the quantiles of a duration and the node with the
+// longest one.
+func latencyRow(name string, latencies *check.Spreads) []string {
 	slowest := ""
-	for _, node := range slices.Sorted(maps.Keys(took.Nodes)) {
-		if longest := took.Nodes[node].Max; longest > 0 && longest == took.All.Max {
+	for _, node := range slices.Sorted(maps.Keys(latencies.Nodes)) {
+		if longest := latencies.Nodes[node].Max; longest > 0 && longest == latencies.All.Max {
 			slowest = fmt.Sprintf("node %d", node)
 		}
 	}
-	row := []string{name, strconv.Itoa(took.All.Count)}
-	for _, value := range []time.Duration{took.All.P50, took.All.P99, took.All.Max} {
+	row := []string{name, strconv.Itoa(latencies.All.Count)}
+	for _, value := range []time.Duration{latencies.All.P50, latencies.All.P99, latencies.All.Max} {
 		row = append(row, value.Round(time.Millisecond).String())
 	}
 	return append(row, slowest)
 }
 
-// countRows lists counts by name.
+// countRows returns table rows with counts, sorted by name.
 func countRows[Name cmp.Ordered](counts map[Name]int) [][]string {
 	var rows [][]string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/cmd/valveslip/standin.go
+++ b/cmd/valveslip/standin.go
@@ -25,13 +25,15 @@
 )
 
 const (
+	// gibibyte is the number of bytes of a GiB.
 	gibibyte = 1 << 30
-	// standinCloseTime bounds how long a stand-in told to stop waits for
-	// requests in flight.
-	standinCloseTime = 5 * time.Second
+	// standinCloseTimeout is the maximum time that a stopping stand-in waits for requests
+	// in flight.
+	standinCloseTimeout = 5 * time.Second
 )
 
-// standinCommand runs one stand-in of the platform or of an engine.
+// standinCommand returns the command that runs a stand-in for a service of the platform or
+// for a model engine.
 func standinCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "standin",
@@ -45,7 +47,7 @@
 	}
 }
 
-// standinSubcommand is the common shape of the stand-ins' commands.
+// standinSubcommand returns a subcommand that runs a stand-in and takes no arguments.
 func standinSubcommand(name, help string, flags *flag.FlagSet, run func(ctx context.Context) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name: name, ShortUsage: "valveslip standin " + name + " [flags]", ShortHelp: help,
@@ -59,7 +61,7 @@
 	}
 }
 
-// serveStandin serves handler until the process is told to stop.
+// serveStandin prints the URL of the stand-in and serves handler until SIGINT or SIGTERM.
 func serveStandin(ctx context.Context, listen string, handler http.Handler) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -69,11 +71,12 @@
 	}
 	fmt.Println(server.URL())
 	<-ctx.Done()
-	closing, cancel := context.WithTimeout(context.Background(), standinCloseTime)
+	closeCtx, cancel := context.WithTimeout(context.Background(), standinCloseTimeout)
 	defer cancel()
-	return server.Close(closing)
+	return server.Close(closeCtx)
 }
 
+// standinKeyValueCommand returns the command that runs the key-value service.
 func standinKeyValueCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("standin keyvalue", flag.ContinueOnError)
 	listen := flags.String("listen", "127.0.0.1:0", "listen address, IP:port")
@@ -88,6 +91,7 @@
 	})
 }
 
+// standinWeightsCommand returns the command that runs the weight store.
 func standinWeightsCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("standin weights", flag.ContinueOnError)
 	listen := flags.String("listen", "127.0.0.1:0", "listen address, IP:port")
@@ -101,6 +105,7 @@
 	})
 }
 
+// standinMachinesCommand returns the command that runs the machine list.
 func standinMachinesCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("standin machines", flag.ContinueOnError)
 	listen := flags.String("listen", "127.0.0.1:0", "listen address, IP:port")
@@ -127,6 +132,7 @@
 	})
 }
 
+// standinEngineCommand returns the command that runs a model engine.
 func standinEngineCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("standin engine", flag.ContinueOnError)
 	listen := flags.String("listen", "127.0.0.1:0", "listen address, IP:port")
@@ -154,7 +160,8 @@
 	})
 }
 
-// storeFetcher fetches from the weight store at url, nil when there is none.
+// storeFetcher returns a function that fetches weights from the store at url, or nil if
+// url is empty.
 func storeFetcher(url string) standinengine.Fetcher {
 	if url == "" {
 		return nil
@@ -165,8 +172,8 @@
 	}
 }
 
-// serveEngine serves an engine until the process is told to stop. The engine
-// keeps its own listener, because faults close and reopen it.
+// serveEngine prints the URL of an engine and serves it until SIGINT or SIGTERM. The engine
+// owns its listener, because injected faults close and reopen it.
 func serveEngine(ctx context.Context, listen string, server *standinengine.Server) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -176,7 +183,7 @@
 	}
 	fmt.Println("http://" + address)
 	<-ctx.Done()
-	closing, cancel := context.WithTimeout(context.Background(), standinCloseTime)
+	closeCtx, cancel := context.WithTimeout(context.Background(), standinCloseTimeout)
 	defer cancel()
-	return server.Close(closing)
+	return server.Close(closeCtx)
 }
--- a/cmd/valveslip/status.go
+++ b/cmd/valveslip/status.go
@@ -12,7 +12,7 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// systemStatus is what the status command shows.
+// systemStatus is the state of the system that the status command prints.
 type systemStatus struct {
 	Members     []admin.Member     `json:"members"`
 	Controllers []admin.Controller `json:"controllers"`
@@ -21,16 +21,18 @@
 	Queues      []admin.Queue      `json:"queues"`
 }
 
-// clearScreen moves to the top of a terminal and clears it.
+// clearScreen is the control sequence that moves the cursor to the top left of a terminal
+// and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// statusCommand prints the state of the system, once or again and again.
+// statusCommand returns the command that prints the state of the system, once or
+// repeatedly.
 func statusCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("status", out)
 	watch := flags.Bool("watch", false, "print anew until interrupted")
 	interval := flags.Duration("interval", 2*time.Second, "time between two prints of --watch")
 	return operatorCommand("[flags]", "print nodes, controllers, machines, replicas and queues", flags, 0, 0, func(ctx context.Context, _ []string) error {
-		client, err := o.client(adminTimeout)
+		client, err := o.newClient(adminTimeout)
 		if err != nil {
 			return err
 		}
@@ -42,7 +44,7 @@
 			if *watch && !o.json {
 				fmt.Fprint(o.out, clearScreen)
 			}
-			if err := o.show(status, status.write); err != nil || !*watch {
+			if err := o.printValue(status, status.write); err != nil || !*watch {
 				return err
 			}
 			select {
@@ -54,6 +56,7 @@
 	})
 }
 
+// readStatus reads the state of the system from the administration API.
 func readStatus(ctx context.Context, client *admin.Client) (*systemStatus, error) {
 	status := &systemStatus{}
 	var err error
@@ -73,6 +76,7 @@
 	return status, err
 }
 
+// write prints the status as tables.
 func (s *systemStatus) write(out io.Writer) error {
 	var members, controllers, machines, queues [][]string
 	for _, m := range s.Members {
@@ -106,9 +110,10 @@
 	return nil
 }
 
-// replicaHeader heads replicaRows.
+// replicaHeader is the table header for replicaRows.
 var replicaHeader = []string{"model", "machine", "zone", "state", "version", "memory", "since"}
 
+// replicaRows returns the table rows of replicas.
 func replicaRows(replicas []admin.Replica) [][]string {
 	var rows [][]string
 	for _, r := range replicas {
--- a/cmd/valveslip/table.go
+++ b/cmd/valveslip/table.go
@@ -11,8 +11,8 @@
 	"github.com/olekukonko/tablewriter/tw"
 )
 
-// writeTable prints rows below a header, without lines, for people and for
-// tools that split at spaces.
+// writeTable prints a table with a header and without borders, so that tools can split
+// its lines at spaces.
 func writeTable(out io.Writer, header []string, rows [][]string) error {
 	table := tablewriter.NewTable(out,
 		tablewriter.WithRenderer(renderer.NewBlueprint(tw.Rendition{
@@ -37,7 +37,7 @@
 	return table.Render()
 }
 
-// writeSection prints a titled table, or that there is nothing.
+// writeSection prints a table with a title, or "none" if it has no rows.
 func writeSection(out io.Writer, title string, header []string, rows [][]string) error {
 	if len(rows) == 0 {
 		_, err := fmt.Fprintf(out, "%s: none\n\n", title)
@@ -53,7 +53,7 @@
 	return err
 }
 
-// timeText shows a time in UTC, "-" for none.
+// timeText formats a time in UTC; the zero time is "-".
 func timeText(at time.Time) string {
 	if at.IsZero() {
 		return "-"
@@ -61,7 +61,7 @@
 	return at.UTC().Format(time.DateTime)
 }
 
-// yesNo shows a truth value.
+// yesNo returns "yes" or "no".
 func yesNo(value bool) string {
 	if value {
 		return "yes"
--- a/cmd/valveslip/tenants.go
+++ b/cmd/valveslip/tenants.go
@@ -22,23 +22,25 @@
 	"github.com/valveslip/valveslip/fleet/shell"
 )
 
-// figuresTimeout bounds the reading of one node's figures.
-const figuresTimeout = 5 * time.Second
+// metricsTimeout is the timeout for reading the metrics of one node.
+const metricsTimeout = 5 * time.Second
 
-// tenantStatus is how a tenant stands with its limit.
+// tenantStatus is the usage of a tenant's token limit.
 type tenantStatus struct {
 	Tenant string `json:"tenant"`
-	// Lender is the node that lends the tenant's tokens, empty if none of those asked does.
+	// Lender is the node that lends the tenant's tokens, empty if no queried node does.
 	Lender string `json:"lender,omitempty"`
-	// Grants is what the limit grants within a window, Used what was lent of it, Reserved what
-	// is kept for callers who were told when to come back.
+	// Grants is the number of tokens that the limit grants within a window. Used is the
+	// number that was lent, and Reserved the number that is reserved for callers which got
+	// a time to retry.
 	Grants   float64            `json:"grants"`
 	Used     float64            `json:"used"`
 	Reserved float64            `json:"reserved"`
 	Kinds    []tenantKindStatus `json:"kinds"`
 }
 
-// tenantKindStatus counts the requests of a kind since the nodes that were asked began.
+// tenantKindStatus holds the numbers of requests of one kind, by outcome, since the queried
+// nodes started.
 type tenantKindStatus struct {
 	Rank          int     `json:"rank"`
 	SizeBelow     float64 `json:"size_below"`
@@ -48,12 +50,13 @@
 	ReturnRefused int64   `json:"refused_on_return"`
 }
 
-// tenantsCommand shows how tenants stand with their limits, by the figures of the nodes named.
+// tenantsCommand returns the command that prints the usage of the tenants' limits, from the
+// metrics of the given nodes.
 func tenantsCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("valveslip tenants", flag.ContinueOnError)
 	var nodes fileList
 	flags.Var(&nodes, "node", "host:port where a node serves its figures; may be given several times")
-	o := &operator{out: out}
+	o := &operatorOptions{out: out}
 	flags.BoolVar(&o.json, "json", false, "print JSON for programs")
 	return &ffcli.Command{
 		Name: "tenants", ShortUsage: "valveslip tenants --node HOST:PORT [--node HOST:PORT]... [--json]", FlagSet: flags,
@@ -66,24 +69,24 @@
 			if err != nil {
 				return err
 			}
-			return o.show(tenants, func(out io.Writer) error { return writeTenants(out, tenants) })
+			return o.printValue(tenants, func(out io.Writer) error { return writeTenants(out, tenants) })
 		},
 	}
 }
 
-// readTenants sums the figures of nodes. One that does not answer is an error: its counts and
-// what it lends would be missing.
+// readTenants reads and sums the metrics of nodes. It fails if a node does not respond,
+// because the sums would lack that node's requests and loans.
 func readTenants(ctx context.Context, nodes []string) ([]*tenantStatus, error) {
-	known := map[string]*tenantStatus{}
+	byTenant := map[string]*tenantStatus{}
 	for _, node := range nodes {
-		families, err := readFigures(ctx, node)
+		families, err := fetchMetrics(ctx, node)
 		if err != nil {
 			return nil, &exitError{code: exitUnavailable, err: eris.Wrapf(err, "read the figures of %s", node)}
 		}
-		addTenants(known, node, families)
+		addTenantMetrics(byTenant, node, families)
 	}
-	tenants := make([]*tenantStatus, 0, len(known))
-	for _, t := range known {
+	tenants := make([]*tenantStatus, 0, len(byTenant))
+	for _, t := range byTenant {
 		slices.SortFunc(t.Kinds, func(a, b tenantKindStatus) int {
 			return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.SizeBelow, b.SizeBelow))
 		})
@@ -93,9 +96,9 @@
 	return tenants, nil
 }
 
-// readFigures reads a node's figures.
-func readFigures(ctx context.Context, node string) (map[string]*dto.MetricFamily, error) {
-	ctx, cancel := context.WithTimeout(ctx, figuresTimeout)
+// fetchMetrics reads the metrics of a node.
+func fetchMetrics(ctx context.Context, node string) (map[string]*dto.MetricFamily, error) {
+	ctx, cancel := context.WithTimeout(ctx, metricsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+shell.MetricsPath, http.NoBody)
 	if err != nil {
@@ -113,24 +116,24 @@
 	return parser.TextToMetricFamilies(response.Body)
 }
 
-// addTenants adds the figures of one node.
-func addTenants(known map[string]*tenantStatus, node string, families map[string]*dto.MetricFamily) {
-	each := func(name string, note func(*tenantStatus, *dto.Metric)) {
-		for _, figure := range families[name].GetMetric() {
-			tenant := labelOf(figure, shell.LabelTenant)
-			if known[tenant] == nil {
-				known[tenant] = &tenantStatus{Tenant: tenant}
+// addTenantMetrics adds the tenant metrics of one node to the status of each tenant.
+func addTenantMetrics(byTenant map[string]*tenantStatus, node string, families map[string]*dto.MetricFamily) {
+	forEachMetric := func(name string, apply func(*tenantStatus, *dto.Metric)) {
+		for _, metric := range families[name].GetMetric() {
+			tenant := labelValue(metric, shell.LabelTenant)
+			if byTenant[tenant] == nil {
+				byTenant[tenant] = &tenantStatus{Tenant: tenant}
 			}
-			note(known[tenant], figure)
+			apply(byTenant[tenant], metric)
 		}
 	}
-	each(shell.MetricTenantGrants, func(t *tenantStatus, m *dto.Metric) { t.Grants, t.Lender = m.GetGauge().GetValue(), node })
-	each(shell.MetricTenantUsed, func(t *tenantStatus, m *dto.Metric) { t.Used = m.GetGauge().GetValue() })
-	each(shell.MetricTenantReserved, func(t *tenantStatus, m *dto.Metric) { t.Reserved = m.GetGauge().GetValue() })
-	each(shell.MetricTenantRequests, func(t *tenantStatus, m *dto.Metric) {
-		k := t.kind(labelOf(m, shell.LabelRank), labelOf(m, shell.LabelSizeBelow))
+	forEachMetric(shell.MetricTenantGrants, func(t *tenantStatus, m *dto.Metric) { t.Grants, t.Lender = m.GetGauge().GetValue(), node })
+	forEachMetric(shell.MetricTenantUsed, func(t *tenantStatus, m *dto.Metric) { t.Used = m.GetGauge().GetValue() })
+	forEachMetric(shell.MetricTenantReserved, func(t *tenantStatus, m *dto.Metric) { t.Reserved = m.GetGauge().GetValue() })
+	forEachMetric(shell.MetricTenantRequests, func(t *tenantStatus, m *dto.Metric) {
+		k := t.kind(labelValue(m, shell.LabelRank), labelValue(m, shell.LabelSizeBelow))
 		count := int64(m.GetCounter().GetValue())
-		switch labelOf(m, shell.LabelOutcome) {
+		switch labelValue(m, shell.LabelOutcome) {
 		case lending.Lent.String():
 			k.Lent += count
 		case lending.Refused.String():
@@ -143,7 +146,7 @@
 	})
 }
 
-// kind returns the counts of a kind.
+// kind returns the counts of a kind of requests, which it adds if they are missing.
 func (t *tenantStatus) kind(rank, sizeBelow string) *tenantKindStatus {
 	number, _ := strconv.Atoi(rank)
 	size, _ := strconv.ParseFloat(sizeBelow, 64)
@@ -156,8 +159,8 @@
 	return &t.Kinds[len(t.Kinds)-1]
 }
 
-// labelOf returns the value of a figure's label.
-func labelOf(m *dto.Metric, name string) string {
+// labelValue returns the value of a metric's label, empty if it has no such label.
+func labelValue(m *dto.Metric, name string) string {
 	for _, label := range m.GetLabel() {
 		if label.GetName() == name {
 			return label.GetValue()
@@ -166,6 +169,7 @@
 	return ""
 }
 
+// writeTenants prints the limits and the requests by kind as tables.
 func writeTenants(out io.Writer, tenants []*tenantStatus) error {
 	var rows, kinds [][]string
 	for _, t := range tenants {
--- a/cmd/valveslip/tree.go
+++ b/cmd/valveslip/tree.go
@@ -16,7 +16,7 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// treeCommand reads and edits the settings tree.
+// treeCommand returns the command that groups the subcommands for the settings tree.
 func treeCommand(out io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "tree",
@@ -30,12 +30,13 @@
 	}
 }
 
-// editFlags are the flags of commands that edit the tree.
+// editFlags holds the values of the flags of commands that edit the tree.
 type editFlags struct {
 	id, message string
 	dryRun      bool
 }
 
+// addEditFlags adds the flags of commands that edit the tree.
 func addEditFlags(flags *flag.FlagSet) *editFlags {
 	edit := &editFlags{}
 	flags.StringVar(&edit.id, "id", "", "id of the edit; the same id takes effect once, however often it is given; random when empty")
@@ -44,9 +45,9 @@
 	return edit
 }
 
-// beforeEdit returns a client, and the stamp of the tree that an edit goes by.
-func (o *operator) beforeEdit(ctx context.Context) (*admin.Client, admin.Stamp, error) {
-	client, err := o.client(adminTimeout)
+// beginEdit returns a client and the stamp of the stored tree, on which an edit is based.
+func (o *operatorOptions) beginEdit(ctx context.Context) (*admin.Client, admin.Stamp, error) {
+	client, err := o.newClient(adminTimeout)
 	if err != nil {
 		return nil, admin.Stamp{}, err
 	}
@@ -54,8 +55,9 @@
 	return client, stamp, err
 }
 
-// commit makes the changes from the base, or says what they would do.
-func (o *operator) commit(ctx context.Context, client *admin.Client, flags *editFlags, base admin.Stamp, changes []settings.Change) error {
+// commit commits the changes as an edit based on base, or with --dry-run prints the
+// effects that it would have.
+func (o *operatorOptions) commit(ctx context.Context, client *admin.Client, flags *editFlags, base admin.Stamp, changes []settings.Change) error {
 	edit := admin.EditRequest{ID: flags.id, Message: flags.message, Changes: changes}
 	if edit.ID == "" {
 		edit.ID = rand.Text()
@@ -65,19 +67,19 @@
 		if err != nil {
 			return err
 		}
-		return o.show(plan, func(out io.Writer) error { return writePlan(out, plan) })
+		return o.printValue(plan, func(out io.Writer) error { return writePlan(out, plan) })
 	}
 	entry, err := client.Edit(ctx, edit, base)
 	if err != nil {
 		return err
 	}
-	return o.show(entry, func(out io.Writer) error {
+	return o.printValue(entry, func(out io.Writer) error {
 		_, err := fmt.Fprintf(out, "revision %d, edit %s\n", entry.Revision, entry.Edit.ID)
 		return err
 	})
 }
 
-// writePlan prints what an edit would do.
+// writePlan prints the effects that an edit would have.
 func writePlan(out io.Writer, plan admin.DryRun) error {
 	if err := writeChanges(out, plan.Changes); err != nil {
 		return err
@@ -88,7 +90,7 @@
 			values = append(values, []string{string(effect.Model), value.Key, value.Before.String(), value.After.String(), value.AfterSource})
 		}
 		for _, step := range effect.Steps {
-			steps = append(steps, []string{string(effect.Model), effect.Change, step.Step, countText(step.Count), step.Text})
+			steps = append(steps, []string{string(effect.Model), effect.Change, step.Step, formatCount(step.Count), step.Text})
 		}
 	}
 	if err := writeSection(out, "effective values", []string{"model", "key", "before", "after", "from"}, values); err != nil {
@@ -105,14 +107,15 @@
 	return err
 }
 
-func countText(count int) string {
+// formatCount formats a count; zero is "-".
+func formatCount(count int) string {
 	if count == 0 {
 		return "-"
 	}
 	return fmt.Sprint(count)
 }
 
-// writeChanges prints raw changes, one line each.
+// writeChanges prints the lines of changeLines.
 func writeChanges(out io.Writer, changes []settings.Change) error {
 	for _, line := range changeLines(changes) {
 		if _, err := fmt.Fprintln(out, line); err != nil {
@@ -122,8 +125,8 @@
 	return nil
 }
 
-// changeLines describes changes: + for what comes, - for what goes, = for what
-// is set.
+// changeLines describes changes, one line each. A line starts with + for an addition,
+// - for a removal and = for a value that is set.
 func changeLines(changes []settings.Change) []string {
 	var lines []string
 	add := func(format string, arguments ...any) { lines = append(lines, fmt.Sprintf(format, arguments...)) }
@@ -150,8 +153,9 @@
 	return lines
 }
 
-// readStored reads the newest tree at a path to base an edit on.
-func readStored(ctx context.Context, client *admin.Client, path string) (*settings.Tree, admin.Stamp, error) {
+// readStoredTree reads the subtree at a path from the key-value service, so that an edit
+// can be based on the newest revision.
+func readStoredTree(ctx context.Context, client *admin.Client, path string) (*settings.Tree, admin.Stamp, error) {
 	levels, stamp, err := client.Tree(ctx, path, true)
 	if err != nil {
 		return nil, admin.Stamp{}, err
@@ -159,15 +163,15 @@
 	return settings.FromLevels(levels), stamp, nil
 }
 
-// usageError is a wrong command line.
+// usageError returns the error for an invalid command line.
 func usageError(format string, arguments ...any) error {
 	return &exitError{code: exitUsage, err: fmt.Errorf(format, arguments...)}
 }
 
-// invalidError is an input that is not valid.
+// invalidError returns the error for invalid input.
 func invalidError(err error) error { return &exitError{code: exitInvalid, err: err} }
 
-// listFlag is a flag that may be given often.
+// listFlag is a flag value that collects all values of a repeated flag.
 type listFlag []string
 
 // String implements flag.Value.
--- a/cmd/valveslip/tree_apply.go
+++ b/cmd/valveslip/tree_apply.go
@@ -20,9 +20,9 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// treeApplyCommand brings a subtree in line with files. It reads the tree,
-// computes what differs, shows the plan and commits it as one edit; given again
-// after a lost answer it finds nothing left to do.
+// treeApplyCommand returns the command that updates a subtree to match files. It reads the
+// tree, computes the differences, prints the plan and commits it as one edit. If the
+// response to the edit is lost, the command can be repeated: it then finds no differences.
 func treeApplyCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("tree apply", out)
 	edit := addEditFlags(flags)
@@ -39,11 +39,11 @@
 		if err != nil {
 			return invalidError(err)
 		}
-		client, err := o.client(adminTimeout)
+		client, err := o.newClient(adminTimeout)
 		if err != nil {
 			return err
 		}
-		tree, stamp, err := readStored(ctx, client, *root)
+		tree, stamp, err := readStoredTree(ctx, client, *root)
 		if err != nil {
 			return err
 		}
@@ -51,18 +51,18 @@
 		if err != nil {
 			return invalidError(err)
 		}
-		return located(fragment, o.apply(ctx, client, edit, stamp, changes))
+		return locateProblems(fragment, o.apply(ctx, client, edit, stamp, changes))
 	})
 }
 
-// apply shows the plan of the changes and commits them.
-func (o *operator) apply(ctx context.Context, client *admin.Client, edit *editFlags, stamp admin.Stamp, changes []settings.Change) error {
+// apply prints the plan of the changes and commits them.
+func (o *operatorOptions) apply(ctx context.Context, client *admin.Client, edit *editFlags, stamp admin.Stamp, changes []settings.Change) error {
 	if len(changes) == 0 {
 		_, err := fmt.Fprintf(o.out, "nothing to change at revision %d\n", stamp.Revision)
 		return err
 	}
 	if edit.id == "" {
-		edit.id = contentID(stamp, changes)
+		edit.id = editContentID(stamp, changes)
 	}
 	if !edit.dryRun && !o.json {
 		plan, err := client.DryRun(ctx, admin.EditRequest{ID: edit.id, Changes: changes}, stamp)
@@ -76,29 +76,29 @@
 	return o.commit(ctx, client, edit, stamp, changes)
 }
 
-// contentID names an edit by what it does to which revision, so that the same
-// files applied to the same revision are the same edit.
-func contentID(stamp admin.Stamp, changes []settings.Change) string {
+// editContentID returns an edit id that is a hash of the changes and of the revision they are
+// based on, so that the same files applied to the same revision are the same edit.
+func editContentID(stamp admin.Stamp, changes []settings.Change) string {
 	hash := sha256.New()
 	encoder := json.NewEncoder(hash)
-	// Writing to a hash does not fail, and these types always encode.
+	// Neither writing to a hash nor encoding these types can fail.
 	_ = encoder.Encode(stamp)
 	_ = encoder.Encode(changes)
 	return "apply-" + hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-// located adds files and lines to the problems that the API found.
-func located(fragment *settings.Fragment, err error) error {
-	var failed *admin.RequestError
-	if errors.As(err, &failed) && len(failed.Problems) > 0 {
-		// Locate changes the problems that failed holds.
-		_ = fragment.Locate(settings.ValidationErrors(failed.Problems))
+// locateProblems adds the file and line to the validation errors in an error of the API.
+func locateProblems(fragment *settings.Fragment, err error) error {
+	var requestErr *admin.RequestError
+	if errors.As(err, &requestErr) && len(requestErr.Problems) > 0 {
+		// Locate modifies the problems of requestErr in place.
+		_ = fragment.Locate(settings.ValidationErrors(requestErr.Problems))
 	}
 	return err
 }
 
-// readFiles reads the YAML files at the paths; of a directory all below it, in
-// order of their names.
+// readFiles reads the files at the paths. For a directory it reads all YAML files below
+// it, in the order of their names.
 func readFiles(paths []string) ([]settings.File, error) {
 	if len(paths) == 0 {
 		return nil, usageError("-f FILE or -f DIRECTORY is required")
--- a/cmd/valveslip/tree_diff.go
+++ b/cmd/valveslip/tree_diff.go
@@ -7,13 +7,13 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// treeDiffCommand prints what changed between two revisions.
+// treeDiffCommand returns the command that prints the changes between two revisions.
 func treeDiffCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("tree diff", out)
 	from := flags.Int64("from", 0, "earlier revision")
 	to := flags.Int64("to", 0, "later revision; the newest when 0")
 	return operatorCommand("--from REVISION [--to REVISION]", "print what changed between two revisions", flags, 0, 0, func(ctx context.Context, _ []string) error {
-		client, err := o.client(adminTimeout)
+		client, err := o.newClient(adminTimeout)
 		if err != nil {
 			return err
 		}
@@ -21,6 +21,6 @@
 		if err != nil {
 			return err
 		}
-		return o.show(difference, func(out io.Writer) error { return writeChanges(out, difference.Changes) })
+		return o.printValue(difference, func(out io.Writer) error { return writeChanges(out, difference.Changes) })
 	})
 }
--- a/cmd/valveslip/tree_get.go
+++ b/cmd/valveslip/tree_get.go
@@ -10,7 +10,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// treeGetCommand prints a subtree as YAML, or what holds at one level.
+// treeGetCommand returns the command that prints a subtree as YAML, or the effective
+// values at one level.
 func treeGetCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("tree get", out)
 	effective := flags.Bool("effective", false, "show every value that holds at the level and the level it comes from")
@@ -20,7 +21,7 @@
 		if len(arguments) == 1 {
 			path = arguments[0]
 		}
-		client, err := o.client(adminTimeout)
+		client, err := o.newClient(adminTimeout)
 		if err != nil {
 			return err
 		}
@@ -34,7 +35,7 @@
 		if len(levels) == 0 {
 			return &exitError{code: exitNotFound, err: admin.ErrNotFound}
 		}
-		return o.show(admin.TreePage{Stamp: stamp, Levels: levels}, func(out io.Writer) error {
+		return o.printValue(admin.TreePage{Stamp: stamp, Levels: levels}, func(out io.Writer) error {
 			data, err := settings.FromLevels(levels).EncodeYAML(levels[0].Path)
 			if err != nil {
 				return err
@@ -45,12 +46,13 @@
 	})
 }
 
-func (o *operator) getEffective(ctx context.Context, client *admin.Client, path string) error {
+// getEffective prints the effective values at a level.
+func (o *operatorOptions) getEffective(ctx context.Context, client *admin.Client, path string) error {
 	level, err := client.Effective(ctx, path)
 	if err != nil {
 		return err
 	}
-	return o.show(level, func(out io.Writer) error {
+	return o.printValue(level, func(out io.Writer) error {
 		rows := make([][]string, len(level.Values))
 		for i, value := range level.Values {
 			rows[i] = []string{value.Key, value.Value.String(), value.Source}
--- a/cmd/valveslip/tree_log.go
+++ b/cmd/valveslip/tree_log.go
@@ -12,10 +12,11 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// defaultLogLength is how many edits tree log prints.
+// defaultLogLength is the default number of edits that tree log prints.
 const defaultLogLength = 20
 
-// treeLogCommand prints accepted edits, newest first, or finds one by its id.
+// treeLogCommand returns the command that prints accepted edits, newest first, or the one
+// with a given id.
 func treeLogCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("tree log", out)
 	before := flags.Int64("before", 0, "print only edits before this revision")
@@ -23,7 +24,7 @@
 	id := flags.String("id", "", "print only the edit with this id")
 	changes := flags.Bool("changes", false, "print what each edit changed")
 	return operatorCommand("[flags]", "print accepted edits, newest first", flags, 0, 0, func(ctx context.Context, _ []string) error {
-		client, err := o.client(adminTimeout)
+		client, err := o.newClient(adminTimeout)
 		if err != nil {
 			return err
 		}
@@ -37,10 +38,11 @@
 		} else if page, err = client.History(ctx, *before, *limit); err != nil {
 			return err
 		}
-		return o.show(page, func(out io.Writer) error { return writeLog(out, page.Entries, *changes) })
+		return o.printValue(page, func(out io.Writer) error { return writeLog(out, page.Entries, *changes) })
 	})
 }
 
+// writeLog prints edits as a table, or with their changes below each edit.
 func writeLog(out io.Writer, entries []settings.Entry, changes bool) error {
 	var rows [][]string
 	for _, entry := range entries {
@@ -62,7 +64,8 @@
 	return nil
 }
 
-// summary is the message of an edit, or else its first change.
+// summary returns the message of an edit. Without a message it returns the first change
+// and the number of further ones.
 func summary(edit *settings.Edit) string {
 	lines := changeLines(edit.Changes)
 	switch {
--- a/cmd/valveslip/tree_revert.go
+++ b/cmd/valveslip/tree_revert.go
@@ -12,8 +12,9 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// treeRevertCommand undoes one accepted edit by a new one. It is based on the
-// revision it undoes, so later edits of the same keys are a conflict.
+// treeRevertCommand returns the command that reverts an accepted edit by a new edit. The
+// new edit is based on the reverted revision, so it conflicts with later edits of the
+// same keys.
 func treeRevertCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("tree revert", out)
 	edit := addEditFlags(flags)
@@ -22,7 +23,7 @@
 		if err != nil || revision < 1 {
 			return usageError("%q is not a revision", arguments[0])
 		}
-		client, err := o.client(adminTimeout)
+		client, err := o.newClient(adminTimeout)
 		if err != nil {
 			return err
 		}
@@ -37,7 +38,7 @@
 	})
 }
 
-// findRevision reads the history entry of a revision.
+// findRevision returns the history entry of a revision.
 func findRevision(ctx context.Context, client *admin.Client, revision int64) (settings.Entry, error) {
 	page, err := client.History(ctx, revision+1, 1)
 	if err != nil {
--- a/cmd/valveslip/tree_set.go
+++ b/cmd/valveslip/tree_set.go
@@ -10,10 +10,10 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// maxSetArguments bounds the keys that one command sets.
+// maxSetArguments is the maximum number of arguments of tree set: the path and the values.
 const maxSetArguments = 64
 
-// treeSetCommand changes one level.
+// treeSetCommand returns the command that changes, creates or deletes one level.
 func treeSetCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("tree set", out)
 	edit := addEditFlags(flags)
@@ -28,7 +28,7 @@
 		if change.Set, err = parseAssignments(change.Path, arguments[1:]); err != nil {
 			return err
 		}
-		client, stamp, err := o.beforeEdit(ctx)
+		client, stamp, err := o.beginEdit(ctx)
 		if err != nil {
 			return err
 		}
@@ -36,7 +36,7 @@
 	})
 }
 
-// parseAssignments reads KEY=VALUE arguments and names all that are wrong.
+// parseAssignments parses KEY=VALUE arguments. Its error lists all invalid values.
 func parseAssignments(path string, arguments []string) (map[string]settings.Value, error) {
 	var problems settings.ValidationErrors
 	values := make(map[string]settings.Value, len(arguments))
--- a/cmd/valveslip/tree_test.go
+++ b/cmd/valveslip/tree_test.go
@@ -21,7 +21,7 @@
 	standin "github.com/valveslip/valveslip/standin/keyvalue"
 )
 
-// storeBackend is a node on which every stored tree is in force at once.
+// storeBackend is a Backend on which every stored tree is in force immediately.
 type storeBackend struct {
 	*admin.EventLog
 	store *settings.Store
@@ -56,14 +56,15 @@
 	return admin.RequestTrace{}, admin.ErrNotFound
 }
 
-// terminal runs operators' commands against a node.
-type terminal struct {
+// commandRecorder runs operator commands against a node and records their output.
+type commandRecorder struct {
 	t   *testing.T
 	url string
 	out bytes.Buffer
 }
 
-func newTerminal(t *testing.T) *terminal {
+// newCommandRecorder starts a node's administration API and returns a recorder for it.
+func newCommandRecorder(t *testing.T) *commandRecorder {
 	service := standin.NewServer(standin.Config{}, 1)
 	listener := httptest.NewServer(service)
 	client := keyvalue.NewClient(listener.URL)
@@ -82,14 +83,14 @@
 	})
 	t.Setenv("VALVESLIP_ADMIN_TOKEN", "secret")
 	t.Setenv("VALVESLIP_ADMIN_URL", node.URL)
-	return &terminal{t: t, url: node.URL}
+	return &commandRecorder{t: t, url: node.URL}
 }
 
-// volatile matches what differs between two runs: times and random names.
-var volatile = regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d|[A-Z2-7]{26}|apply-[0-9a-f]{32}`)
+// volatileText matches texts that differ between two runs: times and random ids.
+var volatileText = regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d|[A-Z2-7]{26}|apply-[0-9a-f]{32}`)
 
-// run runs a command line, records it with its output and checks its exit code.
-func (s *terminal) run(code int, arguments ...string) {
+// run runs a command line, records it with its output and checks the exit code.
+func (s *commandRecorder) run(code int, arguments ...string) {
 	s.t.Helper()
 	var out bytes.Buffer
 	root := &ffcli.Command{
@@ -109,15 +110,16 @@
 	s.out.WriteString("$ valveslip " + strings.Join(arguments, " ") + "\n" + out.String() + "\n")
 }
 
-// check compares all that was printed with a golden file.
-func (s *terminal) check(name string, replace ...string) {
+// compareGolden compares the recorded output with a golden file. Each pair in replace is a
+// text and its replacement.
+func (s *commandRecorder) compareGolden(name string, replace ...string) {
 	s.t.Helper()
-	text := volatile.ReplaceAllStringFunc(s.out.String(), func(found string) string { return strings.Repeat("#", len(found)) })
+	text := volatileText.ReplaceAllStringFunc(s.out.String(), func(found string) string { return strings.Repeat("#", len(found)) })
 	text = strings.NewReplacer(append([]string{s.url, "URL"}, replace...)...).Replace(text)
 	goldie.New(s.t).Assert(s.t, name, []byte(text))
 }
 
-// writeFile writes a file below a new directory and returns the directory.
+// writeFile writes a file in a new directory and returns the directory.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	directory := t.TempDir()
@@ -127,8 +129,10 @@
 	return directory
 }
 
-func TestOperatorsEditTheTree(t *testing.T) {
-	s := newTerminal(t)
+// TestTreeCommandsEditTree guards against unintended changes of the output and the exit codes
+// of commands that validate, edit, print and revert the settings tree.
+func TestTreeCommandsEditTree(t *testing.T) {
+	s := newCommandRecorder(t)
 	files := writeFile(t, "dental.yaml", "children:\n  dental:\n    kind: team\n    children:\n      base: {kind: model, memory: 16GiB, min_replicas: 1}\n      letters: {kind: adapter, base: base}\n")
 	s.run(exitOK, "tree", "validate", "-f", files)
 	s.run(exitOK, "tree", "apply", "--dry-run", "-f", files)
@@ -146,16 +150,18 @@
 	s.run(exitOK, "tree", "revert", "2")
 	s.run(exitConflict, "tree", "revert", "2")
 	s.run(exitOK, "tree", "apply", "--prune", "--dry-run", "-f", files)
-	s.check("edits", files, "DIRECTORY")
+	s.compareGolden("edits", files, "DIRECTORY")
 }
 
-func TestOperatorsMistakesHaveExitCodesByCause(t *testing.T) {
-	s := newTerminal(t)
-	wrong := writeFile(t, "wrong.yaml", "children:\n  dental:\n    kind: team\n    keep_alvie: 10m\n")
-	borrowed := writeFile(t, "borrowed.yaml", "children:\n  dental:\n    kind: team\n    children:\n      letters:\n        kind: adapter\n        base: nowhere\n")
-	s.run(exitInvalid, "tree", "validate", "-f", wrong)
-	s.run(exitInvalid, "tree", "apply", "-f", wrong)
-	s.run(exitInvalid, "tree", "apply", "-f", borrowed)
+// TestFailedCommandsExitWithCodeOfCause guards against a failed command whose exit code or
+// message does not tell its cause.
+func TestFailedCommandsExitWithCodeOfCause(t *testing.T) {
+	s := newCommandRecorder(t)
+	invalidFiles := writeFile(t, "wrong.yaml", "children:\n  dental:\n    kind: team\n    keep_alvie: 10m\n")
+	missingBaseFiles := writeFile(t, "borrowed.yaml", "children:\n  dental:\n    kind: team\n    children:\n      letters:\n        kind: adapter\n        base: nowhere\n")
+	s.run(exitInvalid, "tree", "validate", "-f", invalidFiles)
+	s.run(exitInvalid, "tree", "apply", "-f", invalidFiles)
+	s.run(exitInvalid, "tree", "apply", "-f", missingBaseFiles)
 	s.run(exitInvalid, "tree", "set", "/", "keep_alive=soon", "retries=3")
 	s.run(exitUsage, "tree", "set", "/", "keep_alive")
 	s.run(exitUsage, "tree", "apply")
@@ -165,12 +171,14 @@
 	s.run(exitDenied, "status", "--token", "guessed")
 	const nowhere = "127.0.0.1:1"
 	s.run(exitUnavailable, "status", "--url", "http://"+nowhere)
-	s.check("mistakes", wrong, "DIRECTORY", borrowed, "DIRECTORY", "http://"+nowhere, "GONE", nowhere, "GONE")
+	s.compareGolden("mistakes", invalidFiles, "DIRECTORY", missingBaseFiles, "DIRECTORY", "http://"+nowhere, "GONE", nowhere, "GONE")
 }
 
-func TestStatusShowsTheSystem(t *testing.T) {
-	s := newTerminal(t)
+// TestStatusPrintsStateOfSystem guards against unintended changes of the status command's
+// output, as tables and as JSON.
+func TestStatusPrintsStateOfSystem(t *testing.T) {
+	s := newCommandRecorder(t)
 	s.run(exitOK, "status")
 	s.run(exitOK, "status", "--json")
-	s.check("status")
+	s.compareGolden("status")
 }
--- a/cmd/valveslip/tree_token.go
+++ b/cmd/valveslip/tree_token.go
@@ -14,8 +14,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// treeTokenCommand makes, replaces or removes an access token. The tree keeps
-// its hash only; the secret is printed once.
+// treeTokenCommand returns the command that creates, replaces or removes an access token.
+// The tree stores only the hash of the token's secret, which is printed once.
 func treeTokenCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("tree token", out)
 	edit := addEditFlags(flags)
@@ -23,7 +23,7 @@
 	lifetime := flags.Duration("lifetime", 0, "how long the token holds, 0 for ever")
 	remove := flags.Bool("remove", false, "remove the token instead")
 	return operatorCommand("[flags] PATH NAME", "make, replace or remove an access token", flags, 2, 2, func(ctx context.Context, arguments []string) error {
-		client, stamp, err := o.beforeEdit(ctx)
+		client, stamp, err := o.beginEdit(ctx)
 		if err != nil {
 			return err
 		}
@@ -43,7 +43,8 @@
 	})
 }
 
-// newToken returns the stored form of a token.
+// newToken returns the stored form of a token. A lifetime of zero means that the token
+// does not expire.
 func newToken(name, secret string, role settings.Role, lifetime time.Duration) settings.AccessToken {
 	hash := sha256.Sum256([]byte(secret))
 	token := settings.AccessToken{Name: name, SHA256: hex.EncodeToString(hash[:]), Role: role}
--- a/cmd/valveslip/tree_validate.go
+++ b/cmd/valveslip/tree_validate.go
@@ -10,7 +10,8 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// treeValidateCommand checks files of a whole tree without a node.
+// treeValidateCommand returns the command that validates the files of a whole tree without
+// a node.
 func treeValidateCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("tree validate", out)
 	var paths listFlag
@@ -27,7 +28,7 @@
 		valid := struct {
 			Levels int `json:"levels"`
 		}{tree.Len()}
-		return o.show(valid, func(out io.Writer) error {
+		return o.printValue(valid, func(out io.Writer) error {
 			_, err := fmt.Fprintf(out, "valid: %d levels\n", valid.Levels)
 			return err
 		})
--- a/cmd/valveslip/version.go
+++ b/cmd/valveslip/version.go
@@ -6,8 +6,8 @@
 	"runtime/debug"
 )
 
-// versionText names the build: its version, the commit it was made from and the
-// Go version.
+// versionText returns the version of the program, the commit that it was built from and
+// the Go version.
 func versionText() string {
 	version, commit := "(devel)", "unknown"
 	if build, known := debug.ReadBuildInfo(); known {
--- a/cmd/valveslip/why.go
+++ b/cmd/valveslip/why.go
@@ -11,7 +11,8 @@
 	"github.com/valveslip/valveslip/cluster"
 )
 
-// whyCommand prints the reasons for decisions.
+// whyCommand returns the command that prints the reasons for placement and routing
+// decisions.
 func whyCommand(out io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name:        "why",
@@ -22,10 +23,11 @@
 	}
 }
 
+// whyModelCommand returns the command that prints why a model is or is not loaded.
 func whyModelCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("why model", out)
 	return operatorCommand("[flags] MODEL", "print why a model is or is not loaded", flags, 1, 1, func(ctx context.Context, arguments []string) error {
-		client, err := o.client(adminTimeout)
+		client, err := o.newClient(adminTimeout)
 		if err != nil {
 			return err
 		}
@@ -33,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		return o.show(reasons, func(out io.Writer) error {
+		return o.printValue(reasons, func(out io.Writer) error {
 			if _, err := fmt.Fprintf(out, "%s (%s)\n%s\n\n", reasons.Model, reasons.Path, reasons.Text); err != nil {
 				return err
 			}
@@ -42,10 +44,11 @@
 	})
 }
 
+// whyRequestCommand returns the command that prints where a request was dispatched and why.
 func whyRequestCommand(out io.Writer) *ffcli.Command {
 	flags, o := operatorFlags("why request", out)
 	return operatorCommand("[flags] ID", "print where a request went and why", flags, 1, 1, func(ctx context.Context, arguments []string) error {
-		client, err := o.client(adminTimeout)
+		client, err := o.newClient(adminTimeout)
 		if err != nil {
 			return err
 		}
@@ -53,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		return o.show(reasons, func(out io.Writer) error {
+		return o.printValue(reasons, func(out io.Writer) error {
 			_, err := fmt.Fprintf(out, "request %s for %s, accepted by %s at %s\n%s\n",
 				reasons.ID, reasons.Model, reasons.Node, timeText(reasons.Arrived), reasons.Text)
 			return err
