--- a/soak/plan/doc.go
+++ b/soak/plan/doc.go
@@ -1,4 +1,5 @@
-// Package plan holds schedules of faults: what is injected, when and into what.
-// A schedule follows from a seed alone; it can be written, read, cut short and
-// shrunk. Nothing here acts.
+// Package plan generates and stores fault schedules: which fault is injected, when
+// and into which process, link or worker. A schedule is a pure function of its seed
+// and the size of the deployment. It can be encoded, parsed, truncated and shrunk.
+// The package injects no faults itself.
 package plan
--- a/soak/plan/draw.go
+++ b/soak/plan/draw.go
@@ -6,64 +6,67 @@
 	"time"
 )
 
-// How faults are drawn.
+// Parameters of the random fault generation.
 const (
-	// meanGap is the mean time between two draws.
-	meanGap = 1100 * time.Millisecond
-	// firstAt lets requests run before the first fault.
-	firstAt = time.Second
-	// longest bounds how long a fault lasts, shortest is its least length.
-	longest  = 4 * time.Second
-	shortest = 200 * time.Millisecond
-	// longShare of the faults last up to longLasting, but end as early as others.
-	longShare   = 0.1
-	longLasting = 10 * time.Second
-	// longestDelay bounds what delays add.
-	longestDelay = 900 * time.Millisecond
-	// seriesShare of the draws make a series of up to seriesLength faults of one
-	// kind, spaced by up to seriesGap, so that they overlap or follow each other.
-	seriesShare  = 0.25
-	seriesLength = 4
-	seriesGap    = 1200 * time.Millisecond
-	// allShare of the faults strike all targets, severalShare more than one.
-	allShare     = 0.12
-	severalShare = 0.25
-	// unfencedShare of the seeds run workers that don't check fences.
+	// meanFaultGap is the mean time between two draws of a fault or series.
+	meanFaultGap = 1100 * time.Millisecond
+	// firstFaultAt leaves time for requests to run before the first fault.
+	firstFaultAt = time.Second
+	// maxFaultLength and minFaultLength bound how long an ordinary fault lasts.
+	maxFaultLength = 4 * time.Second
+	minFaultLength = 200 * time.Millisecond
+	// longFaultShare is the share of faults that last up to maxLongFaultLength. They
+	// end no later after the span than ordinary faults do.
+	longFaultShare     = 0.1
+	maxLongFaultLength = 10 * time.Second
+	// maxDelay bounds the delay that a fault adds.
+	maxDelay = 900 * time.Millisecond
+	// seriesShare is the share of draws that yield a series of up to maxSeriesLength
+	// faults of one kind, at most maxSeriesGap apart, so that they overlap or follow
+	// each other closely.
+	seriesShare     = 0.25
+	maxSeriesLength = 4
+	maxSeriesGap    = 1200 * time.Millisecond
+	// allTargetsShare of the faults apply to all targets, severalTargetsShare to more than
+	// one but not all.
+	allTargetsShare     = 0.12
+	severalTargetsShare = 0.25
+	// unfencedShare is the share of seeds whose workers don't check fencing tokens.
 	unfencedShare = 0.25
 )
 
-// Size is what a schedule is drawn for.
+// Size describes the run that a schedule is drawn for.
 type Size struct {
 	Nodes, Workers int
 	Span           time.Duration
-	// Upgrades is set for a run that begins with an earlier build.
+	// Upgrades is set for a run whose nodes start with an earlier build.
 	Upgrades bool
 }
 
-// drawer draws one schedule.
-type drawer struct {
-	random *rand.Rand
-	size   Size
-	total  int
+// generator draws the faults of one schedule.
+type generator struct {
+	random      *rand.Rand
+	size        Size
+	totalWeight int
 }
 
 // Draw returns the schedule of a seed. Equal seeds and sizes give equal schedules.
 func Draw(seed uint64, size Size) Schedule {
-	d := &drawer{random: rand.New(rand.NewPCG(seed, seed)), size: size}
+	d := &generator{random: rand.New(rand.NewPCG(seed, seed)), size: size}
 	for _, known := range kinds {
-		d.total += known.weight
+		d.totalWeight += known.weight
 	}
 	schedule := Schedule{
 		Seed: seed, Nodes: size.Nodes, Workers: size.Workers, Span: size.Span,
 		Fencing: d.random.Float64() >= unfencedShare,
 	}
-	for at := firstAt; at < size.Span; at += d.gap(meanGap) {
-		schedule.Faults = append(schedule.Faults, d.series(at)...)
+	for at := firstFaultAt; at < size.Span; at += d.exponentialGap(meanFaultGap) {
+		schedule.Faults = append(schedule.Faults, d.drawSeries(at)...)
 	}
-	schedule.Faults = append(schedule.Faults, drawLater(seed, size)...)
+	schedule.Faults = append(schedule.Faults, drawBursts(seed, size)...)
 	if !size.Upgrades {
-		// Earlier builds don't tell the starts of one worker from each other, nor read what
-		// workers say of themselves.
+		// Earlier builds don't distinguish successive starts of one worker and ignore the
+		// limits, leave announcements and back-off requests in workers' answers.
 		schedule.Faults = append(schedule.Faults, drawRestarts(seed, size)...)
 		schedule.Faults = append(schedule.Faults, drawLimits(seed, size)...)
 		schedule.Faults = append(schedule.Faults, drawLeaves(seed, size)...)
@@ -74,108 +77,112 @@
 	}
 	schedule.Faults = slices.DeleteFunc(schedule.Faults, func(f Fault) bool { return f.At >= size.Span })
 	slices.SortStableFunc(schedule.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-	spareStops(schedule.Faults)
+	protectStops(schedule.Faults)
 	schedule.Faults = slices.DeleteFunc(schedule.Faults, func(f Fault) bool { return f.Targets != nil && len(f.Targets) == 0 })
 	return schedule
 }
 
-// How faults of the later kinds are drawn.
+// Parameters of the caller bursts.
 const (
-	// laterGap is the mean time between two of them.
-	laterGap = 8 * time.Second
-	// leastRate and mostRate bound the calls a second of a burst: four to thirty times what
-	// callers send to a node else.
-	leastRate = 50
-	mostRate  = 360
+	// meanBurstGap is the mean time between two bursts.
+	meanBurstGap = 8 * time.Second
+	// minBurstRate and maxBurstRate bound the rate of a burst in calls per second, which is
+	// four to thirty times what callers otherwise send to a node.
+	minBurstRate = 50
+	maxBurstRate = 360
 )
 
-// drawBeside draws faults of one kind, one after the other in a mean time of gap, and changes each.
-func drawBeside(source rand.Source, size Size, kind Kind, gap time.Duration, change func(d *drawer, f *Fault)) []Fault {
-	d := &drawer{random: rand.New(source), size: size}
+// drawIndependent draws faults of one kind with a mean time of gap between two, and applies
+// change to each. It uses a random source of its own, so the other faults of the seed stay
+// the same.
+func drawIndependent(source rand.Source, size Size, kind Kind, gap time.Duration, change func(d *generator, f *Fault)) []Fault {
+	d := &generator{random: rand.New(source), size: size}
 	var faults []Fault
-	for at := firstAt; at < size.Span; at += d.gap(gap) {
-		fault := d.fault(kind, at)
+	for at := firstFaultAt; at < size.Span; at += d.exponentialGap(gap) {
+		fault := d.drawFault(kind, at)
 		change(d, &fault)
 		faults = append(faults, fault)
 	}
 	return faults
 }
 
-// drawLater draws the faults of the later kinds.
-func drawLater(seed uint64, size Size) []Fault {
-	return drawBeside(rand.NewPCG(seed, ^seed), size, CallerBurst, laterGap, func(d *drawer, f *Fault) {
-		f.Rate = leastRate + d.random.IntN(mostRate-leastRate)
+// drawBursts draws caller bursts.
+func drawBursts(seed uint64, size Size) []Fault {
+	return drawIndependent(rand.NewPCG(seed, ^seed), size, CallerBurst, meanBurstGap, func(d *generator, f *Fault) {
+		f.Rate = minBurstRate + d.random.IntN(maxBurstRate-minBurstRate)
 	})
 }
 
-// restartGap is the mean time between two restarts of workers, shortestAway and longestAway
-// bound for how long they are away: from before their entry lapses until after it.
+// Parameters of the worker restarts: meanRestartGap is the mean time between two, minRestartDowntime
+// and maxRestartDowntime bound the downtime. The range covers workers that return before their
+// store entry expires and workers that return after it.
 const (
-	restartGap   = 6 * time.Second
-	shortestAway = 200 * time.Millisecond
-	longestAway  = 5 * time.Second
+	meanRestartGap     = 6 * time.Second
+	minRestartDowntime = 200 * time.Millisecond
+	maxRestartDowntime = 5 * time.Second
 )
 
-// drawRestarts draws workers that start again under their ids.
+// drawRestarts draws restarts of workers that keep their ids.
 func drawRestarts(seed uint64, size Size) []Fault {
-	return drawBeside(rand.NewPCG(^seed, seed), size, WorkerRestart, restartGap, func(d *drawer, f *Fault) {
-		f.For = d.between(shortestAway, longestAway)
+	return drawIndependent(rand.NewPCG(^seed, seed), size, WorkerRestart, meanRestartGap, func(d *generator, f *Fault) {
+		f.For = d.uniformDuration(minRestartDowntime, maxRestartDowntime)
 	})
 }
 
-// How limits are drawn: limitGap is the mean time between two, shortestLimit and longestLimit
-// bound how long a worker names one, which is long enough to be judged, and mostLimit is the
-// greatest, in requests a second.
+// Parameters of the rate limits that workers announce: meanLimitGap is the mean time between two,
+// minLimitLength and maxLimitLength bound how long a worker announces one, which is long enough
+// to check that it is kept, and maxLimitRate is the highest limit in requests per second.
 const (
-	limitGap      = 9 * time.Second
-	shortestLimit = 8 * time.Second
-	longestLimit  = 16 * time.Second
-	mostLimit     = 3
+	meanLimitGap   = 9 * time.Second
+	minLimitLength = 8 * time.Second
+	maxLimitLength = 16 * time.Second
+	maxLimitRate   = 3
 )
 
-// drawLimits draws workers that name a limit.
+// drawLimits draws faults in which a worker announces a rate limit.
 func drawLimits(seed uint64, size Size) []Fault {
-	return drawBeside(rand.NewPCG(^seed, ^seed), size, WorkerLimit, limitGap, func(d *drawer, f *Fault) {
-		f.For, f.Rate = d.between(shortestLimit, longestLimit), 1+d.random.IntN(mostLimit)
+	return drawIndependent(rand.NewPCG(^seed, ^seed), size, WorkerLimit, meanLimitGap, func(d *generator, f *Fault) {
+		f.For, f.Rate = d.uniformDuration(minLimitLength, maxLimitLength), 1+d.random.IntN(maxLimitRate)
 	})
 }
 
-// How leaves are drawn that the entry tells late: leaveGap is the mean time between two,
-// shortestLeave and longestLeave bound by how much.
+// Parameters of the announced leaves: meanLeaveGap is the mean time between two, minLeaveLead and
+// maxLeaveLead bound how long a worker's answers announce the leave before its store entry does.
 const (
-	leaveGap      = 12 * time.Second
-	shortestLeave = 5 * time.Second
-	longestLeave  = 9 * time.Second
+	meanLeaveGap = 12 * time.Second
+	minLeaveLead = 5 * time.Second
+	maxLeaveLead = 9 * time.Second
 )
 
-// drawLeaves draws workers whose answers say that they leave long before their entries do.
+// drawLeaves draws workers whose answers announce that they leave long before their store entries do.
 func drawLeaves(seed uint64, size Size) []Fault {
-	return drawBeside(rand.NewPCG(seed, 1), size, WorkerLeave, leaveGap, func(d *drawer, f *Fault) {
-		f.Targets, f.For = f.Targets[:1], d.between(shortestLeave, longestLeave)
+	return drawIndependent(rand.NewPCG(seed, 1), size, WorkerLeave, meanLeaveGap, func(d *generator, f *Fault) {
+		f.Targets, f.For = f.Targets[:1], d.uniformDuration(minLeaveLead, maxLeaveLead)
 	})
 }
 
-// How workers are drawn that turn requests away: shedGap is the mean time between two, shortestRest
-// and longestRest bound the rest that they ask for.
+// Parameters of the load shedding by workers: meanShedGap is the mean time between two faults,
+// minShedBackoff and maxShedBackoff bound the back-off that the worker asks for.
 const (
-	shedGap      = 10 * time.Second
-	shortestRest = 1500 * time.Millisecond
-	longestRest  = 4 * time.Second
+	meanShedGap    = 10 * time.Second
+	minShedBackoff = 1500 * time.Millisecond
+	maxShedBackoff = 4 * time.Second
 )
 
-// drawSheds draws workers that turn all requests away and ask for rest.
+// drawSheds draws workers that reject all requests and ask for a back-off.
 func drawSheds(seed uint64, size Size) []Fault {
-	return drawBeside(rand.NewPCG(seed, 2), size, WorkerShed, shedGap, func(d *drawer, f *Fault) {
-		f.Delay = d.between(shortestRest, longestRest)
+	return drawIndependent(rand.NewPCG(seed, 2), size, WorkerShed, meanShedGap, func(d *generator, f *Fault) {
+		f.Delay = d.uniformDuration(minShedBackoff, maxShedBackoff)
 	})
 }
 
-// stopTime is how long a planned stop may take, with what is given beyond its grace time.
-const stopTime = 11 * time.Second
+// maxStopDuration is the longest that a planned stop may take: its grace period and the allowed
+// overrun.
+const maxStopDuration = 11 * time.Second
 
-// spareStops lets every second planned stop end: its processes are not killed or paused
-// until then, else hardly any stop could be judged.
-func spareStops(faults []Fault) {
+// protectStops removes kills and pauses that would interrupt every second planned stop, from
+// the first on. Otherwise hardly any stop would complete and could be checked.
+func protectStops(faults []Fault) {
 	stops := 0
 	for i := range faults {
 		if faults[i].Kind != ProcessStop {
@@ -187,46 +194,46 @@
 		for j := range faults {
 			other := &faults[j]
 			disturbs := other.Kind == ProcessKill || other.Kind == ProcessPause
-			if disturbs && other.End() >= faults[i].At && other.At <= faults[i].At+stopTime {
-				other.Targets = spared(other.Targets, faults[i].Targets)
+			if disturbs && other.End() >= faults[i].At && other.At <= faults[i].At+maxStopDuration {
+				other.Targets = excludeTargets(other.Targets, faults[i].Targets)
 			}
 		}
 	}
 }
 
-// spared returns the targets that are not among others.
-func spared(targets, others []int) []int {
+// excludeTargets returns the targets that are not in others.
+func excludeTargets(targets, others []int) []int {
 	return slices.DeleteFunc(slices.Clone(targets), func(target int) bool { return slices.Contains(others, target) })
 }
 
-// gap draws an exponential pause, in whole milliseconds.
-func (d *drawer) gap(mean time.Duration) time.Duration {
+// exponentialGap draws an exponentially distributed duration in whole milliseconds.
+func (d *generator) exponentialGap(mean time.Duration) time.Duration {
 	return time.Duration(d.random.ExpFloat64() * float64(mean)).Truncate(time.Millisecond)
 }
 
-// between draws an even time, in whole milliseconds.
-func (d *drawer) between(least, most time.Duration) time.Duration {
+// uniformDuration draws a uniformly distributed duration in whole milliseconds.
+func (d *generator) uniformDuration(least, most time.Duration) time.Duration {
 	return (least + time.Duration(d.random.Float64()*float64(most-least))).Truncate(time.Millisecond)
 }
 
-// series draws one fault or several of the same kind.
-func (d *drawer) series(at time.Duration) []Fault {
-	kind := d.kind()
+// drawSeries draws one fault, or several of the same kind, starting at the given time.
+func (d *generator) drawSeries(at time.Duration) []Fault {
+	kind := d.drawKind()
 	count := 1
 	if d.random.Float64() < seriesShare {
-		count += 1 + d.random.IntN(seriesLength-1)
+		count += 1 + d.random.IntN(maxSeriesLength-1)
 	}
 	faults := make([]Fault, 0, count)
 	for range count {
-		faults = append(faults, d.fault(kind, at))
-		at += d.between(0, seriesGap)
+		faults = append(faults, d.drawFault(kind, at))
+		at += d.uniformDuration(0, maxSeriesGap)
 	}
 	return faults
 }
 
-// kind draws a kind by weight.
-func (d *drawer) kind() Kind {
-	n := d.random.IntN(d.total)
+// drawKind draws a kind with a probability proportional to its weight.
+func (d *generator) drawKind() Kind {
+	n := d.random.IntN(d.totalWeight)
 	for _, known := range kinds {
 		if n -= known.weight; n < 0 {
 			return known.Kind
@@ -235,12 +242,12 @@
 	return LinkReset
 }
 
-// fault draws the rest of a fault.
-func (d *drawer) fault(kind Kind, at time.Duration) Fault {
+// drawFault draws the duration, link, targets and delay of a fault of the given kind.
+func (d *generator) drawFault(kind Kind, at time.Duration) Fault {
 	fault := Fault{At: at, Kind: kind}
-	known, _ := describe(kind)
-	if known.lasts {
-		fault.For = d.length(at)
+	known, _ := lookUpKind(kind)
+	if known.hasDuration {
+		fault.For = d.faultLength(at)
 	}
 	switch known.class {
 	case onLink:
@@ -249,32 +256,32 @@
 		if fault.Link == LinkWorker {
 			count = d.size.Workers
 		}
-		fault.Targets = d.targets(count)
+		fault.Targets = d.drawTargets(count)
 	case onNodes:
-		fault.Targets = d.targets(d.size.Nodes)
+		fault.Targets = d.drawTargets(d.size.Nodes)
 	case onWorkers:
-		fault.Targets = d.targets(d.size.Workers)
+		fault.Targets = d.drawTargets(d.size.Workers)
 	}
 	if kind == LinkDelay || kind == StoreSlow || kind == WorkerLateOrders {
-		fault.Delay = d.between(shortest/10, longestDelay)
+		fault.Delay = d.uniformDuration(minFaultLength/10, maxDelay)
 	}
 	return fault
 }
 
-// length draws how long a fault lasts.
-func (d *drawer) length(at time.Duration) time.Duration {
-	if d.random.Float64() >= longShare {
-		return d.between(shortest, longest)
+// faultLength draws how long a fault that begins at the given time lasts.
+func (d *generator) faultLength(at time.Duration) time.Duration {
+	if d.random.Float64() >= longFaultShare {
+		return d.uniformDuration(minFaultLength, maxFaultLength)
 	}
-	return min(d.between(longest, longLasting), max(d.size.Span-at, 0)+longest)
+	return min(d.uniformDuration(maxFaultLength, maxLongFaultLength), max(d.size.Span-at, 0)+maxFaultLength)
 }
 
-// targets draws one, several or all of count.
-func (d *drawer) targets(count int) []int {
+// drawTargets draws one, several or all of count targets, in ascending order.
+func (d *generator) drawTargets(count int) []int {
 	chosen := d.random.Perm(count)
 	switch draw := d.random.Float64(); {
-	case draw < allShare:
-	case draw < allShare+severalShare && count > 2:
+	case draw < allTargetsShare:
+	case draw < allTargetsShare+severalTargetsShare && count > 2:
 		chosen = chosen[:2+d.random.IntN(count-2)]
 	default:
 		chosen = chosen[:1]
--- a/soak/plan/kind.go
+++ b/soak/plan/kind.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// Kind names a fault.
+// Kind names a kind of fault.
 type Kind string
 
 // The kinds of faults on links.
 const (
-	// LinkDelay holds every piece of data back for Delay.
+	// LinkDelay delays all data by Fault.Delay.
 	LinkDelay Kind = "link-delay"
 	// LinkReset resets the open connections.
 	LinkReset Kind = "link-reset"
-	// LinkCutRequests and LinkCutAnswers hold one direction until the fault ends.
+	// LinkCutRequests and LinkCutAnswers hold back the data of one direction until the
+	// fault ends.
 	LinkCutRequests Kind = "link-cut-requests"
 	LinkCutAnswers  Kind = "link-cut-answers"
-	// LinkSilence has the open connections go silent for good; new ones work.
+	// LinkSilence makes the open connections silent permanently; new connections work.
 	LinkSilence Kind = "link-silence"
-	// LinkThrottle lets few bytes a second pass.
+	// LinkThrottle limits the link to a few bytes per second.
 	LinkThrottle Kind = "link-throttle"
 	// LinkRefuse closes the listener and resets the open connections.
 	LinkRefuse Kind = "link-refuse"
@@ -30,16 +31,16 @@
 	ProcessHangUp Kind = "process-hang-up"
 )
 
-// The kinds that replace programs where a run has an earlier build: ProcessUpgrade stops a node
-// as planned and starts the present build in its place, ProcessRollBack the earlier one. Stops
-// and kills bring the present build as well.
+// The kinds that replace the program of a node in a run with an earlier build. ProcessUpgrade
+// performs a planned stop and starts the current build in its place; ProcessRollBack starts the
+// earlier one. A node that is restarted after a stop or kill also gets the current build.
 const (
 	ProcessUpgrade  Kind = "process-upgrade"
 	ProcessRollBack Kind = "process-roll-back"
 )
 
-// CallerBurst has many more callers come to a node for a while. It puts nothing out of order:
-// what is promised holds meanwhile.
+// CallerBurst sends many more calls than usual to a node for a while. It breaks nothing, so all
+// promises must hold during the burst.
 const CallerBurst Kind = "caller-burst"
 
 // The kinds of faults of the store.
@@ -69,20 +70,22 @@
 	WorkerFail       Kind = "worker-fail"
 	WorkerDrain      Kind = "worker-drain"
 	WorkerLateOrders Kind = "worker-late-orders"
-	// WorkerRestart ends a worker, which comes back under its id and remembers nothing.
+	// WorkerRestart ends a worker, which starts again under the same id without its state.
 	WorkerRestart Kind = "worker-restart"
-	// WorkerLeave has a worker say in its answers alone that it leaves, and in its entry later.
+	// WorkerLeave makes a worker announce in its answers that it leaves, and only later in its
+	// store entry.
 	WorkerLeave Kind = "worker-leave"
-	// WorkerShed has a worker turn all requests away and ask for Delay of rest.
+	// WorkerShed makes a worker reject all requests and ask for a back-off of Fault.Delay.
 	WorkerShed Kind = "worker-shed"
-	// WorkerLimit has a worker name a limit of Rate requests a second in its answers.
+	// WorkerLimit makes a worker announce a limit of Fault.Rate requests per second in its
+	// answers.
 	WorkerLimit Kind = "worker-limit"
 )
 
-// Link names the connections that a fault strikes.
+// Link names the group of connections that a fault affects.
 type Link string
 
-// The links. Those to workers are struck by worker, all others by node.
+// The links. Targets of a fault on LinkWorker are workers; on all other links they are nodes.
 const (
 	LinkCaller Link = "caller"
 	LinkStore  Link = "store"
@@ -90,94 +93,95 @@
 	LinkWorker Link = "worker"
 )
 
-// class says what a kind's targets are and how long it lasts.
-type class uint8
+// targetClass says what the faults of a kind apply to.
+type targetClass uint8
 
 const (
-	onLink class = iota
+	onLink targetClass = iota
 	onNodes
 	onStore
 	onConfiguration
 	onWorkers
 )
 
-// kindOf describes one kind of fault.
-type kindOf struct {
-	class class
-	// weight is how often the kind is drawn.
+// kindProperties describes how faults of one kind are drawn.
+type kindProperties struct {
+	class targetClass
+	// weight is the relative frequency of the kind among weighted draws.
 	weight int
-	// lasts is set where a fault has a length.
-	lasts bool
+	// hasDuration is set for faults with a duration.
+	hasDuration bool
 }
 
-// kinds are all kinds in the order in which they are drawn.
+// kinds are the kinds that are drawn by weight. Their order and weights determine the
+// schedule of a seed.
 var kinds = []struct {
 	Kind
-	kindOf
+	kindProperties
 }{
-	{LinkDelay, kindOf{onLink, 3, true}},
-	{LinkReset, kindOf{onLink, 4, false}},
-	{LinkCutRequests, kindOf{onLink, 3, true}},
-	{LinkCutAnswers, kindOf{onLink, 3, true}},
-	{LinkSilence, kindOf{onLink, 8, false}},
-	{LinkThrottle, kindOf{onLink, 2, true}},
-	{LinkRefuse, kindOf{onLink, 3, true}},
-	{ProcessStop, kindOf{onNodes, 11, true}},
-	{ProcessKill, kindOf{onNodes, 5, true}},
-	{ProcessPause, kindOf{onNodes, 6, true}},
-	{ProcessHangUp, kindOf{onNodes, 4, false}},
-	{StoreSlow, kindOf{onStore, 2, true}},
-	{StoreDown, kindOf{onStore, 2, true}},
-	{StoreRefuse, kindOf{onStore, 1, true}},
-	{StoreLose, kindOf{onStore, 2, true}},
-	{StoreSilence, kindOf{onStore, 2, true}},
-	{StoreForget, kindOf{onStore, 3, false}},
-	{RouteAdd, kindOf{onConfiguration, 4, false}},
-	{RouteRemove, kindOf{onConfiguration, 4, false}},
-	{RouteMove, kindOf{onConfiguration, 4, false}},
-	{WorkerCrash, kindOf{onWorkers, 4, true}},
-	{WorkerHang, kindOf{onWorkers, 2, true}},
-	{WorkerCut, kindOf{onWorkers, 2, true}},
-	{WorkerCross, kindOf{onWorkers, 2, true}},
-	{WorkerReject, kindOf{onWorkers, 2, true}},
-	{WorkerFail, kindOf{onWorkers, 1, true}},
-	{WorkerDrain, kindOf{onWorkers, 4, true}},
-	{WorkerLateOrders, kindOf{onWorkers, 3, true}},
+	{LinkDelay, kindProperties{onLink, 3, true}},
+	{LinkReset, kindProperties{onLink, 4, false}},
+	{LinkCutRequests, kindProperties{onLink, 3, true}},
+	{LinkCutAnswers, kindProperties{onLink, 3, true}},
+	{LinkSilence, kindProperties{onLink, 8, false}},
+	{LinkThrottle, kindProperties{onLink, 2, true}},
+	{LinkRefuse, kindProperties{onLink, 3, true}},
+	{ProcessStop, kindProperties{onNodes, 11, true}},
+	{ProcessKill, kindProperties{onNodes, 5, true}},
+	{ProcessPause, kindProperties{onNodes, 6, true}},
+	{ProcessHangUp, kindProperties{onNodes, 4, false}},
+	{StoreSlow, kindProperties{onStore, 2, true}},
+	{StoreDown, kindProperties{onStore, 2, true}},
+	{StoreRefuse, kindProperties{onStore, 1, true}},
+	{StoreLose, kindProperties{onStore, 2, true}},
+	{StoreSilence, kindProperties{onStore, 2, true}},
+	{StoreForget, kindProperties{onStore, 3, false}},
+	{RouteAdd, kindProperties{onConfiguration, 4, false}},
+	{RouteRemove, kindProperties{onConfiguration, 4, false}},
+	{RouteMove, kindProperties{onConfiguration, 4, false}},
+	{WorkerCrash, kindProperties{onWorkers, 4, true}},
+	{WorkerHang, kindProperties{onWorkers, 2, true}},
+	{WorkerCut, kindProperties{onWorkers, 2, true}},
+	{WorkerCross, kindProperties{onWorkers, 2, true}},
+	{WorkerReject, kindProperties{onWorkers, 2, true}},
+	{WorkerFail, kindProperties{onWorkers, 1, true}},
+	{WorkerDrain, kindProperties{onWorkers, 4, true}},
+	{WorkerLateOrders, kindProperties{onWorkers, 3, true}},
 }
 
-// laterKinds are drawn beside the others, by draws of their own: the seeds' other faults stay
-// what they were.
-var laterKinds = []struct {
+// independentKinds are drawn from random sources of their own, so that the other faults of
+// a seed don't change.
+var independentKinds = []struct {
 	Kind
-	kindOf
+	kindProperties
 }{
-	{CallerBurst, kindOf{onNodes, 1, true}},
-	{ProcessUpgrade, kindOf{onNodes, 0, true}},
-	{ProcessRollBack, kindOf{onNodes, 0, true}},
-	{WorkerRestart, kindOf{onWorkers, 0, true}},
-	{WorkerLimit, kindOf{onWorkers, 0, true}},
-	{WorkerLeave, kindOf{onWorkers, 0, true}},
-	{WorkerShed, kindOf{onWorkers, 0, true}},
+	{CallerBurst, kindProperties{onNodes, 1, true}},
+	{ProcessUpgrade, kindProperties{onNodes, 0, true}},
+	{ProcessRollBack, kindProperties{onNodes, 0, true}},
+	{WorkerRestart, kindProperties{onWorkers, 0, true}},
+	{WorkerLimit, kindProperties{onWorkers, 0, true}},
+	{WorkerLeave, kindProperties{onWorkers, 0, true}},
+	{WorkerShed, kindProperties{onWorkers, 0, true}},
 }
 
-// describe returns what is known of a kind.
-func describe(kind Kind) (kindOf, bool) {
-	for _, known := range slices.Concat(kinds, laterKinds) {
+// lookUpKind returns the properties of a kind, and false for an unknown one.
+func lookUpKind(kind Kind) (kindProperties, bool) {
+	for _, known := range slices.Concat(kinds, independentKinds) {
 		if known.Kind == kind {
-			return known.kindOf, true
+			return known.kindProperties, true
 		}
 	}
-	return kindOf{}, false
+	return kindProperties{}, false
 }
 
 // Kinds lists all kinds of faults.
 func Kinds() []Kind {
-	names := make([]Kind, 0, len(kinds)+len(laterKinds))
-	for _, known := range slices.Concat(kinds, laterKinds) {
+	names := make([]Kind, 0, len(kinds)+len(independentKinds))
+	for _, known := range slices.Concat(kinds, independentKinds) {
 		names = append(names, known.Kind)
 	}
 	return names
 }
 
-// links are the links that faults strike.
+// links are the links that faults can affect.
 var links = []Link{LinkCaller, LinkStore, LinkPeer, LinkWorker}
--- a/soak/plan/plan_test.go
+++ b/soak/plan/plan_test.go
@@ -11,13 +11,15 @@
 
 var testSize = Size{Nodes: 4, Workers: 5, Span: 20 * time.Second}
 
-// TestSeedRepeats: a seed draws one schedule, which survives its text.
-func TestSeedRepeats(t *testing.T) {
+// TestDrawIsDeterministicAndSurvivesEncoding guards against
+// schedules that can't be reproduced: a seed must always give the same schedule, and
+// encoding and parsing must preserve it.
+func TestDrawIsDeterministicAndSurvivesEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		schedule := Draw(seed, testSize)
 		if again := Draw(seed, testSize); !reflect.DeepEqual(schedule, again) {
-			t.Fatal("a seed drew two schedules")
+			t.Fatal("two draws of one seed differ")
 		}
 		text, err := schedule.Encode()
 		if err != nil {
@@ -28,13 +30,14 @@
 			t.Fatalf("%v in\n%s", err, text)
 		}
 		if !reflect.DeepEqual(schedule.Faults, read.Faults) || schedule.Span != read.Span || schedule.Fencing != read.Fencing {
-			t.Fatalf("the text reads otherwise:\n%s", text)
+			t.Fatalf("the parsed schedule differs from the encoded one:\n%s", text)
 		}
 	})
 }
 
-// TestAllKindsAreDrawn within a few hundred seeds, also on all targets at once.
-func TestAllKindsAreDrawn(t *testing.T) {
+// TestDrawCoversAllKindsAndAllTargets guards against kinds that are listed but never
+// drawn: 200 seeds must draw every kind, and some fault on all targets at once.
+func TestDrawCoversAllKindsAndAllTargets(t *testing.T) {
 	drawn := map[Kind]bool{}
 	all := 0
 	for seed := range uint64(200) {
@@ -53,12 +56,13 @@
 		}
 	}
 	if all == 0 {
-		t.Error("no fault strikes all targets")
+		t.Error("no fault applies to all targets")
 	}
 }
 
-// TestUnknownIsRefused: kinds, links and targets that don't exist.
-func TestUnknownIsRefused(t *testing.T) {
+// TestParseRejectsUnknownKindsLinksAndTargets guards against schedule
+// files whose mistakes would go unnoticed because a fault is never injected.
+func TestParseRejectsUnknownKindsLinksAndTargets(t *testing.T) {
 	for _, text := range []string{
 		"nodes: 2\nworkers: 2\nspan: 5s\nfaults: [{at: 1s, kind: flood}]",
 		"nodes: 2\nworkers: 2\nspan: 5s\nfaults: [{at: 1s, kind: link-reset, link: moon}]",
@@ -66,26 +70,27 @@
 		"nodes: 0\nworkers: 2\nspan: 5s",
 	} {
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("taken:\n%s", text)
+			t.Errorf("Parse accepted an invalid schedule:\n%s", text)
 		}
 	}
 }
 
-// TestUntilCutsShort: faults from the time on are left out.
-func TestUntilCutsShort(t *testing.T) {
+// TestUntilDropsLaterFaults checks that faults at or after the new end are removed.
+func TestUntilDropsLaterFaults(t *testing.T) {
 	cut := Draw(7, testSize).Until(9 * time.Second)
 	if len(cut.Faults) == 0 || cut.Span != 9*time.Second {
-		t.Fatalf("%d faults in %s", len(cut.Faults), cut.Span)
+		t.Fatalf("%d faults in a span of %s", len(cut.Faults), cut.Span)
 	}
 	for _, fault := range cut.Faults {
 		if fault.At >= cut.Span {
-			t.Errorf("%+v stayed", fault)
+			t.Errorf("%+v was kept although it begins after the end", fault)
 		}
 	}
 }
 
-// TestShrinkFindsThePair: of a schedule that fails when two faults meet these stay.
-func TestShrinkFindsThePair(t *testing.T) {
+// TestShrinkKeepsOnlyTheFailingPair checks that exactly two faults remain of a schedule
+// that fails only while it has both.
+func TestShrinkKeepsOnlyTheFailingPair(t *testing.T) {
 	schedule := Draw(3, testSize)
 	if len(schedule.Faults) < 8 {
 		t.Fatalf("only %d faults", len(schedule.Faults))
@@ -100,9 +105,10 @@
 	}
 }
 
-// TestShrinkNeedsAFailure: a schedule that does not fail is not taken for small.
-func TestShrinkNeedsAFailure(t *testing.T) {
+// TestShrinkRejectsPassingSchedule checks that a schedule that does not fail is reported
+// as an error and not returned as the smallest failing one.
+func TestShrinkRejectsPassingSchedule(t *testing.T) {
 	if _, err := Shrink(Draw(3, testSize), 200, func(Schedule) (bool, error) { return false, nil }); err == nil {
-		t.Error("shrunk")
+		t.Error("Shrink returned no error for a schedule that passes")
 	}
 }
--- a/soak/plan/shrink.go
+++ b/soak/plan/shrink.go
@@ -6,9 +6,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// Shrink drops faults from a schedule while it still fails, first many at once,
-// then fewer, and stops after so many trials. It returns the smallest schedule
-// that failed; one that does not fail as it is can't be shrunk.
+// Shrink removes faults from a schedule while it still fails: first in large blocks,
+// then in smaller ones. It stops after the given number of trials and returns the
+// smallest schedule that failed. It returns an error if the full schedule passes.
 func Shrink(schedule Schedule, trials int, fails func(Schedule) (bool, error)) (Schedule, error) {
 	failed, err := fails(schedule)
 	if err != nil {
@@ -21,7 +21,7 @@
 	for trials > 0 && len(schedule.Faults) > 0 {
 		dropped := false
 		for from := 0; from < len(schedule.Faults) && trials > 0; trials-- {
-			smaller := without(schedule, from, size)
+			smaller := withoutFaults(schedule, from, size)
 			failed, err := fails(smaller)
 			if err != nil {
 				return schedule, err
@@ -40,8 +40,8 @@
 	return schedule, nil
 }
 
-// without returns the schedule without size faults from one on.
-func without(schedule Schedule, from, size int) Schedule {
+// withoutFaults returns the schedule without size faults, starting at index from.
+func withoutFaults(schedule Schedule, from, size int) Schedule {
 	to := min(from+size, len(schedule.Faults))
 	schedule.Faults = slices.Delete(slices.Clone(schedule.Faults), from, to)
 	return schedule
--- a/soak/plan/upgrade.go
+++ b/soak/plan/upgrade.go
@@ -6,22 +6,26 @@
 	"time"
 )
 
-// How upgrades are drawn.
+// Parameters of the upgrades.
 const (
-	// halfShare of the runs with an earlier build have half of the nodes stay with it.
-	halfShare = 0.3
-	// rollBackShare of the others take the upgrade back in the middle, for some of the nodes.
+	// partialUpgradeShare is the share of runs with an earlier build in which half of the
+	// nodes keep that build.
+	partialUpgradeShare = 0.3
+	// rollBackShare is the share of the other runs in which some nodes return to the
+	// earlier build after the upgrade.
 	rollBackShare = 0.4
-	// upgradeDown bounds the pause between a node's programs.
-	upgradeDown = 1500 * time.Millisecond
+	// maxUpgradeDowntime bounds the time between the end of a node's old program and the start
+	// of its new one.
+	maxUpgradeDowntime = 1500 * time.Millisecond
 )
 
-// drawUpgrades adds to a schedule that begins with an earlier build how it is replaced: one
-// node after the other over the whole span, some of them back again, or half of them never.
+// drawUpgrades adds a rolling upgrade to a schedule that begins with an earlier build. The
+// nodes are upgraded one after the other over the whole span, and some may be rolled back.
+// Instead, half of the nodes may keep the earlier build, in which case there are no upgrades.
 func drawUpgrades(s *Schedule) {
-	d := &drawer{random: rand.New(rand.NewPCG(s.Seed, s.Seed<<1|1)), size: Size{Nodes: s.Nodes, Span: s.Span}}
+	d := &generator{random: rand.New(rand.NewPCG(s.Seed, s.Seed<<1|1)), size: Size{Nodes: s.Nodes, Span: s.Span}}
 	order := d.random.Perm(s.Nodes)
-	if d.random.Float64() < halfShare {
+	if d.random.Float64() < partialUpgradeShare {
 		s.Earlier = order[:s.Nodes/2]
 		slices.Sort(s.Earlier)
 		return
@@ -30,11 +34,11 @@
 	if d.random.Float64() < rollBackShare {
 		upgrades += d.random.IntN(s.Nodes) + 1
 	}
-	step := (s.Span - firstAt) / time.Duration(upgrades)
+	step := (s.Span - firstFaultAt) / time.Duration(upgrades)
 	for n := range upgrades {
 		fault := Fault{
-			At: firstAt + time.Duration(n)*step, Kind: ProcessUpgrade, Targets: []int{order[n%s.Nodes]},
-			For: d.between(shortest, upgradeDown),
+			At: firstFaultAt + time.Duration(n)*step, Kind: ProcessUpgrade, Targets: []int{order[n%s.Nodes]},
+			For: d.uniformDuration(minFaultLength, maxUpgradeDowntime),
 		}
 		if n >= s.Nodes {
 			fault.Kind = ProcessRollBack
