--- a/soak/proxy/doc.go
+++ b/soak/proxy/doc.go
@@ -1,3 +1,3 @@
-// Package proxy is a loopback TCP proxy whose links can be made to fail: late,
-// slow, reset, closed to one direction or silent for good.
+// Package proxy implements a loopback TCP proxy that injects network faults into its
+// connections: delay, throttling, resets, loss of one direction and permanent silence.
 package proxy
--- a/soak/proxy/link.go
+++ b/soak/proxy/link.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// pieceBytes is how much is read at once.
-	pieceBytes = 16 << 10
-	// holdPoll spaces looks at whether a held direction is free again.
-	holdPoll = 5 * time.Millisecond
-	// silentPoll spaces looks at whether a silent link was given up. It bounds
-	// only for how long its files are kept.
-	silentPoll = 250 * time.Millisecond
+	// readBufferBytes is the size of the read buffer for one direction.
+	readBufferBytes = 16 << 10
+	// heldPollInterval is the interval between checks whether a held direction is released.
+	heldPollInterval = 5 * time.Millisecond
+	// silentPollInterval is the interval between checks whether the ends of a silent link
+	// have closed it. It only bounds how long the link's file descriptors stay open.
+	silentPollInterval = 250 * time.Millisecond
 )
 
-// direction of data on a link.
+// direction is the direction of data on a link.
 type direction uint8
 
 const (
@@ -29,37 +29,37 @@
 	toClient
 )
 
-// link is one connection through the proxy.
+// link is one client connection and the connection to the target that it is joined to.
 type link struct {
 	proxy          *Proxy
 	client, server *net.TCPConn
 	silent         atomic.Bool
-	once           sync.Once
-	// done is closed when the link was reset.
+	resetOnce      sync.Once
+	// done is closed when the link is reset.
 	done chan struct{}
 }
 
-// run passes data in both directions until both have ended.
+// run copies data in both directions until both have ended.
 func (l *link) run() {
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(toServer, l.client, l.server) })
-	both.Go(func() { l.pass(toClient, l.server, l.client) })
+	both.Go(func() { l.copyDirection(toServer, l.client, l.server) })
+	both.Go(func() { l.copyDirection(toClient, l.server, l.client) })
 	both.Wait()
 	_ = l.client.Close()
 	_ = l.server.Close()
 }
 
-// pass passes data in one direction. Its end is passed on as it came: as an end or
-// as a reset.
-func (l *link) pass(d direction, from, to *net.TCPConn) {
-	piece := make([]byte, pieceBytes)
+// copyDirection copies data in one direction. It forwards an end of stream as such and turns
+// any other error into a reset of the link.
+func (l *link) copyDirection(d direction, from, to *net.TCPConn) {
+	buffer := make([]byte, readBufferBytes)
 	for {
-		n, err := from.Read(piece)
-		if !l.release(d, n) {
+		n, err := from.Read(buffer)
+		if !l.awaitDelivery(d, n) {
 			return
 		}
 		if n > 0 {
-			if _, writeErr := to.Write(piece[:n]); writeErr != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				l.reset()
 				return
 			}
@@ -75,36 +75,38 @@
 	}
 }
 
-// release waits until a piece may go on; false when it never may.
-func (l *link) release(d direction, n int) bool {
-	mode := l.proxy.now()
-	pause := mode.pause(n) + l.proxy.options.Rate.reserve(d, n, time.Now())
-	if pause > 0 && !l.wait(pause) {
+// awaitDelivery applies the delay, rate limit and hold in force to n bytes that were read. It
+// returns false if they must never be delivered.
+func (l *link) awaitDelivery(d direction, n int) bool {
+	mode := l.proxy.currentMode()
+	pause := mode.delayFor(n) + l.proxy.options.Rate.reserve(d, n, time.Now())
+	if pause > 0 && !l.sleepUnlessReset(pause) {
 		return false
 	}
 	for mode.holds(d) {
-		if !l.wait(holdPoll) {
+		if !l.sleepUnlessReset(heldPollInterval) {
 			return false
 		}
-		mode = l.proxy.now()
+		mode = l.proxy.currentMode()
 	}
 	if l.silent.Load() {
-		l.staySilent()
+		l.awaitAbandonment()
 		return false
 	}
 	return true
 }
 
-// staySilent waits until the link was reset or nobody whose behaviour counts holds on to
-// it. What a client gave up is closed on its side at once: kept it would only take a file
-// until the server gives up too, at nodes after a minute. Clients don't close one direction
-// only.
-func (l *link) staySilent() {
-	for l.wait(silentPoll) {
-		if !givenUp(l.client) {
+// awaitAbandonment keeps a silent link open until it is reset or its ends have closed it. Once
+// the client has closed its end, the proxy closes that side at once, since it would otherwise
+// take a file descriptor until the server closes too, which nodes do after a minute. This is
+// safe because clients never close only one direction. If the target is simulated
+// (Options.StandIn), the whole link is reset at that point.
+func (l *link) awaitAbandonment() {
+	for l.sleepUnlessReset(silentPollInterval) {
+		if !isClosedByPeer(l.client) {
 			continue
 		}
-		if l.proxy.options.StandIn || givenUp(l.server) {
+		if l.proxy.options.StandIn || isClosedByPeer(l.server) {
 			l.reset()
 			return
 		}
@@ -112,9 +114,9 @@
 	}
 }
 
-// givenUp reports whether either end has closed or reset a connection, without reading
-// what may have been sent before.
-func givenUp(connection *net.TCPConn) bool {
+// isClosedByPeer reports whether either end has closed or reset a connection. It queries the
+// TCP state, so data that was sent before the close stays unread.
+func isClosedByPeer(connection *net.TCPConn) bool {
 	raw, err := connection.SyscallConn()
 	if err != nil {
 		return true
@@ -127,8 +129,8 @@
 	return err != nil || !open
 }
 
-// wait reports whether the time passed before the link was reset.
-func (l *link) wait(pause time.Duration) bool {
+// sleepUnlessReset waits for the given time and returns false if the link is reset meanwhile.
+func (l *link) sleepUnlessReset(pause time.Duration) bool {
 	select {
 	case <-time.After(pause):
 		return true
@@ -137,16 +139,16 @@
 	}
 }
 
-// reset ends both connections with a reset.
+// reset closes both connections with a TCP reset. Only the first call has an effect.
 func (l *link) reset() {
-	l.once.Do(func() {
+	l.resetOnce.Do(func() {
 		close(l.done)
 		abort(l.client)
 		abort(l.server)
 	})
 }
 
-// abort closes a connection with a reset.
+// abort closes a connection with a TCP reset.
 func abort(connection *net.TCPConn) {
 	_ = connection.SetLinger(0)
 	_ = connection.Close()
--- a/soak/proxy/mode.go
+++ b/soak/proxy/mode.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Mode is what happens to the data of all connections.
+// Mode describes the faults applied to the data of all connections. The zero value applies none.
 type Mode struct {
-	// Delay holds every piece back.
+	// Delay is added before each write of forwarded data.
 	Delay time.Duration
-	// BytesPerSecond bounds each direction of each connection; zero sets no bound.
+	// BytesPerSecond limits each direction of each connection; zero sets no limit.
 	BytesPerSecond int
-	// HoldRequests and HoldAnswers keep what is sent to the target, or by it, until
-	// they are unset.
+	// HoldRequests holds back the data sent to the target, HoldAnswers the data sent by
+	// it, until the field is unset.
 	HoldRequests, HoldAnswers bool
 }
 
-// holds reports whether a direction is held.
+// holds reports whether the data of a direction is held back.
 func (m *Mode) holds(d direction) bool {
 	return d == toServer && m.HoldRequests || d == toClient && m.HoldAnswers
 }
 
-// pause is how long a piece of n bytes is held back.
-func (m *Mode) pause(n int) time.Duration {
+// delayFor returns how long a block of n bytes is delayed.
+func (m *Mode) delayFor(n int) time.Duration {
 	if m.BytesPerSecond <= 0 {
 		return m.Delay
 	}
--- a/soak/proxy/proxy.go
+++ b/soak/proxy/proxy.go
@@ -10,24 +10,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Options of a proxy.
+// Options configure a proxy.
 type Options struct {
-	// Address is served; port 0 lets the kernel choose.
+	// Address is the host:port to listen on; port 0 lets the kernel choose a port.
 	Address string
-	// Target is where connections go.
+	// Target is the host:port that connections are forwarded to.
 	Target string
-	// StandIn is set where the target is one of the run's own stand-ins. How it bears
-	// connections that went silent is not judged, so they end there once their client
-	// has given them up: else each would take three files until the run's end.
+	// StandIn is set if the target is simulated by the run itself. Its handling of silent
+	// connections is not under test, so the proxy resets a silent link once the client
+	// has closed its end. Otherwise each such link would take three file descriptors
+	// until the end of the run.
 	StandIn bool
-	// Rate bounds what passes this proxy and others together; nil sets no bound.
+	// Rate limits the throughput of all proxies that share it; nil sets no limit.
 	Rate *Rate
-	// Failed is told what the machine refuses the proxy itself, such as one more open
-	// file: that is no fault of a link.
+	// Failed is called with errors of the proxy itself, such as a lack of file
+	// descriptors, which must not be mistaken for an injected fault.
 	Failed func(error)
 }
 
-// Proxy passes the connections made to its address on to a target. It is safe for
+// Proxy forwards the connections made to its address to a target. It is safe for
 // concurrent use.
 type Proxy struct {
 	options Options
@@ -41,27 +42,27 @@
 	closed   bool
 }
 
-// Listen opens a proxy.
+// Listen starts a proxy.
 func Listen(options Options) (*Proxy, error) {
 	p := &Proxy{options: options, address: options.Address, target: options.Target, links: map[*link]struct{}{}}
 	return p, p.Open()
 }
 
-// Address is the host:port being served.
+// Address returns the host:port that the proxy listens on.
 func (p *Proxy) Address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.address
 }
 
-// Retarget has new connections go elsewhere.
+// Retarget makes new connections go to another target.
 func (p *Proxy) Retarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
 }
 
-// Open listens at the same address again. It does nothing on an open proxy.
+// Open listens on the same address again. It does nothing on an open or closed proxy.
 func (p *Proxy) Open() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,14 +71,15 @@
 	}
 	listener, err := net.Listen("tcp", p.address)
 	if err != nil {
-		return eris.Wrapf(err, "proxy at %s", p.address)
+		return eris.Wrapf(err, "proxy: listen on %s", p.address)
 	}
 	p.address, p.listener = listener.Addr().String(), listener
 	go p.accept(listener)
 	return nil
 }
 
-// Refuse closes the listener and resets the open connections until Open.
+// Refuse closes the listener and resets the open connections. New connections are refused
+// until Open is called.
 func (p *Proxy) Refuse() {
 	p.mu.Lock()
 	if p.listener != nil {
@@ -88,7 +90,7 @@
 	p.Reset()
 }
 
-// Change changes what happens to data from now on, on open and new connections.
+// Change changes the mode that applies to open and new connections.
 func (p *Proxy) Change(change func(*Mode)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,20 +99,20 @@
 
 // Reset resets the open connections.
 func (p *Proxy) Reset() {
-	for _, open := range p.open() {
+	for _, open := range p.openLinks() {
 		open.reset()
 	}
 }
 
-// Silence has the open connections go silent for good: nothing passes any more,
-// not even their end.
+// Silence makes the open connections silent permanently: neither data nor the end of
+// the stream is forwarded any more. New connections work.
 func (p *Proxy) Silence() {
-	for _, open := range p.open() {
+	for _, open := range p.openLinks() {
 		open.silent.Store(true)
 	}
 }
 
-// Close ends the proxy.
+// Close stops the proxy and resets its connections. It can't be opened again.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -118,8 +120,8 @@
 	p.Refuse()
 }
 
-// open lists the open connections.
-func (p *Proxy) open() []*link {
+// openLinks returns the open links.
+func (p *Proxy) openLinks() []*link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make([]*link, 0, len(p.links))
@@ -129,7 +131,7 @@
 	return list
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed or fails.
 func (p *Proxy) accept(listener net.Listener) {
 	for {
 		connection, err := listener.Accept()
@@ -137,14 +139,15 @@
 			return
 		}
 		if err != nil {
-			p.options.Failed(eris.Wrapf(err, "proxy at %s", p.Address()))
+			p.options.Failed(eris.Wrapf(err, "proxy at %s: accept a connection", p.Address()))
 			return
 		}
 		go p.connect(connection.(*net.TCPConn))
 	}
 }
 
-// connect joins a connection with one to the target.
+// connect dials the target and forwards data between it and the client until both
+// directions end. If the dial fails, the client's connection is reset.
 func (p *Proxy) connect(client *net.TCPConn) {
 	p.mu.Lock()
 	target := p.target
@@ -152,7 +155,7 @@
 	server, err := net.Dial("tcp", target)
 	if err != nil {
 		if Exhausted(err) {
-			p.options.Failed(eris.Wrapf(err, "proxy at %s", p.Address()))
+			p.options.Failed(eris.Wrapf(err, "proxy at %s: connect to the target", p.Address()))
 		}
 		abort(client)
 		return
@@ -171,17 +174,17 @@
 	p.mu.Unlock()
 }
 
-// exhausted are the errors of a machine that has no file, port or buffer left.
-var exhausted = []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS}
+// exhaustionErrors are the errors of a machine that has no file descriptor, port or buffer left.
+var exhaustionErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS}
 
-// Exhausted reports whether a connection could not be made since the machine or the
-// process is at one of its limits.
+// Exhausted reports whether a connection failed because the machine or the process has
+// reached one of its resource limits.
 func Exhausted(err error) bool {
-	return slices.ContainsFunc(exhausted, func(limit error) bool { return errors.Is(err, limit) })
+	return slices.ContainsFunc(exhaustionErrors, func(limit error) bool { return errors.Is(err, limit) })
 }
 
-// now returns the mode in force.
-func (p *Proxy) now() Mode {
+// currentMode returns the mode that is in effect now.
+func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
--- a/soak/proxy/proxy_test.go
+++ b/soak/proxy/proxy_test.go
@@ -14,14 +14,14 @@
 
 const (
 	anyPort = "127.0.0.1:0"
-	// quiet is how long nothing must come for a connection to count as silent.
-	quiet = 100 * time.Millisecond
-	// patience ends a wait that would never end.
-	patience = 20 * time.Second
+	// silenceWindow is how long a connection must deliver nothing to count as silent.
+	silenceWindow = 100 * time.Millisecond
+	// testTimeout bounds every wait for an expected event.
+	testTimeout = 20 * time.Second
 )
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that returns all data it receives, and returns its address.
+func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		t.Fatal(err)
@@ -42,9 +42,9 @@
 	return listener.Addr().String()
 }
 
-// start returns a proxy in front of an echo.
-func start(t *testing.T) *Proxy {
-	p, err := Listen(Options{Address: anyPort, Target: echo(t), Failed: func(err error) { t.Error(err) }})
+// startEchoProxy returns a proxy in front of an echo server.
+func startEchoProxy(t *testing.T) *Proxy {
+	p, err := Listen(Options{Address: anyPort, Target: startEchoServer(t), Failed: func(err error) { t.Error(err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,96 +52,99 @@
 	return p
 }
 
-// caller is one connection to the proxy.
-type caller struct {
+// testClient is a client with one connection to the proxy.
+type testClient struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func dial(t *testing.T, p *Proxy) *caller {
+func dial(t *testing.T, p *Proxy) *testClient {
 	connection, err := net.Dial("tcp", p.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = connection.Close() })
-	return &caller{Conn: connection, reader: bufio.NewReader(connection)}
+	return &testClient{Conn: connection, reader: bufio.NewReader(connection)}
 }
 
-// ask sends a line and reads the answer within a time.
-func (c *caller) ask(within time.Duration) error {
+// roundTrip sends a line and reads its echo within the given time.
+func (c *testClient) roundTrip(within time.Duration) error {
 	if _, err := c.Write([]byte("line\n")); err != nil {
 		return err
 	}
-	return c.read(within)
+	return c.readEcho(within)
 }
 
-func (c *caller) read(within time.Duration) error {
+func (c *testClient) readEcho(within time.Duration) error {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	line, err := c.reader.ReadString('\n')
 	if err == nil && line != "line\n" {
-		return errors.New("another line: " + line)
+		return errors.New("unexpected line: " + line)
 	}
 	return err
 }
 
-// TestPassesOn: data and the end of a connection.
-func TestPassesOn(t *testing.T) {
-	c := dial(t, start(t))
-	if err := c.ask(patience); err != nil {
+// TestProxyForwardsDataAndEndOfStream checks that data and a half-close reach the
+// other end.
+func TestProxyForwardsDataAndEndOfStream(t *testing.T) {
+	c := dial(t, startEchoProxy(t))
+	if err := c.roundTrip(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.read(patience); !errors.Is(err, io.EOF) {
-		t.Fatalf("%v instead of an end", err)
+	if err := c.readEcho(testTimeout); !errors.Is(err, io.EOF) {
+		t.Fatalf("read after the half-close returned %v, want EOF", err)
 	}
 }
 
-// TestSilenceIsForGood: open connections stay silent, new ones work.
-func TestSilenceIsForGood(t *testing.T) {
-	p := start(t)
+// TestSilencedConnectionsStaySilentAndNewOnesWork guards against silence that
+// ends, or that also affects connections made later.
+func TestSilencedConnectionsStaySilentAndNewOnesWork(t *testing.T) {
+	p := startEchoProxy(t)
 	c := dial(t, p)
-	if err := c.ask(patience); err != nil {
+	if err := c.roundTrip(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	p.Silence()
-	if err := c.ask(quiet); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("%v on a silent connection", err)
+	if err := c.roundTrip(silenceWindow); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("silent connection returned %v, want a timeout", err)
 	}
-	if err := dial(t, p).ask(patience); err != nil {
-		t.Fatalf("a new connection: %v", err)
+	if err := dial(t, p).roundTrip(testTimeout); err != nil {
+		t.Fatalf("new connection after Silence: %v", err)
 	}
 }
 
-// TestSilentLinkEndsWithItsEnds: it is kept while an end that counts holds on, and no
-// longer.
-func TestSilentLinkEndsWithItsEnds(t *testing.T) {
+// TestSilentLinkClosesAfterItsEndsClose guards against silent links that leak file
+// descriptors or end too early. A link to a real target stays until both ends have closed; a
+// link to a simulated target ends when the client closes.
+func TestSilentLinkClosesAfterItsEndsClose(t *testing.T) {
 	for _, standIn := range []bool{false, true} {
-		p, client, server := pair(t, standIn)
+		p, client, server := connectThroughProxy(t, standIn)
 		p.Silence()
 		if err := client.Close(); err != nil {
 			t.Fatal(err)
 		}
 		if !standIn {
-			_ = server.SetReadDeadline(time.Now().Add(2 * silentPoll))
+			_ = server.SetReadDeadline(time.Now().Add(2 * silentPollInterval))
 			if _, err := server.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("%v at the end that holds on", err)
+				t.Fatalf("server end of the silent link returned %v, want a timeout", err)
 			}
 			if err := server.Close(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for end := time.Now().Add(patience); len(p.open()) > 0; time.Sleep(quiet) {
+		for end := time.Now().Add(testTimeout); len(p.openLinks()) > 0; time.Sleep(silenceWindow) {
 			if time.Now().After(end) {
-				t.Fatal("the link was kept")
+				t.Fatal("the link stayed open after its ends had closed")
 			}
 		}
 	}
 }
 
-// pair returns a proxy and both ends of a link through it.
-func pair(t *testing.T, standIn bool) (*Proxy, net.Conn, net.Conn) {
+// connectThroughProxy returns a proxy and the client's and the server's end of a link through it.
+func connectThroughProxy(t *testing.T, standIn bool) (*Proxy, net.Conn, net.Conn) {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		t.Fatal(err)
@@ -158,15 +161,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = server.Close() })
-	for len(p.open()) == 0 {
+	for len(p.openLinks()) == 0 {
 		runtime.Gosched()
 	}
 	return p, client, server
 }
 
-// TestExhaustedMachineIsTold: a proxy without a file for a connection does not pass
-// for a link that fails.
-func TestExhaustedMachineIsTold(t *testing.T) {
+// TestResourceExhaustionIsReported guards against a lack of file descriptors in the proxy
+// that is mistaken for a link fault: the error must reach Options.Failed.
+func TestResourceExhaustionIsReported(t *testing.T) {
 	told := make(chan error, 1)
 	p, err := Listen(Options{Address: anyPort, Failed: func(err error) { told <- err }})
 	if err != nil {
@@ -175,82 +178,85 @@
 	t.Cleanup(p.Close)
 	go p.accept(exhaustedListener{})
 	if err := <-told; !Exhausted(err) {
-		t.Errorf("told of %v", err)
+		t.Errorf("Failed was called with %v, want a resource limit error", err)
 	}
 }
 
-// exhaustedListener is at its limit of open files.
+// exhaustedListener fails to accept because the limit of open files is reached.
 type exhaustedListener struct{ net.Listener }
 
 func (exhaustedListener) Accept() (net.Conn, error) {
 	return nil, os.NewSyscallError("accept4", syscall.EMFILE)
 }
 
-// TestReset: open connections are reset, new ones work.
-func TestReset(t *testing.T) {
-	p := start(t)
+// TestResetAffectsOnlyOpenConnections checks that open connections get a TCP reset and new ones
+// work.
+func TestResetAffectsOnlyOpenConnections(t *testing.T) {
+	p := startEchoProxy(t)
 	c := dial(t, p)
-	if err := c.ask(patience); err != nil {
+	if err := c.roundTrip(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	p.Reset()
-	if err := c.read(patience); !errors.Is(err, syscall.ECONNRESET) {
-		t.Fatalf("%v instead of a reset", err)
+	if err := c.readEcho(testTimeout); !errors.Is(err, syscall.ECONNRESET) {
+		t.Fatalf("open connection returned %v, want ECONNRESET", err)
 	}
-	if err := dial(t, p).ask(patience); err != nil {
+	if err := dial(t, p).roundTrip(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestCutOneWay: what is held comes once the cut ends.
-func TestCutOneWay(t *testing.T) {
+// TestHeldDataArrivesAfterHoldEnds checks that data held back in one direction is not lost
+// but delivered once the hold ends.
+func TestHeldDataArrivesAfterHoldEnds(t *testing.T) {
 	for _, cut := range []func(*Mode, bool){
 		func(m *Mode, on bool) { m.HoldRequests = on }, func(m *Mode, on bool) { m.HoldAnswers = on },
 	} {
-		p := start(t)
+		p := startEchoProxy(t)
 		c := dial(t, p)
 		p.Change(func(m *Mode) { cut(m, true) })
-		if err := c.ask(quiet); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("%v during a cut", err)
+		if err := c.roundTrip(silenceWindow); !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatalf("read during the hold returned %v, want a timeout", err)
 		}
 		p.Change(func(m *Mode) { cut(m, false) })
-		if err := c.read(patience); err != nil {
-			t.Fatalf("after the cut: %v", err)
+		if err := c.readEcho(testTimeout); err != nil {
+			t.Fatalf("read after the hold: %v", err)
 		}
 	}
 }
 
-// TestDelayAndThrottle hold data back.
-func TestDelayAndThrottle(t *testing.T) {
-	for _, mode := range []Mode{{Delay: quiet}, {BytesPerSecond: 50}} {
-		p := start(t)
+// TestDelayAndThrottleSlowTheAnswer checks that both modes slow down a round trip.
+func TestDelayAndThrottleSlowTheAnswer(t *testing.T) {
+	for _, mode := range []Mode{{Delay: silenceWindow}, {BytesPerSecond: 50}} {
+		p := startEchoProxy(t)
 		c := dial(t, p)
 		p.Change(func(m *Mode) { *m = mode })
 		began := time.Now()
-		if err := c.ask(patience); err != nil {
+		if err := c.roundTrip(testTimeout); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(began); took < quiet {
-			t.Errorf("%+v: %s", mode, took)
+		if took := time.Since(began); took < silenceWindow {
+			t.Errorf("round trip with %+v took %s, want at least the silence window", mode, took)
 		}
 	}
 }
 
-// TestRefuse: nothing can connect until the proxy is opened again.
-func TestRefuse(t *testing.T) {
-	p := start(t)
+// TestRefuseBlocksConnectionsUntilOpen checks that Refuse ends open connections and
+// prevents new ones until the proxy is opened again.
+func TestRefuseBlocksConnectionsUntilOpen(t *testing.T) {
+	p := startEchoProxy(t)
 	c := dial(t, p)
 	p.Refuse()
-	if err := c.ask(patience); err == nil {
-		t.Fatal("an open connection lived on")
+	if err := c.roundTrip(testTimeout); err == nil {
+		t.Fatal("an open connection survived Refuse")
 	}
 	if _, err := net.Dial("tcp", p.Address()); err == nil {
-		t.Fatal("a refusing proxy took a connection")
+		t.Fatal("the proxy accepted a connection while refusing")
 	}
 	if err := p.Open(); err != nil {
 		t.Fatal(err)
 	}
-	if err := dial(t, p).ask(patience); err != nil {
+	if err := dial(t, p).roundTrip(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/soak/proxy/rate_test.go
+++ b/soak/proxy/rate_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestRateIsShared: what several connections send waits for each other, and directions
-// don't.
-func TestRateIsShared(t *testing.T) {
+// TestRateIsSharedByConnectionsPerDirection guards against a limit that applies to
+// each connection alone: data of one direction queues behind earlier data of any
+// connection, and the two directions don't delay each other.
+func TestRateIsSharedByConnectionsPerDirection(t *testing.T) {
 	rate, now := NewRate(8), time.Unix(100, 0)
 	waits := []time.Duration{
 		rate.reserve(toServer, 100_000, now), rate.reserve(toServer, 100_000, now), rate.reserve(toClient, 100_000, now),
@@ -20,6 +21,6 @@
 		}
 	}
 	if wait := NewRate(0).reserve(toServer, 1<<20, now); wait != 0 {
-		t.Errorf("without a bound %v", wait)
+		t.Errorf("wait without a limit is %v, want 0", wait)
 	}
 }
