--- a/soak/schedules/doc.go
+++ b/soak/schedules/doc.go
@@ -1,3 +1,3 @@
-// Package schedules keeps the schedules under which a promise once broke, each with
-// a line on its cause.
+// Package schedules embeds the fault schedules that once broke a promise, as regression
+// cases. Each schedule states the cause of the failure in one line.
 package schedules
--- a/soak/schedules/schedules.go
+++ b/soak/schedules/schedules.go
@@ -13,23 +13,23 @@
 //go:embed *.yaml
 var files embed.FS
 
-// All returns the kept schedules by name.
+// All returns the embedded schedules by file name without extension.
 func All() (map[string]plan.Schedule, error) {
 	entries, err := files.ReadDir(".")
 	if err != nil {
-		return nil, eris.Wrap(err, "kept schedules")
+		return nil, eris.Wrap(err, "list embedded schedules")
 	}
-	kept := make(map[string]plan.Schedule, len(entries))
+	schedulesByName := make(map[string]plan.Schedule, len(entries))
 	for _, entry := range entries {
 		text, err := files.ReadFile(entry.Name())
 		if err != nil {
-			return nil, eris.Wrap(err, "kept schedules")
+			return nil, eris.Wrap(err, "read embedded schedule")
 		}
 		schedule, err := plan.Parse(text)
 		if err != nil {
-			return nil, eris.Wrapf(err, "schedule %s", entry.Name())
+			return nil, eris.Wrapf(err, "embedded schedule %s", entry.Name())
 		}
-		kept[strings.TrimSuffix(entry.Name(), path.Ext(entry.Name()))] = schedule
+		schedulesByName[strings.TrimSuffix(entry.Name(), path.Ext(entry.Name()))] = schedule
 	}
-	return kept, nil
+	return schedulesByName, nil
 }
