--- a/soak/check/configuration.go
+++ b/soak/check/configuration.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// MarkersKept is how many versions hold a route that one of them added: the version that
-// adds it and the next ones. So what a node may answer follows also while versions come in
-// quick succession: a route that all versions hold which may be in force must be served,
-// and one that none of them holds must not.
+// MarkersKept is the number of versions that contain a marker route: the version that adds it
+// and those that follow. This makes answers checkable even when versions follow each other
+// quickly. A route that is in all versions which may be in force must be served, and a route
+// that is in none of them must not.
 const MarkersKept = 4
 
-// Version is a configuration.
+// Version is one version of the configuration.
 type Version struct {
 	Number int64
-	// From is when it began to be written: a node may have it in force from then on. At is
-	// when the store had taken it.
+	// From is when the write of the version began; nodes may have it in force from then on.
+	// At is when the store had accepted it.
 	From, At time.Duration
-	// Plain is the service of the plain routes.
+	// Plain is the service that the ordinary routes lead to.
 	Plain string
 }
 
-// holds reports whether a version holds the route that another one added.
+// holds reports whether a version contains the marker route that version marker added.
 func (v *Version) holds(marker int64) bool {
 	return marker <= v.Number && v.Number < marker+MarkersKept
 }
 
-// Probe asked one process for the route that a version added.
+// Probe is one request to a process for the marker route that a version added.
 type Probe struct {
 	Node, Life  int
 	Version     int64
 	Sent, Ended time.Duration
-	// InForce is set when there was such a route.
+	// InForce is set if the process served the route.
 	InForce bool
 }
 
-// allowed lists the versions that a node in touch may have in force at some time of an
-// exchange: the newest that had been taken for the bound when it began, and all later ones.
-// The bound needs no slack: a version is noted after the store took it, and a request
-// reaches its node after it was sent, so that both give the node time.
-func (h *History) allowed(sent, ended time.Duration) []Version {
+// allowedVersions returns the versions that a connected node may have in force at some time between
+// sent and ended: the newest one that the store had accepted longer than Bounds.Configuration
+// before, and all later ones. The bound needs no tolerance: a version is recorded after the
+// store accepted it and a request reaches its node after it was sent, and both give the node
+// extra time.
+func (h *History) allowedVersions(sent, ended time.Duration) []Version {
 	var allowed []Version
 	for _, v := range h.Versions {
 		if v.From <= ended {
@@ -56,25 +57,26 @@
 	return allowed[min(oldest, len(allowed)):]
 }
 
-// inTouch reports whether nothing that concerns a node was out of order during an exchange
-// and for the time before it that the rules name. What strikes other nodes excuses nobody.
-func (h *History) inTouch(node int, sent, ended time.Duration) bool {
+// isConnected reports whether the process, store link and peer links of a node were undisturbed
+// between sent and ended, and for recoveryGrace before. Disturbances of other nodes don't count.
+func (h *History) isConnected(node int, sent, ended time.Duration) bool {
 	return !h.disturbed(node, sent, ended, ScopeProcess, ScopeStore, ScopePeer)
 }
 
-// configuredInTime: what a node in touch does follows from a version that may be in force.
-func configuredInTime(h *History, f *Finding) {
+// checkConfigurationDelay checks that the behaviour of a connected node matches a version that
+// may be in force.
+func checkConfigurationDelay(h *History, f *Finding) {
 	for i := range h.Probes {
-		if probe := &h.Probes[i]; h.inTouch(probe.Node, probe.Sent, probe.Ended) {
+		if probe := &h.Probes[i]; h.isConnected(probe.Node, probe.Sent, probe.Ended) {
 			h.judgeProbe(probe, f)
 		}
 	}
 	h.judgePlainRuns(f)
 }
 
-// judgeProbe judges an answer that all allowed versions agree on.
+// judgeProbe evaluates a probe if all allowed versions agree on its answer.
 func (h *History) judgeProbe(probe *Probe, f *Finding) {
-	allowed := h.allowed(probe.Sent, probe.Ended)
+	allowed := h.allowedVersions(probe.Sent, probe.Ended)
 	holding := 0
 	for i := range allowed {
 		if allowed[i].holds(probe.Version) {
@@ -91,29 +93,30 @@
 	case !must && probe.InForce:
 		detail = fmt.Sprintf("the route of version %d is served, version %d was taken at %s", probe.Version, allowed[0].Number, allowed[0].At)
 	}
-	f.judge(nodeName(probe.Node), probe.Sent, detail)
+	f.record(nodeName(probe.Node), probe.Sent, detail)
 }
 
-// judgePlainRuns judges at which service requests of plain routes ran.
+// judgePlainRuns checks that requests of ordinary routes ran at a service that an allowed
+// version names.
 func (h *History) judgePlainRuns(f *Finding) {
 	requests := h.requestsByID()
 	for i := range h.Runs {
 		run := &h.Runs[i]
 		request := requests[run.Request]
-		if request == nil || request.Route != RouteWrite && request.Route != RouteRead || !h.inTouch(request.Node, request.Sent, run.At) {
+		if request == nil || request.Route != RouteWrite && request.Route != RouteRead || !h.isConnected(request.Node, request.Sent, run.At) {
 			continue
 		}
-		allowed := h.allowed(request.Sent, run.At)
+		allowed := h.allowedVersions(request.Sent, run.At)
 		detail, service := "", h.Services[run.Worker]
-		if len(allowed) > 0 && service != "" && !anyRoutes(allowed, service) {
+		if len(allowed) > 0 && service != "" && !anyRoutesTo(allowed, service) {
 			detail = fmt.Sprintf("node %d had it run by %s, version %d was taken at %s", request.Node, run.Worker, allowed[0].Number, allowed[0].At)
 		}
-		f.judge(run.Request, request.Sent, detail)
+		f.record(run.Request, request.Sent, detail)
 	}
 }
 
-// anyRoutes reports whether one of the versions has the plain routes go to a service.
-func anyRoutes(versions []Version, service string) bool {
+// anyRoutesTo reports whether the ordinary routes lead to a service in one of the versions.
+func anyRoutesTo(versions []Version, service string) bool {
 	for i := range versions {
 		if versions[i].Plain == service {
 			return true
@@ -122,40 +125,42 @@
 	return false
 }
 
-// process is one life of a node.
-type process struct{ node, life int }
+// nodeLife identifies one process of a node, from its start to its end.
+type nodeLife struct{ node, life int }
 
-// neverBack: a process that was seen with a version is never seen with an older one.
-func neverBack(h *History, f *Finding) {
-	seen := map[process][]Probe{}
+// checkConfigurationOrder checks that a process which had a version in force never returns to an
+// older one.
+func checkConfigurationOrder(h *History, f *Finding) {
+	seen := map[nodeLife][]Probe{}
 	for _, probe := range h.Probes {
-		key := process{probe.Node, probe.Life}
+		key := nodeLife{probe.Node, probe.Life}
 		seen[key] = append(seen[key], probe)
 	}
 	for i := range h.Requests {
 		if request := &h.Requests[i]; request.Status == http.StatusNotFound {
-			f.judge(request.ID, request.Ended, "a route that every version has is not known")
+			f.record(request.ID, request.Ended, "a route that every version has is not known")
 		}
 	}
 	for key, probes := range seen {
 		for i := range probes {
-			f.judge(nodeName(key.node), probes[i].Sent, h.wentBack(probes, &probes[i]))
+			f.record(nodeName(key.node), probes[i].Sent, h.describeRegression(probes, &probes[i]))
 		}
 	}
 }
 
-// wentBack says that a probe shows an older version than one that ended before it.
-func (h *History) wentBack(probes []Probe, probe *Probe) string {
+// describeRegression describes that a probe shows an older version than a probe that ended before
+// it; empty if none does.
+func (h *History) describeRegression(probes []Probe, probe *Probe) string {
 	for _, earlier := range probes {
-		if earlier.InForce && earlier.Ended < probe.Sent && h.olderThan(probe, earlier.Version) {
+		if earlier.InForce && earlier.Ended < probe.Sent && h.showsOlderThan(probe, earlier.Version) {
 			return fmt.Sprintf("an older version than %d is in force, which was at %s", earlier.Version, earlier.Ended)
 		}
 	}
 	return ""
 }
 
-// olderThan reports whether a probe shows a version before a number.
-func (h *History) olderThan(probe *Probe, number int64) bool {
+// showsOlderThan reports whether a probe proves that a version older than number is in force.
+func (h *History) showsOlderThan(probe *Probe, number int64) bool {
 	if probe.InForce {
 		return probe.Version+MarkersKept-1 < number
 	}
@@ -164,7 +169,7 @@
 	}
 	for i := range h.Versions {
 		if v := &h.Versions[i]; v.From <= probe.Ended && v.Number >= probe.Version+MarkersKept {
-			// A newer version may have dropped the route.
+			// A newer version may have removed the route.
 			return false
 		}
 	}
--- a/soak/check/configuration_test.go
+++ b/soak/check/configuration_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// inSuccession is a history of versions one second apart, too many for a bound of three
-// seconds to end before the next one comes, and of requests at node 0 once a second. The
-// node has each version in force 2 s after it was taken.
-func inSuccession() *History {
+// rapidVersions returns a history of versions one second apart, so that the bound of 3 s never
+// passes before the next version is written, and of probes of node 0 once a second. The node has
+// each version in force 2 s after the store accepted it.
+func rapidVersions() *History {
 	h := &History{Bounds: Bounds{Configuration: 3 * time.Second, Drain: 3 * time.Second}, Services: map[string]string{"a-1": "a", "b-1": "b"}}
 	for n := range int64(20) {
 		service := "a"
@@ -29,18 +29,19 @@
 	return h
 }
 
-// TestSuccessionIsJudged: versions that follow each other within the bound excuse nobody.
-func TestSuccessionIsJudged(t *testing.T) {
+// TestRapidVersionsAreJudged guards against a check that evaluates nothing while versions follow
+// each other faster than the bound.
+func TestRapidVersionsAreJudged(t *testing.T) {
 	for _, promise := range []Promise{PromiseConfiguration, PromiseForward} {
-		finding := find(Judge(inSuccession()), promise)
+		finding := findingFor(Judge(rapidVersions()), promise)
 		if finding.Judged < 20 || len(finding.Breaches) > 0 {
 			t.Errorf("%s: judged %d times, %v", promise, finding.Judged, finding.Breaches)
 		}
 	}
 }
 
-// standStill has the node stay at the version that it had at a time.
-func standStill(h *History, from time.Duration) {
+// freezeNode makes the node stay at the version that it had at the time from.
+func freezeNode(h *History, from time.Duration) {
 	inForce := Version{Number: int64(from/time.Second) - 1}
 	for i := range h.Probes {
 		if probe := &h.Probes[i]; probe.Sent > from {
@@ -49,9 +50,10 @@
 	}
 }
 
-// TestLaggingNodeIsFound: a node that stands still for 5 s is found, and not excused by what
-// strikes other nodes' links; what strikes its own excuses it for as long as the rules say.
-func TestLaggingNodeIsFound(t *testing.T) {
+// TestLaggingNodeIsFoundUnlessItsOwnLinkWasDisturbed checks that a node which stays
+// at one version for 5 s is a breach, even if links of other nodes are disturbed. A disturbance
+// of its own links excuses it, but only until recoveryGrace has passed.
+func TestLaggingNodeIsFoundUnlessItsOwnLinkWasDisturbed(t *testing.T) {
 	for name, c := range map[string]struct {
 		disturbance Disturbance
 		found       bool
@@ -61,36 +63,37 @@
 		"its own link":       {Disturbance{Node: 0, Scope: ScopePeer, From: 9 * time.Second, To: 19 * time.Second}, false},
 		"its own, long over": {Disturbance{Node: 0, Scope: ScopeStore, From: 8 * time.Second, To: 9 * time.Second}, true},
 	} {
-		h := inSuccession()
-		standStill(h, 9*time.Second)
+		h := rapidVersions()
+		freezeNode(h, 9*time.Second)
 		if name != "nothing" {
 			h.Disturbances = append(h.Disturbances, c.disturbance)
 		}
-		if finding := find(Judge(h), PromiseConfiguration); (len(finding.Breaches) > 0) != c.found {
+		if finding := findingFor(Judge(h), PromiseConfiguration); (len(finding.Breaches) > 0) != c.found {
 			t.Errorf("%s is out of order: %v", name, finding.Breaches)
 		}
 	}
 }
 
-// TestDroppedRouteIsFound: a route that no version holds any more is served no longer, and
-// does not come back.
-func TestDroppedRouteIsFound(t *testing.T) {
-	h := inSuccession()
+// TestServingADroppedRouteIsFound guards against a check that misses a route which is served
+// although no version contains it any more.
+func TestServingADroppedRouteIsFound(t *testing.T) {
+	h := rapidVersions()
 	h.Probes = append(h.Probes, Probe{Life: 1, Version: 2, Sent: 18 * time.Second, Ended: 18 * time.Second, InForce: true})
 	for _, promise := range []Promise{PromiseConfiguration, PromiseForward} {
-		if finding := find(Judge(h), promise); len(finding.Breaches) == 0 {
+		if finding := findingFor(Judge(h), promise); len(finding.Breaches) == 0 {
 			t.Errorf("not found: %s", promise)
 		}
 	}
 }
 
-// TestOldServiceIsFound: a request runs at a service that only older versions name.
-func TestOldServiceIsFound(t *testing.T) {
+// TestRunAtAnOutdatedServiceIsFound checks that a run at a service which only outdated
+// versions name is a breach.
+func TestRunAtAnOutdatedServiceIsFound(t *testing.T) {
 	for worker, breaches := range map[string]int{"a-1": 1, "b-1": 0} {
-		h := inSuccession()
+		h := rapidVersions()
 		h.Requests = append(h.Requests, Request{ID: "r", Route: RouteRead, Sent: 15 * time.Second, Ended: 16 * time.Second})
-		h.Runs = append(h.Runs, ran("r", worker, 15*time.Second))
-		if finding := find(Judge(h), PromiseConfiguration); len(finding.Breaches) != breaches {
+		h.Runs = append(h.Runs, runOf("r", worker, 15*time.Second))
+		if finding := findingFor(Judge(h), PromiseConfiguration); len(finding.Breaches) != breaches {
 			t.Errorf("run by %s: %v", worker, finding.Breaches)
 		}
 	}
--- a/soak/check/doc.go
+++ b/soak/check/doc.go
@@ -1,4 +1,5 @@
-// Package check judges what a run showed to callers and workers. Every check is a
-// function of the history alone. What depends on time is judged only for nodes
-// that nothing disturbed meanwhile, with bounds that a busy machine keeps.
+// Package check decides whether a run kept its promises, from what callers and workers
+// observed. Every check is a function of the recorded history alone. Checks that depend
+// on time apply only to nodes that no injected fault disturbed meanwhile, and their
+// bounds are wide enough for a busy machine.
 package check
--- a/soak/check/figures.go
+++ b/soak/check/figures.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Spread tells how long something took, over all times that it was seen.
+// Spread is the distribution of a set of measured durations.
 type Spread struct {
 	Count int           `json:"count"`
 	P50   time.Duration `json:"p50"`
@@ -13,8 +13,8 @@
 	Max   time.Duration `json:"max"`
 }
 
-// spreadOf returns the spread of times.
-func spreadOf(times []time.Duration) Spread {
+// newSpread returns the distribution of durations.
+func newSpread(times []time.Duration) Spread {
 	if len(times) == 0 {
 		return Spread{}
 	}
@@ -23,27 +23,27 @@
 	return Spread{Count: len(sorted), P50: at(0.5), P99: at(0.99), Max: sorted[len(sorted)-1]}
 }
 
-// Spreads tells how long something took at all nodes together and at each.
+// Spreads are the distributions over all nodes together and for each node.
 type Spreads struct {
 	All   Spread         `json:"all"`
 	Nodes map[int]Spread `json:"nodes,omitempty"`
 }
 
-// spreadsOf returns the spreads of times by node.
-func spreadsOf(byNode map[int][]time.Duration) Spreads {
+// newSpreads returns the distributions of durations that are given by node.
+func newSpreads(byNode map[int][]time.Duration) Spreads {
 	spreads := Spreads{Nodes: map[int]Spread{}}
 	var all []time.Duration
 	for node, times := range byNode {
-		spreads.Nodes[node] = spreadOf(times)
+		spreads.Nodes[node] = newSpread(times)
 		all = append(all, times...)
 	}
-	spreads.All = spreadOf(all)
+	spreads.All = newSpread(all)
 	return spreads
 }
 
-// ConfigurationTook tells how long after a version was taken nodes in touch first served a
-// route that it or a later one adds. Nodes were asked for the newest about every 50 ms until
-// they did.
+// ConfigurationTook returns how long after the store accepted a version connected nodes first
+// served a route that this or a later version adds. The resolution is about 50 ms, the interval
+// at which nodes are probed for the newest version.
 func ConfigurationTook(h *History) Spreads {
 	seen := map[int][]*Probe{}
 	for i := range h.Probes {
@@ -55,16 +55,16 @@
 	for i := range h.Versions {
 		v := &h.Versions[i]
 		for node, probes := range seen {
-			if ended, known := firstServed(probes, v.Number); known && h.inTouch(node, v.At, ended) && !h.disturbed(node, v.At, ended, ScopeCaller) {
+			if ended, known := firstServedAt(probes, v.Number); known && h.isConnected(node, v.At, ended) && !h.disturbed(node, v.At, ended, ScopeCaller) {
 				byNode[node] = append(byNode[node], max(ended-v.At, 0))
 			}
 		}
 	}
-	return spreadsOf(byNode)
+	return newSpreads(byNode)
 }
 
-// firstServed is when the first answer by a version, or a later one, had come.
-func firstServed(probes []*Probe, version int64) (ended time.Duration, known bool) {
+// firstServedAt returns when the first answer based on a version or a later one arrived.
+func firstServedAt(probes []*Probe, version int64) (ended time.Duration, known bool) {
 	for _, probe := range probes {
 		if probe.Version >= version && (!known || probe.Ended < ended) {
 			ended, known = probe.Ended, true
@@ -73,8 +73,8 @@
 	return ended, known
 }
 
-// LeavingTook tells how long after a worker said that it leaves nodes in touch sent it their
-// last request.
+// LeavingTook returns how long after a worker announced that it leaves connected nodes sent it
+// their last request.
 func LeavingTook(h *History) Spreads {
 	type sender struct {
 		worker string
@@ -90,7 +90,7 @@
 		run := &h.Runs[i]
 		at, leaves := left[run.Worker]
 		request := requests[run.Request]
-		if !leaves || request == nil || run.At < at || !h.inTouch(request.Node, at, run.At) || h.workerDisturbed(run.Worker, request.Sent, run.At) {
+		if !leaves || request == nil || run.At < at || !h.isConnected(request.Node, at, run.At) || h.workerDisturbed(run.Worker, request.Sent, run.At) {
 			continue
 		}
 		key := sender{run.Worker, request.Node}
@@ -100,5 +100,5 @@
 	for key, took := range last {
 		byNode[key.node] = append(byNode[key.node], took)
 	}
-	return spreadsOf(byNode)
+	return newSpreads(byNode)
 }
--- a/soak/check/history.go
+++ b/soak/check/history.go
@@ -6,66 +6,66 @@
 	"time"
 )
 
-// BurstPrefix begins the identifiers of requests that come beyond the usual.
+// BurstPrefix begins the identifiers of the requests of a caller burst.
 const BurstPrefix = "burst-"
 
-// Request is one request as its caller saw it. Times count from the run's begin.
+// Request is one request as its caller observed it. Times count from the start of the run.
 type Request struct {
 	ID    string
 	Node  int
 	Route Route
 	Model string
-	// Key that the caller gave, empty for none.
+	// Key is the caller's API key; empty for none.
 	Key string
-	// After is the event after which a stream was asked for.
+	// After is the number of the event after which the stream was to begin.
 	After int
-	// Deadline that the caller stated.
+	// Deadline is the time limit that the caller stated.
 	Deadline    time.Duration
 	Sent, Ended time.Duration
-	// Status is zero without a head of an answer.
+	// Status is the HTTP status, zero if no response header arrived.
 	Status                int
 	EchoedID, Stamp, Body string
-	// Failure says why the answer did not come whole; empty when it did.
+	// Failure is why the answer is incomplete; empty for a complete one.
 	Failure string
-	// Leave is set when the answer ended its connection.
+	// Leave is set if the answer told the caller to close the connection.
 	Leave bool
 }
 
-// answered reports whether a whole answer came.
+// answered reports whether a complete answer arrived.
 func (r *Request) answered() bool { return r.Status != 0 && r.Failure == "" }
 
-// Run is one request that a worker began.
+// Run is one request that a worker began to run.
 type Run struct {
 	Request, Worker, Body string
 	At                    time.Duration
 }
 
-// Turned is one request that a worker turned away, asking its node for rest.
+// Turned is one request that a worker rejected, asking the node for a back-off of Rest.
 type Turned struct {
 	Request, Worker string
 	Rest, At        time.Duration
 }
 
-// Order is one order that a worker took.
+// Order is one order that a worker accepted.
 type Order struct {
 	Worker, Holder string
 	Fence          uint64
 	At             time.Duration
-	// Load is set for loads of whole models, Overfills for one that needs more
+	// Load is set for an order to load a whole model, Overfills if the load needs more
 	// memory than the worker has.
 	Load, Overfills bool
 }
 
-// Leaving is a worker's word that it leaves.
+// Leaving is a worker's announcement that it leaves.
 type Leaving struct {
 	Worker string
 	At     time.Duration
 }
 
-// WorkerLimit is a time in which a worker named a limit in all its answers.
+// WorkerLimit is a period in which a worker announced a rate limit in all its answers.
 type WorkerLimit struct {
 	Worker string
-	// PerSecond requests are what it takes of all nodes together.
+	// PerSecond is the limit in requests per second over all nodes together.
 	PerSecond float64
 	From, To  time.Duration
 }
@@ -74,24 +74,25 @@
 type Stop struct {
 	Node      int
 	At, Ended time.Duration
-	// Status of the process at its end.
+	// Status is the exit status of the process.
 	Status int
 }
 
-// Closing is a connection that a node closed while a caller kept it for its next request.
+// Closing is an idle keep-alive connection of a caller that a node closed.
 type Closing struct {
 	Node int
 	At   time.Duration
 }
 
-// Exit is the end of a process that nobody asked for.
+// Exit is an unexpected end of a process.
 type Exit struct {
 	Node   int
 	At     time.Duration
 	Status string
 }
 
-// Recovery says when a node served again after the faults: ready, and each route.
+// Recovery records how long after the last fault a node was ready again, or served one
+// route again.
 type Recovery struct {
 	Node    int
 	What    string
@@ -99,14 +100,15 @@
 	Reached bool
 }
 
-// Scope is what a disturbance concerns.
+// Scope is the part of the system that a disturbance affects.
 type Scope uint8
 
 // The scopes.
 const (
 	// ScopeProcess: the process was started, stopped, killed or paused.
 	ScopeProcess Scope = iota
-	// ScopeCaller, ScopeStore, ScopePeer: the node's link.
+	// ScopeCaller, ScopeStore and ScopePeer: the node's link to callers, to the store and
+	// to other nodes.
 	ScopeCaller
 	ScopeStore
 	ScopePeer
@@ -114,36 +116,38 @@
 	ScopeWorker
 )
 
-// AllNodes is the Node of a disturbance that concerns every node.
+// AllNodes is the Node of a disturbance that affects every node.
 const AllNodes = -1
 
-// Disturbance is a time in which something was out of order.
+// Disturbance is a period in which a part of the system was not working normally.
 type Disturbance struct {
 	Node  int
 	Scope Scope
-	// Worker that ScopeWorker concerns.
+	// Worker is the worker that a disturbance of ScopeWorker affects.
 	Worker   string
 	From, To time.Duration
 }
 
-// Bounds are the figures that the run promises to keep.
+// Bounds are the limits that the run must keep.
 type Bounds struct {
-	// Drain and Configuration are the users' bounds, Grace that of a planned stop.
+	// Drain bounds how long a leaving worker may still get work, Configuration how long a
+	// new version takes to be in force; both are promised to users. Grace is the grace
+	// period of a planned stop.
 	Drain, Configuration, Grace time.Duration
-	// LoadsPerWindow may begin in any LoadWindow.
+	// LoadsPerWindow is the number of model loads that may begin in any LoadWindow.
 	LoadsPerWindow int
 	LoadWindow     time.Duration
-	// Recovery is within what nodes serve again after the faults.
+	// Recovery is the time within which nodes must serve again after the last fault.
 	Recovery time.Duration
-	// StreamEvents is the length of a stream.
+	// StreamEvents is the number of events of a stream.
 	StreamEvents int
-	// Keys is for how long a key may be used after it was taken away, Limit that of the
-	// tenant that floods.
+	// Keys is how long a key may still be used after it was revoked. Limit is the request
+	// limit of the tenant that exceeds it on purpose.
 	Keys  time.Duration
 	Limit Limit
 }
 
-// History is all that a run showed.
+// History is everything that was observed in a run.
 type History struct {
 	Bounds   Bounds
 	Requests []Request
@@ -151,7 +155,7 @@
 	Turned   []Turned
 	Orders   []Order
 	Leavings []Leaving
-	// LeavingAnswers are the workers whose answers say from a time on that they leave.
+	// LeavingAnswers are the workers whose answers announce, from a time on, that they leave.
 	LeavingAnswers []Leaving
 	WorkerLimits   []WorkerLimit
 	Versions       []Version
@@ -162,13 +166,13 @@
 	Exits          []Exit
 	Recoveries     []Recovery
 	Disturbances   []Disturbance
-	// Engines counts the workers that take orders.
+	// Engines is the number of workers that accept orders.
 	Engines int
-	// Services names the service of each worker.
+	// Services maps each worker to its service.
 	Services map[string]string
 }
 
-// requestsByID finds requests by their identifiers.
+// requestsByID returns the requests by identifier.
 func (h *History) requestsByID() map[string]*Request {
 	requests := make(map[string]*Request, len(h.Requests))
 	for i := range h.Requests {
@@ -177,7 +181,7 @@
 	return requests
 }
 
-// runsByRequest groups the runs.
+// runsByRequest returns the runs by request identifier.
 func (h *History) runsByRequest() map[string][]*Run {
 	runs := make(map[string][]*Run, len(h.Runs))
 	for i := range h.Runs {
@@ -187,38 +191,40 @@
 	return runs
 }
 
-// disturbed reports whether one of the scopes was out of order for a node within a
-// time; recovering from a disturbance counts as one.
+// disturbed reports whether a disturbance in one of the scopes affected a node at any time
+// between from and to. The recovery period after a disturbance counts as part of it.
 func (h *History) disturbed(node int, from, to time.Duration, scopes ...Scope) bool {
 	return slices.ContainsFunc(h.Disturbances, func(d Disturbance) bool {
 		concerns := d.Node == node || d.Node == AllNodes
-		return concerns && slices.Contains(scopes, d.Scope) && d.From <= to && d.To+settling >= from
+		return concerns && slices.Contains(scopes, d.Scope) && d.From <= to && d.To+recoveryGrace >= from
 	})
 }
 
-// peersDisturbed reports whether the links between any nodes were out of order within a
-// time: what nodes must tell each other may be late at all of them then.
+// peersDisturbed reports whether any links between nodes were disturbed at any time between
+// from and to. Information that nodes exchange may then arrive late at all of them.
 func (h *History) peersDisturbed(from, to time.Duration) bool {
 	return slices.ContainsFunc(h.Disturbances, func(d Disturbance) bool {
-		return d.Scope == ScopePeer && d.From <= to && d.To+settling >= from
+		return d.Scope == ScopePeer && d.From <= to && d.To+recoveryGrace >= from
 	})
 }
 
-// workerDisturbed reports whether a worker or the link to it was out of order.
+// workerDisturbed reports whether a worker or the link to it was disturbed at any time
+// between from and to.
 func (h *History) workerDisturbed(worker string, from, to time.Duration) bool {
 	return slices.ContainsFunc(h.Disturbances, func(d Disturbance) bool {
-		return d.Scope == ScopeWorker && d.Worker == worker && d.From <= to && d.To+settling >= from
+		return d.Scope == ScopeWorker && d.Worker == worker && d.From <= to && d.To+recoveryGrace >= from
 	})
 }
 
-// cutByWorker reports whether a worker that ran a request was out of order meanwhile.
-func (h *History) cutByWorker(request *Request, runs []*Run) bool {
+// workerDisturbedDuring reports whether a worker that ran a request was disturbed while the
+// request was open.
+func (h *History) workerDisturbedDuring(request *Request, runs []*Run) bool {
 	return slices.ContainsFunc(runs, func(run *Run) bool {
 		return h.workerDisturbed(run.Worker, request.Sent, request.Ended)
 	})
 }
 
-// ordersByWorker groups the orders, oldest first.
+// ordersByWorker returns the orders by worker, oldest first.
 func (h *History) ordersByWorker() map[string][]Order {
 	orders := map[string][]Order{}
 	for _, order := range h.Orders {
--- a/soak/check/judge.go
+++ b/soak/check/judge.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Slack of the checks: several times what a quiet machine needs, so that one that
-// is busy with other work raises no alarm.
+// Tolerances of the checks. They are several times what an idle machine needs, so that
+// a machine that is busy with other work causes no false breach.
 const (
-	// settling is how long after a disturbance a node is not judged by time.
-	settling = 4 * time.Second
-	// answerSlack is how long after its deadline a request may be answered.
+	// recoveryGrace is how long after a disturbance a node is exempt from checks that depend on
+	// time.
+	recoveryGrace = 4 * time.Second
+	// answerSlack is how long after its deadline a request may still be answered.
 	answerSlack = 5 * time.Second
-	// poisonSlack is added to the time within which nodes know of a harmful request.
+	// poisonSlack is added to the time within which all nodes must know of a harmful request.
 	poisonSlack = 4 * time.Second
-	// stopSlack is how long after its grace time a stopping process may end, and
-	// how long before the end of the grace time requests must have ended to count.
+	// stopSlack is how long after the end of its grace period a stopping process may
+	// still end.
 	stopSlack = 3 * time.Second
-	// readTime is how long a node may take to read what a caller sent.
-	readTime = time.Second
+	// maxReadTime is how long a node may take to read what a caller sent.
+	maxReadTime = time.Second
 )
 
-// Promise names what must hold.
+// Promise is the text of a property that must hold in every run.
 type Promise string
 
 // The promises.
@@ -51,103 +52,107 @@
 	PromiseWorkerLimit   Promise = "a worker that names a limit gets no more of all nodes"
 )
 
-// Breach is a promise found broken.
+// Breach is one observation that breaks a promise.
 type Breach struct {
 	Promise Promise `json:"promise"`
-	// Subject is a request's identifier, a worker or a node.
+	// Subject is the request identifier, worker or node concerned.
 	Subject string        `json:"subject"`
 	At      time.Duration `json:"at"`
 	Detail  string        `json:"detail"`
 }
 
-// String is the breach in one line.
+// String formats the breach on one line.
 func (b Breach) String() string {
 	return fmt.Sprintf("%s: %s at %s: %s", b.Promise, b.Subject, b.At.Round(time.Millisecond), b.Detail)
 }
 
-// Finding is what one check found.
+// Finding is the result of one check.
 type Finding struct {
 	Promise Promise `json:"promise"`
-	// Judged counts what could be judged, besides what a disturbance excused. Least is how
-	// often that must be, zero where nothing tested the promise.
+	// Judged is the number of observations that the check evaluated; those excused by a
+	// disturbance are not counted. Least is the number required for a meaningful result,
+	// and zero if nothing in the run tested the promise.
 	Judged   int      `json:"judged"`
 	Least    int      `json:"least"`
 	Breaches []Breach `json:"breaches,omitempty"`
 }
 
-// NotJudged reports whether the promise was tested and yet judged too seldom.
+// NotJudged reports whether the promise was tested but too few observations could be
+// evaluated.
 func (f *Finding) NotJudged() bool { return f.Judged < f.Least }
 
-// judge judges one more thing; a detail means that the promise is broken.
-func (f *Finding) judge(subject string, at time.Duration, detail string) {
+// record counts an evaluated observation. A non-empty detail records it as a breach.
+func (f *Finding) record(subject string, at time.Duration, detail string) {
 	f.Judged++
 	if detail != "" {
 		f.Breaches = append(f.Breaches, Breach{Promise: f.Promise, Subject: subject, At: at, Detail: detail})
 	}
 }
 
-// checkOf is one promise's check.
-type checkOf struct {
+// promiseCheck is the check of one promise.
+type promiseCheck struct {
 	promise Promise
 	check   func(*History, *Finding)
-	// least is how often the promise must be judged by a history that tests it.
-	least int
-	// tested reports whether what tests the promise came about; nil for always.
-	tested func(*History) bool
+	// minJudged is the number of observations required if the history tests the promise.
+	minJudged int
+	// isTested reports whether the history contains what tests the promise; nil means that
+	// it always does.
+	isTested func(*History) bool
 }
 
-// What a run that lasts half a minute shows in any case: callers send 12 requests a second to
-// each node, versions come every 4 s, and a worker leaves while nothing is out of order. The
-// leasts are a tenth or less of what such a run brings with four nodes.
+// Minimum numbers of observations, for checks with many, some and few of them. In a run of 30 s
+// callers send 12 requests per second to each node, a new configuration version is written
+// every 4 s, and a worker leaves while nothing is disturbed. The minimums are at most a tenth of
+// what such a run yields with four nodes.
 const (
-	leastOfMany = 100
-	leastOfSome = 30
-	leastOfFew  = 1
+	minJudgedMany = 100
+	minJudgedSome = 30
+	minJudgedFew  = 1
 )
 
-// checks are all checks, in the order of reports.
-var checks = []checkOf{
-	{PromiseOnce, ranOnce, leastOfSome, nil},
-	{PromiseNeverRun, neverRan, leastOfFew, (*History).anyRefused},
-	{PromiseWhole, wholeAnswers, leastOfMany, nil},
-	{PromiseStream, wholeStreams, leastOfSome, nil},
-	{PromiseHolder, oneHolder, leastOfFew, nil},
-	{PromiseMemory, memoryKept, leastOfFew, nil},
-	{PromiseLoads, loadsKept, leastOfFew, nil},
-	{PromiseLeaving, leftAlone, leastOfSome, (*History).anyLeft},
-	{PromiseLeavingAnswer, leavingAnswersKept, leastOfFew, (*History).anyLeavingTold},
-	{PromiseRest, restsKept, leastOfFew, (*History).anyTurned},
-	{PromiseConfiguration, configuredInTime, leastOfSome, nil},
-	{PromiseForward, neverBack, leastOfMany, nil},
-	{PromiseStop, nothingCut, leastOfFew, (*History).stopsInPeace},
-	{PromiseLeave, connectionsLeft, leastOfFew, (*History).stopsInPeace},
-	{PromiseStopEnds, stopsEnd, leastOfFew, (*History).stopsInPeace},
-	{PromiseAnswer, answeredInTime, leastOfMany, nil},
-	{PromiseLives, nobodyEnds, 0, nil},
-	{PromiseRecovery, recovered, leastOfFew, nil},
-	{PromisePoison, poisonHeldBack, leastOfFew, (*History).poisonTold},
-	{PromiseBystanders, bystandersTaken, leastOfFew, (*History).acquittalDue},
-	{PromiseKeys, keysTaken, leastOfFew, (*History).keyed},
-	{PromiseLimit, limitKept, leastOfSome, (*History).keyed},
-	{PromiseWorkerLimit, workerLimitsKept, leastOfFew, (*History).anyWorkerLimit},
+// checks lists all checks in the order in which they are reported.
+var checks = []promiseCheck{
+	{PromiseOnce, checkRunsOnce, minJudgedSome, nil},
+	{PromiseNeverRun, checkRefusedNeverRuns, minJudgedFew, (*History).hasRefusals},
+	{PromiseWhole, checkAnswers, minJudgedMany, nil},
+	{PromiseStream, checkStreams, minJudgedSome, nil},
+	{PromiseHolder, checkSingleHolder, minJudgedFew, nil},
+	{PromiseMemory, checkMemory, minJudgedFew, nil},
+	{PromiseLoads, checkLoadRate, minJudgedFew, nil},
+	{PromiseLeaving, checkLeavingWorkers, minJudgedSome, (*History).hasLeavings},
+	{PromiseLeavingAnswer, checkLeavingAnswers, minJudgedFew, (*History).hasDueLeavingAnswer},
+	{PromiseRest, checkBackoffs, minJudgedFew, (*History).hasJudgeableBackoff},
+	{PromiseConfiguration, checkConfigurationDelay, minJudgedSome, nil},
+	{PromiseForward, checkConfigurationOrder, minJudgedMany, nil},
+	{PromiseStop, checkStopCompletesRequests, minJudgedFew, (*History).hasUndisturbedStop},
+	{PromiseLeave, checkStopEndsConnections, minJudgedFew, (*History).hasUndisturbedStop},
+	{PromiseStopEnds, checkStopDuration, minJudgedFew, (*History).hasUndisturbedStop},
+	{PromiseAnswer, checkAnswerDeadlines, minJudgedMany, nil},
+	{PromiseLives, checkUnexpectedExits, 0, nil},
+	{PromiseRecovery, checkRecovery, minJudgedFew, nil},
+	{PromisePoison, checkPoisonContainment, minJudgedFew, (*History).hasPoisonAfterBound},
+	{PromiseBystanders, checkBystanders, minJudgedFew, (*History).hasDueAcquittal},
+	{PromiseKeys, checkRevokedKeys, minJudgedFew, (*History).hasKeys},
+	{PromiseLimit, checkTenantLimit, minJudgedSome, (*History).hasKeys},
+	{PromiseWorkerLimit, checkWorkerLimits, minJudgedFew, (*History).hasWorkerLimit},
 }
 
-// Judge runs every check.
+// Judge runs every check on a history.
 func Judge(h *History) []Finding {
 	findings := make([]Finding, 0, len(checks))
 	for _, entry := range checks {
 		finding := Finding{Promise: entry.promise}
 		entry.check(h, &finding)
-		if entry.tested == nil || entry.tested(h) {
-			finding.Least = entry.least
+		if entry.isTested == nil || entry.isTested(h) {
+			finding.Least = entry.minJudged
 		}
 		findings = append(findings, finding)
 	}
 	return findings
 }
 
-// NotJudged lists the promises that were tested and judged less often than a history of such
-// a run allows: it says nothing of them.
+// NotJudged returns the promises that were tested but have too few evaluated observations
+// for a result.
 func NotJudged(findings []Finding) []Promise {
 	var promises []Promise
 	for i := range findings {
@@ -158,7 +163,7 @@
 	return promises
 }
 
-// Breaches gathers the breaches of all findings.
+// Breaches returns the breaches of all findings.
 func Breaches(findings []Finding) []Breach {
 	var breaches []Breach
 	for i := range findings {
--- a/soak/check/judge_test.go
+++ b/soak/check/judge_test.go
@@ -12,8 +12,8 @@
 
 const testEvents = 5
 
-// served is a request that was answered as it should be.
-func served(id string, route Route, sent time.Duration) Request {
+// completedRequest returns a request with a correct and complete answer.
+func completedRequest(id string, route Route, sent time.Duration) Request {
 	request := Request{
 		ID: id, Route: route, Deadline: 2 * time.Second, Sent: sent, Ended: sent + 100*time.Millisecond,
 		Status: http.StatusOK, EchoedID: id, Stamp: worker.Stamp("w1"), Body: worker.AnswerText(id, "w1"),
@@ -24,14 +24,14 @@
 	return request
 }
 
-// ran is the run of a request.
-func ran(id, on string, at time.Duration) Run {
+// runOf returns the run of a request on a worker.
+func runOf(id, on string, at time.Duration) Run {
 	return Run{Request: id, Worker: on, Body: Body(id), At: at}
 }
 
-// sound is a history in which every promise was judged and none is broken. Node 0
-// was stopped at 20 s and is back at 26 s; node 1 was never disturbed.
-func sound() *History {
+// validHistory returns a history that tests every promise and breaks none. Node 0 is stopped at
+// 20 s and serves again at 26 s; node 1 is never disturbed.
+func validHistory() *History {
 	h := &History{
 		Bounds: Bounds{
 			Drain: 3 * time.Second, Configuration: 3 * time.Second, Grace: 8 * time.Second, Recovery: 14 * time.Second,
@@ -54,17 +54,17 @@
 	}
 	for n, route := range Routes() {
 		for node := range 2 {
-			request := served(fmt.Sprintf("n%d-%d", node, n), route, 12*time.Second)
+			request := completedRequest(fmt.Sprintf("n%d-%d", node, n), route, 12*time.Second)
 			request.Node = node
 			h.Requests = append(h.Requests, request)
-			h.Runs = append(h.Runs, ran(request.ID, "w1", request.Sent))
+			h.Runs = append(h.Runs, runOf(request.ID, "w1", request.Sent))
 		}
 	}
 	for n := range 8 {
 		try := Request{ID: fmt.Sprintf("%s%d", PoisonPrefix, n), Node: n % 2, Route: RouteWrite, Deadline: time.Second, Status: http.StatusBadGateway}
 		try.Sent = time.Duration(n+1) * time.Second
-		if n < poisonEnds {
-			h.Runs = append(h.Runs, ran(try.ID, fmt.Sprintf("ended-%d", n), try.Sent))
+		if n < poisonThreshold {
+			h.Runs = append(h.Runs, runOf(try.ID, fmt.Sprintf("ended-%d", n), try.Sent))
 		} else {
 			try.Status, try.Body = http.StatusServiceUnavailable, `{"code":"poison_request"}`
 			try.Sent += poisonBound
@@ -73,59 +73,59 @@
 		h.Requests = append(h.Requests, try)
 	}
 	for n, sent := range []time.Duration{9 * time.Second, 12 * time.Second} {
-		keyed := served(fmt.Sprintf("keyed-%d", n), RouteKeyed, sent)
+		keyed := completedRequest(fmt.Sprintf("keyed-%d", n), RouteKeyed, sent)
 		keyed.Key = "old"
 		if n == 0 {
-			h.Runs = append(h.Runs, ran(keyed.ID, "w1", sent))
+			h.Runs = append(h.Runs, runOf(keyed.ID, "w1", sent))
 		} else {
 			keyed.Status, keyed.Body, keyed.Stamp = http.StatusUnauthorized, "", ""
 		}
 		h.Requests = append(h.Requests, keyed)
 	}
 	for n := range 10 {
-		flood := served(fmt.Sprintf("%s%d", FloodPrefix, n), RouteKeyed, 10*time.Second+time.Duration(n)*100*time.Millisecond)
+		flood := completedRequest(fmt.Sprintf("%s%d", FloodPrefix, n), RouteKeyed, 10*time.Second+time.Duration(n)*100*time.Millisecond)
 		h.Requests = append(h.Requests, flood)
-		h.Runs = append(h.Runs, ran(flood.ID, "w1", flood.Sent))
+		h.Runs = append(h.Runs, runOf(flood.ID, "w1", flood.Sent))
 	}
 	h.WorkerLimits = []WorkerLimit{{Worker: "needy", PerSecond: 1, From: 5 * time.Second, To: 17 * time.Second}}
 	for n := range 10 {
-		needed := served(fmt.Sprintf("needed-%d", n), RouteRead, 13*time.Second+time.Duration(n)*200*time.Millisecond)
+		needed := completedRequest(fmt.Sprintf("needed-%d", n), RouteRead, 13*time.Second+time.Duration(n)*200*time.Millisecond)
 		needed.Node, needed.Stamp, needed.Body = n%2, worker.Stamp("needy"), worker.AnswerText(needed.ID, "needy")
 		h.Requests = append(h.Requests, needed)
-		h.Runs = append(h.Runs, ran(needed.ID, "needy", needed.Sent))
+		h.Runs = append(h.Runs, runOf(needed.ID, "needy", needed.Sent))
 	}
-	goodbye := served("goodbye", RouteRead, 6*time.Second)
+	goodbye := completedRequest("goodbye", RouteRead, 6*time.Second)
 	goodbye.Node, goodbye.Stamp, goodbye.Body = 1, worker.Stamp("going"), worker.AnswerText("goodbye", "going")
 	h.Requests = append(h.Requests, goodbye)
-	h.Runs = append(h.Runs, ran(goodbye.ID, "going", goodbye.Sent))
+	h.Runs = append(h.Runs, runOf(goodbye.ID, "going", goodbye.Sent))
 	for n := range 3 {
-		// Half a second after the first the worker's rest begins.
+		// All three requests arrive within the 500 ms before the back-off must be in effect.
 		turned := Request{ID: fmt.Sprintf("turned-%d", n), Node: 1, Route: RouteRead, Deadline: time.Second, Status: http.StatusServiceUnavailable}
 		turned.Sent = 6*time.Second + time.Duration(n)*200*time.Millisecond
 		turned.Ended = turned.Sent
 		h.Requests = append(h.Requests, turned)
 		h.Turned = append(h.Turned, Turned{Request: turned.ID, Worker: "shedding", Rest: 3 * time.Second, At: turned.Sent})
 	}
-	popular := served(PopularPrefix+"0", RouteRead, 4*time.Second+acquittedWithin)
+	popular := completedRequest(PopularPrefix+"0", RouteRead, 4*time.Second+maxAcquittalDelay)
 	popular.Node = 1
 	h.Requests = append(h.Requests, popular)
-	h.Runs = append(h.Runs, ran(popular.ID, "w1", popular.Sent))
+	h.Runs = append(h.Runs, runOf(popular.ID, "w1", popular.Sent))
 	for n := range 6 {
-		held := served(fmt.Sprintf("%sheld-%d", FloodPrefix, n), RouteKeyed, 12*time.Second)
+		held := completedRequest(fmt.Sprintf("%sheld-%d", FloodPrefix, n), RouteKeyed, 12*time.Second)
 		h.Requests = append(h.Requests, held)
-		h.Runs = append(h.Runs, ran(held.ID, "behind-a-link", held.Sent))
+		h.Runs = append(h.Runs, runOf(held.ID, "behind-a-link", held.Sent))
 	}
 	h.Disturbances = append(h.Disturbances, Disturbance{Scope: ScopeWorker, Worker: "behind-a-link", From: 9 * time.Second, To: 11 * time.Second})
-	leaving := served("leaving", RouteRead, 24200*time.Millisecond)
+	leaving := completedRequest("leaving", RouteRead, 24200*time.Millisecond)
 	leaving.Leave = true
 	h.Requests = append(h.Requests, leaving)
-	h.Runs = append(h.Runs, ran(leaving.ID, "w1", leaving.Sent))
-	during := served("during", RouteRead, 21*time.Second)
+	h.Runs = append(h.Runs, runOf(leaving.ID, "w1", leaving.Sent))
+	during := completedRequest("during", RouteRead, 21*time.Second)
 	h.Requests = append(h.Requests, during, Request{
 		ID: "refused", Node: 1, Route: RouteWrite, Deadline: time.Second, Sent: 13 * time.Second, Ended: 13 * time.Second,
 		Status: http.StatusServiceUnavailable,
 	})
-	h.Runs = append(h.Runs, ran("during", "w1", during.Sent))
+	h.Runs = append(h.Runs, runOf("during", "w1", during.Sent))
 	for n := range 4 {
 		h.Orders = append(h.Orders, Order{Worker: "e1", Holder: "a", Fence: 3, At: time.Duration(n) * time.Second, Load: true})
 	}
@@ -139,16 +139,16 @@
 	return h
 }
 
-// find returns the finding on a promise.
-func find(findings []Finding, promise Promise) Finding {
+// findingFor returns the finding for a promise.
+func findingFor(findings []Finding, promise Promise) Finding {
 	at := slices.IndexFunc(findings, func(f Finding) bool { return f.Promise == promise })
 	return findings[at]
 }
 
-// TestSoundHistoryBreaksNothing, and every check but that on ended processes, which
-// sees only ends, finds something to judge.
-func TestSoundHistoryBreaksNothing(t *testing.T) {
-	for _, finding := range Judge(sound()) {
+// TestValidHistoryIsJudgedWithoutBreaches guards against false breaches and against checks
+// that evaluate nothing. The check of unexpected exits is exempt, since it only counts exits.
+func TestValidHistoryIsJudgedWithoutBreaches(t *testing.T) {
+	for _, finding := range Judge(validHistory()) {
 		if len(finding.Breaches) > 0 {
 			t.Errorf("%v", finding.Breaches)
 		}
@@ -158,54 +158,55 @@
 	}
 }
 
-// sendAgain has a node send the harmful request long after it ended three workers.
-func sendAgain(h *History, node int) {
-	for n := range poisonSends + 1 {
+// repeatPoison makes a node send the harmful request long after it has crashed three workers.
+func repeatPoison(h *History, node int) {
+	for n := range maxPoisonRunsAfterBound + 1 {
 		try := Request{
 			ID: fmt.Sprintf("%sagain-%d-%d", PoisonPrefix, node, n), Node: node, Route: RouteWrite, Status: http.StatusBadGateway,
 			Sent: 12*time.Second + time.Duration(n)*time.Second, Ended: 16 * time.Second,
 		}
 		h.Requests = append(h.Requests, try)
-		h.Runs = append(h.Runs, ran(try.ID, fmt.Sprintf("late-%d-%d", node, n), try.Sent))
+		h.Runs = append(h.Runs, runOf(try.ID, fmt.Sprintf("late-%d-%d", node, n), try.Sent))
 	}
 }
 
-// defects are planted one at a time; each must be found by the check on its promise.
-var defects = []struct {
+// plantedDefects are applied to validHistory one at a time. Each must be found by the check of its
+// promise.
+var plantedDefects = []struct {
 	promise Promise
 	name    string
 	plant   func(*History)
 }{
-	{PromisePoison, "a node that forgets", func(h *History) { sendAgain(h, 1) }},
-	{PromisePoison, "nodes that count alone", func(h *History) { sendAgain(h, 0); sendAgain(h, 1) }},
+	{PromisePoison, "a node that forgets", func(h *History) { repeatPoison(h, 1) }},
+	{PromisePoison, "nodes that count alone", func(h *History) { repeatPoison(h, 0); repeatPoison(h, 1) }},
 	{PromiseBystanders, "a node that convicts bystanders", func(h *History) {
 		h.Requests = append(h.Requests, Request{
 			ID: PopularPrefix + "1", Node: 1, Route: RouteRead, Status: http.StatusServiceUnavailable, Body: `{"code":"poison_request"}`,
-			Sent: 4*time.Second + acquittedWithin, Ended: 4*time.Second + acquittedWithin,
+			Sent: 4*time.Second + maxAcquittalDelay, Ended: 4*time.Second + maxAcquittalDelay,
 		})
 	}},
 	{PromiseKeys, "a node that keeps old keys", func(h *History) {
-		kept := served("keyed-late", RouteKeyed, 11*time.Second)
+		kept := completedRequest("keyed-late", RouteKeyed, 11*time.Second)
 		kept.Key = "old"
 		h.Requests = append(h.Requests, kept)
-		h.Runs = append(h.Runs, ran(kept.ID, "w1", kept.Sent))
+		h.Runs = append(h.Runs, runOf(kept.ID, "w1", kept.Sent))
 	}},
 	{PromiseLimit, "a node that spends without asking", func(h *History) {
-		flood := served(FloodPrefix+"beyond", RouteKeyed, 12*time.Second)
+		flood := completedRequest(FloodPrefix+"beyond", RouteKeyed, 12*time.Second)
 		h.Requests = append(h.Requests, flood)
-		h.Runs = append(h.Runs, ran(flood.ID, "w1", flood.Sent))
+		h.Runs = append(h.Runs, runOf(flood.ID, "w1", flood.Sent))
 	}},
 	{PromiseWorkerLimit, "nodes that keep a limit each for itself", func(h *History) {
 		for n := range 12 {
-			beyond := served(fmt.Sprintf("beyond-%d", n), RouteRead, 13*time.Second)
+			beyond := completedRequest(fmt.Sprintf("beyond-%d", n), RouteRead, 13*time.Second)
 			beyond.Node = n % 2
 			h.Requests = append(h.Requests, beyond)
-			h.Runs = append(h.Runs, ran(beyond.ID, "needy", beyond.Sent))
+			h.Runs = append(h.Runs, runOf(beyond.ID, "needy", beyond.Sent))
 		}
 	}},
-	{PromiseOnce, "a second run", func(h *History) { h.Runs = append(h.Runs, ran("n0-0", "w2", 13*time.Second)) }},
+	{PromiseOnce, "a second run", func(h *History) { h.Runs = append(h.Runs, runOf("n0-0", "w2", 13*time.Second)) }},
 	{PromiseNeverRun, "a later run of a refused request", func(h *History) {
-		h.Runs = append(h.Runs, ran("refused", "w1", 30*time.Second))
+		h.Runs = append(h.Runs, runOf("refused", "w1", 30*time.Second))
 	}},
 	{PromiseNeverRun, "a refusal for too many requests after a run", func(h *History) {
 		h.Requests[0].Status = http.StatusTooManyRequests
@@ -215,16 +216,16 @@
 	{PromiseWhole, "a body that was cut and looks whole", func(h *History) { h.Requests[0].Body = h.Requests[0].Body[:9] }},
 	{PromiseWhole, "an answer without a stamp", func(h *History) { h.Requests[0].Stamp = "" }},
 	{PromiseWhole, "a worker that gets another body", func(h *History) { h.Runs[0].Body = "other" }},
-	{PromiseStream, "a lost event", stream(func(id string) string {
+	{PromiseStream, "a lost event", replaceStreamBody(func(id string) string {
 		return worker.StreamText(id, 0, 2) + worker.StreamText(id, 3, testEvents)
 	})},
-	{PromiseStream, "a repeated event", stream(func(id string) string {
+	{PromiseStream, "a repeated event", replaceStreamBody(func(id string) string {
 		return worker.StreamText(id, 0, 2) + worker.StreamText(id, 1, testEvents)
 	})},
-	{PromiseStream, "a mixture", stream(func(id string) string {
+	{PromiseStream, "a mixture", replaceStreamBody(func(id string) string {
 		return worker.StreamText(id, 0, 2) + worker.StreamText("other", 2, testEvents)
 	})},
-	{PromiseStream, "an end that is too early", stream(func(id string) string { return worker.StreamText(id, 0, 4) })},
+	{PromiseStream, "an end that is too early", replaceStreamBody(func(id string) string { return worker.StreamText(id, 0, 4) })},
 	{PromiseHolder, "an order of a holder that was followed", func(h *History) {
 		h.Orders = append(h.Orders, Order{Worker: "e1", Holder: "a", Fence: 3, At: 10 * time.Second})
 	}},
@@ -236,16 +237,16 @@
 		h.Orders = append(h.Orders, Order{Worker: "e2", Holder: "a", Fence: 3, At: 2 * time.Second, Load: true})
 	}},
 	{PromiseLeaving, "work after the bound", func(h *History) {
-		request := served("late", RouteRead, 18*time.Second)
+		request := completedRequest("late", RouteRead, 18*time.Second)
 		request.Node = 1
 		h.Requests = append(h.Requests, request)
-		h.Runs = append(h.Runs, ran("late", "w2", 18*time.Second))
+		h.Runs = append(h.Runs, runOf("late", "w2", 18*time.Second))
 	}},
 	{PromiseLeavingAnswer, "a node that doesn't hear what answers say", func(h *History) {
-		unheard := served("unheard", RouteRead, 12*time.Second)
+		unheard := completedRequest("unheard", RouteRead, 12*time.Second)
 		unheard.Node = 1
 		h.Requests = append(h.Requests, unheard)
-		h.Runs = append(h.Runs, ran("unheard", "going", 12*time.Second))
+		h.Runs = append(h.Runs, runOf("unheard", "going", 12*time.Second))
 	}},
 	{PromiseRest, "a node that goes by a back-off of its own", func(h *History) {
 		for n := range 3 {
@@ -288,97 +289,101 @@
 	{PromiseRecovery, "a node that stays away", func(h *History) { h.Recoveries[0].Reached = false }},
 }
 
-// stream gives the first stream another text.
-func stream(text func(id string) string) func(*History) {
+// replaceStreamBody returns a defect that replaces the body of the first stream.
+func replaceStreamBody(text func(id string) string) func(*History) {
 	return func(h *History) {
 		at := slices.IndexFunc(h.Requests, func(r Request) bool { return r.Route.Streams() })
 		h.Requests[at].Body = text(h.Requests[at].ID)
 	}
 }
 
-// TestPlantedDefectsAreFound, each by the check on its promise.
-func TestPlantedDefectsAreFound(t *testing.T) {
+// TestEachPlantedDefectBreaksItsPromise guards against checks that miss a breach, and against
+// promises without a planted defect.
+func TestEachPlantedDefectBreaksItsPromise(t *testing.T) {
 	planted := map[Promise]bool{}
-	for _, defect := range defects {
+	for _, defect := range plantedDefects {
 		planted[defect.promise] = true
 		t.Run(defect.name, func(t *testing.T) {
-			h := sound()
+			h := validHistory()
 			defect.plant(h)
-			if finding := find(Judge(h), defect.promise); len(finding.Breaches) == 0 {
+			if finding := findingFor(Judge(h), defect.promise); len(finding.Breaches) == 0 {
 				t.Errorf("not found: %s", defect.promise)
 			}
 		})
 	}
-	for _, finding := range Judge(sound()) {
+	for _, finding := range Judge(validHistory()) {
 		if !planted[finding.Promise] {
 			t.Errorf("no defect is planted for: %s", finding.Promise)
 		}
 	}
 }
 
-// TestBystanderOfALaterEndIsExcusedForItsTime guards against a judge that finds a breach in what is
-// refused right after a fourth worker ended beside it, and against one that excuses it for long, or
-// by the end of a worker that did not run it.
-func TestBystanderOfALaterEndIsExcusedForItsTime(t *testing.T) {
+// TestBystanderRefusalIsExcusedOnlyBrieflyAfterAWorkerEnds guards against a check that
+// reports a refusal right after a fourth worker crashed while it ran the popular request. It also
+// guards against one that excuses refusals for too long, or after the crash of a worker that did not
+// run the popular request.
+func TestBystanderRefusalIsExcusedOnlyBrieflyAfterAWorkerEnds(t *testing.T) {
 	for _, c := range []struct {
 		after    time.Duration
 		beside   string
 		breaches int
 	}{{time.Second, "ended-later", 0}, {poisonBound, "ended-later", 1}, {time.Second, "w1", 1}} {
-		h := sound()
+		h := validHistory()
 		end := 30 * time.Second
 		h.Requests = append(h.Requests, Request{ID: PoisonPrefix + "later", Node: 1, Route: RouteWrite, Sent: end, Ended: end})
-		h.Runs = append(h.Runs, ran(PoisonPrefix+"later", "ended-later", end))
-		bystander := served(PopularPrefix+"beside", RouteRead, end-50*time.Millisecond)
+		h.Runs = append(h.Runs, runOf(PoisonPrefix+"later", "ended-later", end))
+		bystander := completedRequest(PopularPrefix+"beside", RouteRead, end-50*time.Millisecond)
 		bystander.Node = 1
 		h.Requests = append(h.Requests, bystander, Request{
 			ID: PopularPrefix + "later", Node: 1, Route: RouteRead, Status: http.StatusServiceUnavailable, Body: `{"code":"poison_request"}`,
 			Sent: end + c.after, Ended: end + c.after,
 		})
-		h.Runs = append(h.Runs, ran(bystander.ID, c.beside, bystander.Sent))
-		if finding := find(Judge(h), PromiseBystanders); len(finding.Breaches) != c.breaches {
+		h.Runs = append(h.Runs, runOf(bystander.ID, c.beside, bystander.Sent))
+		if finding := findingFor(Judge(h), PromiseBystanders); len(finding.Breaches) != c.breaches {
 			t.Errorf("%s after the end of %s: %d breaches, want %d", c.after, c.beside, len(finding.Breaches), c.breaches)
 		}
 	}
 }
 
-// TestDisturbedNodesAreNotJudgedByTime: what a disturbance explains is no breach.
-func TestDisturbedNodesAreNotJudgedByTime(t *testing.T) {
+// TestDisturbanceExcusesLateNodes checks that delays explained by a disturbance are not
+// reported as breaches.
+func TestDisturbanceExcusesLateNodes(t *testing.T) {
 	for _, scope := range []Scope{ScopeProcess, ScopeCaller} {
-		h := sound()
+		h := validHistory()
 		h.Requests[1].Ended += time.Minute
 		h.Disturbances = append(h.Disturbances, Disturbance{Node: 1, Scope: scope, From: 20 * time.Second, To: 21 * time.Second})
-		if finding := find(Judge(h), PromiseAnswer); len(finding.Breaches) > 0 {
+		if finding := findingFor(Judge(h), PromiseAnswer); len(finding.Breaches) > 0 {
 			t.Errorf("%v", finding.Breaches)
 		}
 	}
-	h := sound()
+	h := validHistory()
 	h.Probes[len(h.Probes)-1].InForce = false
 	h.Disturbances = append(h.Disturbances, Disturbance{Node: AllNodes, Scope: ScopeStore, From: 12 * time.Second, To: 14 * time.Second})
-	if finding := find(Judge(h), PromiseConfiguration); len(finding.Breaches) > 0 {
+	if finding := findingFor(Judge(h), PromiseConfiguration); len(finding.Breaches) > 0 {
 		t.Errorf("%v", finding.Breaches)
 	}
 }
 
-// TestWorkersDontExcuseSilence: a request that gets no answer at all is a breach also
-// while workers are disturbed.
-func TestWorkersDontExcuseSilence(t *testing.T) {
-	h := sound()
+// TestWorkerDisturbanceDoesNotExcuseAMissingAnswer checks that a request without any
+// answer is a breach even while workers are disturbed.
+func TestWorkerDisturbanceDoesNotExcuseAMissingAnswer(t *testing.T) {
+	h := validHistory()
 	h.Disturbances = append(h.Disturbances, Disturbance{Node: AllNodes, Scope: ScopeWorker, To: time.Minute})
 	h.Requests[1].Status, h.Requests[1].Failure = 0, "reset"
-	if finding := find(Judge(h), PromiseAnswer); len(finding.Breaches) == 0 {
+	if finding := findingFor(Judge(h), PromiseAnswer); len(finding.Breaches) == 0 {
 		t.Error("not found")
 	}
 }
 
-// TestOnlyItsOwnWorkerExcusesACutStream: the disturbance of another one does not.
-func TestOnlyItsOwnWorkerExcusesACutStream(t *testing.T) {
+// TestOnlyTheDisturbedWorkerOfAStreamExcusesItsCut checks that a cut stream is excused only
+// if the worker that ran it was disturbed.
+func TestOnlyTheDisturbedWorkerOfAStreamExcusesItsCut(t *testing.T) {
 	for worker, breaches := range map[string]int{"w1": 0, "w2": 1} {
-		h := sound()
+		h := validHistory()
 		at := slices.IndexFunc(h.Requests, func(r Request) bool { return r.Node == 1 && r.Route == RouteOnce })
 		h.Requests[at].Failure = "reset"
 		h.Disturbances = append(h.Disturbances, Disturbance{Node: AllNodes, Scope: ScopeWorker, Worker: worker, To: time.Minute})
-		if finding := find(Judge(h), PromiseAnswer); len(finding.Breaches) != breaches {
+		if finding := findingFor(Judge(h), PromiseAnswer); len(finding.Breaches) != breaches {
 			t.Errorf("%s disturbed: %v", worker, finding.Breaches)
 		}
 	}
--- a/soak/check/leaving_answers.go
+++ b/soak/check/leaving_answers.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// toldOf names a node that passed on an answer of a worker.
-type toldOf struct {
+// nodeWorker identifies a pair of a node and a worker whose answers it forwards.
+type nodeWorker struct {
 	node   int
 	worker string
 }
 
-// leavingTold is when each node first passed on an answer by which a worker said that it leaves.
-func (h *History) leavingTold() map[toldOf]time.Duration {
+// leavingFirstRelayed returns when each node first forwarded an answer in which a worker announced
+// that it leaves.
+func (h *History) leavingFirstRelayed() map[nodeWorker]time.Duration {
 	says := map[string]time.Duration{}
 	for _, said := range h.LeavingAnswers {
 		if at, known := says[said.Worker]; !known || said.At < at {
@@ -20,7 +21,7 @@
 		}
 	}
 	requests := h.requestsByID()
-	told := map[toldOf]time.Duration{}
+	told := map[nodeWorker]time.Duration{}
 	for i := range h.Runs {
 		run := &h.Runs[i]
 		request := requests[run.Request]
@@ -28,7 +29,7 @@
 		if request == nil || !leaves || run.At <= from || !request.answered() {
 			continue
 		}
-		key := toldOf{request.Node, run.Worker}
+		key := nodeWorker{request.Node, run.Worker}
 		if at, known := told[key]; !known || request.Ended < at {
 			told[key] = request.Ended
 		}
@@ -36,11 +37,12 @@
 	return told
 }
 
-// leavingAnswersKept: what a client sends a node later than the bound after that node passed on an answer
-// by which a worker said that it leaves doesn't run there. Only an end or a standstill of the node
-// excuses it. Judged is each request to such a node that ran, wherever.
-func leavingAnswersKept(h *History, f *Finding) {
-	told := h.leavingTold()
+// checkLeavingAnswers checks that a node which forwarded a worker's announcement that it leaves
+// gives that worker no requests that arrive later than Bounds.Drain after it. Only a stop, kill or
+// pause of the node excuses it. Every request to such a node that ran on any worker is one
+// observation.
+func checkLeavingAnswers(h *History, f *Finding) {
+	told := h.leavingFirstRelayed()
 	requests := h.requestsByID()
 	for i := range h.Runs {
 		run := &h.Runs[i]
@@ -48,18 +50,18 @@
 		if request == nil {
 			continue
 		}
-		at, known := told[toldOf{request.Node, run.Worker}]
+		at, known := told[nodeWorker{request.Node, run.Worker}]
 		switch {
-		case known && request.Sent > at+h.Bounds.Drain && !h.restarted(request.Node, at, run.At):
-			f.judge(run.Request, run.At, fmt.Sprintf("node %d sent it to %s, whose answer said at %s that it leaves", request.Node, run.Worker, at))
-		case h.toldAny(told, request):
-			f.judge(run.Request, run.At, "")
+		case known && request.Sent > at+h.Bounds.Drain && !h.processDisturbed(request.Node, at, run.At):
+			f.record(run.Request, run.At, fmt.Sprintf("node %d sent it to %s, whose answer said at %s that it leaves", request.Node, run.Worker, at))
+		case h.mustKnowAnyLeaving(told, request):
+			f.record(run.Request, run.At, "")
 		}
 	}
 }
 
-// toldAny reports whether the request's node had to know of some worker that it leaves.
-func (h *History) toldAny(told map[toldOf]time.Duration, request *Request) bool {
+// mustKnowAnyLeaving reports whether the request's node had to know of any leaving worker.
+func (h *History) mustKnowAnyLeaving(told map[nodeWorker]time.Duration, request *Request) bool {
 	for key, at := range told {
 		if key.node == request.Node && request.Sent > at+h.Bounds.Drain {
 			return true
@@ -68,15 +70,17 @@
 	return false
 }
 
-// restarted reports whether a node's process ended, began or stood still within a time.
-func (h *History) restarted(node int, from, to time.Duration) bool {
+// processDisturbed reports whether a node's process was started, stopped, killed or paused at any
+// time between from and to.
+func (h *History) processDisturbed(node int, from, to time.Duration) bool {
 	return h.disturbed(node, from, to, ScopeProcess)
 }
 
-// anyLeavingTold reports whether a node had to know by an answer that a worker leaves.
-func (h *History) anyLeavingTold() bool {
-	for _, at := range h.leavingTold() {
-		if at+h.Bounds.Drain+settling < h.end() {
+// hasDueLeavingAnswer reports whether a node had to know from an answer that a worker leaves, long
+// enough before the end of the history for the check to apply.
+func (h *History) hasDueLeavingAnswer() bool {
+	for _, at := range h.leavingFirstRelayed() {
+		if at+h.Bounds.Drain+recoveryGrace < h.lastSent() {
 			return true
 		}
 	}
--- a/soak/check/orders.go
+++ b/soak/check/orders.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// oneHolder: each fence belongs to one holder, and the orders that a worker takes
-// come under fences that never go back.
-func oneHolder(h *History, f *Finding) {
+// checkSingleHolder checks that each fencing token belongs to one lease holder, and that the
+// tokens of the orders accepted by one worker never decrease.
+func checkSingleHolder(h *History, f *Finding) {
 	holders := map[uint64]string{}
 	for worker, orders := range h.ordersByWorker() {
 		last := uint64(0)
@@ -24,25 +24,25 @@
 				detail = fmt.Sprintf("%s gave an order under fence %d after one under %d", order.Holder, order.Fence, last)
 			}
 			last = max(last, order.Fence)
-			f.judge(worker, order.At, detail)
+			f.record(worker, order.At, detail)
 		}
 	}
 }
 
-// memoryKept: no load needs more memory than the worker has.
-func memoryKept(h *History, f *Finding) {
+// checkMemory checks that no load needs more memory than the worker has.
+func checkMemory(h *History, f *Finding) {
 	for _, order := range h.Orders {
 		detail := ""
 		if order.Overfills {
 			detail = "a load by " + order.Holder + " does not fit"
 		}
-		f.judge(order.Worker, order.At, detail)
+		f.record(order.Worker, order.At, detail)
 	}
 }
 
-// loadsKept: in no window more loads begin than are allowed and one more on each
-// worker, whose order may have come late.
-func loadsKept(h *History, f *Finding) {
+// checkLoadRate checks that no window has more model loads than allowed, plus one for each
+// worker, since an order may arrive late.
+func checkLoadRate(h *History, f *Finding) {
 	var begun []time.Duration
 	for _, order := range h.Orders {
 		if order.Load {
@@ -57,15 +57,16 @@
 		if count := within - i; count > most {
 			detail = fmt.Sprintf("%d loads began within %s, %d are allowed", count, h.Bounds.LoadWindow, h.Bounds.LoadsPerWindow)
 		}
-		f.judge("weight store", at, detail)
+		f.record("weight store", at, detail)
 	}
 }
 
-// leftAlone: a node in touch sends a leaving worker nothing after the bound. Judged is what
-// could have gone there: each run of its service from then on that a node in touch sent. The
-// bound needs no slack, since the leaving is noted after the store took it; a run is left out
-// while the worker's link holds requests back.
-func leftAlone(h *History, f *Finding) {
+// checkLeavingWorkers checks that a connected node sends a leaving worker nothing after the bound
+// Bounds.Drain. Every later run of the worker's service that a connected node sent is one
+// observation, since it could have gone to the leaving worker. The bound needs no tolerance,
+// because the leaving is recorded after the store accepted it. Runs at workers whose link may
+// have held requests back are skipped.
+func checkLeavingWorkers(h *History, f *Finding) {
 	requests := h.requestsByID()
 	leaving := map[string]time.Duration{}
 	due := map[string]time.Duration{}
@@ -82,13 +83,13 @@
 		run := &h.Runs[i]
 		from, known := due[h.Services[run.Worker]]
 		request := requests[run.Request]
-		if !known || request == nil || run.At <= from || !h.inTouch(request.Node, run.At, run.At) || h.workerDisturbed(run.Worker, request.Sent, run.At) {
+		if !known || request == nil || run.At <= from || !h.isConnected(request.Node, run.At, run.At) || h.workerDisturbed(run.Worker, request.Sent, run.At) {
 			continue
 		}
 		detail := ""
 		if left, leaves := leaving[run.Worker]; leaves && run.At > left+h.Bounds.Drain {
 			detail = fmt.Sprintf("node %d sent it to %s, which left at %s", request.Node, run.Worker, left)
 		}
-		f.judge(run.Request, run.At, detail)
+		f.record(run.Request, run.At, detail)
 	}
 }
--- a/soak/check/requests.go
+++ b/soak/check/requests.go
@@ -10,11 +10,11 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// refusals are the statuses that mean: did not run and never will.
-var refusals = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
+// refusalStatuses are the HTTP statuses which state that the request has not run and never will.
+var refusalStatuses = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
 
-// ranOnce: requests of RouteWrite run at most once.
-func ranOnce(h *History, f *Finding) {
+// checkRunsOnce checks that each request of RouteWrite runs at most once.
+func checkRunsOnce(h *History, f *Finding) {
 	runs := h.runsByRequest()
 	for i := range h.Requests {
 		request := &h.Requests[i]
@@ -23,30 +23,30 @@
 		}
 		detail := ""
 		if ran := runs[request.ID]; len(ran) > 1 {
-			detail = "ran " + timesOf(ran)
+			detail = "ran " + describeRuns(ran)
 		}
-		f.judge(request.ID, request.Sent, detail)
+		f.record(request.ID, request.Sent, detail)
 	}
 }
 
-// neverRan: what was refused ran neither before nor later.
-func neverRan(h *History, f *Finding) {
+// checkRefusedNeverRuns checks that a refused request ran neither before nor after the refusal.
+func checkRefusedNeverRuns(h *History, f *Finding) {
 	runs := h.runsByRequest()
 	for i := range h.Requests {
 		request := &h.Requests[i]
-		if !slices.Contains(refusals, request.Status) {
+		if !slices.Contains(refusalStatuses, request.Status) {
 			continue
 		}
 		detail := ""
 		if ran := runs[request.ID]; len(ran) > 0 {
-			detail = fmt.Sprintf("refused with %d at %s, ran %s", request.Status, request.Ended, timesOf(ran))
+			detail = fmt.Sprintf("refused with %d at %s, ran %s", request.Status, request.Ended, describeRuns(ran))
 		}
-		f.judge(request.ID, request.Sent, detail)
+		f.record(request.ID, request.Sent, detail)
 	}
 }
 
-// timesOf lists where and when runs began.
-func timesOf(runs []*Run) string {
+// describeRuns lists the worker and start time of each run.
+func describeRuns(runs []*Run) string {
 	texts := make([]string, 0, len(runs))
 	for _, run := range runs {
 		texts = append(texts, fmt.Sprintf("on %s at %s", run.Worker, run.At))
@@ -54,26 +54,26 @@
 	return strings.Join(texts, ", ")
 }
 
-// wholeAnswers: an answer that came whole bears the request's identifier, a stamp
-// and the whole text that the stamping worker gives; workers got the request's own
-// body.
-func wholeAnswers(h *History, f *Finding) {
+// checkAnswers checks that a complete answer has the identifier of its request, a worker's
+// stamp and the full text that this worker returns, and that workers received the body
+// of the request unchanged.
+func checkAnswers(h *History, f *Finding) {
 	runs := h.runsByRequest()
 	for i := range h.Requests {
 		request := &h.Requests[i]
 		for _, run := range runs[request.ID] {
 			if run.Body != Body(request.ID) {
-				f.judge(request.ID, run.At, fmt.Sprintf("worker %s got the body %q", run.Worker, run.Body))
+				f.record(request.ID, run.At, fmt.Sprintf("worker %s got the body %q", run.Worker, run.Body))
 			}
 		}
 		if request.Status != http.StatusOK || request.Failure != "" {
 			continue
 		}
-		f.judge(request.ID, request.Ended, request.wrong())
+		f.record(request.ID, request.Ended, request.describeMismatch())
 	}
 }
 
-// Body is what callers send with a request.
+// Body returns the body that callers send with a request.
 func Body(id string) string {
 	if strings.HasPrefix(id, PoisonPrefix) {
 		return PoisonBody
@@ -84,8 +84,8 @@
 	return "prompt of " + id
 }
 
-// wrong says what is wrong with a whole answer.
-func (r *Request) wrong() string {
+// describeMismatch describes what is wrong with a complete answer; empty if nothing is.
+func (r *Request) describeMismatch() string {
 	from := strings.TrimPrefix(r.Stamp, worker.Stamp(""))
 	switch {
 	case r.EchoedID != r.ID:
@@ -98,9 +98,9 @@
 	return ""
 }
 
-// wholeStreams: a stream that ended has all events, one that was cut a beginning
-// of them.
-func wholeStreams(h *History, f *Finding) {
+// checkStreams checks that a stream which ended regularly has all events, and one that was
+// cut has a prefix of them.
+func checkStreams(h *History, f *Finding) {
 	for i := range h.Requests {
 		request := &h.Requests[i]
 		if !request.Route.Streams() || request.Status != http.StatusOK {
@@ -114,14 +114,14 @@
 		case !strings.HasPrefix(whole, request.Body):
 			detail = fmt.Sprintf("cut (%s) after %q", request.Failure, request.Body)
 		}
-		f.judge(request.ID, request.Ended, detail)
+		f.record(request.ID, request.Ended, detail)
 	}
 }
 
-// answeredInTime: at nodes that were not disturbed every request gets a whole answer
-// before its deadline and the slack are over. A stream that has begun may be cut at its
-// deadline, and where a worker that ran it was disturbed.
-func answeredInTime(h *History, f *Finding) {
+// checkAnswerDeadlines checks that at undisturbed nodes every request gets a complete answer
+// within its deadline plus answerSlack. A stream that has begun may be cut at its deadline,
+// or if a worker that ran it was disturbed.
+func checkAnswerDeadlines(h *History, f *Finding) {
 	runs := h.runsByRequest()
 	for i := range h.Requests {
 		request := &h.Requests[i]
@@ -134,18 +134,18 @@
 		switch {
 		case took > request.Deadline+answerSlack:
 			detail = fmt.Sprintf("took %s of %s", took, request.Deadline)
-		case request.Failure == "" || request.ranOut():
-		case !begun || !h.cutByWorker(request, runs[request.ID]):
+		case request.Failure == "" || request.cutAtDeadline():
+		case !begun || !h.workerDisturbedDuring(request, runs[request.ID]):
 			detail = fmt.Sprintf("no whole answer after %s: %s", took, request.Failure)
 		}
-		f.judge(request.ID, request.Sent, detail)
+		f.record(request.ID, request.Sent, detail)
 	}
 }
 
-// ranOut reports whether a stream that had begun was cut at its deadline.
-func (r *Request) ranOut() bool {
+// cutAtDeadline reports whether a stream that had begun was cut at its deadline.
+func (r *Request) cutAtDeadline() bool {
 	return r.Route.Streams() && r.Status == http.StatusOK && r.Ended-r.Sent >= r.Deadline
 }
 
-// AnswerLimit is how long callers wait for a request with a deadline.
-func AnswerLimit(deadline time.Duration) time.Duration { return deadline + answerSlack + readTime }
+// AnswerLimit returns how long callers wait for the answer to a request with a deadline.
+func AnswerLimit(deadline time.Duration) time.Duration { return deadline + answerSlack + maxReadTime }
--- a/soak/check/rests.go
+++ b/soak/check/rests.go
@@ -7,51 +7,56 @@
 )
 
 const (
-	// restKnown is how long after it was asked for a worker's rest begins.
-	restKnown = 500 * time.Millisecond
-	// restRequests may reach a worker from one node in its rest.
-	restRequests = 2
+	// backoffGrace is the time after a worker's request for a back-off within which
+	// requests may still reach it.
+	backoffGrace = 500 * time.Millisecond
+	// maxBackoffRequests is the number of requests that may reach a worker from one node during
+	// its back-off.
+	maxBackoffRequests = 2
 )
 
-// restsKept: a worker that turned a node's request away and asked for rest gets no more than a few
-// requests of that node until it is over. Only an end or a standstill of the node excuses it, and a
-// link that held requests back. Judged is each rest.
-func restsKept(h *History, f *Finding) {
-	arrived := h.arrivals()
+// checkBackoffs checks that a worker that rejected a node's request and asked for a back-off gets at most
+// maxBackoffRequests from that node until the back-off ends. Excused are only nodes that were
+// stopped, killed or paused, and workers whose link held requests back. Every back-off is one
+// observation.
+func checkBackoffs(h *History, f *Finding) {
+	arrived := h.arrivalTimes()
 	requests := h.requestsByID()
 	for i := range h.Turned {
 		turned := &h.Turned[i]
 		request := requests[turned.Request]
-		if request == nil || !h.restJudged(turned, request.Node) {
+		if request == nil || !h.isBackoffJudged(turned, request.Node) {
 			continue
 		}
 		count := 0
-		for _, at := range arrived[toldOf{request.Node, turned.Worker}] {
-			if at >= turned.At+restKnown && at <= turned.At+turned.Rest {
+		for _, at := range arrived[nodeWorker{request.Node, turned.Worker}] {
+			if at >= turned.At+backoffGrace && at <= turned.At+turned.Rest {
 				count++
 			}
 		}
 		detail := ""
-		if count > restRequests {
+		if count > maxBackoffRequests {
 			detail = fmt.Sprintf("node %d sent %d requests within the %s of rest that it asked for", request.Node, count, turned.Rest)
 		}
-		f.judge(turned.Worker, turned.At, detail)
+		f.record(turned.Worker, turned.At, detail)
 	}
 }
 
-// restJudged reports whether nothing excuses what a node sends in a rest.
-func (h *History) restJudged(turned *Turned, node int) bool {
+// isBackoffJudged reports whether a back-off can be evaluated: it is longer than backoffGrace, and
+// neither the node's process nor the worker was disturbed during it.
+func (h *History) isBackoffJudged(turned *Turned, node int) bool {
 	end := turned.At + turned.Rest
-	return turned.Rest > restKnown && !h.restarted(node, turned.At, end) && !h.workerDisturbed(turned.Worker, turned.At, end)
+	return turned.Rest > backoffGrace && !h.processDisturbed(node, turned.At, end) && !h.workerDisturbed(turned.Worker, turned.At, end)
 }
 
-// arrivals lists when requests of each node reached each worker, run or turned away.
-func (h *History) arrivals() map[toldOf][]time.Duration {
+// arrivalTimes returns the times at which requests from each node reached each worker, whether they
+// ran or were rejected.
+func (h *History) arrivalTimes() map[nodeWorker][]time.Duration {
 	requests := h.requestsByID()
-	arrived := map[toldOf][]time.Duration{}
+	arrived := map[nodeWorker][]time.Duration{}
 	note := func(id, worker string, at time.Duration) {
 		if request := requests[id]; request != nil {
-			key := toldOf{request.Node, worker}
+			key := nodeWorker{request.Node, worker}
 			arrived[key] = append(arrived[key], at)
 		}
 	}
@@ -64,11 +69,11 @@
 	return arrived
 }
 
-// anyTurned reports whether a worker asked a node for rest that nothing excuses.
-func (h *History) anyTurned() bool {
+// hasJudgeableBackoff reports whether some worker asked for a back-off that can be evaluated.
+func (h *History) hasJudgeableBackoff() bool {
 	requests := h.requestsByID()
 	return slices.ContainsFunc(h.Turned, func(t Turned) bool {
 		request := requests[t.Request]
-		return request != nil && h.restJudged(&t, request.Node)
+		return request != nil && h.isBackoffJudged(&t, request.Node)
 	})
 }
--- a/soak/check/route.go
+++ b/soak/check/route.go
@@ -5,18 +5,18 @@
 
 // The routes.
 const (
-	// RouteWrite may run once only.
+	// RouteWrite requests may run only once.
 	RouteWrite Route = "write"
-	// RouteRead may run again.
+	// RouteRead requests may be retried.
 	RouteRead Route = "read"
-	// RouteStream is a stream that can be continued, RouteOnce one that can't.
+	// RouteStream answers with a stream that can be resumed, RouteOnce with one that can't.
 	RouteStream Route = "stream"
 	RouteOnce   Route = "once"
-	// RouteKeyed wants a key and may run again; it is not among Routes.
+	// RouteKeyed requires an API key and may be retried. It is not included in Routes.
 	RouteKeyed Route = "keyed"
 )
 
-// Routes lists the routes.
+// Routes returns the routes that need no API key.
 func Routes() []Route { return []Route{RouteWrite, RouteRead, RouteStream, RouteOnce} }
 
 // Streams reports whether answers are streams.
--- a/soak/check/tenants.go
+++ b/soak/check/tenants.go
@@ -7,37 +7,36 @@
 	"time"
 )
 
-// FloodPrefix begins the identifiers of the requests of the tenant that sends more than it
-// may.
+// FloodPrefix begins the identifiers of the requests of the tenant that exceeds its limit.
 const FloodPrefix = "flood-"
 
-// keyLag is how long after the store took a configuration the run may have noted that.
-const keyLag = 100 * time.Millisecond
+// keyRecordLag is how long after the store accepted a configuration the run may record it.
+const keyRecordLag = 100 * time.Millisecond
 
-// Limit bounds the requests of the tenant that floods, over all nodes.
+// Limit is the request limit, over all nodes, of the tenant that exceeds it on purpose.
 type Limit struct {
-	// Rate requests a second and Burst more may run in each Window, and Overrun of these and
-	// Slack requests beyond.
+	// Rate requests per second and Burst more are granted in each Window. The check
+	// tolerates the share Overrun of these, and Slack requests, on top.
 	Rate, Burst, Slack int
 	Overrun            float64
 	Window             time.Duration
 }
 
-// most is how many requests may run in a window.
-func (l Limit) most() int {
+// maxRequests returns the number of requests that may run in a window, tolerances included.
+func (l Limit) maxRequests() int {
 	granted := float64(l.Rate)*l.Window.Seconds() + float64(l.Burst)
 	return int(granted*(1+l.Overrun)) + l.Slack
 }
 
-// TakenKey is a key and when the store took a configuration without it.
+// TakenKey is a revoked key, with the time when the store accepted a configuration without it.
 type TakenKey struct {
 	Key string
 	At  time.Duration
 }
 
-// keysTaken: no worker runs a request that was sent under a key which had been taken away for
-// longer than the bound, whatever was out of order.
-func keysTaken(h *History, f *Finding) {
+// checkRevokedKeys checks that no worker runs a request sent with a key that had been revoked for
+// longer than Bounds.Keys. No disturbance excuses a breach.
+func checkRevokedKeys(h *History, f *Finding) {
 	taken := map[string]time.Duration{}
 	for _, key := range h.Taken {
 		taken[key.Key] = key.At
@@ -46,21 +45,21 @@
 	for i := range h.Requests {
 		r := &h.Requests[i]
 		at, gone := taken[r.Key]
-		if r.Key == "" || !gone || r.Sent <= at+h.Bounds.Keys+keyLag {
+		if r.Key == "" || !gone || r.Sent <= at+h.Bounds.Keys+keyRecordLag {
 			continue
 		}
 		detail := ""
 		if len(runs[r.ID]) > 0 {
 			detail = fmt.Sprintf("node %d sent it to %s, the key was taken away %s before", r.Node, runs[r.ID][0].Worker, r.Sent-at)
 		}
-		f.judge(r.ID, r.Sent, detail)
+		f.record(r.ID, r.Sent, detail)
 	}
 }
 
-// limitKept: no window holds more of the flooding tenant's runs than its limit allows. What
-// counts must have been sent and have arrived within it: runs at workers whose links were out
-// of order are left out, since a link may hold requests back and let them through at once.
-func limitKept(h *History, f *Finding) {
+// checkTenantLimit checks that no window has more runs of the flooding tenant than its limit
+// allows. Runs at workers whose links were disturbed are skipped, since a link may hold
+// requests back and then deliver them all at once.
+func checkTenantLimit(h *History, f *Finding) {
 	var times []time.Duration
 	for i := range h.Runs {
 		run := &h.Runs[i]
@@ -75,9 +74,9 @@
 			from++
 		}
 		detail := ""
-		if count := i - from + 1; count > h.Bounds.Limit.most() {
-			detail = fmt.Sprintf("%d ran in %s, at most %d may", count, h.Bounds.Limit.Window, h.Bounds.Limit.most())
+		if count := i - from + 1; count > h.Bounds.Limit.maxRequests() {
+			detail = fmt.Sprintf("%d ran in %s, at most %d may", count, h.Bounds.Limit.Window, h.Bounds.Limit.maxRequests())
 		}
-		f.judge(fmt.Sprintf("run %d", i+1), at, detail)
+		f.record(fmt.Sprintf("run %d", i+1), at, detail)
 	}
 }
--- a/soak/check/tested.go
+++ b/soak/check/tested.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// anyRefused reports whether a request was refused as not run.
-func (h *History) anyRefused() bool {
-	return slices.ContainsFunc(h.Requests, func(r Request) bool { return slices.Contains(refusals, r.Status) })
+// hasRefusals reports whether a request was refused with one of refusalStatuses.
+func (h *History) hasRefusals() bool {
+	return slices.ContainsFunc(h.Requests, func(r Request) bool { return slices.Contains(refusalStatuses, r.Status) })
 }
 
-// anyLeft reports whether a worker said that it leaves.
-func (h *History) anyLeft() bool { return len(h.Leavings) > 0 }
+// hasLeavings reports whether a worker announced that it leaves.
+func (h *History) hasLeavings() bool { return len(h.Leavings) > 0 }
 
-// anyWorkerLimit reports whether a worker named a limit for long enough, while something was in touch.
-func (h *History) anyWorkerLimit() bool {
+// hasWorkerLimit reports whether a worker announced a limit for longer than workerLimitWindow, not
+// counting workerLimitGrace, while the nodes were connected for at least part of that time.
+func (h *History) hasWorkerLimit() bool {
 	return slices.ContainsFunc(h.WorkerLimits, func(n WorkerLimit) bool {
-		from, to := n.From+workerLimitKnown, min(n.To, h.end())
+		from, to := n.From+workerLimitGrace, min(n.To, h.lastSent())
 		return to-from > workerLimitWindow && !h.disturbedThroughout(from, to)
 	})
 }
 
-// stopTested is how long a node must have been undisturbed before a planned stop, so that
-// callers had requests there and kept connections.
-const stopTested = 5 * time.Second
+// minUndisturbedBeforeStop is how long a node must have been undisturbed before a planned stop,
+// so that callers have open requests and keep-alive connections there.
+const minUndisturbedBeforeStop = 5 * time.Second
 
-// stopsInPeace reports whether a process stopped as planned while nothing else was out of
-// order at its node, and a while before.
-func (h *History) stopsInPeace() bool {
+// hasUndisturbedStop reports whether a planned stop of a process completed without another
+// disturbance of its node during the stop and minUndisturbedBeforeStop before it.
+func (h *History) hasUndisturbedStop() bool {
 	return slices.ContainsFunc(h.Stops, func(s Stop) bool {
 		return s.Ended != 0 && !slices.ContainsFunc(h.Disturbances, func(d Disturbance) bool {
 			concerns := d.Node == s.Node || d.Node == AllNodes
-			return concerns && !d.planned(&s) && d.From < s.Ended && d.To+stopTested > s.At
+			return concerns && !d.isPartOfStop(&s) && d.From < s.Ended && d.To+minUndisturbedBeforeStop > s.At
 		})
 	})
 }
 
-// poisonTold reports whether the harmful request came again after nodes had to know of it, to
-// one that was in touch.
-func (h *History) poisonTold() bool {
-	third, known := h.thirdEnd()
-	return known && h.end() > third+poisonBound+settling && !h.disturbedThroughout(third+poisonBound, h.end())
+// hasPoisonAfterBound reports whether the history goes on, with connected nodes, after all nodes
+// had to know of the harmful request.
+func (h *History) hasPoisonAfterBound() bool {
+	third, known := h.poisonKnownFrom()
+	return known && h.lastSent() > third+poisonBound+recoveryGrace && !h.disturbedThroughout(third+poisonBound, h.lastSent())
 }
 
-// acquittalDue reports whether what many ask for had to be taken again before the end, while
-// something was in touch and no later end excused its refusal.
-func (h *History) acquittalDue() bool {
-	third, _ := h.thirdEnd()
+// hasDueAcquittal reports whether the popular request had to be accepted again before the end of the
+// history, at a time when nodes were connected and no later worker crash excused its refusal.
+func (h *History) hasDueAcquittal() bool {
+	third, _ := h.poisonKnownFrom()
 	allowed := h.bystanderRefusals()
-	for at := third + acquittedWithin; at+settling < h.end(); at += time.Second {
-		excused := slices.ContainsFunc(allowed, func(a refusal) bool { return a.from <= at && at < a.to })
+	for at := third + maxAcquittalDelay; at+recoveryGrace < h.lastSent(); at += time.Second {
+		excused := slices.ContainsFunc(allowed, func(a refusalPeriod) bool { return a.from <= at && at < a.to })
 		if !excused && !h.disturbedThroughout(at, at+time.Second) {
 			return true
 		}
@@ -57,8 +58,8 @@
 	return false
 }
 
-// disturbedThroughout reports whether at no second of a time all links between nodes and the
-// store were in order.
+// disturbedThroughout reports whether, sampled once a second, the links between nodes or the
+// store were disturbed for the whole time between from and to.
 func (h *History) disturbedThroughout(from, to time.Duration) bool {
 	for at := from; at < to; at += time.Second {
 		if !h.peersDisturbed(at, at) && !h.disturbed(AllNodes, at, at, ScopeStore) {
@@ -68,13 +69,13 @@
 	return true
 }
 
-// keyed reports whether callers gave keys.
-func (h *History) keyed() bool {
+// hasKeys reports whether any request had an API key.
+func (h *History) hasKeys() bool {
 	return slices.ContainsFunc(h.Requests, func(r Request) bool { return r.Key != "" })
 }
 
-// end is when the last request was sent.
-func (h *History) end() time.Duration {
+// lastSent returns when the last request was sent.
+func (h *History) lastSent() time.Duration {
 	end := time.Duration(0)
 	for i := range h.Requests {
 		end = max(end, h.Requests[i].Sent)
--- a/soak/check/worker_limits.go
+++ b/soak/check/worker_limits.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// What a worker gets that named a limit: within any window, from workerLimitKnown on, so many times
-// the limit and so many requests beside.
+// Tolerances for a rate limit that a worker announces. From workerLimitGrace after the announcement
+// on, any workerLimitWindow may have workerLimitOverrun times the limit and workerLimitExtra requests
+// more.
 const (
-	workerLimitKnown   = 3 * time.Second
+	workerLimitGrace   = 3 * time.Second
 	workerLimitWindow  = 4 * time.Second
 	workerLimitOverrun = 1.5
-	workerLimitBeside  = 5
+	workerLimitExtra   = 5
 )
 
-// workerLimitsKept: nodes that were not restarted, frozen or cut send a worker together no more than
-// it said that it takes. Judged is each window that begins with a run.
-func workerLimitsKept(h *History, f *Finding) {
+// checkWorkerLimits checks that all nodes together send a worker no more than its announced limit and
+// the tolerances allow. Nodes that were restarted, paused or cut off from others are excluded. Every
+// window that begins with a run is one observation.
+func checkWorkerLimits(h *History, f *Finding) {
 	requests := h.requestsByID()
 	for i := range h.WorkerLimits {
 		limit := &h.WorkerLimits[i]
 		runs := h.runsUnderLimit(limit, requests)
-		most := workerLimitOverrun*limit.PerSecond*workerLimitWindow.Seconds() + workerLimitBeside
+		most := workerLimitOverrun*limit.PerSecond*workerLimitWindow.Seconds() + workerLimitExtra
 		last := 0
 		for first := range runs {
 			for last < len(runs) && runs[last]-runs[first] < workerLimitWindow {
@@ -33,19 +35,19 @@
 			if got := last - first; float64(got) > most {
 				detail = fmt.Sprintf("got %d requests in %s, %.1f are allowed", got, workerLimitWindow, most)
 			}
-			f.judge(limit.Worker, runs[first], detail)
+			f.record(limit.Worker, runs[first], detail)
 		}
 	}
 }
 
-// runsUnderLimit lists when runs began at a worker while its limit had to be known, in order. Trouble
-// of the store excuses nothing; runs that a link held back are left out.
+// runsUnderLimit returns the sorted start times of the runs at a worker while nodes had to know its
+// limit. Disturbances of the store are no excuse; runs that a link may have held back are skipped.
 func (h *History) runsUnderLimit(limit *WorkerLimit, requests map[string]*Request) []time.Duration {
 	var times []time.Duration
 	for i := range h.Runs {
 		run := &h.Runs[i]
 		request := requests[run.Request]
-		if run.Worker != limit.Worker || request == nil || run.At < limit.From+workerLimitKnown || run.At > limit.To {
+		if run.Worker != limit.Worker || request == nil || run.At < limit.From+workerLimitGrace || run.At > limit.To {
 			continue
 		}
 		if !h.disturbed(request.Node, request.Sent, run.At, ScopeProcess, ScopePeer) && !h.workerDisturbed(run.Worker, request.Sent, run.At) {
