--- a/soak/actions.go
+++ b/soak/actions.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// throttled is how many bytes a second pass a throttled connection.
-	throttled = 4 << 10
-	// loseShare of the store's answers are lost.
-	loseShare = 0.5
+	// throttledBytesPerSecond is the data rate of a throttled connection in each direction.
+	throttledBytesPerSecond = 4 << 10
+	// lostAnswerShare is the share of the store's answers that are lost under StoreLose.
+	lostAnswerShare = 0.5
 )
 
-// inject carries a fault out and counts where it struck.
+// inject applies a fault and counts the targets that it affected.
 func (r *run) inject(f *plan.Fault) {
-	struck := 0
+	affected := 0
 	switch f.Kind {
 	case plan.StoreSlow, plan.StoreDown, plan.StoreRefuse, plan.StoreLose, plan.StoreSilence, plan.StoreForget:
 		r.injectStore(f)
-		struck = 1
+		affected = 1
 	case plan.RouteAdd:
 		r.configuration.add()
-		struck = 1
+		affected = 1
 	case plan.RouteRemove:
 		r.configuration.remove()
-		struck = 1
+		affected = 1
 	case plan.RouteMove:
 		r.configuration.move()
-		struck = 1
+		affected = 1
 	default:
 		for _, target := range f.Targets {
 			if r.injectInto(f, target) {
-				struck++
+				affected++
 			}
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults[f.Kind] += struck
+	r.faults[f.Kind] += affected
 }
 
-// injectInto carries a fault out on one target; false when it could not be.
+// injectInto applies a fault to one target. It returns false if that was not possible, for
+// example because the node's process does not run.
 func (r *run) injectInto(f *plan.Fault, target int) bool {
 	if f.Link != "" {
 		r.injectLink(f, target)
@@ -73,7 +74,7 @@
 	return true
 }
 
-// workerBehaviours are what workers do to requests under a fault.
+// workerBehaviours maps kinds of worker faults to what the worker does with requests.
 var workerBehaviours = map[plan.Kind]worker.Behaviour{
 	plan.WorkerHang: worker.Hang, plan.WorkerCut: worker.CutBody, plan.WorkerCross: worker.Cross,
 	plan.WorkerReject: worker.Reject, plan.WorkerFail: worker.FailWith500,
@@ -88,27 +89,28 @@
 	case plan.WorkerDrain:
 		slot.drain(f.For)
 	case plan.WorkerLeave:
-		slot.leave(f.For)
+		slot.announceLeave(f.For)
 	case plan.WorkerShed:
-		slot.shed(f.Delay, f.For)
+		slot.shedRequests(f.Delay, f.For)
 	case plan.WorkerLimit:
-		slot.limit(float64(f.Rate), f.For)
+		slot.announceLimit(float64(f.Rate), f.For)
 	case plan.WorkerLateOrders:
 		slot.delayOrders(f.Delay, f.For)
 	default:
-		slot.misbehave(workerBehaviours[f.Kind], f.For)
+		slot.setBehaviour(workerBehaviours[f.Kind], f.For)
 	}
 }
 
-// storeFaults are the store's faults that its injector knows.
+// storeFaults maps kinds of store faults to the orders for the fault injector of the simulated
+// store.
 var storeFaults = map[plan.Kind]fault.Order{
 	plan.StoreSlow: {Kind: fault.KindSlow}, plan.StoreDown: {Kind: fault.KindDown},
-	plan.StoreRefuse: {Kind: fault.KindRefuse}, plan.StoreLose: {Kind: fault.KindLoseAnswer, Probability: loseShare},
+	plan.StoreRefuse: {Kind: fault.KindRefuse}, plan.StoreLose: {Kind: fault.KindLoseAnswer, Probability: lostAnswerShare},
 }
 
-// injectStore strikes the store, which concerns all nodes.
+// injectStore applies a fault to the store. It counts as a disturbance of all nodes.
 func (r *run) injectStore(f *plan.Fault) {
-	restored := r.recorder.disturb(check.Disturbance{Node: check.AllNodes, Scope: check.ScopeStore, From: r.recorder.now()})
+	restored := r.recorder.beginDisturbance(check.Disturbance{Node: check.AllNodes, Scope: check.ScopeStore, From: r.recorder.elapsed()})
 	switch f.Kind {
 	case plan.StoreForget:
 		r.metadata.Forget()
@@ -121,7 +123,7 @@
 		order.For, order.Delay = fault.Duration(f.For), fault.Duration(f.Delay)
 		r.metadata.Inject(order)
 	}
-	r.later(f.For, func() {
+	r.undoAfter(f.For, func() {
 		if f.Kind == plan.StoreSilence {
 			r.metadata.SetSilent(false)
 		}
@@ -129,9 +131,9 @@
 	})
 }
 
-// struckLink returns the proxy of a link and what its faults disturb.
-func (r *run) struckLink(f *plan.Fault, target int) (*proxy.Proxy, check.Disturbance) {
-	disturbance := check.Disturbance{Node: target, From: r.recorder.now()}
+// affectedLink returns the proxy of a link and the disturbance that a fault on it causes.
+func (r *run) affectedLink(f *plan.Fault, target int) (*proxy.Proxy, check.Disturbance) {
+	disturbance := check.Disturbance{Node: target, From: r.recorder.elapsed()}
 	switch f.Link {
 	case plan.LinkCaller:
 		disturbance.Scope = check.ScopeCaller
@@ -142,31 +144,32 @@
 	case plan.LinkPeer:
 		disturbance.Scope = check.ScopePeer
 		if f.Kind == plan.LinkSilence {
-			// Connections that go silent count as a reset of the connections of all nodes.
+			// Silent connections affect both ends, so the fault counts as a disturbance of all
+			// nodes.
 			disturbance.Node = check.AllNodes
 		}
 		return r.nodes[target].peers, disturbance
 	}
-	id, _, struck, _ := r.workers[target].present()
+	id, _, faulty, _ := r.workers[target].current()
 	disturbance.Scope, disturbance.Node, disturbance.Worker = check.ScopeWorker, check.AllNodes, id
-	return struck, disturbance
+	return faulty, disturbance
 }
 
-// injectLink strikes the connections of one link.
+// injectLink applies a fault to the connections of one link.
 func (r *run) injectLink(f *plan.Fault, target int) {
-	struck, disturbance := r.struckLink(f, target)
-	restored := r.recorder.disturb(disturbance)
+	faulty, disturbance := r.affectedLink(f, target)
+	restored := r.recorder.beginDisturbance(disturbance)
 	if f.For == 0 {
 		if f.Kind == plan.LinkReset {
-			struck.Reset()
+			faulty.Reset()
 		} else {
-			struck.Silence()
+			faulty.Silence()
 		}
-		r.later(silenceNoticed(f.Kind), restored)
+		r.undoAfter(disturbanceAfter(f.Kind), restored)
 		return
 	}
-	undo := strike(f, struck)
-	r.later(f.For, func() {
+	undo := applyLinkFault(f, faulty)
+	r.undoAfter(f.For, func() {
 		if err := undo(); err != nil {
 			r.fail(err)
 		}
@@ -174,23 +177,25 @@
 	})
 }
 
-// silentCall is how long a call on a silent connection may be waited for by whoever
-// is judged: callers that kept theirs.
-const silentCall = maxDeadline
+// silentConnectionUse is how long a caller may wait for an answer on a silent connection that
+// it kept open. Only callers' waits matter to the checks.
+const silentConnectionUse = maxDeadline
 
-// silenceNoticed is how long connections that went silent may be in use.
-func silenceNoticed(kind plan.Kind) time.Duration {
+// disturbanceAfter returns how long a fault without a duration still counts as a disturbance:
+// connections that went silent may be in use for that time.
+func disturbanceAfter(kind plan.Kind) time.Duration {
 	if kind == plan.LinkSilence {
-		return silentCall
+		return silentConnectionUse
 	}
 	return 0
 }
 
-// strike changes a link and returns what changes it back.
-func strike(f *plan.Fault, struck *proxy.Proxy) func() error {
+// applyLinkFault changes the state of a proxy according to a fault and returns a function that
+// undoes the change.
+func applyLinkFault(f *plan.Fault, faulty *proxy.Proxy) func() error {
 	if f.Kind == plan.LinkRefuse {
-		struck.Refuse()
-		return struck.Open
+		faulty.Refuse()
+		return faulty.Open
 	}
 	change := func(on bool) func(*proxy.Mode) {
 		return func(mode *proxy.Mode) {
@@ -198,7 +203,7 @@
 			case plan.LinkDelay:
 				mode.Delay = valueIf(on, f.Delay)
 			case plan.LinkThrottle:
-				mode.BytesPerSecond = valueIf(on, throttled)
+				mode.BytesPerSecond = valueIf(on, throttledBytesPerSecond)
 			case plan.LinkCutRequests:
 				mode.HoldRequests = on
 			case plan.LinkCutAnswers:
@@ -206,14 +211,14 @@
 			}
 		}
 	}
-	struck.Change(change(true))
+	faulty.Change(change(true))
 	return func() error {
-		struck.Change(change(false))
+		faulty.Change(change(false))
 		return nil
 	}
 }
 
-// valueIf is the value when it is on, zero otherwise.
+// valueIf returns the value if on is set, and the zero value otherwise.
 func valueIf[T any](on bool, value T) T {
 	var zero T
 	if on {
--- a/soak/burst.go
+++ b/soak/burst.go
@@ -8,15 +8,15 @@
 	"github.com/valveslip/valveslip/soak/check"
 )
 
-// burstCalls bounds the calls of a burst that are under way: those of a second at the largest
-// rate that is drawn, twice over.
-const burstCalls = 800
+// maxBurstCalls is the limit of open calls of a burst: twice the calls that arrive in a second
+// at the highest rate that is drawn.
+const maxBurstCalls = 800
 
-// burst has many more callers come to the node for a while, at a rate a second.
+// burst sends additional calls to the node at a rate in calls per second for the given time.
 func (p *process) burst(rate int, length time.Duration) {
 	more := newCallers(p)
-	more.prefix, more.pace, more.gate = fmt.Sprintf("%s%d-", check.BurstPrefix, p.bursts.Add(1)), time.Second/time.Duration(rate), make(chan struct{}, burstCalls)
-	p.undone.Go(func() {
+	more.prefix, more.callInterval, more.openCalls = fmt.Sprintf("%s%d-", check.BurstPrefix, p.bursts.Add(1)), time.Second/time.Duration(rate), make(chan struct{}, maxBurstCalls)
+	p.pendingUndos.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, length)
 		defer cancel()
 		more.run(ctx)
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -17,81 +17,87 @@
 )
 
 const (
-	// callsPerSecond go to each node, wherever it is in its life, and at most
-	// callsInAll to all together: with the probes half of what the workers of the two
-	// plain services can run, so that requests are served also where nodes are many.
-	callsPerSecond = 12
-	callsInAll     = 240
-	// keptInAll bounds the connections that all callers together keep for their next
-	// requests. Without it those of a standstill of all nodes, three open files each, last
-	// for another 30 s.
-	keptInAll = 1000
-	// Deadlines that callers state lie between these.
+	// callsPerSecond is the call rate per node, whatever the state of its process.
+	// maxTotalCallsPerSecond limits the calls to all nodes together. Together with the probes
+	// that is half of what the workers of the two plain services can run, so that requests are
+	// served even with many nodes.
+	callsPerSecond         = 12
+	maxTotalCallsPerSecond = 240
+	// maxIdleConnections limits the idle connections that all callers together keep open.
+	// Without the limit, the connections left by a pause of all nodes, with three file
+	// descriptors each, stay open for another 30 s.
+	maxIdleConnections = 1000
+	// minDeadline and maxDeadline bound the deadlines that callers state.
 	minDeadline = 1200 * time.Millisecond
 	maxDeadline = 4 * time.Second
-	// idleConnection is how long callers keep a connection: shorter than the
-	// configuration has nodes keep it.
-	idleConnection = 30 * time.Second
-	// adapterShare of the requests for models ask for an adapter; hotShare for the
-	// first model.
-	adapterShare = 0.2
-	hotShare     = 0.4
-	// maxAnswer bounds an answer.
-	maxAnswer = 1 << 20
+	// idleConnectionTimeout is how long callers keep an idle connection. It is shorter than
+	// the idle timeout of the nodes in the configuration (idleMS), so that callers close
+	// first.
+	idleConnectionTimeout = 30 * time.Second
+	// adapterShare is the share of model requests that ask for an adapter, hotModelShare the
+	// share that is always for the first model.
+	adapterShare  = 0.2
+	hotModelShare = 0.4
+	// maxAnswerBytes limits how much of an answer is read.
+	maxAnswerBytes = 1 << 20
 )
 
-// newClient returns the client of the node's callers. It keeps connections for as long
-// as the node lets it.
+// newClient returns the HTTP client of the node's callers. It keeps connections open for reuse
+// as long as the node permits.
 func (p *process) newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext: p.dial, MaxIdleConnsPerHost: kept(p.options.Schedule.Nodes), IdleConnTimeout: idleConnection, DisableCompression: true,
+		DialContext: p.dial, MaxIdleConnsPerHost: maxIdlePerNode(p.options.Schedule.Nodes), IdleConnTimeout: idleConnectionTimeout, DisableCompression: true,
 	}}
 }
 
-// kept bounds the connections to one of so many nodes that rest.
-func kept(nodes int) int { return min(maxCalls(nodes), keptInAll/nodes) }
+// maxIdlePerNode returns the limit of idle connections to one node in a deployment of the
+// given number of nodes.
+func maxIdlePerNode(nodes int) int { return min(maxOpenCalls(nodes), maxIdleConnections/nodes) }
 
-// callers sends requests to one node at an even pace until the context ends; the
-// draws follow from the seed.
-type callers struct {
+// callGenerator sends requests to one node at a constant rate until its context ends. The
+// sequence of requests follows from the seed.
+type callGenerator struct {
 	*process
 	random *rand.Rand
 	// prefix begins the identifiers of the requests.
 	prefix string
-	// pace is the time between two calls.
-	pace    time.Duration
-	number  int
-	pending sync.WaitGroup
-	gate    chan struct{}
+	// callInterval is the time between two calls.
+	callInterval time.Duration
+	number       int
+	pending      sync.WaitGroup
+	openCalls    chan struct{}
 }
 
-func newCallers(p *process) *callers {
+func newCallers(p *process) *callGenerator {
 	seed := p.options.Schedule.Seed
-	return &callers{
-		process: p, random: rand.New(rand.NewPCG(seed, uint64(p.index))), pace: pace(len(p.nodes)),
-		gate: make(chan struct{}, maxCalls(len(p.nodes))),
+	return &callGenerator{
+		process: p, random: rand.New(rand.NewPCG(seed, uint64(p.index))), callInterval: callIntervalFor(len(p.nodes)),
+		openCalls: make(chan struct{}, maxOpenCalls(len(p.nodes))),
 	}
 }
 
-// pace is the time between two calls to one of so many nodes.
-func pace(nodes int) time.Duration {
-	return max(time.Second/callsPerSecond, time.Duration(nodes)*time.Second/callsInAll)
+// callIntervalFor returns the time between two calls to one node in a deployment of the given
+// number of nodes.
+func callIntervalFor(nodes int) time.Duration {
+	return max(time.Second/callsPerSecond, time.Duration(nodes)*time.Second/maxTotalCallsPerSecond)
 }
 
-// maxCalls bounds the calls under way at one of so many nodes: those of the time that
-// one may take at most.
-func maxCalls(nodes int) int { return int(check.AnswerLimit(maxDeadline)/pace(nodes)) + 1 }
+// maxOpenCalls returns the limit of open calls to one node in a deployment of the given number
+// of nodes: as many as are sent during the longest time that a call may take.
+func maxOpenCalls(nodes int) int {
+	return int(check.AnswerLimit(maxDeadline)/callIntervalFor(nodes)) + 1
+}
 
-// run sends until the context ends and waits for what is under way.
-func (c *callers) run(ctx context.Context) {
-	ticker := time.NewTicker(c.pace)
+// run sends requests until the context ends and then waits for the open ones.
+func (c *callGenerator) run(ctx context.Context) {
+	ticker := time.NewTicker(c.callInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		request := c.draw()
+		request := c.drawRequest()
 		select {
-		case c.gate <- struct{}{}:
+		case c.openCalls <- struct{}{}:
 			c.pending.Go(func() {
-				defer func() { <-c.gate }()
+				defer func() { <-c.openCalls }()
 				c.send(ctx, request)
 			})
 		default:
@@ -104,8 +110,8 @@
 	c.pending.Wait()
 }
 
-// draw makes the next request.
-func (c *callers) draw() check.Request {
+// drawRequest draws the next request.
+func (c *callGenerator) drawRequest() check.Request {
 	c.number++
 	routes := check.Routes()
 	request := check.Request{
@@ -113,26 +119,26 @@
 		Deadline: minDeadline + time.Duration(c.random.Int64N(int64(maxDeadline-minDeadline))).Truncate(time.Millisecond),
 	}
 	if request.Route.Streams() {
-		request.Model = c.model()
+		request.Model = c.drawModel()
 	}
 	return request
 }
 
-// model draws a model, one of them far more often than the others.
-func (c *callers) model() string {
+// drawModel draws a model name. The first model is drawn far more often than the others.
+func (c *callGenerator) drawModel() string {
 	name := modelName(0)
-	if c.random.Float64() >= hotShare {
+	if c.random.Float64() >= hotModelShare {
 		name = modelName(c.random.IntN(modelCount))
 	}
 	if c.random.Float64() < adapterShare {
-		name += "/" + catalog.AdapterName(1+c.random.IntN(adapters))
+		name += "/" + catalog.AdapterName(1+c.random.IntN(adaptersPerModel))
 	}
 	return name
 }
 
-// send sends a request, records it, and has a stream that was cut continued by
-// another request. What the run's end interrupts is not recorded.
-func (c *callers) send(ctx context.Context, request check.Request) {
+// send sends a request and records it. If a resumable stream was cut, it resumes the stream
+// with another request. Requests interrupted by the end of the run are not recorded.
+func (c *callGenerator) send(ctx context.Context, request check.Request) {
 	c.exchange(ctx, c.client, &request)
 	if ctx.Err() != nil {
 		return
@@ -147,32 +153,32 @@
 	}
 }
 
-// exchange sends one request and reads its answer into it.
+// exchange sends one request and stores its answer in it.
 func (p *process) exchange(ctx context.Context, client *http.Client, request *check.Request) {
 	ctx, cancel := context.WithTimeout(ctx, check.AnswerLimit(request.Deadline))
 	defer cancel()
-	request.Sent = p.recorder.now()
-	response, err := client.Do(p.build(traceRest(ctx), request))
+	request.Sent = p.recorder.elapsed()
+	response, err := client.Do(p.newRouteRequest(withIdleTracking(ctx), request))
 	if err == nil {
 		var body []byte
-		body, err = io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+		body, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 		_ = response.Body.Close()
 		request.Status, request.Body, request.Leave = response.StatusCode, string(body), response.Close
 		request.EchoedID, request.Stamp = response.Header.Get(platform.HeaderRequestID), response.Header.Get(platform.HeaderStamp)
 	}
-	request.Ended = p.recorder.now()
+	request.Ended = p.recorder.elapsed()
 	if err != nil {
 		request.Failure = err.Error()
 	}
 }
 
-// build makes the HTTP request.
-func (p *process) build(ctx context.Context, request *check.Request) *http.Request {
-	return p.post(ctx, "/"+string(request.Route)+"/", request)
+// newRouteRequest returns the HTTP request for the route of a request.
+func (p *process) newRouteRequest(ctx context.Context, request *check.Request) *http.Request {
+	return p.newRequest(ctx, "/"+string(request.Route)+"/", request)
 }
 
-// post makes an HTTP request for a path.
-func (p *process) post(ctx context.Context, path string, request *check.Request) *http.Request {
+// newRequest returns the HTTP request for a path.
+func (p *process) newRequest(ctx context.Context, path string, request *check.Request) *http.Request {
 	built, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.callers.Address()+path, strings.NewReader(check.Body(request.ID)))
 	if err != nil {
 		p.fail(err)
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -10,25 +10,27 @@
 
 const (
 	routeHost = "soak.example"
-	// routeTimeout bounds every request, objective is what routes aim at.
-	routeTimeoutMS = 4000
-	objectiveMS    = 1500
-	gapMS          = 300
-	headerMS       = 5000
-	idleMS         = 60_000
-	headerBytes    = 16 << 10
-	bodyBytes      = 1 << 20
-	// The attempts of routes that may run again, and of those that may not: these go
-	// elsewhere only when a worker rejected them.
-	attempts = 3
-	// maxExtra bounds the routes that changes add.
-	maxExtra = 20
-	// extraHosts are the hosts over which the routes are spread that nobody asks for.
+	// routeTimeoutMS is the timeout of every route, responseObjectiveMS and
+	// eventGapObjectiveMS are the latency objectives.
+	routeTimeoutMS      = 4000
+	responseObjectiveMS = 1500
+	eventGapObjectiveMS = 300
+	headerMS            = 5000
+	idleMS              = 60_000
+	headerBytes         = 16 << 10
+	bodyBytes           = 1 << 20
+	// maxAttempts applies to retryable routes and to others. A request of the latter is sent
+	// to another worker only if a worker rejected it.
+	maxAttempts = 3
+	// maxExtraRoutes limits the routes that configuration changes add.
+	maxExtraRoutes = 20
+	// extraHosts is the number of hosts over which the never requested routes are spread.
 	extraHosts = 40
 )
 
-// configuration is the operator's configuration and its changes. A route's path
-// names the version, so that callers see which one a node has in force.
+// configuration writes the configuration and its changes to the store. Each version adds a
+// route with the version in its path, which tells callers whether a node has that version in
+// force.
 type configuration struct {
 	*run
 
@@ -36,43 +38,43 @@
 	version int64
 	extra   int
 	moved   bool
-	// keys numbers the key of the tenant whose keys are replaced.
-	keys int
+	// keyNumber is the number of the current key of the tenant whose keys are rotated.
+	keyNumber int
 }
 
-// versionPath is the path of the route that a version adds, and that the next ones keep.
+// versionPath returns the path of the marker route that a version adds and the next ones keep.
 func versionPath(version int64) string { return fmt.Sprintf("/at-%d/", version) }
 
-// change applies a change and writes the next version.
+// change applies a change and writes the next version to the store.
 func (c *configuration) change(apply func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	apply()
 	c.version++
 	document := c.document()
-	written := check.Version{Number: c.version, From: c.recorder.now(), Plain: c.plain()}
+	written := check.Version{Number: c.version, From: c.recorder.elapsed(), Plain: c.plainService()}
 	if err := c.metadata.Put(platform.KeyConfiguration, document); err != nil {
 		c.fail(err)
 		return
 	}
-	written.At = c.recorder.now()
+	written.At = c.recorder.elapsed()
 	c.recorder.record(func(h *check.History) { h.Versions = append(h.Versions, written) })
 }
 
-func (c *configuration) add()    { c.change(func() { c.extra = min(c.extra+1, maxExtra) }) }
+func (c *configuration) add()    { c.change(func() { c.extra = min(c.extra+1, maxExtraRoutes) }) }
 func (c *configuration) remove() { c.change(func() { c.extra = max(c.extra-1, 0) }) }
 func (c *configuration) move()   { c.change(func() { c.moved = !c.moved }) }
 
-// newest is the version written last.
+// newest returns the number of the version written last.
 func (c *configuration) newest() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version
 }
 
-// document is the present configuration.
+// document returns the current configuration. The caller holds the lock.
 func (c *configuration) document() platform.ConfigurationDocument {
-	plain := c.plain()
+	plain := c.plainService()
 	routes := []platform.RouteDocument{
 		route(string(check.RouteWrite), kindNonIdempotent, plain, false),
 		route(string(check.RouteRead), kindIdempotent, plain, false),
@@ -104,22 +106,23 @@
 	}
 }
 
-// plain is the service of the plain routes.
-func (c *configuration) plain() string {
+// plainService returns the service that the plain routes lead to, which are those without
+// models.
+func (c *configuration) plainService() string {
 	if c.moved {
 		return serviceSecond
 	}
 	return serviceFirst
 }
 
-// extraRoute is a route that nobody asks for.
+// extraRoute returns a route that is never requested.
 func extraRoute(number int, service string) platform.RouteDocument {
 	extra := route(fmt.Sprintf("unused-%d", number+1), kindIdempotent, service, false)
 	extra.Host = fmt.Sprintf("host-%d.example", number%extraHosts+1)
 	return extra
 }
 
-// The words of the configuration.
+// The kinds of routes in the configuration.
 const (
 	kindIdempotent    = "idempotent"
 	kindNonIdempotent = "non_idempotent"
@@ -128,17 +131,18 @@
 
 func route(name, kind, service string, resumable bool) platform.RouteDocument {
 	return platform.RouteDocument{
-		Name: name, Host: routeHost, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: routeTimeoutMS, AimMS: objectiveMS,
-		Service: service, Attempts: attempts, Resumable: resumable, GapAimMS: gapMS,
+		Name: name, Host: routeHost, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: routeTimeoutMS, AimMS: responseObjectiveMS,
+		Service: service, Attempts: maxAttempts, Resumable: resumable, GapAimMS: eventGapObjectiveMS,
 	}
 }
 
-// engineDocument describes the workers with models; extra ones are asked for by nobody.
+// engineDocument returns the engine settings of the service with models. The extra models are
+// never requested.
 func engineDocument(extra int) *platform.EngineDocument {
-	engine := &platform.EngineDocument{Slots: engineSlots, WeightsMB: engineMB, AdapterSlots: adapters, LoadsPerSecond: loadsSecond}
+	engine := &platform.EngineDocument{Slots: engineSlots, WeightsMB: engineMB, AdapterSlots: adaptersPerModel, LoadsPerSecond: loadsPerSecond}
 	for index := range modelCount + extra {
 		engine.Models = append(engine.Models, platform.ModelDocument{
-			Name: modelName(index), WeightsMB: modelMB, LoadS: loadTime.Seconds(), Adapters: adapters, AdapterMB: adapterMB,
+			Name: modelName(index), WeightsMB: modelMB, LoadS: loadTime.Seconds(), Adapters: adaptersPerModel, AdapterMB: adapterMB,
 		})
 	}
 	return engine
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,5 +1,5 @@
-// Package soak runs the real program as separate processes on one machine, over
-// loopback against stand-ins of the platform, injects faults from outside and has
-// package check judge what callers and workers saw. The faults follow from a
-// schedule of package plan; every connection passes a proxy of package proxy.
+// Package soak runs the real program as separate processes on one machine, over loopback and
+// against a simulated platform. It injects faults from outside and lets package check decide
+// from the observations of callers and workers whether the promises hold. The faults follow a
+// schedule of package plan, and every connection goes through a proxy of package proxy.
 package soak
--- a/soak/gather.go
+++ b/soak/gather.go
@@ -8,47 +8,47 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// life is one life of a worker.
-type life struct {
+// workerLife is one run of a simulated worker, from its start to its end.
+type workerLife struct {
 	id      string
 	service string
 	worker  *worker.Worker
 	server  *standin.Server
 }
 
-// lived notes a life of a worker.
-func (r *run) lived(id, service string, started *worker.Worker, server *standin.Server) {
+// recordLife records a run of a worker.
+func (r *run) recordLife(id, service string, started *worker.Worker, server *standin.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives = append(r.lives, life{id: id, service: service, worker: started, server: server})
+	r.workerLives = append(r.workerLives, workerLife{id: id, service: service, worker: started, server: server})
 }
 
-// gather completes the history by what the workers saw. It returns a copy, since nodes
-// and callers' connections go on: what they do from then on is not judged.
+// gather adds the workers' records to the history and returns a copy of it. Nodes and callers'
+// connections are still active, and what they do after the copy is not checked.
 func (r *run) gather() *check.History {
 	var seen check.History
 	r.mu.Lock()
-	lives := r.lives
+	lives := r.workerLives
 	r.mu.Unlock()
 	r.recorder.record(func(h *check.History) {
 		h.Bounds = check.Bounds{
-			Drain: drainBound, Configuration: configurationBound, Grace: graceTime, Recovery: recoveryBound,
-			LoadsPerWindow: int(loadsSecond * loadOverrun * loadWindow.Seconds()), LoadWindow: loadWindow, StreamEvents: streamEvents,
+			Drain: drainBound, Configuration: configurationBound, Grace: gracePeriod, Recovery: recoveryBound,
+			LoadsPerWindow: int(loadsPerSecond * loadOverrun * loadWindow.Seconds()), LoadWindow: loadWindow, StreamEvents: streamEvents,
 			Keys: keyBound, Limit: floodLimit,
 		}
-		h.Engines, h.Services = r.engines(), map[string]string{}
-		for _, over := range lives {
-			r.gatherLife(h, &over)
+		h.Engines, h.Services = r.engineCount(), map[string]string{}
+		for _, life := range lives {
+			r.gatherLife(h, &life)
 		}
 		seen = *h
-		// All else is only added to, disturbances and limits also end.
+		// All other slices are only appended to, but entries of these two are also changed.
 		seen.Disturbances, seen.WorkerLimits = slices.Clone(h.Disturbances), slices.Clone(h.WorkerLimits)
 	})
 	return &seen
 }
 
-// engines counts the workers that hold models.
-func (r *run) engines() int {
+// engineCount returns the number of workers that hold models.
+func (r *run) engineCount() int {
 	count := 0
 	for _, slot := range r.workers {
 		if slot.service() == serviceEngine {
@@ -58,18 +58,18 @@
 	return count
 }
 
-// gatherLife adds what one worker ran and took.
-func (r *run) gatherLife(h *check.History, over *life) {
-	h.Services[over.id] = over.service
-	for _, ran := range over.worker.Runs() {
-		h.Runs = append(h.Runs, check.Run{Request: ran.RequestID, Worker: over.id, Body: ran.Body, At: r.recorder.at(ran.At)})
+// gatherLife adds the requests and orders recorded by one worker.
+func (r *run) gatherLife(h *check.History, life *workerLife) {
+	h.Services[life.id] = life.service
+	for _, ran := range life.worker.Runs() {
+		h.Runs = append(h.Runs, check.Run{Request: ran.RequestID, Worker: life.id, Body: ran.Body, At: r.recorder.sinceStart(ran.At)})
 	}
-	for _, turned := range over.worker.Turned() {
-		h.Turned = append(h.Turned, check.Turned{Request: turned.RequestID, Worker: over.id, Rest: turned.Rest, At: r.recorder.at(turned.At)})
+	for _, turned := range life.worker.Turned() {
+		h.Turned = append(h.Turned, check.Turned{Request: turned.RequestID, Worker: life.id, Rest: turned.Rest, At: r.recorder.sinceStart(turned.At)})
 	}
-	for _, taken := range over.worker.TakenOrders() {
+	for _, taken := range life.worker.TakenOrders() {
 		h.Orders = append(h.Orders, check.Order{
-			Worker: over.id, Holder: taken.Holder, Fence: taken.Fence, At: r.recorder.at(taken.At),
+			Worker: life.id, Holder: taken.Holder, Fence: taken.Fence, At: r.recorder.sinceStart(taken.At),
 			Load: taken.Load, Overfills: taken.Overfills,
 		})
 	}
--- a/soak/gather_test.go
+++ b/soak/gather_test.go
@@ -14,8 +14,8 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// post sends a request to a worker's stand-in.
-func post(t *testing.T, w *worker.Worker, path, id, model, body string) {
+// postToWorker sends a request to a simulated worker.
+func postToWorker(t *testing.T, w *worker.Worker, path, id, model, body string) {
 	t.Helper()
 	request := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	request.Header.Set(platform.HeaderRequestID, id)
@@ -23,8 +23,9 @@
 	w.ServeHTTP(httptest.NewRecorder(), request)
 }
 
-// broken returns how often each promise is broken in what a run gathered.
-func broken(r *run) map[check.Promise]int {
+// countBreaches returns the number of breaches of each promise in the history that a run
+// gathered.
+func countBreaches(r *run) map[check.Promise]int {
 	counts := map[check.Promise]int{}
 	for _, breach := range check.Breaches(check.Judge(r.gather())) {
 		counts[breach.Promise]++
@@ -32,25 +33,26 @@
 	return counts
 }
 
-// TestWorkersWordCounts: what a worker ran and took reaches the checks. Planted are a
-// request that runs twice, one that ran though refused, and a load that does not fit.
-func TestWorkersWordCounts(t *testing.T) {
+// TestWorkerRecordsReachTheChecks guards against worker records that are lost before the
+// checks. It plants a request that runs twice, one that runs although it was refused, and a
+// load that does not fit into memory.
+func TestWorkerRecordsReachTheChecks(t *testing.T) {
 	r := &run{recorder: &recorder{began: time.Now()}}
 	w := worker.New(worker.Config{ID: "w"})
-	post(t, w, "/", "twice", "", check.Body("twice"))
-	post(t, w, "/", "twice", "", check.Body("twice"))
-	post(t, w, "/", "refused", "", check.Body("refused"))
+	postToWorker(t, w, "/", "twice", "", check.Body("twice"))
+	postToWorker(t, w, "/", "twice", "", check.Body("twice"))
+	postToWorker(t, w, "/", "refused", "", check.Body("refused"))
 	engine := worker.New(worker.Config{ID: "e", MemoryBytes: 1, Models: map[string]catalog.ModelSpec{"m": {Bytes: 2}}})
-	post(t, engine, platform.PathOrder, "", "", `{"op":"load","model":"m","holder":"h","fence":1}`)
-	r.lived("w", serviceFirst, w, nil)
-	r.lived("e", serviceEngine, engine, nil)
+	postToWorker(t, engine, platform.PathOrder, "", "", `{"op":"load","model":"m","holder":"h","fence":1}`)
+	r.recordLife("w", serviceFirst, w, nil)
+	r.recordLife("e", serviceEngine, engine, nil)
 	r.recorder.record(func(h *check.History) {
 		h.Requests = []check.Request{
 			{ID: "twice", Route: check.RouteWrite, Deadline: time.Second},
 			{ID: "refused", Route: check.RouteRead, Deadline: time.Second, Status: http.StatusServiceUnavailable},
 		}
 	})
-	counts := broken(r)
+	counts := countBreaches(r)
 	for _, promise := range []check.Promise{check.PromiseOnce, check.PromiseNeverRun, check.PromiseMemory} {
 		if counts[promise] != 1 {
 			t.Errorf("%s: broken %d times, want 1", promise, counts[promise])
@@ -58,10 +60,11 @@
 	}
 }
 
-// TestGatheredHistoryStandsStill: what happens while a history is judged is not in it.
-func TestGatheredHistoryStandsStill(t *testing.T) {
+// TestGatheredHistoryIsASnapshot guards against events that are recorded while a history is
+// checked and change the result.
+func TestGatheredHistoryIsASnapshot(t *testing.T) {
 	r := &run{recorder: &recorder{began: time.Now()}}
-	restored := r.recorder.disturb(check.Disturbance{Node: 1})
+	restored := r.recorder.beginDisturbance(check.Disturbance{Node: 1})
 	history := r.gather()
 	var after sync.WaitGroup
 	after.Go(func() {
@@ -70,18 +73,19 @@
 	})
 	findings := check.Judge(history)
 	after.Wait()
-	if history.Disturbances[0].To != always || len(history.Closings) != 0 || len(check.Breaches(findings)) != 0 {
-		t.Errorf("%+v, %v", history, findings)
+	if history.Disturbances[0].To != openEnd || len(history.Closings) != 0 || len(check.Breaches(findings)) != 0 {
+		t.Errorf("history changed after gather: %+v, findings %v", history, findings)
 	}
 }
 
-// TestDisturbancesEnd when they are told to.
-func TestDisturbancesEnd(t *testing.T) {
+// TestDisturbanceEndsOnlyWhenItsEndIsCalled checks that ending one disturbance leaves the
+// other open.
+func TestDisturbanceEndsOnlyWhenItsEndIsCalled(t *testing.T) {
 	r := &recorder{began: time.Now()}
-	first := r.disturb(check.Disturbance{Node: 1})
-	r.disturb(check.Disturbance{Node: 2})
+	first := r.beginDisturbance(check.Disturbance{Node: 1})
+	r.beginDisturbance(check.Disturbance{Node: 2})
 	first()
-	if d := r.history.Disturbances; len(d) != 2 || d[0].To == always || d[1].To != always {
-		t.Errorf("%+v", d)
+	if d := r.history.Disturbances; len(d) != 2 || d[0].To == openEnd || d[1].To != openEnd {
+		t.Errorf("disturbances are %+v, want the first ended and the second open", d)
 	}
 }
--- a/soak/network.go
+++ b/soak/network.go
@@ -14,15 +14,15 @@
 	"github.com/valveslip/valveslip/soak/proxy"
 )
 
-// prepareNodes opens the proxies of every node.
+// prepareNodes creates the nodes and opens the proxies for their links.
 func (r *run) prepareNodes() error {
 	var err error
 	for index := range r.options.Schedule.Nodes {
 		ip := r.network + strconv.Itoa(index+1)
 		node := &process{run: r, index: index, ip: ip, done: make(chan struct{})}
 		node.client = node.newClient()
-		node.earlier = r.options.From != ""
-		node.stays = node.earlier && slices.Contains(r.options.Schedule.Earlier, index)
+		node.runsEarlier = r.options.From != ""
+		node.keepsEarlier = node.runsEarlier && slices.Contains(r.options.Schedule.Earlier, index)
 		link := proxy.NewRate(r.options.Schedule.LinkMbps)
 		peer := net.JoinHostPort(ip, strconv.Itoa(peerPort))
 		targets := map[**proxy.Proxy]string{
@@ -33,14 +33,15 @@
 				return err
 			}
 		}
-		r.shown[peer] = node.peers.Address()
+		r.peerProxies[peer] = node.peers.Address()
 		r.nodes = append(r.nodes, node)
 	}
 	return nil
 }
 
-// freeNetwork finds a part of the loopback network that no other run uses.
-func freeNetwork() (string, error) {
+// findFreeNetwork returns the prefix of a /24 network in the loopback range that no other run
+// uses.
+func findFreeNetwork() (string, error) {
 	const first, last = 64, 127
 	for try := range 64 {
 		network := fmt.Sprintf("127.%d.%d.", first+(os.Getpid()>>8+try)%(last-first+1), os.Getpid()&0xff)
@@ -49,17 +50,19 @@
 			return network, listener.Close()
 		}
 	}
-	return "", eris.New("no part of the loopback network is free")
+	return "", eris.New("find a free loopback network: all candidates are in use")
 }
 
-// proxiesAt is the last number of the address of all proxies. No connection begins
-// there, so a port that was closed is free when it is opened again.
-const proxiesAt = "254"
+// proxyHostNumber is the last number of the IP address of all proxies. No connection
+// originates from this address, so a port that a proxy closed can't be taken before it is
+// opened again.
+const proxyHostNumber = "254"
 
-// newProxy opens a proxy that ends with the run, at a link of a rate that may be shared.
+// newProxy opens a proxy that is closed at the end of the run. The rate limit link may be
+// shared with other proxies.
 func (r *run) newProxy(target string, standIn bool, link *proxy.Rate) (*proxy.Proxy, error) {
 	opened, err := proxy.Listen(proxy.Options{
-		Address: net.JoinHostPort(r.network+proxiesAt, "0"), Target: target, StandIn: standIn, Rate: link, Failed: r.fail,
+		Address: net.JoinHostPort(r.network+proxyHostNumber, "0"), Target: target, StandIn: standIn, Rate: link, Failed: r.fail,
 	})
 	if err == nil {
 		r.mu.Lock()
@@ -69,8 +72,9 @@
 	return opened, err
 }
 
-// show has nodes find each other's proxy in a node's record.
-func (r *run) show(key string, value []byte) []byte {
+// rewriteNodeEntry replaces the address in a node's store entry by that of its proxy, so that
+// nodes reach each other through proxies. Other values are returned unchanged.
+func (r *run) rewriteNodeEntry(key string, value []byte) []byte {
 	if !strings.HasPrefix(key, fleet.KeyRoot) {
 		return value
 	}
@@ -78,7 +82,7 @@
 	if err != nil {
 		return value
 	}
-	if shown, known := r.shown[entry.Address]; known {
+	if shown, known := r.peerProxies[entry.Address]; known {
 		entry.Address = shown
 		return entry.Encode()
 	}
--- a/soak/options.go
+++ b/soak/options.go
@@ -9,108 +9,111 @@
 	"github.com/valveslip/valveslip/soak/plan"
 )
 
-// Limits of a run.
+// Limits and defaults of a run.
 const (
-	// MaxNodes bounds the processes.
+	// MaxNodes limits the number of node processes.
 	MaxNodes = 200
-	// nodeMemory is the memory in bytes that a node may take, with what the soak itself
-	// takes for it. Resident were 39 MB a node with 150 nodes, and 45 with 60 that got 12
-	// requests a second each, of them 34 and 35 in the node; the rest is a reserve. All
-	// must fit into half of the machine's memory.
-	nodeMemory = 72 << 20
-	// callFiles and nodeFiles are how many open files of the soak's own process calls may
-	// take at most, and each node besides. They are most at the end of
-	// a time for which all nodes stood still: after 10 s of that 104 nodes took 16,574, of
-	// them 6,300 for 2,100 calls under way, three each, and 99 for each node, as all are
-	// then asked for all models at once. As nodes have more connections between them the
-	// more they are, and 120 met a limit of 20,000, a third is added. All must fit into the
-	// limit that the process was started with, which it does not raise.
-	callFiles = 6500
-	nodeFiles = 135
-	// filesPerCall of a call under way are its connection at the caller and both ends at the
-	// proxy. Few nodes have few calls: the 60 runs with 4 nodes took 1,400 files at most.
+	// nodeMemoryBytes is the memory allowed per node, including what the soak itself needs for
+	// it. Resident memory was 39 MB per node with 150 nodes, and 45 MB with 60 nodes at 12
+	// requests per second each, of which the nodes themselves took 34 and 35 MB; the rest is a
+	// reserve. All nodes together must fit into half of the machine's memory.
+	nodeMemoryBytes = 72 << 20
+	// maxCallFiles limits the open files of the soak's own process for calls, filesPerNode
+	// those for anything else per node. Usage is highest at the end of a pause of all nodes.
+	// After a pause of 10 s, 104 nodes took 16,574 files: 6,300 for 2,100 open calls with
+	// three each, and 99 per node, since all nodes are then asked for all models at once.
+	// Connections between nodes grow with their number, and 120 nodes reached a limit of
+	// 20,000, so the value has a reserve of a third. The total must fit into the limit that
+	// the process was started with, which it does not raise.
+	maxCallFiles = 6500
+	filesPerNode = 135
+	// filesPerCall is the number of files of an open call: the caller's connection and both
+	// ends at the proxy. With few nodes there are few calls: 60 runs with 4 nodes took at most
+	// 1,400 files.
 	filesPerCall = 3
-	// startAllowance and endAllowance of the duration are kept for the start and for
-	// the recovery and end, so that faults have what is left.
+	// startAllowance and endAllowance are the parts of the duration reserved for the start and
+	// for recovery and shutdown. Faults are injected in the rest.
 	startAllowance = 3 * time.Second
 	endAllowance   = 19 * time.Second
-	// MinDuration leaves some time for faults.
+	// MinDuration is the shortest run that leaves time for faults.
 	MinDuration = 30 * time.Second
-	// defaultWorkers is how many workers' stand-ins a schedule is drawn for.
+	// defaultWorkers is the number of simulated workers in a drawn schedule.
 	defaultWorkers = 6
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Schedule plan.Schedule
-	// Duration bounds the whole run.
+	// Duration is the time limit of the whole run.
 	Duration time.Duration
-	// Binary is the program whose nodes are run, From an earlier build that they begin with;
+	// Binary is the program that the nodes run. From is an earlier build that they start with;
 	// empty for none.
 	Binary, From string
-	// LogDir keeps the settings and logs of the processes.
+	// LogDir is the directory for the settings and logs of the processes.
 	LogDir string
 	// Tick is called once a second.
 	Tick func()
 }
 
-// Size is what a schedule for a run is drawn for.
+// Size returns the size to draw a schedule for, given the number of nodes and the duration of
+// the run.
 func Size(nodes int, duration time.Duration) (plan.Size, error) {
 	if duration < MinDuration {
-		return plan.Size{}, eris.Errorf("a run takes at least %s", MinDuration)
+		return plan.Size{}, eris.Errorf("duration: a run needs at least %s", MinDuration)
 	}
-	if err := checkNodes(nodes); err != nil {
+	if err := checkNodeLimits(nodes); err != nil {
 		return plan.Size{}, err
 	}
 	return plan.Size{Nodes: nodes, Workers: defaultWorkers, Span: duration - startAllowance - endAllowance}, nil
 }
 
-// DurationOf is how long a run of a schedule may take.
+// DurationOf returns how long a run of a schedule may take.
 func DurationOf(schedule *plan.Schedule) time.Duration {
 	return schedule.Span + startAllowance + endAllowance
 }
 
-// checkNodes refuses more processes than the machine bears.
-func checkNodes(nodes int) error {
+// checkNodeLimits returns an error if this machine can't run the given number of nodes.
+func checkNodeLimits(nodes int) error {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
-		return eris.Wrap(err, "memory of the machine")
+		return eris.Wrap(err, "read the machine's memory size")
 	}
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
-		return eris.Wrap(err, "limit of open files")
+		return eris.Wrap(err, "read the limit of open files")
 	}
-	return bearable(nodes, uint64(info.Totalram)*uint64(info.Unit), files.Cur)
+	return checkNodeCount(nodes, uint64(info.Totalram)*uint64(info.Unit), files.Cur)
 }
 
-// bearable refuses more processes than a machine bears that has so much memory and lets a
-// process open so many files.
-func bearable(nodes int, memory, files uint64) error {
-	byMemory, byFiles := memory/2/nodeMemory, nodesWithin(files)
+// checkNodeCount returns an error if a machine with the given memory in bytes and limit of
+// open files per process can't run the given number of nodes.
+func checkNodeCount(nodes int, memory, files uint64) error {
+	byMemory, byFiles := memory/2/nodeMemoryBytes, maxNodesForFiles(files)
 	switch {
 	case nodes < 1:
 		return eris.New("nodes: must be positive")
 	case nodes > MaxNodes:
-		return eris.Errorf("nodes: at most %d processes are run", MaxNodes)
+		return eris.Errorf("nodes: at most %d processes are supported", MaxNodes)
 	case uint64(nodes) > byMemory:
-		return eris.Errorf("nodes: at most %d, as each may take %d MB and all half of the machine's memory", byMemory, nodeMemory>>20)
+		return eris.Errorf("nodes: at most %d, since each may take %d MB and all together half of the machine's memory", byMemory, nodeMemoryBytes>>20)
 	case nodes > byFiles:
-		return eris.Errorf("nodes: at most %d, as one more may take %d open files with its calls, and the soak is allowed %d",
-			byFiles, filesOf(byFiles+1), files)
+		return eris.Errorf("nodes: at most %d, since one more could need %d open files in all, and the limit of the soak's process is %d",
+			byFiles, filesNeeded(byFiles+1), files)
 	}
 	return nil
 }
 
-// filesOf is how many files so many nodes and the calls to them may have open.
-func filesOf(nodes int) uint64 {
-	calls := filesPerCall * nodes * maxCalls(nodes)
-	return uint64(min(calls, callFiles) + nodes*nodeFiles)
+// filesNeeded returns how many files the soak's process may have open for the given number of
+// nodes and the calls to them.
+func filesNeeded(nodes int) uint64 {
+	calls := filesPerCall * nodes * maxOpenCalls(nodes)
+	return uint64(min(calls, maxCallFiles) + nodes*filesPerNode)
 }
 
-// nodesWithin counts the nodes, up to MaxNodes, for which so many open files are enough.
-func nodesWithin(files uint64) int {
+// maxNodesForFiles returns how many nodes, up to MaxNodes, a limit of open files suffices for.
+func maxNodesForFiles(files uint64) int {
 	nodes := 0
-	for nodes < MaxNodes && filesOf(nodes+1) <= files {
+	for nodes < MaxNodes && filesNeeded(nodes+1) <= files {
 		nodes++
 	}
 	return nodes
--- a/soak/play.go
+++ b/soak/play.go
@@ -10,19 +10,22 @@
 )
 
 const (
-	// quietTime follows the faults, so that what takes time is judged at all nodes.
-	quietTime = 9 * time.Second
-	// quietDrain is after how long another worker follows the one that leaves then.
-	quietDrain = time.Second
-	// quietLimit is what another worker says then that it takes, in requests a second.
-	quietLimit = 4
-	// lastLimit is for how long all plain workers say so at the end: what nodes send is judged after
-	// the first 3 s of that.
-	lastLimit = 5 * time.Second
-	// quietShedAt is when the plain workers turn all requests away then, for quietShed, and want as
-	// much rest.
-	quietShedAt = 5 * time.Second
-	quietShed   = 1500 * time.Millisecond
+	// undisturbedTime is the time after the last fault in which the checks that depend on time
+	// can evaluate all nodes.
+	undisturbedTime = 9 * time.Second
+	// drainReplacementDelay is the time from a worker's announcement that it leaves to the
+	// start of its replacement.
+	drainReplacementDelay = time.Second
+	// announcedLimit is the rate limit in requests per second that workers announce after the
+	// faults.
+	announcedLimit = 4
+	// finalLimitTime is how long all plain workers announce the limit at the end. The check
+	// applies from 3 s after the first announcement on.
+	finalLimitTime = 5 * time.Second
+	// shedDelay is when, after the faults, plain workers reject all requests. They do so for
+	// shedTime and ask for a back-off of the same length.
+	shedDelay = 5 * time.Second
+	shedTime  = 1500 * time.Millisecond
 )
 
 // play sends requests, injects the faults and waits for the recovery.
@@ -34,57 +37,59 @@
 		active.Go(func() { node.probe(calling) })
 	}
 	active.Go(func() { r.tick(calling) })
-	active.Go(func() { r.sendAlike(calling, check.PoisonPrefix, poisonEvery) })
-	active.Go(func() { r.sendAlike(calling, check.PopularPrefix, popularEvery) })
+	active.Go(func() { r.sendRepeatedly(calling, check.PoisonPrefix, poisonInterval) })
+	active.Go(func() { r.sendRepeatedly(calling, check.PopularPrefix, popularInterval) })
 	active.Go(func() { r.rotateKeys(calling) })
 	if !r.options.Schedule.Keyless {
-		active.Go(func() { r.sendKeyed(calling, "keyed-", keyedEvery, r.configuration.key) })
+		active.Go(func() { r.sendKeyed(calling, "keyed-", keyedInterval, r.configuration.key) })
 		active.Go(func() {
-			r.sendKeyed(calling, check.FloodPrefix, floodEvery, func(*rand.Rand) string { return floodKey })
+			r.sendKeyed(calling, check.FloodPrefix, floodInterval, func(*rand.Rand) string { return floodKey })
 		})
 	}
 	r.injectAll()
-	r.undone.Wait()
-	quiet := time.Now().Add(quietTime)
-	r.changeInQuiet()
+	r.pendingUndos.Wait()
+	undisturbedUntil := time.Now().Add(undisturbedTime)
+	r.exerciseUndisturbed()
 	r.recover(r.ctx)
-	r.sleepUntil(quiet)
-	r.limitAtLast()
+	r.sleepUntil(undisturbedUntil)
+	r.announceFinalLimits()
 	stop()
 	active.Wait()
 	r.poisonOver.Store(true)
 	r.restarts.Wait()
 }
 
-// changeInQuiet changes the configuration, has one worker leave, another engine name a limit and
-// plain workers want rest, with nothing else in the way.
-func (r *run) changeInQuiet() {
+// exerciseUndisturbed changes the configuration while nothing is disturbed, makes one worker
+// leave and another announce a limit, and lets plain workers shed load. This way the checks
+// have observations that no fault excuses.
+func (r *run) exerciseUndisturbed() {
 	r.configuration.add()
-	r.workers[0].drain(quietDrain)
+	r.workers[0].drain(drainReplacementDelay)
 	if len(r.workers) < 4 || r.options.Schedule.Earlier != nil || r.options.From != "" {
 		return
 	}
-	r.workers[2].limit(quietLimit, quietTime)
-	r.later(quietShedAt, func() {
+	r.workers[2].announceLimit(announcedLimit, undisturbedTime)
+	r.undoAfter(shedDelay, func() {
 		for _, plain := range []*workerSlot{r.workers[1], r.workers[3]} {
-			plain.shed(quietShed, quietShed)
+			plain.shedRequests(shedTime, shedTime)
 		}
 	})
 }
 
-// limitAtLast has the plain workers name a limit, once nothing else is judged that it would be in the
-// way of. Nodes may find others for what one limited worker serves, so that it gets nothing; not here.
-func (r *run) limitAtLast() {
+// announceFinalLimits makes all plain workers announce a limit, after everything that limits
+// would interfere with. If only one worker is limited, nodes may send its requests to others,
+// and the limit is not tested.
+func (r *run) announceFinalLimits() {
 	if len(r.workers) < 4 || r.options.Schedule.Earlier != nil || r.options.From != "" {
 		return
 	}
 	for i := 1; i < len(r.workers); i += 2 {
-		r.workers[i].limit(quietLimit, lastLimit)
+		r.workers[i].announceLimit(announcedLimit, finalLimitTime)
 	}
-	r.sleepUntil(time.Now().Add(lastLimit))
+	r.sleepUntil(time.Now().Add(finalLimitTime))
 }
 
-// injectAll injects the faults at their times.
+// injectAll injects the faults at their scheduled times.
 func (r *run) injectAll() {
 	began := time.Now()
 	schedule := &r.options.Schedule
@@ -97,7 +102,7 @@
 	r.sleepUntil(began.Add(schedule.Span))
 }
 
-// sleepUntil reports whether the time came before the run's end.
+// sleepUntil waits until the given time and returns false if the run ends first.
 func (r *run) sleepUntil(at time.Time) bool {
 	select {
 	case <-time.After(time.Until(at)):
@@ -107,16 +112,16 @@
 	}
 }
 
-// later ends a fault after a time.
-func (r *run) later(after time.Duration, undo func()) {
+// undoAfter undoes a fault after the given time, or at the end of the run.
+func (r *run) undoAfter(after time.Duration, undo func()) {
 	end := time.Now().Add(after)
-	r.undone.Go(func() {
+	r.pendingUndos.Go(func() {
 		r.sleepUntil(end)
 		undo()
 	})
 }
 
-// tick tells of the time that passes.
+// tick calls Options.Tick once a second until the context ends.
 func (r *run) tick(ctx context.Context) {
 	if r.options.Tick == nil {
 		return
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -14,26 +14,29 @@
 )
 
 const (
-	// poisonFrom is after how long the harmful request begins to come, poisonEvery how often
-	// it comes then, to a node of its own draw each time: seldom enough that nodes that each
-	// count for themselves end workers for far longer than is allowed.
-	poisonFrom  = 2 * time.Second
-	poisonEvery = 1200 * time.Millisecond
-	// popularEvery is how often a request comes that many ask for alike.
-	popularEvery = 150 * time.Millisecond
-	// poisonRestart is after how long another worker follows one that it ended.
-	poisonRestart = time.Second
-	// poisonCredential tells its caller from all others.
+	// poisonDelay is the time from the start until the harmful request is first sent,
+	// poisonInterval the time between two attempts, each to a randomly drawn node. The
+	// interval is long enough that nodes which count crashes each on their own would crash
+	// workers for far longer than is allowed.
+	poisonDelay    = 2 * time.Second
+	poisonInterval = 1200 * time.Millisecond
+	// popularInterval is the time between two of the popular requests, which all have the same
+	// body.
+	popularInterval = 150 * time.Millisecond
+	// poisonRestartDelay is the time from the crash of a worker by the harmful request to the
+	// start of its replacement.
+	poisonRestartDelay = time.Second
+	// poisonCredential identifies the caller of the harmful request.
 	poisonCredential = "Bearer harmful"
 )
 
-// sendAlike sends requests that all ask for the same to nodes of its own draw, until the
-// context ends.
-func (r *run) sendAlike(ctx context.Context, prefix string, every time.Duration) {
+// sendRepeatedly sends requests with the same body to randomly drawn nodes until the context
+// ends.
+func (r *run) sendRepeatedly(ctx context.Context, prefix string, every time.Duration) {
 	random := rand.New(rand.NewPCG(r.options.Schedule.Seed, uint64(every)))
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
-	if !r.sleepUntil(time.Now().Add(poisonFrom)) {
+	if !r.sleepUntil(time.Now().Add(poisonDelay)) {
 		return
 	}
 	for number := 0; ctx.Err() == nil; number++ {
@@ -49,7 +52,7 @@
 	}
 }
 
-// sendOnce sends a request and records it unless the run's end interrupts it.
+// sendOnce sends a request and records it, unless the end of the run interrupts it.
 func (p *process) sendOnce(ctx context.Context, request check.Request) {
 	p.exchange(ctx, p.client, &request)
 	if ctx.Err() == nil {
@@ -57,9 +60,9 @@
 	}
 }
 
-// poisoned ends the worker that runs a harmful request, like the end of its process, and
-// has another one follow. It reports whether the request is one.
-func (s *workerSlot) poisoned(r *http.Request, self *worker.Worker) bool {
+// crashIfPoisoned reports whether a request is the harmful one. If it is, crashIfPoisoned
+// kills the worker, as if its process had crashed, and starts a replacement later.
+func (s *workerSlot) crashIfPoisoned(r *http.Request, self *worker.Worker) bool {
 	body, err := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(strings.NewReader(string(body)))
 	if err != nil || string(body) != check.PoisonBody || s.poisonOver.Load() {
@@ -71,12 +74,12 @@
 	if !present {
 		return true
 	}
-	restored := s.disturb()
+	restored := s.recordDisturbance()
 	at.Refuse()
 	server.Kill()
 	s.restarts.Go(func() {
 		defer restored()
-		s.sleepUntil(time.Now().Add(poisonRestart))
+		s.sleepUntil(time.Now().Add(poisonRestartDelay))
 		s.replace(self, at)
 		if err := at.Open(); err != nil {
 			s.fail(err)
--- a/soak/probes.go
+++ b/soak/probes.go
@@ -11,31 +11,33 @@
 )
 
 const (
-	// probePause spaces probes of one node, so that at most probesInAll a second go to
-	// all: most of them run on a worker.
-	probePause  = 200 * time.Millisecond
-	probesInAll = 100
-	// awaitPause spaces probes of a node that does not serve the newest version yet. Nodes
-	// refuse these, so that they cost workers nothing.
-	awaitPause = 50 * time.Millisecond
-	// probeDeadline is what probes state.
+	// probeInterval is the time between two probes of one node. With many nodes it is longer,
+	// so that all together get at most maxTotalProbesPerSecond, since most probes run on a
+	// worker.
+	probeInterval           = 200 * time.Millisecond
+	maxTotalProbesPerSecond = 100
+	// newVersionProbeInterval is the time between two probes of a node that does not serve the
+	// newest version yet. Nodes refuse these probes, so they cost workers nothing.
+	newVersionProbeInterval = 50 * time.Millisecond
+	// probeDeadline is the deadline that probes state.
 	probeDeadline = 1500 * time.Millisecond
 )
 
-// probedBack are the versions that are asked for in turn, counted back from the newest: its
-// own route, older ones that must be served, and one that must be gone.
-var probedBack = []int64{0, 1, check.MarkersKept - 1, 0, check.MarkersKept}
+// probedVersionOffsets are the versions to probe in turn, as distances from the newest one:
+// the newest itself, older ones whose routes must be served, and one whose route must be gone.
+var probedVersionOffsets = []int64{0, 1, check.MarkersKept - 1, 0, check.MarkersKept}
 
-// probe asks a node over and over for the routes that versions add. The first time at which
-// it serves the newest tells how long that took to be in force.
+// probe requests the marker routes of versions from a node until the context ends. The first
+// time at which the node serves the newest one shows how long that version took to be in
+// force.
 func (p *process) probe(ctx context.Context) {
-	even := max(probePause, time.Duration(len(p.nodes))*time.Second/probesInAll)
+	interval := max(probeInterval, time.Duration(len(p.nodes))*time.Second/maxTotalProbesPerSecond)
 	seen := int64(0)
 	for number := int64(0); ctx.Err() == nil; number++ {
 		newest := p.configuration.newest()
-		version, pause := newest, awaitPause
+		version, pause := newest, newVersionProbeInterval
 		if seen == newest {
-			version, pause = max(newest-probedBack[number%int64(len(probedBack))], 1), even
+			version, pause = max(newest-probedVersionOffsets[number%int64(len(probedVersionOffsets))], 1), interval
 		}
 		if p.probeOnce(ctx, version, number) {
 			seen = max(seen, version)
@@ -47,36 +49,36 @@
 	}
 }
 
-// probeOnce records one probe whose answer tells something, and reports whether the route
-// was there.
+// probeOnce sends one probe and returns whether the route was served. It records the probe
+// unless the answer says nothing about the route or the node's process changed meanwhile.
 func (p *process) probeOnce(ctx context.Context, version, number int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, check.AnswerLimit(probeDeadline))
 	defer cancel()
-	life, running := p.present()
+	life, running := p.currentLife()
 	if !running {
 		return false
 	}
-	sent := p.recorder.now()
+	sent := p.recorder.elapsed()
 	request := check.Request{ID: fmt.Sprintf("probe-n%d-%d", p.index, number), Deadline: probeDeadline}
-	response, err := p.client.Do(p.post(traceRest(ctx), versionPath(version), &request))
+	response, err := p.client.Do(p.newRequest(withIdleTracking(ctx), versionPath(version), &request))
 	if err != nil {
 		return false
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
-	after, _ := p.present()
-	inForce, told := routed(response.StatusCode)
+	after, _ := p.currentLife()
+	inForce, told := routeExists(response.StatusCode)
 	if err != nil || !told || after != life {
 		return false
 	}
-	seen := check.Probe{Node: p.index, Life: life, Version: version, Sent: sent, Ended: p.recorder.now(), InForce: inForce}
+	seen := check.Probe{Node: p.index, Life: life, Version: version, Sent: sent, Ended: p.recorder.elapsed(), InForce: inForce}
 	p.recorder.record(func(h *check.History) { h.Probes = append(h.Probes, seen) })
 	return inForce
 }
 
-// routed reads from a status whether there is a route; told is false when it says
-// nothing of that.
-func routed(status int) (found, told bool) {
+// routeExists derives from an HTTP status whether the route exists. told is false if the
+// status says nothing about that.
+func routeExists(status int) (found, told bool) {
 	switch status {
 	case http.StatusOK, http.StatusBadGateway, http.StatusGatewayTimeout, http.StatusInternalServerError:
 		return true, true
--- a/soak/process.go
+++ b/soak/process.go
@@ -20,14 +20,15 @@
 )
 
 const (
-	// readyPoll spaces looks at whether a node is ready, probeLimit bounds one.
-	readyPoll  = 50 * time.Millisecond
-	probeLimit = time.Second
-	// startRetry spaces starts of a process that ended by itself.
-	startRetry = 500 * time.Millisecond
+	// readyPollInterval is the time between two readiness checks of a node, readyProbeTimeout
+	// the time limit of one.
+	readyPollInterval = 50 * time.Millisecond
+	readyProbeTimeout = time.Second
+	// restartDelay is the time from an unexpected end of a process to its restart.
+	restartDelay = 500 * time.Millisecond
 )
 
-// process runs one node's program, and starts it again when it has ended.
+// process supervises the program of one node and restarts it when it has ended.
 type process struct {
 	*run
 	index int
@@ -35,67 +36,68 @@
 	// callers, store and peers are the proxies of the node's links.
 	callers, store, peers *proxy.Proxy
 	client                *http.Client
-	meter                 meter
+	meter                 quotaHolder
 
 	mu      sync.Mutex
 	command *exec.Cmd
 	life    int
-	// told is set once the present life was told to end, stopping when by SIGTERM;
-	// restartAfter is the pause before the next life.
-	told, stopping, ending bool
-	// served is set once the present life was ready, sent holds the signals that it
-	// got.
-	served       bool
-	sent         []syscall.Signal
+	// endRequested is set once the current process was told to end, stopping once it was told
+	// so by SIGTERM, and ending once the run ends.
+	endRequested, stopping, ending bool
+	// wasReady is set once the current process was ready. sentSignals are the signals sent to
+	// it, and restartAfter is the pause between its end and the next start.
+	wasReady     bool
+	sentSignals  []syscall.Signal
 	restartAfter time.Duration
-	// earlier is set while the node's program is the earlier build, stays if it is to the end.
-	earlier, stays bool
-	// pauses counts the faults under way that pause the present life.
+	// runsEarlier is set while the node's program is the earlier build, keepsEarlier if it
+	// remains so for the whole run.
+	runsEarlier, keepsEarlier bool
+	// pauses is the number of active faults that pause the current process.
 	pauses int
-	// ended are called with the end of the present life.
-	ended []func(end lifeEnd)
-	// back ends the disturbance that began with the end of the life before; nil at
-	// first.
-	back func()
-	done chan struct{}
+	// onEnd holds the functions to call when the current process ends.
+	onEnd []func(end lifeEnd)
+	// endOutage ends the disturbance that began with the end of the previous process; nil for
+	// the first process.
+	endOutage func()
+	done      chan struct{}
 }
 
-// lifeEnd is how a life ended.
+// lifeEnd describes how a process ended.
 type lifeEnd struct {
 	at    time.Duration
 	state *os.ProcessState
-	// unready is set when a signal ended the program before it was ready: the system
-	// does that to a program that does not handle signals yet.
+	// unready is set if a signal ended the program before it was ready. The kernel does that
+	// to a program that has not installed its signal handlers yet.
 	unready bool
 }
 
-// path of one of the node's files.
+// path returns the path of one of the node's files.
 func (p *process) path(suffix string) string {
 	return filepath.Join(p.options.LogDir, "node-"+strconv.Itoa(p.index)+suffix)
 }
 
-// supervise starts the program over and over until the run ends.
+// supervise starts the program again and again until the run ends.
 func (p *process) supervise() {
 	defer close(p.done)
-	for p.begin() {
+	for p.startLife() {
 		state := p.wait()
 		select {
-		case <-time.After(p.over(state)):
+		case <-time.After(p.recordEnd(state)):
 		case <-p.ctx.Done():
 		}
 	}
 }
 
-// begin starts a life; false when the run ends.
-func (p *process) begin() bool {
+// startLife starts the next process. It returns false if the run ends.
+func (p *process) startLife() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ending {
 		return false
 	}
-	restored := p.back
+	restored := p.endOutage
 	if restored == nil {
-		restored = p.disturb(p.recorder.now())
+		restored = p.recordDisturbance(p.recorder.elapsed())
 	}
 	p.life++
 	command, err := p.launch()
@@ -103,8 +105,8 @@
 		p.fail(err)
 		return false
 	}
-	p.command, p.restartAfter, p.ended = command, startRetry, nil
-	p.told, p.stopping, p.served, p.sent, p.pauses = false, false, false, nil, 0
+	p.command, p.restartAfter, p.onEnd = command, restartDelay, nil
+	p.endRequested, p.stopping, p.wasReady, p.sentSignals, p.pauses = false, false, false, nil, 0
 	go p.awaitReady(p.life, restored)
 	return true
 }
@@ -117,55 +119,55 @@
 	}
 	output, err := os.OpenFile(p.path(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, eris.Wrap(err, "log of a node")
+		return nil, eris.Wrap(err, "open the log file of a node")
 	}
 	defer func() { _ = output.Close() }()
 	command := exec.Command(p.binary(), "node", "--platform")
 	command.Env = []string{platform.SettingsVariable + "=" + p.path(".json")}
 	command.Stdout, command.Stderr = output, output
-	return command, eris.Wrap(p.spawner.start(command), "start a node")
+	return command, eris.Wrap(p.spawner.start(command), "start the program of a node")
 }
 
-// binary is the program of the next life. The caller holds the lock.
+// binary returns the path of the program to start next. The caller holds the lock.
 func (p *process) binary() string {
-	if p.earlier {
+	if p.runsEarlier {
 		return p.options.From
 	}
 	return p.options.Binary
 }
 
-// replace stops the program as planned and starts the earlier or the present build instead.
+// replace performs a planned stop and starts the earlier or the current build instead.
 func (p *process) replace(earlier bool, pause time.Duration) bool {
 	if !p.end(syscall.SIGTERM, pause) {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.earlier = p.options.From != "" && (earlier || p.stays)
+	p.runsEarlier = p.options.From != "" && (earlier || p.keepsEarlier)
 	return true
 }
 
-// awaitReady ends a disturbance once a life is ready.
+// awaitReady ends a disturbance once a process is ready, or has been replaced by the next one.
 func (p *process) awaitReady(life int, restored func()) {
 	for p.ctx.Err() == nil {
-		if now, _ := p.present(); now != life {
+		if now, _ := p.currentLife(); now != life {
 			restored()
 			return
 		}
 		if p.ready() {
 			p.mu.Lock()
-			p.served = p.served || p.life == life
+			p.wasReady = p.wasReady || p.life == life
 			p.mu.Unlock()
 			restored()
 			return
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// ready asks the node itself, not through a proxy.
+// ready queries the node's readiness directly, not through a proxy.
 func (p *process) ready() bool {
-	client := http.Client{Timeout: probeLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: readyProbeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + net.JoinHostPort(p.ip, strconv.Itoa(readinessPort)) + platform.ReadyPath)
 	if err != nil {
 		return false
@@ -183,41 +185,42 @@
 	return command.ProcessState
 }
 
-// over notes the end of a life and returns the pause before the next.
-func (p *process) over(state *os.ProcessState) time.Duration {
+// recordEnd records the end of a process and returns the pause before the next start.
+func (p *process) recordEnd(state *os.ProcessState) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	end := lifeEnd{at: p.recorder.now(), state: state}
+	end := lifeEnd{at: p.recorder.elapsed(), state: state}
 	if status, known := state.Sys().(syscall.WaitStatus); known && status.Signaled() {
-		end.unready = !p.served && slices.Contains(p.sent, status.Signal())
+		end.unready = !p.wasReady && slices.Contains(p.sentSignals, status.Signal())
 	}
-	for _, ended := range p.ended {
+	for _, ended := range p.onEnd {
 		ended(end)
 	}
-	if !p.told && !p.ending && !end.unready {
+	if !p.endRequested && !p.ending && !end.unready {
 		p.recorder.record(func(h *check.History) {
 			h.Exits = append(h.Exits, check.Exit{Node: p.index, At: end.at, Status: state.String()})
 		})
 	}
-	p.back = p.disturb(end.at)
+	p.endOutage = p.recordDisturbance(end.at)
 	p.command = nil
 	return p.restartAfter
 }
 
-// disturb notes that the process is out of order.
-func (p *process) disturb(from time.Duration) func() {
-	return p.recorder.disturb(check.Disturbance{Node: p.index, Scope: check.ScopeProcess, From: from})
+// recordDisturbance records that the process is disturbed until the returned function is
+// called.
+func (p *process) recordDisturbance(from time.Duration) func() {
+	return p.recorder.beginDisturbance(check.Disturbance{Node: p.index, Scope: check.ScopeProcess, From: from})
 }
 
-// present returns the life that runs, and whether one does.
-func (p *process) present() (life int, running bool) {
+// currentLife returns the number of the node's last started process, and whether it runs.
+func (p *process) currentLife() (life int, running bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.life, p.command != nil
 }
 
-// end tells the program to end by a signal and to come back after a pause. One that
-// is stopping already and is asked to stop gets the signal again and nothing else.
+// end tells the program to end by a signal and to start again after a pause. A program that is
+// already stopping and is told to stop again only gets the signal.
 func (p *process) end(signal syscall.Signal, pause time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,25 +230,25 @@
 	if signal == syscall.SIGTERM && p.stopping {
 		return p.deliver(signal)
 	}
-	at := p.recorder.now()
-	restored := p.disturb(at)
-	p.ended = append(p.ended, func(lifeEnd) { restored() })
-	p.told, p.restartAfter, p.earlier = true, pause, p.stays
+	at := p.recorder.elapsed()
+	restored := p.recordDisturbance(at)
+	p.onEnd = append(p.onEnd, func(lifeEnd) { restored() })
+	p.endRequested, p.restartAfter, p.runsEarlier = true, pause, p.keepsEarlier
 	if signal == syscall.SIGTERM {
 		p.stopping = true
-		p.ended = append(p.ended, p.noteStop(at))
+		p.onEnd = append(p.onEnd, p.stopRecorder(at))
 	}
 	return p.deliver(signal)
 }
 
-// deliver sends a signal to the program, which runs. The caller holds the lock.
+// deliver sends a signal to the running program. The caller holds the lock.
 func (p *process) deliver(signal syscall.Signal) bool {
-	p.sent = append(p.sent, signal)
+	p.sentSignals = append(p.sentSignals, signal)
 	return p.command.Process.Signal(signal) == nil
 }
 
-// noteStop returns what records a planned stop at its end.
-func (p *process) noteStop(begun time.Duration) func(lifeEnd) {
+// stopRecorder returns a function that records a planned stop when the process ends.
+func (p *process) stopRecorder(begun time.Duration) func(lifeEnd) {
 	return func(end lifeEnd) {
 		if end.unready {
 			return
@@ -262,23 +265,23 @@
 	return p.command != nil && p.deliver(signal)
 }
 
-// pause stops the program's execution for a while.
+// pause suspends the program with SIGSTOP for the given time.
 func (p *process) pause(length time.Duration) bool {
-	restored := p.disturb(p.recorder.now())
-	life, paused := p.holdStill()
+	restored := p.recordDisturbance(p.recorder.elapsed())
+	life, paused := p.stopExecution()
 	if !paused {
 		restored()
 		return false
 	}
-	p.later(length, func() {
-		p.goOn(life)
+	p.undoAfter(length, func() {
+		p.resumeExecution(life)
 		restored()
 	})
 	return true
 }
 
-// holdStill stops the execution of the present life, and returns which one that is.
-func (p *process) holdStill() (life int, stopped bool) {
+// stopExecution suspends the current process and returns its number.
+func (p *process) stopExecution() (life int, stopped bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command == nil || !p.deliver(syscall.SIGSTOP) {
@@ -288,8 +291,8 @@
 	return p.life, true
 }
 
-// goOn ends a pause of a life; it runs again once all of them have ended.
-func (p *process) goOn(life int) {
+// resumeExecution ends one pause of a process, which continues once all its pauses have ended.
+func (p *process) resumeExecution(life int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.life != life {
@@ -300,8 +303,8 @@
 	}
 }
 
-// finish ends the program for good.
-func (p *process) finish() {
+// endForGood kills the program, prevents a restart and waits until the supervision has ended.
+func (p *process) endForGood() {
 	p.mu.Lock()
 	p.ending = true
 	if p.command != nil {
--- a/soak/quota.go
+++ b/soak/quota.go
@@ -10,47 +10,48 @@
 )
 
 const (
-	// quotaPeriod is the time in which a node may use its share of a core, and quotaLook how
-	// often is looked at what it has used: it may use that much more.
-	quotaPeriod = 100 * time.Millisecond
-	quotaLook   = 4 * time.Millisecond
+	// quotaPeriod is the period in which a node may use its share of a core.
+	// quotaCheckInterval is the time between two checks of its usage, by which a node may
+	// exceed the share.
+	quotaPeriod        = 100 * time.Millisecond
+	quotaCheckInterval = 4 * time.Millisecond
 )
 
-// quota holds one process to a share of a core: it runs until it has used its share of a
-// period, and stands still for the rest of that.
+// quota limits one process to a share of a core. The process runs until it has used its share
+// of a period and is suspended for the rest of it.
 type quota struct {
-	share   time.Duration
-	pid     int
-	used    time.Duration
-	began   time.Time
-	stopped bool
+	share       time.Duration
+	pid         int
+	usedAtStart time.Duration
+	periodStart time.Time
+	stopped     bool
 }
 
-// processorTime is what a process has used of the processors.
+// processorTime returns the processor time that a process has used.
 func processorTime(pid int) (time.Duration, error) {
-	// The number of a process's own clock, as clock_getcpuclockid makes it.
+	// The clock ID of another process's CPU clock, computed as in clock_getcpuclockid.
 	const scheduled = 2
 	var used unix.Timespec
 	err := unix.ClockGettime(int32(^pid<<3|scheduled), &used)
 	return time.Duration(used.Nano()), err
 }
 
-// signal says what a process is to be sent at a time when it has used so much of the
-// processors: zero for nothing. A period begins when the one before is over, and lets a process
-// go on that used up its share.
-func (q *quota) signal(now time.Time, used time.Duration) syscall.Signal {
-	if now.Sub(q.began) >= quotaPeriod {
-		q.began, q.used = now, used
+// nextSignal returns the signal to send to the process, given the processor time that it has
+// used until now; zero for none. A new period begins when the previous one is over and resumes
+// a process that was suspended.
+func (q *quota) nextSignal(now time.Time, used time.Duration) syscall.Signal {
+	if now.Sub(q.periodStart) >= quotaPeriod {
+		q.periodStart, q.usedAtStart = now, used
 		return q.resume()
 	}
-	if q.stopped || used-q.used < q.share {
+	if q.stopped || used-q.usedAtStart < q.share {
 		return 0
 	}
 	q.stopped = true
 	return syscall.SIGSTOP
 }
 
-// resume has a process that was stopped go on.
+// resume returns the signal that resumes the process if it was suspended, and zero otherwise.
 func (q *quota) resume() syscall.Signal {
 	if !q.stopped {
 		return 0
@@ -59,20 +60,21 @@
 	return syscall.SIGCONT
 }
 
-// send sends a signal, unless it is none. A process that has just ended needs none.
+// send sends a signal unless it is zero. It ignores errors, since the process may just have
+// ended.
 func (q *quota) send(signal syscall.Signal) {
 	if signal != 0 {
 		_ = syscall.Kill(q.pid, signal)
 	}
 }
 
-// holdToShare holds all nodes to their share of a core until the context ends.
-func (r *run) holdToShare(ctx context.Context) {
+// enforceCoreShare limits all nodes to their share of a core until the context ends.
+func (r *run) enforceCoreShare(ctx context.Context) {
 	share := r.options.Schedule.CoreShare
 	if share <= 0 {
 		return
 	}
-	ticker := time.NewTicker(quotaLook)
+	ticker := time.NewTicker(quotaCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -80,7 +82,7 @@
 		case <-ctx.Done():
 		}
 		for _, node := range r.nodes {
-			node.meter.hold(node, time.Duration(share*float64(quotaPeriod)), ctx.Err() != nil)
+			node.meter.enforce(node, time.Duration(share*float64(quotaPeriod)), ctx.Err() != nil)
 		}
 		if ctx.Err() != nil {
 			return
@@ -88,14 +90,15 @@
 	}
 }
 
-// meter is the quota of a node's present process.
-type meter struct {
+// quotaHolder holds the quota of a node's current process.
+type quotaHolder struct {
 	mu    sync.Mutex
 	quota *quota
 }
 
-// hold looks at the present process, unless a fault has paused it; over ends that.
-func (m *meter) hold(node *process, share time.Duration, over bool) {
+// enforce checks the quota of the node's current process, unless a fault has paused it. If
+// over is set, it only resumes a suspended process.
+func (m *quotaHolder) enforce(node *process, share time.Duration, over bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	pid, running := node.runningPID()
@@ -115,6 +118,6 @@
 		m.quota = &quota{share: share, pid: pid}
 	}
 	if used, err := processorTime(pid); err == nil {
-		m.quota.send(m.quota.signal(time.Now(), used))
+		m.quota.send(m.quota.nextSignal(time.Now(), used))
 	}
 }
--- a/soak/quota_test.go
+++ b/soak/quota_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestQuotaStopsAndResumes: a process runs until it has used its share of a period, stands
-// still for the rest of that, and goes on with the next.
-func TestQuotaStopsAndResumes(t *testing.T) {
+// TestQuotaStopsAtItsShareAndResumesNextPeriod checks that a process is suspended once it has
+// used its share of a period and resumed when the next period begins.
+func TestQuotaStopsAtItsShareAndResumesNextPeriod(t *testing.T) {
 	q := &quota{share: 20 * time.Millisecond}
 	began := time.Unix(100, 0)
 	for _, step := range []struct {
@@ -24,14 +24,15 @@
 		{quotaPeriod + 10*time.Millisecond, 530 * time.Millisecond, 0},
 		{2 * quotaPeriod, 530 * time.Millisecond, 0},
 	} {
-		if got := q.signal(began.Add(step.after), step.used); got != step.want {
+		if got := q.nextSignal(began.Add(step.after), step.used); got != step.want {
 			t.Errorf("after %v with %v used: %v, want %v", step.after, step.used, got, step.want)
 		}
 	}
 }
 
-// TestProcessorTimeIsRead of another process's clock as of the own one.
-func TestProcessorTimeIsRead(t *testing.T) {
+// TestProcessorTimeIncreases guards against a wrongly computed clock ID, for which the
+// processor time can't be read. It uses the clock of the test process.
+func TestProcessorTimeIncreases(t *testing.T) {
 	before, err := processorTime(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
--- a/soak/recovery.go
+++ b/soak/recovery.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// recoveryPause spaces attempts to be served.
-	recoveryPause = 100 * time.Millisecond
-	// ready is the name of being ready among what must be reached.
-	ready = "ready"
+	// recoveryPollInterval is the time between two attempts to be served.
+	recoveryPollInterval = 100 * time.Millisecond
+	// readyState is the name under which a node's readiness is recorded.
+	readyState = "ready"
 )
 
-// recover waits until every node is ready and serves every route, and records how
-// long it took.
+// recover waits until every node is ready and serves every route, and records how long that
+// took.
 func (r *run) recover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryBound)
 	defer cancel()
@@ -26,34 +26,34 @@
 	var waiting sync.WaitGroup
 	for _, node := range r.nodes {
 		waiting.Go(func() {
-			node.reach(ctx, began, ready, node.ready)
+			node.awaitCondition(ctx, began, readyState, node.ready)
 			for _, route := range check.Routes() {
-				node.reach(ctx, began, string(route), node.servesAgain(ctx, route, &waiting))
+				node.awaitCondition(ctx, began, string(route), node.recoveryProbe(ctx, route, &waiting))
 			}
 		})
 	}
 	waiting.Wait()
 }
 
-// reach tries until something holds or the context ends, and records it.
-func (p *process) reach(ctx context.Context, began time.Time, what string, holds func() bool) {
+// awaitCondition polls until a condition holds or the context ends, and records the result.
+func (p *process) awaitCondition(ctx context.Context, began time.Time, what string, holds func() bool) {
 	reached := false
 	for !reached && ctx.Err() == nil {
 		if reached = holds(); !reached {
-			time.Sleep(recoveryPause)
+			time.Sleep(recoveryPollInterval)
 		}
 	}
 	recovery := check.Recovery{Node: p.index, What: what, Took: time.Since(began), Reached: reached}
 	p.recorder.record(func(h *check.History) { h.Recoveries = append(h.Recoveries, recovery) })
 }
 
-// servesAgain returns a trial of a route; its requests are judged as all others. Of a
-// route with models one trial asks for each model at once: which of them workers hold
-// while callers want more than fit is no matter of recovery. What goes on after the first
-// answer is waited for by the group.
-func (p *process) servesAgain(ctx context.Context, route check.Route, waiting *sync.WaitGroup) func() bool {
+// recoveryProbe returns a function that tries a route once and reports whether it is served.
+// Its requests are checked like all others. For a route with models it asks for all models at
+// once, since it does not matter for recovery which of them workers hold while more are
+// requested than fit. The wait group covers the requests that continue after the first answer.
+func (p *process) recoveryProbe(ctx context.Context, route check.Route, waiting *sync.WaitGroup) func() bool {
 	trial := 0
-	// Callers' kept connections may be silent for good: each trial makes its own.
+	// Kept connections of callers may be silent permanently, so each attempt opens new ones.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	return func() bool {
 		trial++
@@ -64,11 +64,12 @@
 				Node: p.index, Route: route, Deadline: maxDeadline, Model: model,
 			})
 		}
-		return p.anyServed(ctx, client, requests, waiting)
+		return p.sendUntilServed(ctx, client, requests, waiting)
 	}
 }
 
-// modelsOf lists the models that a route's requests may ask for, none for a route without.
+// modelsOf returns the models that requests of a route may ask for, and a single empty name
+// for a route without models.
 func modelsOf(route check.Route) []string {
 	if !route.Streams() {
 		return []string{""}
@@ -80,9 +81,9 @@
 	return models
 }
 
-// anyServed sends requests at once and reports whether one was served, as soon as one is or
-// all have ended.
-func (p *process) anyServed(ctx context.Context, client *http.Client, requests []check.Request, waiting *sync.WaitGroup) bool {
+// sendUntilServed sends all requests at once and returns true as soon as one is served, or
+// false when all have ended without that.
+func (p *process) sendUntilServed(ctx context.Context, client *http.Client, requests []check.Request, waiting *sync.WaitGroup) bool {
 	outcomes := make(chan bool, len(requests))
 	for _, request := range requests {
 		waiting.Go(func() {
--- a/soak/run.go
+++ b/soak/run.go
@@ -15,10 +15,11 @@
 )
 
 const (
-	// loopback lets the kernel choose the port.
+	// loopback is the address to listen on, with a port that the kernel chooses.
 	loopback = "127.0.0.1:0"
-	// startPoll spaces looks at whether all nodes are ready at the start.
-	startPoll = 20 * time.Millisecond
+	// startPollInterval is the time between two checks whether all nodes are ready at the
+	// start.
+	startPollInterval = 20 * time.Millisecond
 )
 
 // run is a running deployment.
@@ -34,37 +35,38 @@
 	configuration *configuration
 	nodes         []*process
 	workers       []*workerSlot
-	// supervised is set once the nodes' processes were started.
+	// supervised is set once the supervision of the node processes has started.
 	supervised bool
-	// undone waits for the ends of faults.
-	undone sync.WaitGroup
-	// restarts waits for the harmful request's tries, and for the workers that follow those
-	// it ended; poisonOver is set once it ends none any more.
+	// pendingUndos counts the faults that have not been undone yet.
+	pendingUndos sync.WaitGroup
+	// restarts counts the open requests of sendRepeatedly and sendKeyed, and the pending
+	// replacements of crashed workers. poisonOver is set once the harmful request no longer
+	// crashes workers.
 	restarts   sync.WaitGroup
 	poisonOver atomic.Bool
-	// bursts numbers the bursts of callers.
+	// bursts is the number of caller bursts so far.
 	bursts atomic.Int64
 
-	mu      sync.Mutex
-	err     error
-	faults  map[plan.Kind]int
-	proxies []*proxy.Proxy
-	lives   []life
-	// network is the run's part of the loopback network, up to the last number.
+	mu          sync.Mutex
+	err         error
+	faults      map[plan.Kind]int
+	proxies     []*proxy.Proxy
+	workerLives []workerLife
+	// network is the prefix of the run's /24 network in the loopback range.
 	network string
-	// shown are the addresses by which nodes find each other.
-	shown map[string]string
+	// peerProxies maps the peer address of each node to the address of its proxy.
+	peerProxies map[string]string
 }
 
-// Run plays a schedule and judges what was seen. An error means that the run itself
-// failed, not that a promise is broken.
+// Run plays a schedule and checks the promises. An error means that the run itself failed, not
+// that a promise is broken.
 func Run(ctx context.Context, options Options) (*Report, error) {
-	if err := checkNodes(options.Schedule.Nodes); err != nil {
+	if err := checkNodeLimits(options.Schedule.Nodes); err != nil {
 		return nil, err
 	}
 	r := &run{
 		options: options, recorder: &recorder{began: time.Now()}, usage: &usageMeter{}, spawner: newSpawner(),
-		faults: map[plan.Kind]int{}, shown: map[string]string{},
+		faults: map[plan.Kind]int{}, peerProxies: map[string]string{},
 	}
 	r.ctx, r.cancel = context.WithTimeout(ctx, options.Duration)
 	defer r.close()
@@ -72,23 +74,23 @@
 		return nil, err
 	}
 	go r.usage.watch(r.ctx, r.pids)
-	go r.holdToShare(r.ctx)
+	go r.enforceCoreShare(r.ctx)
 	r.play()
 	if err := r.failure(); err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil {
-		return nil, eris.Wrap(err, "the run was ended")
+		return nil, eris.Wrap(err, "the run was interrupted")
 	}
 	return r.report(), nil
 }
 
-// start starts the stand-ins and the nodes.
+// start starts the simulated platform, the simulated workers and the nodes.
 func (r *run) start() error {
 	r.metadata = metadata.New(r.options.Schedule.Seed)
-	r.metadata.Rewrite = r.show
+	r.metadata.Rewrite = r.rewriteNodeEntry
 	var err error
-	if r.network, err = freeNetwork(); err != nil {
+	if r.network, err = findFreeNetwork(); err != nil {
 		return err
 	}
 	if r.server, err = standin.Listen(loopback, r.metadata); err != nil {
@@ -104,7 +106,7 @@
 	}
 	for index := range r.options.Schedule.Workers {
 		slot := &workerSlot{run: r, index: index, endLimit: func() {}}
-		if err := slot.begin(nil); err != nil {
+		if err := slot.startNew(nil); err != nil {
 			return err
 		}
 		r.workers = append(r.workers, slot)
@@ -131,12 +133,12 @@
 		if err := r.failure(); err != nil {
 			return err
 		}
-		time.Sleep(startPoll)
+		time.Sleep(startPollInterval)
 	}
-	return eris.Errorf("the nodes did not become ready; their logs are in %s", r.options.LogDir)
+	return eris.Errorf("nodes did not become ready at the start; see their logs in %s", r.options.LogDir)
 }
 
-// fail notes the first error of the run itself and ends it.
+// fail records the first error of the run itself and ends the run.
 func (r *run) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,15 +154,15 @@
 	return r.err
 }
 
-// close ends every process and stand-in.
+// close ends every node process and simulated service.
 func (r *run) close() {
 	r.cancel()
-	r.undone.Wait()
+	r.pendingUndos.Wait()
 	r.poisonOver.Store(true)
 	r.restarts.Wait()
 	for _, node := range r.nodes {
 		if r.supervised {
-			node.finish()
+			node.endForGood()
 		}
 		node.client.CloseIdleConnections()
 	}
@@ -170,8 +172,8 @@
 	for _, opened := range r.proxies {
 		opened.Close()
 	}
-	for _, over := range r.lives {
-		over.server.Kill()
+	for _, life := range r.workerLives {
+		life.server.Kill()
 	}
 	if r.server != nil {
 		r.server.Kill()
--- a/soak/settings_test.go
+++ b/soak/settings_test.go
@@ -16,36 +16,38 @@
 	"github.com/valveslip/valveslip/soak/schedules"
 )
 
-// TestSettingsAreTaken by the platform's own check.
-func TestSettingsAreTaken(t *testing.T) {
+// TestNodeSettingsPassThePlatformCheck guards against settings that the program rejects at its
+// start.
+func TestNodeSettingsPassThePlatformCheck(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.json")
-	settings := nodeSettings(2, zonedFrom, "127.0.0.9", "127.0.0.1:1", &plan.Schedule{Fencing: true}, true)
+	settings := nodeSettings(2, twoZonesFrom, "127.0.0.9", "127.0.0.1:1", &plan.Schedule{Fencing: true}, true)
 	if err := writeSettings(path, &settings); err != nil {
 		t.Fatal(err)
 	}
 	if read, err := platform.ReadSettings(path); err != nil || read.Zones[read.Zone] == "" {
-		t.Fatalf("%+v, %v", read, err)
+		t.Fatalf("settings read back as %+v, error %v", read, err)
 	}
 }
 
-// TestNodesFindEachOthersProxies: only the address in a node's record is changed.
-func TestNodesFindEachOthersProxies(t *testing.T) {
-	r := &run{shown: map[string]string{"127.0.0.2:7946": "127.0.0.1:99"}}
+// TestOnlyNodeEntriesGetProxyAddresses guards against nodes that bypass the proxies: the
+// address in a node's store entry is replaced, and nothing else in it or in other entries.
+func TestOnlyNodeEntriesGetProxyAddresses(t *testing.T) {
+	r := &run{peerProxies: map[string]string{"127.0.0.2:7946": "127.0.0.1:99"}}
 	record := fleet.NodeEntry{ID: "n", Machine: "m", Address: "127.0.0.2:7946", Capacity: 2}
-	shown, err := fleet.DecodeNodeEntry(r.show(fleet.KeyNodes+"n", record.Encode()))
+	shown, err := fleet.DecodeNodeEntry(r.rewriteNodeEntry(fleet.KeyNodes+"n", record.Encode()))
 	if err != nil || shown.Address != "127.0.0.1:99" || shown.ID != record.ID || shown.Capacity != record.Capacity {
-		t.Errorf("%+v, %v", shown, err)
+		t.Errorf("node entry is %+v, error %v", shown, err)
 	}
 	for _, key := range []string{platform.KeyConfiguration, platform.PrefixWorkers + "w"} {
-		if got := r.show(key, record.Encode()); string(got) != string(record.Encode()) {
+		if got := r.rewriteNodeEntry(key, record.Encode()); string(got) != string(record.Encode()) {
 			t.Errorf("%s was changed to %s", key, got)
 		}
 	}
 }
 
-// TestEveryKindIsKnown: a fault of each kind does something, on workers at least
-// another behaviour.
-func TestEveryKindIsKnown(t *testing.T) {
+// TestEveryFaultKindHasAnEffect guards against kinds that are drawn but not handled. Such a
+// kind would fall through to a worker fault that changes nothing.
+func TestEveryFaultKindHasAnEffect(t *testing.T) {
 	known := map[plan.Kind]bool{
 		plan.LinkDelay: true, plan.LinkReset: true, plan.LinkCutRequests: true, plan.LinkCutAnswers: true, plan.LinkSilence: true,
 		plan.LinkThrottle: true, plan.LinkRefuse: true, plan.ProcessStop: true, plan.ProcessKill: true, plan.ProcessPause: true,
@@ -57,23 +59,26 @@
 		_, onStore := storeFaults[kind]
 		_, onWorker := workerBehaviours[kind]
 		if !known[kind] && !onStore && !onWorker {
-			t.Errorf("%s does nothing", kind)
+			t.Errorf("fault kind %s has no effect", kind)
 		}
 	}
 }
 
-// TestTooManyNodesAreRefused, and a run that leaves no time for faults.
-func TestTooManyNodesAreRefused(t *testing.T) {
+// TestSizeRejectsTooManyNodesAndTooShortRuns guards against runs that the machine can't hold
+// or that leave no time for faults.
+func TestSizeRejectsTooManyNodesAndTooShortRuns(t *testing.T) {
 	if _, err := Size(MaxNodes+1, MinDuration); err == nil {
-		t.Error("too many nodes")
+		t.Error("Size accepted too many nodes")
 	}
 	if _, err := Size(1, MinDuration-1); err == nil {
-		t.Error("too short a run")
+		t.Error("Size accepted a run that is too short")
 	}
 }
 
-// TestMachineBoundsNodes: each of its limits does, and the error names the one that is met.
-func TestMachineBoundsNodes(t *testing.T) {
+// TestNodeCountErrorNamesTheExceededLimit checks each limit of the machine at its boundary:
+// the greatest permitted count passes, and the next one fails with an error that names the
+// limit.
+func TestNodeCountErrorNamesTheExceededLimit(t *testing.T) {
 	const plenty = 1 << 50
 	for _, bound := range []struct {
 		most          int
@@ -81,49 +86,51 @@
 		names         string
 	}{
 		{MaxNodes, plenty, plenty, "processes"},
-		{10, 10 * 2 * nodeMemory, plenty, "memory"},
+		{10, 10 * 2 * nodeMemoryBytes, plenty, "memory"},
 		{100, plenty, 20_000, "open files"},
 		{4, plenty, 2_048, "open files"},
 		{8, plenty, 4_096, "open files"},
 		{0, plenty, 1, "open files"},
 	} {
-		if err := bearable(bound.most, bound.memory, bound.files); bound.most > 0 && err != nil {
+		if err := checkNodeCount(bound.most, bound.memory, bound.files); bound.most > 0 && err != nil {
 			t.Errorf("%d nodes: %v", bound.most, err)
 		}
-		err := bearable(bound.most+1, bound.memory, bound.files)
+		err := checkNodeCount(bound.most+1, bound.memory, bound.files)
 		if err == nil || !strings.Contains(err.Error(), bound.names) || !strings.Contains(err.Error(), strconv.Itoa(bound.most)) {
 			t.Errorf("%d nodes: %v, want %q", bound.most+1, err, bound.names)
 		}
 	}
 }
 
-// TestLoadIsBounded: few nodes get their full pace, many share what workers can run.
-func TestLoadIsBounded(t *testing.T) {
-	if few := pace(4); few != time.Second/callsPerSecond {
+// TestCallRateIsSharedByManyNodes guards against a load that overwhelms the workers: few nodes
+// get the full rate, many share what the workers can run.
+func TestCallRateIsSharedByManyNodes(t *testing.T) {
+	if few := callIntervalFor(4); few != time.Second/callsPerSecond {
 		t.Errorf("4 nodes: a call each %s", few)
 	}
 	for _, nodes := range []int{20, 40, 150, MaxNodes} {
-		if calls := float64(nodes) / pace(nodes).Seconds(); math.Abs(calls-callsInAll) > 1 {
+		if calls := float64(nodes) / callIntervalFor(nodes).Seconds(); math.Abs(calls-maxTotalCallsPerSecond) > 1 {
 			t.Errorf("%d nodes: %.1f calls a second", nodes, calls)
 		}
-		if under := nodes * maxCalls(nodes); under > callsInAll*int(check.AnswerLimit(maxDeadline).Seconds())+2*nodes {
+		if under := nodes * maxOpenCalls(nodes); under > maxTotalCallsPerSecond*int(check.AnswerLimit(maxDeadline).Seconds())+2*nodes {
 			t.Errorf("%d nodes: %d calls under way", nodes, under)
 		}
 	}
 }
 
-// TestUsageKeepsTheMost of each figure, measured on this very process.
-func TestUsageKeepsTheMost(t *testing.T) {
+// TestUsageKeepsTheMaximumOfEachFigure checks that each figure keeps its own maximum, measured
+// on the test process.
+func TestUsageKeepsTheMaximumOfEachFigure(t *testing.T) {
 	meter := &usageMeter{}
-	meter.add(measure([]int{os.Getpid()}))
+	meter.add(measureUsage([]int{os.Getpid()}))
 	meter.add(Usage{Files: 1, Stall: time.Second})
 	if peak := meter.peak(); peak.Files < 3 || peak.NodeFiles < 3 || peak.OwnMB < 1 || peak.NodesMB < 1 || peak.Stall != time.Second {
 		t.Errorf("%+v", peak)
 	}
 }
 
-// TestKeptSchedulesHaveACause.
-func TestKeptSchedulesHaveACause(t *testing.T) {
+// TestEmbeddedSchedulesHaveACause guards against regression schedules without an explanation.
+func TestEmbeddedSchedulesHaveACause(t *testing.T) {
 	kept, err := schedules.All()
 	if err != nil || len(kept) == 0 {
 		t.Fatalf("%d schedules, %v", len(kept), err)
@@ -135,8 +142,8 @@
 	}
 }
 
-// TestOutcomes of requests.
-func TestOutcomes(t *testing.T) {
+// TestOutcomeNamesStatusOrFailure checks the outcome names in the report.
+func TestOutcomeNamesStatusOrFailure(t *testing.T) {
 	for want, request := range map[string]check.Request{
 		"200": {Status: 200}, "503": {Status: 503}, "no answer": {Failure: "reset"}, "cut answer": {Status: 200, Failure: "reset"},
 	} {
--- a/soak/spawn.go
+++ b/soak/spawn.go
@@ -6,8 +6,9 @@
 	"syscall"
 )
 
-// spawner starts processes that end with this one. The kernel ties that to the
-// thread which started them, so one goroutine that keeps its thread starts all.
+// spawner starts processes that the kernel kills when this process ends. The kernel sends the
+// signal when the thread that started the process ends, so a single goroutine locked to its
+// thread starts all of them.
 type spawner struct {
 	requests chan spawnRequest
 }
@@ -30,8 +31,8 @@
 	}
 }
 
-// start starts a command. It is in a process group of its own, so that signals of
-// the terminal don't reach it.
+// start starts a command in a process group of its own, so that signals of the terminal don't
+// reach it.
 func (s *spawner) start(command *exec.Cmd) error {
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	result := make(chan error, 1)
@@ -39,5 +40,6 @@
 	return <-result
 }
 
-// close ends the goroutine, once every process has ended.
+// close ends the spawner's goroutine. Call it only after every process has ended, since the
+// end of its thread kills those left.
 func (s *spawner) close() { close(s.requests) }
--- a/soak/tenants.go
+++ b/soak/tenants.go
@@ -11,67 +11,70 @@
 )
 
 const (
-	// keyBound is for how long a key may be used after it was taken away.
+	// keyBound is how long a key may still be used after it was revoked.
 	keyBound = 5 * time.Second
-	// rotateEvery is how often the key of one tenant is replaced, keyedEvery how often its
-	// callers send.
-	rotateEvery = 4 * time.Second
-	keyedEvery  = 120 * time.Millisecond
-	// oldKeyShare of them use a key that was taken away, one of the last oldKeys.
-	oldKeyShare = 0.4
-	oldKeys     = 3
-	// floodEvery is how often the other tenant's callers send: five times what they may.
-	floodEvery = 40 * time.Millisecond
-	floodKey   = "flood-key"
+	// keyRotationInterval is the time between two replacements of one tenant's key,
+	// keyedInterval the time between two requests of that tenant.
+	keyRotationInterval = 4 * time.Second
+	keyedInterval       = 120 * time.Millisecond
+	// revokedKeyShare is the share of these requests that use a revoked key, one of the last
+	// revokedKeysUsed.
+	revokedKeyShare = 0.4
+	revokedKeysUsed = 3
+	// floodInterval is the time between two requests of the flooding tenant, five times as
+	// many as its limit permits.
+	floodInterval = 40 * time.Millisecond
+	floodKey      = "flood-key"
 
 	keyedTenant = "rotating"
 	floodTenant = "flooding"
 )
 
-// floodLimit is what the tenant that floods may use.
+// floodLimit is the request limit of the flooding tenant.
 var floodLimit = check.Limit{Rate: 5, Burst: 5, Slack: 6, Overrun: 0.1, Window: 8 * time.Second}
 
-// keyName is the key of a number.
+// keyName returns the key with the given number.
 func keyName(number int) string { return fmt.Sprintf("key-%d", number) }
 
-// tenants lists the tenants of the present configuration.
+// tenants returns the tenants of the current configuration.
 func (c *configuration) tenants() []platform.TenantDocument {
 	if c.options.Schedule.Keyless {
 		return nil
 	}
 	return []platform.TenantDocument{
-		{Name: keyedTenant, Keys: []string{keyName(c.keys)}},
+		{Name: keyedTenant, Keys: []string{keyName(c.keyNumber)}},
 		{Name: floodTenant, Keys: []string{floodKey}, RatePerS: float64(floodLimit.Rate), Burst: float64(floodLimit.Burst)},
 	}
 }
 
-// rotate replaces the key of one tenant; without keys it only makes another version.
+// rotate replaces the key of the rotating tenant. In a deployment without keys it only writes
+// another version.
 func (c *configuration) rotate() {
 	before := ""
 	c.change(func() {
-		before = keyName(c.keys)
-		c.keys++
+		before = keyName(c.keyNumber)
+		c.keyNumber++
 	})
 	if c.options.Schedule.Keyless {
 		return
 	}
-	taken := check.TakenKey{Key: before, At: c.recorder.now()}
+	taken := check.TakenKey{Key: before, At: c.recorder.elapsed()}
 	c.recorder.record(func(h *check.History) { h.Taken = append(h.Taken, taken) })
 }
 
-// key draws a key of the tenant whose keys are replaced: the newest or an old one.
+// key draws a key of the rotating tenant: the current one or a revoked one.
 func (c *configuration) key(random *rand.Rand) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.keys > 0 && random.Float64() < oldKeyShare {
-		return keyName(max(c.keys-1-random.IntN(oldKeys), 0))
+	if c.keyNumber > 0 && random.Float64() < revokedKeyShare {
+		return keyName(max(c.keyNumber-1-random.IntN(revokedKeysUsed), 0))
 	}
-	return keyName(c.keys)
+	return keyName(c.keyNumber)
 }
 
-// rotateKeys replaces keys until the context ends.
+// rotateKeys replaces the key at regular intervals until the context ends.
 func (r *run) rotateKeys(ctx context.Context) {
-	ticker := time.NewTicker(rotateEvery)
+	ticker := time.NewTicker(keyRotationInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -83,7 +86,7 @@
 	}
 }
 
-// sendKeyed sends requests of a tenant to nodes of its own draw until the context ends.
+// sendKeyed sends requests of a tenant to randomly drawn nodes until the context ends.
 func (r *run) sendKeyed(ctx context.Context, prefix string, every time.Duration, key func(random *rand.Rand) string) {
 	random := rand.New(rand.NewPCG(r.options.Schedule.Seed, uint64(every)))
 	ticker := time.NewTicker(every)
--- a/soak/usage.go
+++ b/soak/usage.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	// usagePause spaces looks at what the run takes of the machine.
-	usagePause = time.Second
-	// stallTick is how often the run looks at its clock for a stall.
-	stallTick = 50 * time.Millisecond
+	// usageInterval is the time between two measurements.
+	usageInterval = time.Second
+	// stallCheckInterval is the length of the sleeps whose delay is measured to detect stalls.
+	stallCheckInterval = 50 * time.Millisecond
 )
 
-// Usage is the most that a run took of the machine at once.
+// Usage holds the maximum of each resource that a run used at any time.
 type Usage struct {
-	// Files are those open in the soak's own process, where proxies, callers and
-	// stand-ins live.
+	// Files is the number of open files of the soak's own process, which contains the proxies,
+	// callers and simulated services.
 	Files int `json:"files"`
-	// OwnMB and NodesMB are resident memory, NodesMB that of all nodes together.
+	// OwnMB is the resident memory of the soak's own process, NodesMB that of all nodes
+	// together.
 	OwnMB   int `json:"own_mb"`
 	NodesMB int `json:"nodes_mb"`
-	// NodeFiles are the most files that one node had open.
+	// NodeFiles is the highest number of open files of a single node.
 	NodeFiles int `json:"node_files"`
-	// Stall is the longest time for which the soak's process itself was late: what it
-	// was kept waiting for the processor. Far above a second, times are not to be relied on.
+	// Stall is the longest delay of the soak's own process while it waited for the processor.
+	// If it is far above a second, times of the run are unreliable.
 	Stall time.Duration `json:"stall"`
 }
 
-// usageMeter measures a run's usage.
+// usageMeter measures the resource usage of a run. It is safe for concurrent use.
 type usageMeter struct {
-	mu   sync.Mutex
-	most Usage
+	mu      sync.Mutex
+	maximum Usage
 }
 
 // watch measures until the context ends.
@@ -44,42 +45,43 @@
 	both.Go(func() { m.watchStalls(ctx) })
 	both.Go(func() {
 		for ctx.Err() == nil {
-			m.add(measure(pids()))
-			pauseWithin(ctx, usagePause)
+			m.add(measureUsage(pids()))
+			sleepContext(ctx, usageInterval)
 		}
 	})
 	both.Wait()
 }
 
-// watchStalls notes how much longer than asked for short pauses last.
+// watchStalls records how much longer than requested short sleeps last.
 func (m *usageMeter) watchStalls(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		pauseWithin(ctx, stallTick)
-		m.add(Usage{Stall: max(time.Since(began)-stallTick, 0)})
+		sleepContext(ctx, stallCheckInterval)
+		m.add(Usage{Stall: max(time.Since(began)-stallCheckInterval, 0)})
 	}
 }
 
-// add takes one measurement in.
+// add merges one measurement into the maximum.
 func (m *usageMeter) add(now Usage) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.most = Usage{
-		Files: max(m.most.Files, now.Files), NodeFiles: max(m.most.NodeFiles, now.NodeFiles),
-		OwnMB: max(m.most.OwnMB, now.OwnMB), NodesMB: max(m.most.NodesMB, now.NodesMB),
-		Stall: max(m.most.Stall, now.Stall),
+	m.maximum = Usage{
+		Files: max(m.maximum.Files, now.Files), NodeFiles: max(m.maximum.NodeFiles, now.NodeFiles),
+		OwnMB: max(m.maximum.OwnMB, now.OwnMB), NodesMB: max(m.maximum.NodesMB, now.NodesMB),
+		Stall: max(m.maximum.Stall, now.Stall),
 	}
 }
 
-// peak returns the most so far.
+// peak returns the maximum of each figure so far.
 func (m *usageMeter) peak() Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.most
+	return m.maximum
 }
 
-// measure looks at this process and at the nodes; one that has just ended counts zero.
-func measure(pids []int) Usage {
+// measureUsage measures this process and the nodes. A process that has just ended counts as
+// zero.
+func measureUsage(pids []int) Usage {
 	now := Usage{Files: openFiles(os.Getpid()), OwnMB: residentMB(os.Getpid())}
 	for _, pid := range pids {
 		now.NodesMB += residentMB(pid)
@@ -88,10 +90,10 @@
 	return now
 }
 
-// procPath is a file on a process.
+// procPath returns the path of a file of a process under /proc.
 func procPath(pid int, name string) string { return filepath.Join("/proc", strconv.Itoa(pid), name) }
 
-// openFiles counts the open files of a process.
+// openFiles returns the number of open files of a process, zero if it can't be read.
 func openFiles(pid int) int {
 	entries, err := os.ReadDir(procPath(pid, "fd"))
 	if err != nil {
@@ -100,7 +102,8 @@
 	return len(entries)
 }
 
-// residentMB is the memory of a process in megabytes of 2^20 bytes.
+// residentMB returns the resident memory of a process in megabytes of 2^20 bytes, zero if it
+// can't be read.
 func residentMB(pid int) int {
 	text, err := os.ReadFile(procPath(pid, "statm"))
 	if err != nil {
@@ -114,15 +117,15 @@
 	return pages * os.Getpagesize() >> 20
 }
 
-// pauseWithin waits for a time or the context's end.
-func pauseWithin(ctx context.Context, pause time.Duration) {
+// sleepContext waits for the given time or until the context ends.
+func sleepContext(ctx context.Context, pause time.Duration) {
 	select {
 	case <-time.After(pause):
 	case <-ctx.Done():
 	}
 }
 
-// pids lists the nodes' processes that run.
+// pids returns the process IDs of the running nodes.
 func (r *run) pids() []int {
 	var running []int
 	for _, node := range r.nodes {
@@ -133,7 +136,8 @@
 	return running
 }
 
-// runningPID returns the number of the node's process unless a fault has paused it.
+// runningPID returns the process ID of the node, and false if none runs or a fault has paused
+// it.
 func (p *process) runningPID() (int, bool) {
 	pid, running := p.pid()
 	p.mu.Lock()
@@ -141,7 +145,7 @@
 	return pid, running && p.pauses == 0
 }
 
-// pid returns the number of the node's process, and whether one runs.
+// pid returns the process ID of the node, and false if none runs.
 func (p *process) pid() (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/workers.go
+++ b/soak/workers.go
@@ -15,7 +15,7 @@
 	"github.com/valveslip/valveslip/standin/worker"
 )
 
-// The services and the sizes of their workers.
+// The services and the capacities and timings of their workers.
 const (
 	serviceEngine = "assistant"
 	serviceFirst  = "booking"
@@ -27,77 +27,80 @@
 	streamPause  = 40 * time.Millisecond
 	plainTime    = 120 * time.Millisecond
 	loadTime     = 300 * time.Millisecond
-	// Two of the models fit on an engine.
-	modelMB     = 60
-	engineMB    = 130
-	megabyte    = 1_000_000
-	modelCount  = 8
-	adapterMB   = 1
-	adapters    = 2
-	loadsSecond = 2
+	// Two models fit into the memory of an engine.
+	modelMB          = 60
+	engineMB         = 130
+	megabyte         = 1_000_000
+	modelCount       = 8
+	adapterMB        = 1
+	adaptersPerModel = 2
+	loadsPerSecond   = 2
 )
 
 func modelName(index int) string { return fmt.Sprintf("model-%d", index+1) }
 
-// behaviours are what a worker does besides serving, while a fault lasts.
-type behaviours struct {
-	mu    sync.Mutex
-	every worker.Behaviour
-	// sheds is until when all requests are turned away.
-	sheds time.Time
-	count atomic.Uint64
+// faultBehaviour is how a worker deviates from normal service while a fault lasts.
+type faultBehaviour struct {
+	mu     sync.Mutex
+	active worker.Behaviour
+	// shedsUntil is the time until which all requests are rejected.
+	shedsUntil   time.Time
+	requestCount atomic.Uint64
 }
 
-// strikeEvery is how many requests a misbehaving worker serves between two that it
-// does not.
-const strikeEvery = 2
+// misbehaveEvery is the period, in requests, of the misbehaviour: a worker under a fault
+// serves the other requests normally.
+const misbehaveEvery = 2
 
-func (b *behaviours) set(behaviour worker.Behaviour) {
+func (b *faultBehaviour) set(behaviour worker.Behaviour) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.every = behaviour
+	b.active = behaviour
 }
 
-// shed has all requests turned away until a time.
-func (b *behaviours) shed(until time.Time) {
+// shed makes the worker reject all requests until the given time.
+func (b *faultBehaviour) shed(until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sheds = until
+	b.shedsUntil = until
 }
 
-// choose has every second request misbehave.
-func (b *behaviours) choose(*http.Request) worker.Behaviour {
+// choose returns what to do with a request. Under a fault, every misbehaveEvery-th request
+// misbehaves.
+func (b *faultBehaviour) choose(*http.Request) worker.Behaviour {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if time.Now().Before(b.sheds) {
+	if time.Now().Before(b.shedsUntil) {
 		return worker.Shed
 	}
-	if b.every == worker.Serve || b.count.Add(1)%strikeEvery != 0 {
+	if b.active == worker.Serve || b.requestCount.Add(1)%misbehaveEvery != 0 {
 		return worker.Serve
 	}
-	return b.every
+	return b.active
 }
 
-// workerSlot is a place for a worker: one life after the other, mostly with new names.
+// workerSlot is a position in the deployment that is filled by one worker after the other,
+// usually each with a new id.
 type workerSlot struct {
 	*run
 	index int
 
-	mu   sync.Mutex
-	life int
-	id   string
-	born int64
-	// name of the present life, which the history knows it by: lives may share an id.
-	name    string
-	worker  *worker.Worker
-	server  *standin.Server
-	proxy   *proxy.Proxy
-	conduct *behaviours
-	// endLimit ends the limit that the worker names, if it does.
+	mu            sync.Mutex
+	lifeNumber    int
+	id            string
+	startedMillis int64
+	// name identifies the current worker in the history. It includes the start time, since
+	// successive workers may have the same id.
+	name      string
+	worker    *worker.Worker
+	server    *standin.Server
+	proxy     *proxy.Proxy
+	behaviour *faultBehaviour
+	// endLimit ends the limit that the worker announces, if there is one.
 	endLimit func()
 }
 
-// enterExtraWorkers enters workers that nobody asks for.
+// enterExtraWorkers writes store entries of workers that never get requests.
 func (r *run) enterExtraWorkers() error {
 	for index := range r.options.Schedule.ExtraWorkers {
 		entry := platform.WorkerDocument{
@@ -110,7 +113,7 @@
 	return nil
 }
 
-// service that the slot's workers serve.
+// service returns the service that the slot's workers belong to.
 func (s *workerSlot) service() string {
 	switch s.index % 4 {
 	case 1:
@@ -121,20 +124,21 @@
 	return serviceEngine
 }
 
-// begin starts a life under a new name, at a new address unless one is given.
-func (s *workerSlot) begin(at *proxy.Proxy) error {
-	s.life++
-	s.id = fmt.Sprintf("%s-%d-%d", s.service(), s.index, s.life)
-	return s.beginAs(at)
+// startNew starts a worker with a new id. It gets a new address unless an existing proxy is
+// given.
+func (s *workerSlot) startNew(at *proxy.Proxy) error {
+	s.lifeNumber++
+	s.id = fmt.Sprintf("%s-%d-%d", s.service(), s.index, s.lifeNumber)
+	return s.startCurrent(at)
 }
 
-// beginAs starts a life under the present name. It is born later than the one before, also
-// within the same millisecond.
-func (s *workerSlot) beginAs(at *proxy.Proxy) error {
-	s.born = max(time.Now().UnixMilli(), s.born+1)
+// startCurrent starts a worker with the current id. Its start time is later than that of the
+// worker before it, even within the same millisecond.
+func (s *workerSlot) startCurrent(at *proxy.Proxy) error {
+	s.startedMillis = max(time.Now().UnixMilli(), s.startedMillis+1)
 	config := worker.Config{
-		Born: s.born,
-		ID:   s.id, Service: s.service(), Zone: zoneName(s.index % zones(len(s.nodes))), Slots: plainSlots, RunTime: plainTime,
+		Born: s.startedMillis,
+		ID:   s.id, Service: s.service(), Zone: zoneName(s.index % zoneCount(len(s.nodes))), Slots: plainSlots, RunTime: plainTime,
 		Unfenced: !s.options.Schedule.Fencing,
 	}
 	if s.service() == serviceEngine {
@@ -144,10 +148,10 @@
 			config.Models[modelName(index)] = catalog.ModelSpec{Bytes: modelMB * megabyte}
 		}
 	}
-	conduct := &behaviours{}
+	conduct := &faultBehaviour{}
 	started := worker.New(config)
 	started.Behave = func(r *http.Request) worker.Behaviour {
-		if s.poisoned(r, started) {
+		if s.crashIfPoisoned(r, started) {
 			return worker.CutAfterRun
 		}
 		return conduct.choose(r)
@@ -164,13 +168,13 @@
 	at.Retarget(server.Address())
 	started.SetAddress(at.Address())
 	started.Publish = func(key string, entry platform.WorkerDocument) { s.publish(started, key, entry) }
-	s.worker, s.server, s.proxy, s.conduct = started, server, at, conduct
-	s.name = fmt.Sprintf("%s@%d", s.id, s.born)
-	s.lived(s.name, s.service(), started, server)
+	s.worker, s.server, s.proxy, s.behaviour = started, server, at, conduct
+	s.name = fmt.Sprintf("%s@%d", s.id, s.startedMillis)
+	s.recordLife(s.name, s.service(), started, server)
 	return s.metadata.Put(started.Key(), started.Entry())
 }
 
-// publish enters a worker unless its life is over.
+// publish writes a worker's store entry unless another worker has taken its place.
 func (s *workerSlot) publish(by *worker.Worker, key string, entry platform.WorkerDocument) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,52 +183,54 @@
 	}
 }
 
-// present returns the worker of the present life.
-func (s *workerSlot) present() (string, *worker.Worker, *proxy.Proxy, *behaviours) {
+// current returns the name, worker, proxy and fault behaviour of the current worker.
+func (s *workerSlot) current() (string, *worker.Worker, *proxy.Proxy, *faultBehaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.name, s.worker, s.proxy, s.conduct
+	return s.name, s.worker, s.proxy, s.behaviour
 }
 
-// disturb notes that the present worker is out of order.
-func (s *workerSlot) disturb() func() {
-	id, _, _, _ := s.present()
-	return s.recorder.disturb(check.Disturbance{
-		Node: check.AllNodes, Scope: check.ScopeWorker, Worker: id, From: s.recorder.now(),
+// recordDisturbance records that the current worker is disturbed until the returned function
+// is called.
+func (s *workerSlot) recordDisturbance() func() {
+	id, _, _, _ := s.current()
+	return s.recorder.beginDisturbance(check.Disturbance{
+		Node: check.AllNodes, Scope: check.ScopeWorker, Worker: id, From: s.recorder.elapsed(),
 	})
 }
 
-// misbehave has the worker do so for a while.
-func (s *workerSlot) misbehave(behaviour worker.Behaviour, length time.Duration) {
-	restored := s.disturb()
-	_, _, _, conduct := s.present()
+// setBehaviour makes the worker misbehave for the given time.
+func (s *workerSlot) setBehaviour(behaviour worker.Behaviour, length time.Duration) {
+	restored := s.recordDisturbance()
+	_, _, _, conduct := s.current()
 	conduct.set(behaviour)
-	s.later(length, func() {
+	s.undoAfter(length, func() {
 		conduct.set(worker.Serve)
 		restored()
 	})
 }
 
-// delayOrders has orders come late for a while.
+// delayOrders makes orders reach the worker late for the given time.
 func (s *workerSlot) delayOrders(delay, length time.Duration) {
-	restored := s.disturb()
-	_, delayed, _, _ := s.present()
+	restored := s.recordDisturbance()
+	_, delayed, _, _ := s.current()
 	delayed.DelayOrders(delay)
-	s.later(length, func() {
+	s.undoAfter(length, func() {
 		delayed.DelayOrders(0)
 		restored()
 	})
 }
 
-// crash ends the worker without a word; another one comes back at its address.
+// crash kills the worker without notice. After the given time another worker starts at its
+// address.
 func (s *workerSlot) crash(length time.Duration) {
-	restored := s.disturb()
+	restored := s.recordDisturbance()
 	s.mu.Lock()
 	ended, server, at := s.worker, s.server, s.proxy
 	s.mu.Unlock()
 	at.Refuse()
 	server.Kill()
-	s.later(length, func() {
+	s.undoAfter(length, func() {
 		defer restored()
 		s.replace(ended, at)
 		if err := at.Open(); err != nil {
@@ -233,8 +239,8 @@
 	})
 }
 
-// restart ends the worker without a word; it comes back at its address under its id. One that
-// leaves is not waited for: it ends like one that crashes.
+// restart kills the worker without notice. After the given time it starts again at its address
+// with the same id. A worker that is draining is crashed instead and gets a replacement.
 func (s *workerSlot) restart(length time.Duration) {
 	s.mu.Lock()
 	ended, server, at := s.worker, s.server, s.proxy
@@ -243,42 +249,42 @@
 		s.crash(length)
 		return
 	}
-	restored := s.disturb()
+	restored := s.recordDisturbance()
 	at.Refuse()
 	server.Kill()
-	s.later(length, func() {
+	s.undoAfter(length, func() {
 		defer restored()
-		s.comeBack(ended, at)
+		s.restartIfCurrent(ended, at)
 		if err := at.Open(); err != nil {
 			s.fail(err)
 		}
 	})
 }
 
-// comeBack starts a worker again under its name, unless another one has taken its place.
-func (s *workerSlot) comeBack(over *worker.Worker, at *proxy.Proxy) {
+// restartIfCurrent starts a worker again with its id, unless another one has taken its place.
+func (s *workerSlot) restartIfCurrent(ended *worker.Worker, at *proxy.Proxy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.worker != over {
+	if s.worker != ended {
 		return
 	}
-	if err := s.beginAs(at); err != nil {
+	if err := s.startCurrent(at); err != nil {
 		s.fail(err)
 	}
 }
 
-// limit has the worker name a limit for a while, in place of one that it names. That puts nothing
-// out of order.
-func (s *workerSlot) limit(perSecond float64, length time.Duration) {
+// announceLimit makes the worker announce a rate limit for the given time, replacing a limit
+// that it already announces. This is no disturbance.
+func (s *workerSlot) announceLimit(perSecond float64, length time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLimit()
-	name, needy := s.name, s.worker
-	needy.SetLimit(perSecond)
-	index, from := 0, s.recorder.now()
+	name, limited := s.name, s.worker
+	limited.SetLimit(perSecond)
+	index, from := 0, s.recorder.elapsed()
 	s.recorder.record(func(h *check.History) {
 		index = len(h.WorkerLimits)
-		h.WorkerLimits = append(h.WorkerLimits, check.WorkerLimit{Worker: name, PerSecond: perSecond, From: from, To: always})
+		h.WorkerLimits = append(h.WorkerLimits, check.WorkerLimit{Worker: name, PerSecond: perSecond, From: from, To: openEnd})
 	})
 	ended := false
 	s.endLimit = func() {
@@ -286,62 +292,64 @@
 			return
 		}
 		ended = true
-		s.recorder.record(func(h *check.History) { h.WorkerLimits[index].To = s.recorder.now() })
-		needy.SetLimit(0)
+		s.recorder.record(func(h *check.History) { h.WorkerLimits[index].To = s.recorder.elapsed() })
+		limited.SetLimit(0)
 	}
 	end := s.endLimit
-	s.later(length, func() {
+	s.undoAfter(length, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		end()
 	})
 }
 
-// shed has the worker turn all requests away for a while and ask for rest. Its nodes are told, so
-// that it puts nothing out of order.
-func (s *workerSlot) shed(rest, length time.Duration) {
-	_, needy, _, conduct := s.present()
-	needy.SetRest(rest)
+// shedRequests makes the worker reject all requests for the given time and ask for a back-off.
+// Nodes learn of it from the answers, so this is no disturbance.
+func (s *workerSlot) shedRequests(rest, length time.Duration) {
+	_, shedding, _, conduct := s.current()
+	shedding.SetRest(rest)
 	conduct.shed(time.Now().Add(length))
 }
 
-// leave has the worker say in its answers that it leaves, and in its entry after a while.
-func (s *workerSlot) leave(length time.Duration) {
-	name, leaving, _, _ := s.present()
+// announceLeave makes the worker announce in its answers that it leaves, and only after the
+// given time in its store entry.
+func (s *workerSlot) announceLeave(length time.Duration) {
+	name, leaving, _, _ := s.current()
 	leaving.Leave()
-	at := s.recorder.now()
+	at := s.recorder.elapsed()
 	s.recorder.record(func(h *check.History) {
 		h.LeavingAnswers = append(h.LeavingAnswers, check.Leaving{Worker: name, At: at})
 	})
-	s.later(length, func() {
-		if _, present, _, _ := s.present(); present == leaving {
-			s.drain(quietDrain)
+	s.undoAfter(length, func() {
+		if _, present, _, _ := s.current(); present == leaving {
+			s.drain(drainReplacementDelay)
 		}
 	})
 }
 
-// drain has the worker say that it leaves; it goes on serving what it has, and
-// another one comes at another address.
+// drain makes the worker announce that it leaves. It continues to serve its open requests, and
+// after the given time a replacement starts at another address.
 func (s *workerSlot) drain(length time.Duration) {
-	id, leaving, _, _ := s.present()
+	id, leaving, _, _ := s.current()
 	leaving.Drain()
-	at := s.recorder.now()
+	at := s.recorder.elapsed()
 	s.recorder.record(func(h *check.History) {
 		h.Leavings = append(h.Leavings, check.Leaving{Worker: id, At: at})
 		h.LeavingAnswers = append(h.LeavingAnswers, check.Leaving{Worker: id, At: at})
 	})
-	s.later(length, func() { s.replace(leaving, nil) })
+	s.undoAfter(length, func() { s.replace(leaving, nil) })
 }
 
-// replace puts a new life in the place of one that is over, unless that was done.
-func (s *workerSlot) replace(over *worker.Worker, at *proxy.Proxy) {
+// replace starts a new worker in place of one that has ended, unless that has already
+// happened.
+func (s *workerSlot) replace(ended *worker.Worker, at *proxy.Proxy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.worker != over {
+	if s.worker != ended {
 		return
 	}
-	s.metadata.Remove(over.Key())
-	if err := s.begin(at); err != nil {
+	s.metadata.Remove(ended.Key())
+	if err := s.startNew(at); err != nil {
 		s.fail(err)
 	}
 }
