--- a/soak/callers.go
+++ b/soak/callers.go
@@ -163,7 +163,7 @@
 		var body []byte
 		body, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 		_ = response.Body.Close()
-		request.Status, request.Body, request.Leave = response.StatusCode, string(body), response.Close
+		request.Status, request.Body, request.ClosesConnection = response.StatusCode, string(body), response.Close
 		request.EchoedID, request.Stamp = response.Header.Get(platform.HeaderRequestID), response.Header.Get(platform.HeaderStamp)
 	}
 	request.Ended = p.recorder.elapsed()
--- a/soak/check/configuration.go
+++ b/soak/check/configuration.go
@@ -15,11 +15,11 @@
 // Version is one version of the configuration.
 type Version struct {
 	Number int64
-	// From is when the write of the version began; nodes may have it in force from then on.
-	// At is when the store had accepted it.
-	From, At time.Duration
-	// Plain is the service that the ordinary routes lead to.
-	Plain string
+	// WriteStarted is when the write of the version began; nodes may have it in force from then on.
+	// AcceptedAt is when the store had accepted it.
+	WriteStarted, AcceptedAt time.Duration
+	// PlainService is the service that the ordinary routes lead to.
+	PlainService string
 }
 
 // holds reports whether a version contains the marker route that version marker added.
@@ -44,13 +44,13 @@
 func (h *History) allowedVersions(sent, ended time.Duration) []Version {
 	var allowed []Version
 	for _, v := range h.Versions {
-		if v.From <= ended {
+		if v.WriteStarted <= ended {
 			allowed = append(allowed, v)
 		}
 	}
 	oldest := 0
 	for i := range allowed {
-		if allowed[i].At+h.Bounds.Configuration < sent {
+		if allowed[i].AcceptedAt+h.Bounds.Configuration < sent {
 			oldest = i
 		}
 	}
@@ -89,9 +89,9 @@
 	detail := ""
 	switch must := holding > 0; {
 	case must && !probe.InForce:
-		detail = fmt.Sprintf("the route of version %d is not served, version %d was taken at %s", probe.Version, allowed[0].Number, allowed[0].At)
+		detail = fmt.Sprintf("the route of version %d is not served, version %d was taken at %s", probe.Version, allowed[0].Number, allowed[0].AcceptedAt)
 	case !must && probe.InForce:
-		detail = fmt.Sprintf("the route of version %d is served, version %d was taken at %s", probe.Version, allowed[0].Number, allowed[0].At)
+		detail = fmt.Sprintf("the route of version %d is served, version %d was taken at %s", probe.Version, allowed[0].Number, allowed[0].AcceptedAt)
 	}
 	f.record(nodeName(probe.Node), probe.Sent, detail)
 }
@@ -109,7 +109,7 @@
 		allowed := h.allowedVersions(request.Sent, run.At)
 		detail, service := "", h.Services[run.Worker]
 		if len(allowed) > 0 && service != "" && !anyRoutesTo(allowed, service) {
-			detail = fmt.Sprintf("node %d had it run by %s, version %d was taken at %s", request.Node, run.Worker, allowed[0].Number, allowed[0].At)
+			detail = fmt.Sprintf("node %d had it run by %s, version %d was taken at %s", request.Node, run.Worker, allowed[0].Number, allowed[0].AcceptedAt)
 		}
 		f.record(run.Request, request.Sent, detail)
 	}
@@ -118,7 +118,7 @@
 // anyRoutesTo reports whether the ordinary routes lead to a service in one of the versions.
 func anyRoutesTo(versions []Version, service string) bool {
 	for i := range versions {
-		if versions[i].Plain == service {
+		if versions[i].PlainService == service {
 			return true
 		}
 	}
@@ -131,17 +131,17 @@
 // checkConfigurationOrder checks that a process which had a version in force never returns to an
 // older one.
 func checkConfigurationOrder(h *History, f *Finding) {
-	seen := map[nodeLife][]Probe{}
+	probesByProcess := map[nodeLife][]Probe{}
 	for _, probe := range h.Probes {
 		key := nodeLife{probe.Node, probe.Life}
-		seen[key] = append(seen[key], probe)
+		probesByProcess[key] = append(probesByProcess[key], probe)
 	}
 	for i := range h.Requests {
 		if request := &h.Requests[i]; request.Status == http.StatusNotFound {
 			f.record(request.ID, request.Ended, "a route that every version has is not known")
 		}
 	}
-	for key, probes := range seen {
+	for key, probes := range probesByProcess {
 		for i := range probes {
 			f.record(nodeName(key.node), probes[i].Sent, h.describeRegression(probes, &probes[i]))
 		}
@@ -168,7 +168,7 @@
 		return false
 	}
 	for i := range h.Versions {
-		if v := &h.Versions[i]; v.From <= probe.Ended && v.Number >= probe.Version+MarkersKept {
+		if v := &h.Versions[i]; v.WriteStarted <= probe.Ended && v.Number >= probe.Version+MarkersKept {
 			// A newer version may have removed the route.
 			return false
 		}
--- a/soak/check/configuration_test.go
+++ b/soak/check/configuration_test.go
@@ -16,7 +16,7 @@
 			service = "b"
 		}
 		at := time.Duration(n) * time.Second
-		h.Versions = append(h.Versions, Version{Number: n + 1, From: at - 20*time.Millisecond, At: at, Plain: service})
+		h.Versions = append(h.Versions, Version{Number: n + 1, WriteStarted: at - 20*time.Millisecond, AcceptedAt: at, PlainService: service})
 	}
 	for second := time.Duration(8); second < 19; second++ {
 		sent := second*time.Second + 500*time.Millisecond
--- a/soak/check/connections.go
+++ b/soak/check/connections.go
@@ -39,7 +39,7 @@
 // describeKeptConnection describes an answer that let its caller keep the connection; empty
 // if the answer did not.
 func (r *Request) describeKeptConnection(stop *Stop) string {
-	if r.Leave {
+	if r.ClosesConnection {
 		return ""
 	}
 	return fmt.Sprintf("sent %s after the stop's begin, its answer does not end the connection", r.Sent-stop.At)
@@ -47,7 +47,7 @@
 
 // closedEarlyInStop reports whether a process closed a keep-alive connection during its stop, more
 // than maxReadTime before its end and without a disturbance of its link to callers.
-func (h *History) closedEarlyInStop(closing *Closing, stop *Stop) bool {
+func (h *History) closedEarlyInStop(closing *IdleClosing, stop *Stop) bool {
 	within := closing.At > stop.At && closing.At < stop.Ended-maxReadTime
 	return closing.Node == stop.Node && within && !h.disturbed(closing.Node, stop.At, closing.At, ScopeCaller)
 }
--- a/soak/check/figures.go
+++ b/soak/check/figures.go
@@ -55,8 +55,8 @@
 	for i := range h.Versions {
 		v := &h.Versions[i]
 		for node, probes := range seen {
-			if ended, known := firstServedAt(probes, v.Number); known && h.isConnected(node, v.At, ended) && !h.disturbed(node, v.At, ended, ScopeCaller) {
-				byNode[node] = append(byNode[node], max(ended-v.At, 0))
+			if ended, known := firstServedAt(probes, v.Number); known && h.isConnected(node, v.AcceptedAt, ended) && !h.disturbed(node, v.AcceptedAt, ended, ScopeCaller) {
+				byNode[node] = append(byNode[node], max(ended-v.AcceptedAt, 0))
 			}
 		}
 	}
--- a/soak/check/history.go
+++ b/soak/check/history.go
@@ -27,8 +27,8 @@
 	EchoedID, Stamp, Body string
 	// Failure is why the answer is incomplete; empty for a complete one.
 	Failure string
-	// Leave is set if the answer told the caller to close the connection.
-	Leave bool
+	// ClosesConnection is set if the answer told the caller to close the connection.
+	ClosesConnection bool
 }
 
 // answered reports whether a complete answer arrived.
@@ -40,10 +40,10 @@
 	At                    time.Duration
 }
 
-// Turned is one request that a worker rejected, asking the node for a back-off of Rest.
-type Turned struct {
+// Rejection is a request that a worker rejected, asking the node for a back-off.
+type Rejection struct {
 	Request, Worker string
-	Rest, At        time.Duration
+	Backoff, At     time.Duration
 }
 
 // Order is one order that a worker accepted.
@@ -78,8 +78,8 @@
 	Status int
 }
 
-// Closing is an idle keep-alive connection of a caller that a node closed.
-type Closing struct {
+// IdleClosing records that a node closed an idle keep-alive connection of a caller.
+type IdleClosing struct {
 	Node int
 	At   time.Duration
 }
@@ -149,20 +149,20 @@
 
 // History is everything that was observed in a run.
 type History struct {
-	Bounds   Bounds
-	Requests []Request
-	Runs     []Run
-	Turned   []Turned
-	Orders   []Order
-	Leavings []Leaving
+	Bounds     Bounds
+	Requests   []Request
+	Runs       []Run
+	Rejections []Rejection
+	Orders     []Order
+	Leavings   []Leaving
 	// LeavingAnswers are the workers whose answers announce, from a time on, that they leave.
 	LeavingAnswers []Leaving
 	WorkerLimits   []WorkerLimit
 	Versions       []Version
-	Taken          []TakenKey
+	RevokedKeys    []RevokedKey
 	Probes         []Probe
 	Stops          []Stop
-	Closings       []Closing
+	Closings       []IdleClosing
 	Exits          []Exit
 	Recoveries     []Recovery
 	Disturbances   []Disturbance
--- a/soak/check/judge_test.go
+++ b/soak/check/judge_test.go
@@ -41,11 +41,11 @@
 		Engines:        1,
 		Leavings:       []Leaving{{Worker: "w2", At: 10 * time.Second}},
 		LeavingAnswers: []Leaving{{Worker: "going", At: 5 * time.Second}},
-		Versions:       []Version{{Number: 1, Plain: "plain"}, {Number: 2, From: 4900 * time.Millisecond, At: 5 * time.Second, Plain: "plain"}},
+		Versions:       []Version{{Number: 1, PlainService: "plain"}, {Number: 2, WriteStarted: 4900 * time.Millisecond, AcceptedAt: 5 * time.Second, PlainService: "plain"}},
 		Services:       map[string]string{"w1": "plain", "w2": "plain", "behind-a-link": "plain"},
-		Taken:          []TakenKey{{Key: "old", At: 5 * time.Second}},
+		RevokedKeys:    []RevokedKey{{Key: "old", At: 5 * time.Second}},
 		Stops:          []Stop{{Node: 0, At: 20 * time.Second, Ended: 25 * time.Second}},
-		Closings:       []Closing{{Node: 0, At: 25 * time.Second}, {Node: 1, At: 22 * time.Second}},
+		Closings:       []IdleClosing{{Node: 0, At: 25 * time.Second}, {Node: 1, At: 22 * time.Second}},
 		Disturbances: []Disturbance{
 			{Node: 0, Scope: ScopeProcess, From: 20 * time.Second, To: 25 * time.Second},
 			{Node: 0, Scope: ScopeProcess, From: 25 * time.Second, To: 26 * time.Second},
@@ -89,22 +89,22 @@
 	}
 	h.WorkerLimits = []WorkerLimit{{Worker: "needy", PerSecond: 1, From: 5 * time.Second, To: 17 * time.Second}}
 	for n := range 10 {
-		needed := completedRequest(fmt.Sprintf("needed-%d", n), RouteRead, 13*time.Second+time.Duration(n)*200*time.Millisecond)
-		needed.Node, needed.Stamp, needed.Body = n%2, worker.Stamp("needy"), worker.AnswerText(needed.ID, "needy")
-		h.Requests = append(h.Requests, needed)
-		h.Runs = append(h.Runs, runOf(needed.ID, "needy", needed.Sent))
+		limited := completedRequest(fmt.Sprintf("needed-%d", n), RouteRead, 13*time.Second+time.Duration(n)*200*time.Millisecond)
+		limited.Node, limited.Stamp, limited.Body = n%2, worker.Stamp("needy"), worker.AnswerText(limited.ID, "needy")
+		h.Requests = append(h.Requests, limited)
+		h.Runs = append(h.Runs, runOf(limited.ID, "needy", limited.Sent))
 	}
-	goodbye := completedRequest("goodbye", RouteRead, 6*time.Second)
-	goodbye.Node, goodbye.Stamp, goodbye.Body = 1, worker.Stamp("going"), worker.AnswerText("goodbye", "going")
-	h.Requests = append(h.Requests, goodbye)
-	h.Runs = append(h.Runs, runOf(goodbye.ID, "going", goodbye.Sent))
+	announcing := completedRequest("goodbye", RouteRead, 6*time.Second)
+	announcing.Node, announcing.Stamp, announcing.Body = 1, worker.Stamp("going"), worker.AnswerText("goodbye", "going")
+	h.Requests = append(h.Requests, announcing)
+	h.Runs = append(h.Runs, runOf(announcing.ID, "going", announcing.Sent))
 	for n := range 3 {
 		// All three requests arrive within the 500 ms before the back-off must be in effect.
-		turned := Request{ID: fmt.Sprintf("turned-%d", n), Node: 1, Route: RouteRead, Deadline: time.Second, Status: http.StatusServiceUnavailable}
-		turned.Sent = 6*time.Second + time.Duration(n)*200*time.Millisecond
-		turned.Ended = turned.Sent
-		h.Requests = append(h.Requests, turned)
-		h.Turned = append(h.Turned, Turned{Request: turned.ID, Worker: "shedding", Rest: 3 * time.Second, At: turned.Sent})
+		rejected := Request{ID: fmt.Sprintf("turned-%d", n), Node: 1, Route: RouteRead, Deadline: time.Second, Status: http.StatusServiceUnavailable}
+		rejected.Sent = 6*time.Second + time.Duration(n)*200*time.Millisecond
+		rejected.Ended = rejected.Sent
+		h.Requests = append(h.Requests, rejected)
+		h.Rejections = append(h.Rejections, Rejection{Request: rejected.ID, Worker: "shedding", Backoff: 3 * time.Second, At: rejected.Sent})
 	}
 	popular := completedRequest(PopularPrefix+"0", RouteRead, 4*time.Second+maxAcquittalDelay)
 	popular.Node = 1
@@ -117,7 +117,7 @@
 	}
 	h.Disturbances = append(h.Disturbances, Disturbance{Scope: ScopeWorker, Worker: "behind-a-link", From: 9 * time.Second, To: 11 * time.Second})
 	leaving := completedRequest("leaving", RouteRead, 24200*time.Millisecond)
-	leaving.Leave = true
+	leaving.ClosesConnection = true
 	h.Requests = append(h.Requests, leaving)
 	h.Runs = append(h.Runs, runOf(leaving.ID, "w1", leaving.Sent))
 	during := completedRequest("during", RouteRead, 21*time.Second)
@@ -252,7 +252,7 @@
 		for n := range 3 {
 			again := Request{ID: fmt.Sprintf("again-%d", n), Node: 1, Route: RouteRead, Sent: 8 * time.Second, Ended: 8 * time.Second, Status: http.StatusServiceUnavailable}
 			h.Requests = append(h.Requests, again)
-			h.Turned = append(h.Turned, Turned{Request: again.ID, Worker: "shedding", Rest: 3 * time.Second, At: again.Sent})
+			h.Rejections = append(h.Rejections, Rejection{Request: again.ID, Worker: "shedding", Backoff: 3 * time.Second, At: again.Sent})
 		}
 	}},
 	{PromiseConfiguration, "a version that is not in force", func(h *History) { h.Probes[len(h.Probes)-1].InForce = false }},
@@ -270,7 +270,7 @@
 	}},
 	{PromiseLeave, "an answer in a stop that lets its caller keep the connection", func(h *History) {
 		at := slices.IndexFunc(h.Requests, func(r Request) bool { return r.ID == "leaving" })
-		h.Requests[at].Leave = false
+		h.Requests[at].ClosesConnection = false
 	}},
 	{PromiseLeave, "a kept connection that a stop closes", func(h *History) { h.Closings[0].At = 22 * time.Second }},
 	{PromiseStopEnds, "a stop that does not end", func(h *History) {
--- a/soak/check/leaving_answers.go
+++ b/soak/check/leaving_answers.go
@@ -14,27 +14,27 @@
 // leavingFirstRelayed returns when each node first forwarded an answer in which a worker announced
 // that it leaves.
 func (h *History) leavingFirstRelayed() map[nodeWorker]time.Duration {
-	says := map[string]time.Duration{}
+	announcedAt := map[string]time.Duration{}
 	for _, said := range h.LeavingAnswers {
-		if at, known := says[said.Worker]; !known || said.At < at {
-			says[said.Worker] = said.At
+		if at, known := announcedAt[said.Worker]; !known || said.At < at {
+			announcedAt[said.Worker] = said.At
 		}
 	}
 	requests := h.requestsByID()
-	told := map[nodeWorker]time.Duration{}
+	relayedAt := map[nodeWorker]time.Duration{}
 	for i := range h.Runs {
 		run := &h.Runs[i]
 		request := requests[run.Request]
-		from, leaves := says[run.Worker]
+		from, leaves := announcedAt[run.Worker]
 		if request == nil || !leaves || run.At <= from || !request.answered() {
 			continue
 		}
 		key := nodeWorker{request.Node, run.Worker}
-		if at, known := told[key]; !known || request.Ended < at {
-			told[key] = request.Ended
+		if at, known := relayedAt[key]; !known || request.Ended < at {
+			relayedAt[key] = request.Ended
 		}
 	}
-	return told
+	return relayedAt
 }
 
 // checkLeavingAnswers checks that a node which forwarded a worker's announcement that it leaves
@@ -42,7 +42,7 @@
 // pause of the node excuses it. Every request to such a node that ran on any worker is one
 // observation.
 func checkLeavingAnswers(h *History, f *Finding) {
-	told := h.leavingFirstRelayed()
+	relayedAt := h.leavingFirstRelayed()
 	requests := h.requestsByID()
 	for i := range h.Runs {
 		run := &h.Runs[i]
@@ -50,19 +50,19 @@
 		if request == nil {
 			continue
 		}
-		at, known := told[nodeWorker{request.Node, run.Worker}]
+		at, known := relayedAt[nodeWorker{request.Node, run.Worker}]
 		switch {
 		case known && request.Sent > at+h.Bounds.Drain && !h.processDisturbed(request.Node, at, run.At):
 			f.record(run.Request, run.At, fmt.Sprintf("node %d sent it to %s, whose answer said at %s that it leaves", request.Node, run.Worker, at))
-		case h.mustKnowAnyLeaving(told, request):
+		case h.mustKnowAnyLeaving(relayedAt, request):
 			f.record(run.Request, run.At, "")
 		}
 	}
 }
 
 // mustKnowAnyLeaving reports whether the request's node had to know of any leaving worker.
-func (h *History) mustKnowAnyLeaving(told map[nodeWorker]time.Duration, request *Request) bool {
-	for key, at := range told {
+func (h *History) mustKnowAnyLeaving(relayedAt map[nodeWorker]time.Duration, request *Request) bool {
+	for key, at := range relayedAt {
 		if key.node == request.Node && request.Sent > at+h.Bounds.Drain {
 			return true
 		}
--- a/soak/check/orders.go
+++ b/soak/check/orders.go
@@ -50,11 +50,11 @@
 		}
 	}
 	slices.Sort(begun)
-	most := h.Bounds.LoadsPerWindow + h.Engines
+	maxLoads := h.Bounds.LoadsPerWindow + h.Engines
 	for i, at := range begun {
 		within, _ := slices.BinarySearch(begun, at+h.Bounds.LoadWindow)
 		detail := ""
-		if count := within - i; count > most {
+		if count := within - i; count > maxLoads {
 			detail = fmt.Sprintf("%d loads began within %s, %d are allowed", count, h.Bounds.LoadWindow, h.Bounds.LoadsPerWindow)
 		}
 		f.record("weight store", at, detail)
--- a/soak/check/poison.go
+++ b/soak/check/poison.go
@@ -32,15 +32,15 @@
 // all nodes must know it, undisturbed nodes send it to workers at most maxPoisonRunsAfterBound
 // times more.
 func checkPoisonContainment(h *History, f *Finding) {
-	node := map[string]*Request{}
+	requests := map[string]*Request{}
 	for i := range h.Requests {
-		node[h.Requests[i].ID] = &h.Requests[i]
+		requests[h.Requests[i].ID] = &h.Requests[i]
 	}
 	third, known := h.poisonKnownFrom()
 	if !known {
 		return
 	}
-	late := 0
+	runsAfterBound := 0
 	for i := range h.Requests {
 		r := &h.Requests[i]
 		if strings.HasPrefix(r.ID, PoisonPrefix) && h.mustKnowPoison(r, r.Sent, third) {
@@ -48,11 +48,11 @@
 		}
 	}
 	for _, run := range h.poisonRuns() {
-		if sender := node[run.Request]; sender == nil || !h.mustKnowPoison(sender, run.At, third) {
+		if sender := requests[run.Request]; sender == nil || !h.mustKnowPoison(sender, run.At, third) {
 			continue
 		}
-		if late++; late > maxPoisonRunsAfterBound {
-			f.record(run.Request, run.At, fmt.Sprintf("node %d sent it to %s %s after the third worker had ended", node[run.Request].Node, run.Worker, run.At-third))
+		if runsAfterBound++; runsAfterBound > maxPoisonRunsAfterBound {
+			f.record(run.Request, run.At, fmt.Sprintf("node %d sent it to %s %s after the third worker had ended", requests[run.Request].Node, run.Worker, run.At-third))
 		}
 	}
 }
--- a/soak/check/rests.go
+++ b/soak/check/rests.go
@@ -22,31 +22,31 @@
 func checkBackoffs(h *History, f *Finding) {
 	arrived := h.arrivalTimes()
 	requests := h.requestsByID()
-	for i := range h.Turned {
-		turned := &h.Turned[i]
-		request := requests[turned.Request]
-		if request == nil || !h.isBackoffJudged(turned, request.Node) {
+	for i := range h.Rejections {
+		rejection := &h.Rejections[i]
+		request := requests[rejection.Request]
+		if request == nil || !h.isBackoffEvaluated(rejection, request.Node) {
 			continue
 		}
 		count := 0
-		for _, at := range arrived[nodeWorker{request.Node, turned.Worker}] {
-			if at >= turned.At+backoffGrace && at <= turned.At+turned.Rest {
+		for _, at := range arrived[nodeWorker{request.Node, rejection.Worker}] {
+			if at >= rejection.At+backoffGrace && at <= rejection.At+rejection.Backoff {
 				count++
 			}
 		}
 		detail := ""
 		if count > maxBackoffRequests {
-			detail = fmt.Sprintf("node %d sent %d requests within the %s of rest that it asked for", request.Node, count, turned.Rest)
+			detail = fmt.Sprintf("node %d sent %d requests within the %s of rest that it asked for", request.Node, count, rejection.Backoff)
 		}
-		f.record(turned.Worker, turned.At, detail)
+		f.record(rejection.Worker, rejection.At, detail)
 	}
 }
 
-// isBackoffJudged reports whether a back-off can be evaluated: it is longer than backoffGrace, and
+// isBackoffEvaluated reports whether a back-off can be evaluated: it is longer than backoffGrace, and
 // neither the node's process nor the worker was disturbed during it.
-func (h *History) isBackoffJudged(turned *Turned, node int) bool {
-	end := turned.At + turned.Rest
-	return turned.Rest > backoffGrace && !h.processDisturbed(node, turned.At, end) && !h.workerDisturbed(turned.Worker, turned.At, end)
+func (h *History) isBackoffEvaluated(rejection *Rejection, node int) bool {
+	end := rejection.At + rejection.Backoff
+	return rejection.Backoff > backoffGrace && !h.processDisturbed(node, rejection.At, end) && !h.workerDisturbed(rejection.Worker, rejection.At, end)
 }
 
 // arrivalTimes returns the times at which requests from each node reached each worker, whether they
@@ -63,8 +63,8 @@
 	for i := range h.Runs {
 		note(h.Runs[i].Request, h.Runs[i].Worker, h.Runs[i].At)
 	}
-	for i := range h.Turned {
-		note(h.Turned[i].Request, h.Turned[i].Worker, h.Turned[i].At)
+	for i := range h.Rejections {
+		note(h.Rejections[i].Request, h.Rejections[i].Worker, h.Rejections[i].At)
 	}
 	return arrived
 }
@@ -72,8 +72,8 @@
 // hasJudgeableBackoff reports whether some worker asked for a back-off that can be evaluated.
 func (h *History) hasJudgeableBackoff() bool {
 	requests := h.requestsByID()
-	return slices.ContainsFunc(h.Turned, func(t Turned) bool {
+	return slices.ContainsFunc(h.Rejections, func(t Rejection) bool {
 		request := requests[t.Request]
-		return request != nil && h.isBackoffJudged(&t, request.Node)
+		return request != nil && h.isBackoffEvaluated(&t, request.Node)
 	})
 }
--- a/soak/check/tenants.go
+++ b/soak/check/tenants.go
@@ -28,8 +28,8 @@
 	return int(granted*(1+l.Overrun)) + l.Slack
 }
 
-// TakenKey is a revoked key, with the time when the store accepted a configuration without it.
-type TakenKey struct {
+// RevokedKey is a revoked key, with the time when the store accepted a configuration without it.
+type RevokedKey struct {
 	Key string
 	At  time.Duration
 }
@@ -37,15 +37,15 @@
 // checkRevokedKeys checks that no worker runs a request sent with a key that had been revoked for
 // longer than Bounds.Keys. No disturbance excuses a breach.
 func checkRevokedKeys(h *History, f *Finding) {
-	taken := map[string]time.Duration{}
-	for _, key := range h.Taken {
-		taken[key.Key] = key.At
+	revokedAt := map[string]time.Duration{}
+	for _, key := range h.RevokedKeys {
+		revokedAt[key.Key] = key.At
 	}
 	runs := h.runsByRequest()
 	for i := range h.Requests {
 		r := &h.Requests[i]
-		at, gone := taken[r.Key]
-		if r.Key == "" || !gone || r.Sent <= at+h.Bounds.Keys+keyRecordLag {
+		at, revoked := revokedAt[r.Key]
+		if r.Key == "" || !revoked || r.Sent <= at+h.Bounds.Keys+keyRecordLag {
 			continue
 		}
 		detail := ""
--- a/soak/check/worker_limits.go
+++ b/soak/check/worker_limits.go
@@ -25,15 +25,15 @@
 	for i := range h.WorkerLimits {
 		limit := &h.WorkerLimits[i]
 		runs := h.runsUnderLimit(limit, requests)
-		most := workerLimitOverrun*limit.PerSecond*workerLimitWindow.Seconds() + workerLimitExtra
+		maxRequests := workerLimitOverrun*limit.PerSecond*workerLimitWindow.Seconds() + workerLimitExtra
 		last := 0
 		for first := range runs {
 			for last < len(runs) && runs[last]-runs[first] < workerLimitWindow {
 				last++
 			}
 			detail := ""
-			if got := last - first; float64(got) > most {
-				detail = fmt.Sprintf("got %d requests in %s, %.1f are allowed", got, workerLimitWindow, most)
+			if got := last - first; float64(got) > maxRequests {
+				detail = fmt.Sprintf("got %d requests in %s, %.1f are allowed", got, workerLimitWindow, maxRequests)
 			}
 			f.record(limit.Worker, runs[first], detail)
 		}
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -52,12 +52,12 @@
 	apply()
 	c.version++
 	document := c.document()
-	written := check.Version{Number: c.version, From: c.recorder.elapsed(), Plain: c.plainService()}
+	written := check.Version{Number: c.version, WriteStarted: c.recorder.elapsed(), PlainService: c.plainService()}
 	if err := c.metadata.Put(platform.KeyConfiguration, document); err != nil {
 		c.fail(err)
 		return
 	}
-	written.At = c.recorder.elapsed()
+	written.AcceptedAt = c.recorder.elapsed()
 	c.recorder.record(func(h *check.History) { h.Versions = append(h.Versions, written) })
 }
 
--- a/soak/connections.go
+++ b/soak/connections.go
@@ -39,7 +39,7 @@
 
 // recordClosing records that the node closed an idle connection of a caller.
 func (p *process) recordClosing() {
-	closing := check.Closing{Node: p.index, At: p.recorder.elapsed()}
+	closing := check.IdleClosing{Node: p.index, At: p.recorder.elapsed()}
 	p.recorder.record(func(h *check.History) { h.Closings = append(h.Closings, closing) })
 }
 
--- a/soak/gather.go
+++ b/soak/gather.go
@@ -64,8 +64,8 @@
 	for _, ran := range life.worker.Runs() {
 		h.Runs = append(h.Runs, check.Run{Request: ran.RequestID, Worker: life.id, Body: ran.Body, At: r.recorder.sinceStart(ran.At)})
 	}
-	for _, turned := range life.worker.Turned() {
-		h.Turned = append(h.Turned, check.Turned{Request: turned.RequestID, Worker: life.id, Rest: turned.Rest, At: r.recorder.sinceStart(turned.At)})
+	for _, rejection := range life.worker.Turned() {
+		h.Rejections = append(h.Rejections, check.Rejection{Request: rejection.RequestID, Worker: life.id, Backoff: rejection.Rest, At: r.recorder.sinceStart(rejection.At)})
 	}
 	for _, taken := range life.worker.TakenOrders() {
 		h.Orders = append(h.Orders, check.Order{
--- a/soak/gather_test.go
+++ b/soak/gather_test.go
@@ -69,7 +69,7 @@
 	var after sync.WaitGroup
 	after.Go(func() {
 		restored()
-		r.recorder.record(func(h *check.History) { h.Closings = append(h.Closings, check.Closing{Node: 1}) })
+		r.recorder.record(func(h *check.History) { h.Closings = append(h.Closings, check.IdleClosing{Node: 1}) })
 	})
 	findings := check.Judge(history)
 	after.Wait()
--- a/soak/network.go
+++ b/soak/network.go
@@ -60,9 +60,9 @@
 
 // newProxy opens a proxy that is closed at the end of the run. The rate limit link may be
 // shared with other proxies.
-func (r *run) newProxy(target string, standIn bool, link *proxy.Rate) (*proxy.Proxy, error) {
+func (r *run) newProxy(target string, simulated bool, link *proxy.Rate) (*proxy.Proxy, error) {
 	opened, err := proxy.Listen(proxy.Options{
-		Address: net.JoinHostPort(r.network+proxyHostNumber, "0"), Target: target, StandIn: standIn, Rate: link, Failed: r.fail,
+		Address: net.JoinHostPort(r.network+proxyHostNumber, "0"), Target: target, Simulated: simulated, Rate: link, OnError: r.fail,
 	})
 	if err == nil {
 		r.mu.Lock()
--- a/soak/proxy/link.go
+++ b/soak/proxy/link.go
@@ -100,13 +100,13 @@
 // the client has closed its end, the proxy closes that side at once, since it would otherwise
 // take a file descriptor until the server closes too, which nodes do after a minute. This is
 // safe because clients never close only one direction. If the target is simulated
-// (Options.StandIn), the whole link is reset at that point.
+// (Options.Simulated), the whole link is reset at that point.
 func (l *link) awaitAbandonment() {
 	for l.sleepUnlessReset(silentPollInterval) {
 		if !isClosedByPeer(l.client) {
 			continue
 		}
-		if l.proxy.options.StandIn || isClosedByPeer(l.server) {
+		if l.proxy.options.Simulated || isClosedByPeer(l.server) {
 			l.reset()
 			return
 		}
--- a/soak/proxy/proxy.go
+++ b/soak/proxy/proxy.go
@@ -16,16 +16,16 @@
 	Address string
 	// Target is the host:port that connections are forwarded to.
 	Target string
-	// StandIn is set if the target is simulated by the run itself. Its handling of silent
+	// Simulated is set if the target is simulated by the run itself. Its handling of silent
 	// connections is not under test, so the proxy resets a silent link once the client
 	// has closed its end. Otherwise each such link would take three file descriptors
 	// until the end of the run.
-	StandIn bool
+	Simulated bool
 	// Rate limits the throughput of all proxies that share it; nil sets no limit.
 	Rate *Rate
-	// Failed is called with errors of the proxy itself, such as a lack of file
+	// OnError is called with errors of the proxy itself, such as a lack of file
 	// descriptors, which must not be mistaken for an injected fault.
-	Failed func(error)
+	OnError func(error)
 }
 
 // Proxy forwards the connections made to its address to a target. It is safe for
@@ -139,7 +139,7 @@
 			return
 		}
 		if err != nil {
-			p.options.Failed(eris.Wrapf(err, "proxy at %s: accept a connection", p.Address()))
+			p.options.OnError(eris.Wrapf(err, "proxy at %s: accept a connection", p.Address()))
 			return
 		}
 		go p.connect(connection.(*net.TCPConn))
@@ -155,7 +155,7 @@
 	server, err := net.Dial("tcp", target)
 	if err != nil {
 		if Exhausted(err) {
-			p.options.Failed(eris.Wrapf(err, "proxy at %s: connect to the target", p.Address()))
+			p.options.OnError(eris.Wrapf(err, "proxy at %s: connect to the target", p.Address()))
 		}
 		abort(client)
 		return
--- a/soak/proxy/proxy_test.go
+++ b/soak/proxy/proxy_test.go
@@ -44,7 +44,7 @@
 
 // startEchoProxy returns a proxy in front of an echo server.
 func startEchoProxy(t *testing.T) *Proxy {
-	p, err := Listen(Options{Address: anyPort, Target: startEchoServer(t), Failed: func(err error) { t.Error(err) }})
+	p, err := Listen(Options{Address: anyPort, Target: startEchoServer(t), OnError: func(err error) { t.Error(err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,13 +120,13 @@
 // descriptors or end too early. A link to a real target stays until both ends have closed; a
 // link to a simulated target ends when the client closes.
 func TestSilentLinkClosesAfterItsEndsClose(t *testing.T) {
-	for _, standIn := range []bool{false, true} {
-		p, client, server := connectThroughProxy(t, standIn)
+	for _, simulated := range []bool{false, true} {
+		p, client, server := connectThroughProxy(t, simulated)
 		p.Silence()
 		if err := client.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if !standIn {
+		if !simulated {
 			_ = server.SetReadDeadline(time.Now().Add(2 * silentPollInterval))
 			if _, err := server.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatalf("server end of the silent link returned %v, want a timeout", err)
@@ -144,13 +144,13 @@
 }
 
 // connectThroughProxy returns a proxy and the client's and the server's end of a link through it.
-func connectThroughProxy(t *testing.T, standIn bool) (*Proxy, net.Conn, net.Conn) {
+func connectThroughProxy(t *testing.T, simulated bool) (*Proxy, net.Conn, net.Conn) {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	p, err := Listen(Options{Address: anyPort, Target: listener.Addr().String(), StandIn: standIn, Failed: func(err error) { t.Error(err) }})
+	p, err := Listen(Options{Address: anyPort, Target: listener.Addr().String(), Simulated: simulated, OnError: func(err error) { t.Error(err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,17 +168,17 @@
 }
 
 // TestResourceExhaustionIsReported guards against a lack of file descriptors in the proxy
-// that is mistaken for a link fault: the error must reach Options.Failed.
+// that is mistaken for a link fault: the error must reach Options.OnError.
 func TestResourceExhaustionIsReported(t *testing.T) {
-	told := make(chan error, 1)
-	p, err := Listen(Options{Address: anyPort, Failed: func(err error) { told <- err }})
+	reported := make(chan error, 1)
+	p, err := Listen(Options{Address: anyPort, OnError: func(err error) { reported <- err }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
 	go p.accept(exhaustedListener{})
-	if err := <-told; !Exhausted(err) {
-		t.Errorf("Failed was called with %v, want a resource limit error", err)
+	if err := <-reported; !Exhausted(err) {
+		t.Errorf("OnError was called with %v, want a resource limit error", err)
 	}
 }
 
--- a/soak/tenants.go
+++ b/soak/tenants.go
@@ -58,8 +58,8 @@
 	if c.options.Schedule.Keyless {
 		return
 	}
-	taken := check.TakenKey{Key: before, At: c.recorder.elapsed()}
-	c.recorder.record(func(h *check.History) { h.Taken = append(h.Taken, taken) })
+	revoked := check.RevokedKey{Key: before, At: c.recorder.elapsed()}
+	c.recorder.record(func(h *check.History) { h.RevokedKeys = append(h.RevokedKeys, revoked) })
 }
 
 // key draws a key of the rotating tenant: the current one or a revoked one.
