--- a/experiment/load/answer.go
+++ b/experiment/load/answer.go
@@ -15,60 +15,59 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// maxAnswerBytes bounds an answer, and maxLineBytes one line of a stream.
+// maxAnswerBytes limits the size of a response body, maxLineBytes that of one line of a stream.
 const (
 	maxAnswerBytes = 64 << 20
 	maxLineBytes   = 1 << 20
 )
 
-// end is how a request ended.
-type end uint8
+// outcome classifies how a request ended.
+type outcome uint8
 
 const (
-	// endServed: the whole answer came and is the request's own.
-	endServed end = iota
-	// endRefused: an error object with the verdict not-run.
-	endRefused
-	// endFailed: an error object with another verdict, also within a stream.
-	endFailed
-	// endCancelled: the caller left on purpose.
-	endCancelled
-	// endBroken: the connection broke before the answer was whole.
-	endBroken
-	// endUnreachable: no connection was made.
-	endUnreachable
-	// endLost: nothing ended the request in time.
-	endLost
-	// endWrong: the answer ended as if whole but is not the request's own.
-	endWrong
+	// outcomeServed: the answer arrived completely and is the expected one.
+	outcomeServed outcome = iota
+	// outcomeRefused: an error object with the verdict not-run.
+	outcomeRefused
+	// outcomeFailed: an error object with any other verdict, also inside a stream.
+	outcomeFailed
+	// outcomeCancelled: the client disconnected on purpose.
+	outcomeCancelled
+	// outcomeBroken: the connection failed before the answer was complete.
+	outcomeBroken
+	// outcomeUnreachable: no connection could be established.
+	outcomeUnreachable
+	// outcomeLost: the request did not end within Config.LostAfter.
+	outcomeLost
+	// outcomeWrong: the answer ended normally but is not the expected one.
+	outcomeWrong
 )
 
-// result is what became of one request.
+// result describes how one request ended.
 type result struct {
-	end  end
-	code string
-	// firstToken and total count from when the request was due.
+	outcome   outcome
+	errorCode string
+	// firstToken and total are measured from the scheduled start of the request.
 	firstToken, total time.Duration
-	// gaps between the tokens of a stream.
-	gaps   []time.Duration
-	tokens int
-	detail string
-	// moved is true when another target had not taken the request.
-	moved bool
+	// tokenGaps are the times between consecutive tokens of a stream.
+	tokenGaps []time.Duration
+	tokens    int
+	detail    string
+	// retried is true when an earlier target refused the request or was unreachable.
+	retried bool
 }
 
-// movable reports whether the request certainly did not run and should go to
-// another node: this one could not be reached, drains, has just started or has more to do
-// than it carries.
-func (r *result) movable() bool {
-	elsewhere := r.code == string(verdict.CodeNodeDraining) || r.code == string(verdict.CodeUnavailable) || r.code == string(verdict.CodeOverloaded)
-	return r.end == endUnreachable || r.end == endRefused && elsewhere
+// canRetryElsewhere reports whether the request certainly did not run and can be sent to another
+// node: the target was unreachable, is draining, is still starting or is overloaded.
+func (r *result) canRetryElsewhere() bool {
+	elsewhere := r.errorCode == string(verdict.CodeNodeDraining) || r.errorCode == string(verdict.CodeUnavailable) || r.errorCode == string(verdict.CodeOverloaded)
+	return r.outcome == outcomeUnreachable || r.outcome == outcomeRefused && elsewhere
 }
 
-// reset forgets the refusal of a request that moves on.
-func (r *result) reset() { *r = result{moved: true} }
+// resetForRetry clears the outcome of the previous attempt.
+func (r *result) resetForRetry() { *r = result{retried: true} }
 
-// errorObject is OpenAI's error object with the verdict.
+// errorObject is the error object of the OpenAI API, extended by the verdict.
 type errorObject struct {
 	Code    string `json:"code"`
 	Type    string `json:"type"`
@@ -76,8 +75,8 @@
 	Verdict string `json:"verdict"`
 }
 
-// chunk is the part of an answer, or of one event of a stream, that is checked.
-type chunk struct {
+// answerBody holds the checked part of an answer or of one stream event.
+type answerBody struct {
 	Choices []struct {
 		Delta   struct{ Content string }
 		Message struct{ Content string }
@@ -85,52 +84,53 @@
 	Error *errorObject
 }
 
-// readError reads an answer that is not 200.
-func readError(answer *http.Response, into *result) {
-	var body chunk
+// readError records the outcome and the error code of a response whose status is not 200.
+func readError(answer *http.Response, result *result) {
+	var body answerBody
 	_ = json.NewDecoder(io.LimitReader(answer.Body, maxLineBytes)).Decode(&body)
-	stated := answer.Header.Get(engine.HeaderVerdict)
+	statedVerdict := answer.Header.Get(engine.HeaderVerdict)
 	if body.Error != nil {
-		into.code = cmp.Or(body.Error.Code, body.Error.Type)
-		if stated == "" {
-			stated = body.Error.Verdict
+		result.errorCode = cmp.Or(body.Error.Code, body.Error.Type)
+		if statedVerdict == "" {
+			statedVerdict = body.Error.Verdict
 		}
 	}
-	into.code = cmp.Or(into.code, answer.Status)
-	into.end = endFailed
-	if verdict.Parse(stated) == verdict.NotRun {
-		into.end = endRefused
+	result.errorCode = cmp.Or(result.errorCode, answer.Status)
+	result.outcome = outcomeFailed
+	if verdict.Parse(statedVerdict) == verdict.NotRun {
+		result.outcome = outcomeRefused
 	}
 }
 
-// reader checks the answer of one request as it comes.
-type reader struct {
-	request *request
-	result  *result
-	seed    uint64
-	last    time.Time
-	// first is called when the first token arrives; leave is called when the
-	// caller leaves at that.
-	first, leave func()
-	expected     []byte
+// answerReader checks the answer of one request while it arrives.
+type answerReader struct {
+	request     *request
+	result      *result
+	seed        uint64
+	lastArrival time.Time
+	// onFirstToken is called when the first token arrives. disconnect then ends the request if its
+	// client is to leave early.
+	onFirstToken, disconnect func()
+	expected                 []byte
 }
 
-// token accounts for the arrival of text.
-func (r *reader) arrived(now time.Time) {
-	if r.last.IsZero() {
-		r.result.firstToken = now.Sub(r.request.due)
-		r.first()
-		if r.request.cancel {
-			r.leave()
+// recordArrival records the arrival time of text: the time to the first token, or the gap since the
+// previous one.
+func (r *answerReader) recordArrival(now time.Time) {
+	if r.lastArrival.IsZero() {
+		r.result.firstToken = now.Sub(r.request.scheduledAt)
+		r.onFirstToken()
+		if r.request.cancelEarly {
+			r.disconnect()
 		}
 	} else {
-		r.result.gaps = append(r.result.gaps, now.Sub(r.last))
+		r.result.tokenGaps = append(r.result.tokenGaps, now.Sub(r.lastArrival))
 	}
-	r.last = now
+	r.lastArrival = now
 }
 
-// matches compares text with the next tokens that are due.
-func (r *reader) matches(text string) bool {
+// matchNextTokens compares text with the tokens expected next.
+func (r *answerReader) matchNextTokens(text string) bool {
 	for len(text) > 0 && r.result.tokens < r.request.tokens {
 		r.expected = standin.AppendToken(r.expected[:0], r.seed, r.result.tokens)
 		if len(text) < len(r.expected) || text[:len(r.expected)] != string(r.expected) {
@@ -142,34 +142,36 @@
 	return len(text) == 0
 }
 
-// whole reads an answer that is not streamed.
-func (r *reader) whole(body io.Reader) {
+// readWhole reads and checks an answer that is not streamed.
+func (r *answerReader) readWhole(body io.Reader) {
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err != nil {
-		r.result.end, r.result.detail = endBroken, err.Error()
+		r.result.outcome, r.result.detail = outcomeBroken, err.Error()
 		return
 	}
-	r.arrived(time.Now())
-	var answer chunk
+	r.recordArrival(time.Now())
+	var answer answerBody
 	if err := json.Unmarshal(data, &answer); err != nil || len(answer.Choices) != 1 {
-		r.wrong("not a completion")
+		r.markWrong("not a completion")
 		return
 	}
-	if !r.matches(answer.Choices[0].Message.Content) || r.result.tokens != r.request.tokens {
-		r.wrong("other text")
+	if !r.matchNextTokens(answer.Choices[0].Message.Content) || r.result.tokens != r.request.tokens {
+		r.markWrong("other text")
 	}
 }
 
-func (r *reader) wrong(detail string) { r.result.end, r.result.detail = endWrong, detail }
+func (r *answerReader) markWrong(detail string) {
+	r.result.outcome, r.result.detail = outcomeWrong, detail
+}
 
 var (
-	dataPrefix = []byte("data: ")
-	doneData   = []byte("[DONE]")
-	errNoEnd   = errors.New("the stream ended without its last event")
+	dataPrefix          = []byte("data: ")
+	streamEndData       = []byte("[DONE]")
+	errMissingStreamEnd = errors.New("the stream ended without its last event")
 )
 
-// stream reads an answer that comes as server-sent events, one line each.
-func (r *reader) stream(body io.Reader) {
+// readStream reads and checks an answer that arrives as server-sent events of one line each.
+func (r *answerReader) readStream(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 	for lines.Scan() {
@@ -177,41 +179,41 @@
 		if !found {
 			continue
 		}
-		if bytes.Equal(data, doneData) {
+		if bytes.Equal(data, streamEndData) {
 			if r.result.tokens != r.request.tokens {
-				r.wrong("too few tokens")
+				r.markWrong("too few tokens")
 			}
 			return
 		}
-		if !r.event(data) {
+		if !r.checkEvent(data) {
 			return
 		}
 	}
 	err := lines.Err()
 	if err == nil {
-		err = errNoEnd
+		err = errMissingStreamEnd
 	}
-	r.result.end, r.result.detail = endBroken, err.Error()
+	r.result.outcome, r.result.detail = outcomeBroken, err.Error()
 }
 
-// event checks one event. It answers false when the stream is over.
-func (r *reader) event(data []byte) bool {
-	var event chunk
+// checkEvent checks one event. It returns false when the rest of the stream must not be read.
+func (r *answerReader) checkEvent(data []byte) bool {
+	var event answerBody
 	if err := json.Unmarshal(data, &event); err != nil {
-		r.wrong("an event is not JSON")
+		r.markWrong("an event is not JSON")
 		return false
 	}
 	if event.Error != nil {
-		r.result.end, r.result.code = endFailed, event.Error.Code
+		r.result.outcome, r.result.errorCode = outcomeFailed, event.Error.Code
 		return false
 	}
 	for _, choice := range event.Choices {
 		if choice.Delta.Content == "" {
 			continue
 		}
-		r.arrived(time.Now())
-		if !r.matches(choice.Delta.Content) {
-			r.wrong("other text")
+		r.recordArrival(time.Now())
+		if !r.matchNextTokens(choice.Delta.Content) {
+			r.markWrong("other text")
 			return false
 		}
 	}
--- a/experiment/load/bench_test.go
+++ b/experiment/load/bench_test.go
@@ -9,8 +9,9 @@
 	standin "github.com/valveslip/valveslip/standin/engine"
 )
 
-// BenchmarkRun sends one second of load to an engine without pacing and
-// reports what was served; the engine runs in the same process.
+// BenchmarkRun sends one second of load to a stand-in engine without token pacing and reports the
+// served requests per second and the 99th percentile of the latency. The engine runs in the same
+// process.
 func BenchmarkRun(b *testing.B) {
 	server := standin.NewServer(standin.ServerConfig{Engine: standin.Config{Machine: "m1", Slots: 1000, QueueLength: 10_000}})
 	server.Do(func(now time.Time, state *standin.State) {
--- a/experiment/load/config.go
+++ b/experiment/load/config.go
@@ -8,47 +8,48 @@
 	"github.com/rotisserie/eris"
 )
 
-// Config of a run.
+// Config configures a run.
 type Config struct {
-	// Targets are base URLs of the callers' API, used in turn.
+	// Targets are the base URLs of the client API, used round-robin.
 	Targets []string
-	// Rate of requests a second over all targets, with exponential gaps.
+	// Rate is the number of requests per second over all targets. The intervals between requests
+	// are exponentially distributed.
 	Rate     float64
 	Duration time.Duration
-	// Models are drawn evenly.
+	// Models are chosen with equal probability.
 	Models []string
-	// Warm models are loaded at the start; requests to others are cold until
-	// their model's first answer begins.
+	// Warm lists the models that are loaded at the start. Requests to other models count as cold
+	// starts until the first answer of their model begins.
 	Warm []string
-	// Token of the callers' API; empty sends none.
+	// Token is the bearer token for the client API; empty sends none.
 	Token string
-	// StreamShare, CancelShare and NotRepeatableShare, 0 to 1, of the requests.
-	// A cancelled request is left by its caller after its first token, or after
-	// CancelAfter when that comes first.
+	// StreamShare, CancelShare and NotRepeatableShare are fractions of the requests, 0 to 1. The
+	// client of a cancelled request disconnects after the first token or after CancelAfter,
+	// whichever comes first.
 	StreamShare, CancelShare, NotRepeatableShare float64
 	CancelAfter                                  time.Duration
-	// RepeatShare of the requests carry an Idempotency-Key and are sent twice
-	// at once, to two targets when there are two. They are counted as not
-	// repeatable: the two may run once together.
+	// RepeatShare is the fraction of requests that carry an Idempotency-Key and are sent twice at
+	// the same time, to two targets if there are two. They count as not repeatable: of the two
+	// requests at most one may run.
 	RepeatShare float64
-	// MoveOn sends a request that a draining node refused, or that reached no
-	// node, to the next target, until its time is over.
+	// MoveOn retries a request on the next target until its time limit if a node refused it as
+	// draining, unavailable or overloaded, or was unreachable.
 	MoveOn bool
-	// MaxTokens of each answer, 16 by default, and PromptBytes of each prompt,
-	// 128 by default.
+	// MaxTokens is the length of each answer, 16 by default. PromptBytes is the length of each
+	// prompt, 128 by default.
 	MaxTokens, PromptBytes int
-	// Deadline stated in each request; zero states none. A request is lost when
-	// it has not ended LostAfter after its start, by default a minute, or twice
-	// the deadline when that is longer.
+	// Deadline is stated in each request; zero states none. A request counts as lost when it has
+	// not ended LostAfter after its scheduled start. The default is one minute, and the minimum is
+	// twice the deadline.
 	Deadline, LostAfter time.Duration
-	// MaxInFlight bounds the requests under way, 20,000 by default; those that
-	// would exceed it are counted as not sent.
+	// MaxInFlight limits the concurrent requests, 20,000 by default. Requests above the limit count
+	// as not sent.
 	MaxInFlight int
-	// Seed of the arrivals and draws.
+	// Seed of the random arrival times and request properties.
 	Seed uint64
-	// Runs tells how many times the prompt of each seed ran; nil when unknown.
+	// Runs returns for each prompt seed how many times it ran; nil when this is unknown.
 	Runs func(ctx context.Context, seeds []uint64) ([]int, error)
-	// Progress shows a progress bar when not nil.
+	// Progress receives a progress bar unless nil.
 	Progress io.Writer
 }
 
@@ -60,19 +61,19 @@
 	defaultCancelAfter = 100 * time.Millisecond
 )
 
-// check refuses a Config that cannot run and fills in the defaults.
-func (c Config) check() (Config, error) {
+// validate returns an error for a Config that cannot run, and fills in the defaults.
+func (c Config) validate() (Config, error) {
 	switch {
 	case len(c.Targets) == 0:
-		return c, eris.New("a target is needed")
+		return c, eris.New("load configuration: no targets")
 	case len(c.Models) == 0:
-		return c, eris.New("a model is needed")
+		return c, eris.New("load configuration: no models")
 	case c.Rate <= 0 || c.Duration <= 0:
-		return c, eris.New("rate and duration must be positive")
+		return c, eris.New("load configuration: rate and duration must be positive")
 	}
 	for _, share := range []float64{c.StreamShare, c.CancelShare, c.NotRepeatableShare, c.RepeatShare} {
 		if share < 0 || share > 1 {
-			return c, eris.New("shares lie between 0 and 1")
+			return c, eris.New("load configuration: shares must be between 0 and 1")
 		}
 	}
 	c.MaxTokens = orDefault(c.MaxTokens, defaultMaxTokens)
@@ -83,10 +84,10 @@
 	return c, nil
 }
 
-// orDefault returns value, or other when value is not positive.
-func orDefault[Number ~int | ~int64](value, other Number) Number {
+// orDefault returns value, or fallback when value is not positive.
+func orDefault[Number ~int | ~int64](value, fallback Number) Number {
 	if value <= 0 {
-		return other
+		return fallback
 	}
 	return value
 }
--- a/experiment/load/doc.go
+++ b/experiment/load/doc.go
@@ -1,8 +1,8 @@
-// Package load drives an open loop of requests through the callers' API and
-// checks every answer for being whole and its own.
+// Package load sends an open-loop request load through the client API and checks that every answer
+// is complete and belongs to its request.
 //
-// Requests start at times that were fixed beforehand, however slow the answers
-// are, and latencies count from those times; so a stall shows in every request
-// that it delays (no coordinated omission). The checks need engines whose
-// answers follow from the prompt, as those of the engine stand-in do.
+// Start times are scheduled independently of the answers, and latencies are measured from the
+// scheduled times, so a stall shows in every request that it delays (no coordinated omission). The
+// checks need engines whose answers are a function of the prompt, as those of the engine stand-in
+// are.
 package load
--- a/experiment/load/load_test.go
+++ b/experiment/load/load_test.go
@@ -17,8 +17,8 @@
 	"github.com/valveslip/valveslip/standin/fault"
 )
 
-// engine serves a stand-in that holds model m.
-func engine(t *testing.T, config standin.Config) (*standin.Server, string) {
+// startEngine starts a stand-in engine that has model m loaded and returns it with its URL.
+func startEngine(t *testing.T, config standin.Config) (*standin.Server, string) {
 	t.Helper()
 	config.Machine = "m1"
 	server := standin.NewServer(standin.ServerConfig{Engine: config})
@@ -34,18 +34,18 @@
 	return server, listener.URL
 }
 
-func config(target string) load.Config {
+func baseConfig(target string) load.Config {
 	return load.Config{
 		Targets: []string{target}, Rate: 500, Duration: 200 * time.Millisecond,
 		Models: []string{"m"}, StreamShare: 0.5, NotRepeatableShare: 0.3, Seed: 3,
 	}
 }
 
-func runsOf(ledger *standin.Ledger) func(context.Context, []uint64) ([]int, error) {
+func countRunsIn(ledger *standin.Ledger) func(context.Context, []uint64) ([]int, error) {
 	return func(_ context.Context, seeds []uint64) ([]int, error) { return ledger.Count(seeds), nil }
 }
 
-func run(t *testing.T, config load.Config) load.Report {
+func runLoad(t *testing.T, config load.Config) load.Report {
 	t.Helper()
 	report, err := load.Run(context.Background(), config)
 	if err != nil {
@@ -54,12 +54,14 @@
 	return report
 }
 
-func TestEveryAnswerIsChecked(t *testing.T) {
+// TestRunServesAndChecksEveryAnswer guards against requests or latencies that are missing from the
+// report, and against warm requests that count as cold starts.
+func TestRunServesAndChecksEveryAnswer(t *testing.T) {
 	ledger := standin.NewLedger()
-	_, target := engine(t, standin.Config{Recorder: ledger, Slots: 1000})
-	settings := config(target)
-	settings.Runs = runsOf(ledger)
-	report := run(t, settings)
+	_, target := startEngine(t, standin.Config{Recorder: ledger, Slots: 1000})
+	settings := baseConfig(target)
+	settings.Runs = countRunsIn(ledger)
+	report := runLoad(t, settings)
 	if report.Requests == 0 || report.Served != report.Requests || report.Served != ledger.Total() {
 		t.Fatalf("%+v; %d runs", report, ledger.Total())
 	}
@@ -71,7 +73,7 @@
 	}
 	settings.Warm, settings.StreamShare = settings.Models, 1
 	settings.Seed++
-	if report := run(t, settings); report.FirstToken.Count != int64(report.Served) || report.ColdStart.Count != 0 {
+	if report := runLoad(t, settings); report.FirstToken.Count != int64(report.Served) || report.ColdStart.Count != 0 {
 		t.Fatalf("warm: first token %+v, cold %+v", report.FirstToken, report.ColdStart)
 	}
 	var table bytes.Buffer
@@ -80,31 +82,32 @@
 	}
 }
 
-// TestFaultsShow: each way an answer can go wrong is told from the others.
-func TestFaultsShow(t *testing.T) {
-	server, target := engine(t, standin.Config{Slots: 1000})
+// TestRunClassifiesFailures guards against counting one kind of failure as another: cut streams,
+// closed connections, refusals and unreachable targets each have their own count.
+func TestRunClassifiesFailures(t *testing.T) {
+	server, target := startEngine(t, standin.Config{Slots: 1000})
 	server.Inject(fault.Order{Kind: fault.KindCutStream, Count: 2, Tokens: 3})
-	if report := run(t, config(target)); report.Broken != 2 || len(report.BrokenPromises()) != 1 {
+	if report := runLoad(t, baseConfig(target)); report.Broken != 2 || len(report.BrokenPromises()) != 1 {
 		t.Errorf("cut streams: %+v", report)
 	}
 	server.Inject(fault.Order{Kind: fault.KindDown, Count: 3})
-	if report := run(t, config(target)); report.Broken != 3 {
+	if report := runLoad(t, baseConfig(target)); report.Broken != 3 {
 		t.Errorf("closed connections: %+v", report)
 	}
-	settings := config(target)
+	settings := baseConfig(target)
 	settings.Models = []string{"absent"}
-	if report := run(t, settings); report.Refused["model_not_loaded"] != report.Requests {
+	if report := runLoad(t, settings); report.Refused["model_not_loaded"] != report.Requests {
 		t.Errorf("refusals: %+v", report)
 	}
-	settings = config("http://127.0.0.1:1")
-	if report := run(t, settings); report.Unreachable != report.Requests {
+	settings = baseConfig("http://127.0.0.1:1")
+	if report := runLoad(t, settings); report.Unreachable != report.Requests {
 		t.Errorf("dial refused: %+v", report)
 	}
 }
 
-// TestCrossedAndCutAnswersAreWrong: answers that look whole but are another
-// request's, or miss tokens, are found.
-func TestCrossedAndCutAnswersAreWrong(t *testing.T) {
+// TestRunReportsForeignAndTruncatedAnswersAsWrong guards against counting an answer as served that
+// ends normally but belongs to another request or lacks tokens.
+func TestRunReportsForeignAndTruncatedAnswersAsWrong(t *testing.T) {
 	text := standin.AnswerText("m", "another prompt", 16)
 	bodies := map[string]string{
 		"crossed":        fmt.Sprintf(`{"choices":[{"message":{"content":%q}}]}`, text),
@@ -119,66 +122,73 @@
 				_, _ = writer.Write([]byte(body))
 			}))
 			defer listener.Close()
-			settings := config(listener.URL)
+			settings := baseConfig(listener.URL)
 			settings.StreamShare = 0
 			if strings.Contains(name, "stream") {
 				settings.StreamShare = 1
 			}
-			if report := run(t, settings); report.Wrong != report.Requests || report.Requests == 0 {
+			if report := runLoad(t, settings); report.Wrong != report.Requests || report.Requests == 0 {
 				t.Errorf("%+v", report)
 			}
 		})
 	}
 }
 
-func TestDoubledRunsShow(t *testing.T) {
-	_, target := engine(t, standin.Config{Slots: 1000})
-	settings := config(target)
+// TestRunReportsDuplicateExecutions guards against missing a request that is not repeatable and ran
+// twice.
+func TestRunReportsDuplicateExecutions(t *testing.T) {
+	_, target := startEngine(t, standin.Config{Slots: 1000})
+	settings := baseConfig(target)
 	settings.NotRepeatableShare = 1
 	settings.Runs = func(_ context.Context, seeds []uint64) ([]int, error) {
 		return slices.Repeat([]int{2}, len(seeds)), nil
 	}
-	if report := run(t, settings); report.Doubled != report.Requests {
+	if report := runLoad(t, settings); report.Doubled != report.Requests {
 		t.Errorf("%+v", report)
 	}
 }
 
-func TestCallersLeave(t *testing.T) {
-	server, target := engine(t, standin.Config{Slots: 1000, StepTime: time.Hour})
-	settings := config(target)
+// TestRunCountsEarlyDisconnectsAsCancelled guards against reporting a deliberate disconnect as a
+// broken connection: the clients leave while the engine still waits for its next token.
+func TestRunCountsEarlyDisconnectsAsCancelled(t *testing.T) {
+	server, target := startEngine(t, standin.Config{Slots: 1000, StepTime: time.Hour})
+	settings := baseConfig(target)
 	settings.CancelShare, settings.StreamShare, settings.Rate = 1, 1, 100
-	report := run(t, settings)
+	report := runLoad(t, settings)
 	if report.Cancelled != report.Requests || server.Counters().Runs == 0 {
 		t.Errorf("%+v", report)
 	}
 }
 
-// TestRepeatsWithAKey: an engine called directly knows no keys, so every pair
-// runs twice, and each is counted once.
-func TestRepeatsWithAKey(t *testing.T) {
+// TestRunCountsEachDuplicatePairOnce sends pairs with an Idempotency-Key directly to an engine,
+// which ignores the key. Both requests of a pair run, and each pair must count as one duplicate
+// execution.
+func TestRunCountsEachDuplicatePairOnce(t *testing.T) {
 	ledger := standin.NewLedger()
-	_, target := engine(t, standin.Config{Recorder: ledger, Slots: 1000})
-	settings := config(target)
-	settings.RepeatShare, settings.Runs = 1, runsOf(ledger)
-	report := run(t, settings)
+	_, target := startEngine(t, standin.Config{Recorder: ledger, Slots: 1000})
+	settings := baseConfig(target)
+	settings.RepeatShare, settings.Runs = 1, countRunsIn(ledger)
+	report := runLoad(t, settings)
 	if report.Served != report.Requests || report.Doubled*2 != report.Requests || report.Requests == 0 {
 		t.Errorf("%+v", report)
 	}
 }
 
-// TestRunsOfEngines sums the counts of two engines.
-func TestRunsOfEngines(t *testing.T) {
-	_, first := engine(t, standin.Config{Recorder: standin.NewLedger(), Slots: 1000})
-	_, second := engine(t, standin.Config{Recorder: standin.NewLedger(), Slots: 1000})
-	settings := config(first)
+// TestRunsOfEnginesSumsCounts runs one request of each pair on either of two engines, so a
+// duplicate only shows in the sum of their counts. An engine without a ledger must yield an error,
+// not zero runs.
+func TestRunsOfEnginesSumsCounts(t *testing.T) {
+	_, first := startEngine(t, standin.Config{Recorder: standin.NewLedger(), Slots: 1000})
+	_, second := startEngine(t, standin.Config{Recorder: standin.NewLedger(), Slots: 1000})
+	settings := baseConfig(first)
 	settings.Targets, settings.RepeatShare = []string{first, second}, 1
 	settings.Runs = load.RunsOfEngines(settings.Targets)
-	if report := run(t, settings); report.Doubled*2 != report.Requests || report.Requests == 0 {
+	if report := runLoad(t, settings); report.Doubled*2 != report.Requests || report.Requests == 0 {
 		t.Errorf("%+v", report)
 	}
-	_, silent := engine(t, standin.Config{})
-	settings.Runs = load.RunsOfEngines([]string{silent})
+	_, withoutLedger := startEngine(t, standin.Config{})
+	settings.Runs = load.RunsOfEngines([]string{withoutLedger})
 	if _, err := load.Run(context.Background(), settings); err == nil {
-		t.Error("an engine that counts nothing was taken for one without runs")
+		t.Error("no error from an engine without a ledger; want an error instead of zero runs")
 	}
 }
--- a/experiment/load/report.go
+++ b/experiment/load/report.go
@@ -15,7 +15,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Latencies summarizes a histogram, in milliseconds.
+// Latencies summarizes a latency histogram in milliseconds.
 type Latencies struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -24,53 +24,55 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Report is what a run measured.
+// Report holds the measurements of a run.
 type Report struct {
-	// Seconds over which requests started, and the requests due in them.
+	// Seconds is the time over which requests were started, Requests the number of requests
+	// scheduled in it.
 	Seconds  float64 `json:"seconds"`
 	Requests int     `json:"requests"`
-	// Served requests got the whole answer, checked to be their own.
+	// Served requests received the complete and expected answer.
 	Served int `json:"served"`
-	// Refused requests did not run; Failed ones got an error that says that
-	// they ran or may have. Both by code.
+	// Refused requests did not run. Failed requests received an error that says that they ran or
+	// may have run. Both are counted by error code.
 	Refused map[string]int `json:"refused"`
 	Failed  map[string]int `json:"failed"`
-	// Moved requests went on to another target: the first was draining or could
-	// not be reached.
+	// Moved requests were retried on another target because the first one refused them or was
+	// unreachable.
 	Moved int `json:"moved"`
-	// Cancelled requests were left by their caller on purpose.
+	// Cancelled requests were ended on purpose by a disconnect of their client.
 	Cancelled int `json:"cancelled"`
-	// Broken connections, and targets that could not be reached.
+	// Broken counts connections that failed before the answer was complete, Unreachable the
+	// requests that could not connect to their target.
 	Broken      int `json:"broken"`
 	Unreachable int `json:"unreachable"`
-	// Lost requests had no end in time.
+	// Lost requests did not end within Config.LostAfter.
 	Lost int `json:"lost"`
-	// Wrong answers looked whole but were not the request's own answer.
+	// Wrong answers ended normally but were not the expected ones.
 	Wrong int `json:"wrong"`
 	// Doubled requests were not repeatable and ran more than once.
 	Doubled int `json:"doubled"`
-	// RanThoughRefused requests ran although a refusal says they did not.
+	// RanThoughRefused requests ran although they were refused with the verdict not-run.
 	RanThoughRefused int `json:"ran_though_refused"`
-	// NotSent requests were held back by MaxInFlight.
+	// NotSent requests were dropped because of Config.MaxInFlight.
 	NotSent int `json:"not_sent"`
 
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	TokensPerSecond   float64 `json:"tokens_per_second"`
 
-	// Latency of whole served answers. BetweenTokens of streams and
-	// FirstToken of those whose model was warm at their start. ColdStart is the time to the first
-	// byte of the others, which had to wait for their model.
+	// Latency is the time to the end of served answers. BetweenTokens and FirstToken are measured
+	// on streams, FirstToken only if the model was warm when the request started. ColdStart is the
+	// time to the first byte of requests that had to wait for their model to load.
 	Latency       Latencies `json:"latency"`
 	FirstToken    Latencies `json:"first_token"`
 	ColdStart     Latencies `json:"cold_start"`
 	BetweenTokens Latencies `json:"between_tokens"`
 
-	// Examples of broken, lost and wrong requests, a few.
+	// Examples describes a few of the broken, lost and wrong requests.
 	Examples []string `json:"examples,omitempty"`
 }
 
-// BrokenPromises lists the promises that the run saw broken, none when all
-// held. A broken connection is one, because nothing here kills a node.
+// BrokenPromises lists the violated guarantees, or returns nil if all held. A broken connection is
+// a violation because the load generator never kills a node.
 func (r *Report) BrokenPromises() []string {
 	var broken []string
 	for _, promise := range []struct {
@@ -91,21 +93,23 @@
 }
 
 const (
-	// Histograms hold microseconds up to ten minutes with three digits.
+	// Histograms record microseconds, up to ten minutes, with three significant digits.
 	highestMicroseconds = int64(10 * time.Minute / time.Microsecond)
 	significantDigits   = 3
 	maxExamples         = 5
 )
 
+// newHistogram returns an empty histogram in microseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, highestMicroseconds, significantDigits)
 }
 
+// record adds a duration to the histogram, limited to the range that it can hold.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	_ = histogram.RecordValue(min(max(value.Microseconds(), 1), highestMicroseconds))
 }
 
-// summarize reads a histogram.
+// summarize returns the percentiles of a histogram.
 func summarize(histogram *hdrhistogram.Histogram) Latencies {
 	milliseconds := func(percentile float64) float64 {
 		return float64(histogram.ValueAtPercentile(percentile)) / 1000
@@ -116,27 +120,27 @@
 	}
 }
 
-// tally gathers results. It is safe for concurrent use.
-type tally struct {
-	mu                                  sync.Mutex
-	counts                              Report
-	tokens                              int
-	latency, first, cold, betweenTokens *hdrhistogram.Histogram
-	// onceOnly and refusedSeeds are the prompts whose runs are asked for at the
-	// end.
-	onceOnly, refusedSeeds map[uint64]struct{}
+// resultCollector aggregates the results of requests. It is safe for concurrent use.
+type resultCollector struct {
+	mu                                            sync.Mutex
+	counts                                        Report
+	tokens                                        int
+	latency, firstToken, coldStart, betweenTokens *hdrhistogram.Histogram
+	// nonRepeatableSeeds and refusedSeeds are the prompt seeds whose executions are counted at the
+	// end of the run.
+	nonRepeatableSeeds, refusedSeeds map[uint64]struct{}
 }
 
-func newTally() *tally {
-	return &tally{
-		onceOnly: map[uint64]struct{}{}, refusedSeeds: map[uint64]struct{}{},
+func newResultCollector() *resultCollector {
+	return &resultCollector{
+		nonRepeatableSeeds: map[uint64]struct{}{}, refusedSeeds: map[uint64]struct{}{},
 		counts:  Report{Refused: map[string]int{}, Failed: map[string]int{}},
-		latency: newHistogram(), first: newHistogram(), cold: newHistogram(), betweenTokens: newHistogram(),
+		latency: newHistogram(), firstToken: newHistogram(), coldStart: newHistogram(), betweenTokens: newHistogram(),
 	}
 }
 
-// skip counts a request that was not sent.
-func (t *tally) skip() {
+// addNotSent counts a request that was not sent.
+func (t *resultCollector) addNotSent() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.Requests++
@@ -144,102 +148,104 @@
 }
 
 // add counts a request that has ended.
-func (t *tally) add(request *request, ended *result) {
+func (t *resultCollector) add(request *request, result *result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.Requests++
-	t.tokens += ended.tokens
-	if ended.moved {
+	t.tokens += result.tokens
+	if result.retried {
 		t.counts.Moved++
 	}
 	if !request.repeatable {
-		t.onceOnly[request.seed()] = struct{}{}
+		t.nonRepeatableSeeds[request.seed()] = struct{}{}
 	}
-	switch ended.end {
-	case endServed:
-		t.served(request, ended)
-	case endRefused:
-		t.counts.Refused[ended.code]++
-		if request.key == "" { // of two with one key, the other may have run
+	switch result.outcome {
+	case outcomeServed:
+		t.addServed(request, result)
+	case outcomeRefused:
+		t.counts.Refused[result.errorCode]++
+		if request.idempotencyKey == "" { // of a pair with the same key, the other request may have run
 			t.refusedSeeds[request.seed()] = struct{}{}
 		}
-	case endFailed:
-		t.counts.Failed[ended.code]++
-	case endCancelled:
+	case outcomeFailed:
+		t.counts.Failed[result.errorCode]++
+	case outcomeCancelled:
 		t.counts.Cancelled++
-	case endUnreachable:
+	case outcomeUnreachable:
 		t.counts.Unreachable++
-	case endBroken:
-		t.bad(&t.counts.Broken, request, ended)
-	case endLost:
-		t.bad(&t.counts.Lost, request, ended)
-	case endWrong:
-		t.bad(&t.counts.Wrong, request, ended)
+	case outcomeBroken:
+		t.addFailure(&t.counts.Broken, request, result)
+	case outcomeLost:
+		t.addFailure(&t.counts.Lost, request, result)
+	case outcomeWrong:
+		t.addFailure(&t.counts.Wrong, request, result)
 	}
 }
 
-// served counts an answer and its latencies.
-func (t *tally) served(request *request, ended *result) {
+// addServed counts a served answer and records its latencies.
+func (t *resultCollector) addServed(request *request, result *result) {
 	t.counts.Served++
-	record(t.latency, ended.total)
+	record(t.latency, result.total)
 	switch {
-	case request.cold:
-		record(t.cold, ended.firstToken)
+	case request.coldStart:
+		record(t.coldStart, result.firstToken)
 	case request.stream:
-		record(t.first, ended.firstToken)
+		record(t.firstToken, result.firstToken)
 	}
-	for _, gap := range ended.gaps {
+	for _, gap := range result.tokenGaps {
 		record(t.betweenTokens, gap)
 	}
 }
 
-// bad counts a request that broke a promise and keeps a few as examples.
-func (t *tally) bad(count *int, request *request, ended *result) {
+// addFailure increments the count of a violated guarantee and keeps the first few requests as
+// examples.
+func (t *resultCollector) addFailure(count *int, request *request, result *result) {
 	*count++
 	if len(t.counts.Examples) < maxExamples {
 		t.counts.Examples = append(t.counts.Examples, fmt.Sprintf("model %s at %s, stream %v, after %s and %d tokens: %s",
-			request.model, request.target, request.stream, ended.total.Round(time.Millisecond), ended.tokens, ended.detail))
+			request.model, request.target, request.stream, result.total.Round(time.Millisecond), result.tokens, result.detail))
 	}
 }
 
-// report closes the tally.
-func (t *tally) report(lasted time.Duration) Report {
+// report returns the aggregated report of a run that lasted for duration.
+func (t *resultCollector) report(duration time.Duration) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	report := t.counts
-	report.Seconds = lasted.Seconds()
+	report.Seconds = duration.Seconds()
 	if report.Seconds > 0 {
 		report.RequestsPerSecond = float64(report.Served) / report.Seconds
 		report.TokensPerSecond = float64(t.tokens) / report.Seconds
 	}
-	report.Latency, report.FirstToken = summarize(t.latency), summarize(t.first)
-	report.ColdStart, report.BetweenTokens = summarize(t.cold), summarize(t.betweenTokens)
+	report.Latency, report.FirstToken = summarize(t.latency), summarize(t.firstToken)
+	report.ColdStart, report.BetweenTokens = summarize(t.coldStart), summarize(t.betweenTokens)
 	return report
 }
 
-// askRuns counts the requests that ran more often than they may have.
-func (t *tally) askRuns(ctx context.Context, config Config, report *Report) error {
+// countUnexpectedRuns fetches the execution counts and sets Doubled and RanThoughRefused in the
+// report.
+func (t *resultCollector) countUnexpectedRuns(ctx context.Context, config Config, report *Report) error {
 	if config.Runs == nil {
 		return nil
 	}
-	doubled, err := countRuns(ctx, config, t.onceOnly, 2)
+	doubled, err := countSeedsWithRuns(ctx, config, t.nonRepeatableSeeds, 2)
 	if err != nil {
 		return err
 	}
-	refused, err := countRuns(ctx, config, t.refusedSeeds, 1)
+	refused, err := countSeedsWithRuns(ctx, config, t.refusedSeeds, 1)
 	report.Doubled, report.RanThoughRefused = doubled, refused
 	return err
 }
 
-// countRuns counts the seeds that ran at least bound times.
-func countRuns(ctx context.Context, config Config, set map[uint64]struct{}, bound int) (int, error) {
-	runs, err := config.Runs(ctx, slices.Sorted(maps.Keys(set)))
+// countSeedsWithRuns returns how many of the seeds ran at least minRuns times.
+func countSeedsWithRuns(ctx context.Context, config Config, seeds map[uint64]struct{}, minRuns int) (int, error) {
+	runs, err := config.Runs(ctx, slices.Sorted(maps.Keys(seeds)))
 	if err != nil {
-		return 0, eris.Wrap(err, "read how often the requests ran")
+		return 0, eris.Wrap(err, "fetch the execution counts of the prompts")
 	}
 	count := 0
-	for _, times := range runs {
-		if times >= bound {
+	for _, seedRuns := range runs {
+		if seedRuns >= minRuns {
 			count++
 		}
 	}
@@ -250,7 +256,7 @@
 func (r *Report) WriteTable(out io.Writer) error {
 	table := tablewriter.NewWriter(out)
 	table.Header("measure", "value")
-	for _, row := range r.rows() {
+	for _, row := range r.tableRows() {
 		if err := table.Append(row); err != nil {
 			return eris.Wrap(err, "write the report")
 		}
@@ -258,28 +264,28 @@
 	return eris.Wrap(table.Render(), "write the report")
 }
 
-// rows of the table.
-func (r *Report) rows() [][]string {
-	count := func(name string, value int) []string { return []string{name, fmt.Sprint(value)} }
+// tableRows returns the rows of the report's table.
+func (r *Report) tableRows() [][]string {
+	countRow := func(name string, value int) []string { return []string{name, fmt.Sprint(value)} }
 	rows := [][]string{
-		count("requests", r.Requests), count("served", r.Served), count("moved to another target", r.Moved),
+		countRow("requests", r.Requests), countRow("served", r.Served), countRow("moved to another target", r.Moved),
 	}
-	rows = append(rows, byCode("refused as not run", r.Refused)...)
-	rows = append(rows, byCode("failed", r.Failed)...)
+	rows = append(rows, rowsByCode("refused as not run", r.Refused)...)
+	rows = append(rows, rowsByCode("failed", r.Failed)...)
 	rows = append(rows,
-		count("cancelled by the caller", r.Cancelled), count("unreachable", r.Unreachable), count("not sent", r.NotSent),
-		count("broken connections", r.Broken), count("lost", r.Lost), count("wrong answers", r.Wrong),
-		count("doubled", r.Doubled), count("ran though refused", r.RanThoughRefused),
+		countRow("cancelled by the caller", r.Cancelled), countRow("unreachable", r.Unreachable), countRow("not sent", r.NotSent),
+		countRow("broken connections", r.Broken), countRow("lost", r.Lost), countRow("wrong answers", r.Wrong),
+		countRow("doubled", r.Doubled), countRow("ran though refused", r.RanThoughRefused),
 		[]string{"served a second", fmt.Sprintf("%.1f", r.RequestsPerSecond)},
 		[]string{"tokens a second", fmt.Sprintf("%.0f", r.TokensPerSecond)},
-		r.Latency.row("whole answer"), r.FirstToken.row("first token, warm"),
-		r.ColdStart.row("first byte, cold start"), r.BetweenTokens.row("between tokens"),
+		r.Latency.tableRow("whole answer"), r.FirstToken.tableRow("first token, warm"),
+		r.ColdStart.tableRow("first byte, cold start"), r.BetweenTokens.tableRow("between tokens"),
 	)
 	return rows
 }
 
-// byCode lists counts by code, sorted.
-func byCode(name string, counts map[string]int) [][]string {
+// rowsByCode returns one row for each code, sorted by code.
+func rowsByCode(name string, counts map[string]int) [][]string {
 	codes := make([]string, 0, len(counts))
 	for code := range counts {
 		codes = append(codes, code)
@@ -292,8 +298,8 @@
 	return rows
 }
 
-// row writes latencies as one line.
-func (l Latencies) row(name string) []string {
+// tableRow formats the latencies as a table row.
+func (l Latencies) tableRow(name string) []string {
 	if l.Count == 0 {
 		return []string{name, "-"}
 	}
--- a/experiment/load/request.go
+++ b/experiment/load/request.go
@@ -12,29 +12,29 @@
 	standin "github.com/valveslip/valveslip/standin/engine"
 )
 
-// request is one request of a run.
+// request is one generated request.
 type request struct {
 	target string
 	model  string
 	prompt string
 	tokens int
 	stream bool
-	// cancel is true when the caller will leave early.
-	cancel     bool
-	repeatable bool
-	// key is the Idempotency-Key, empty for none.
-	key  string
-	cold bool
-	// due is when it was to start.
-	due time.Time
+	// cancelEarly is true when the client disconnects before the end of the answer.
+	cancelEarly bool
+	repeatable  bool
+	// idempotencyKey is sent as Idempotency-Key; empty sends none.
+	idempotencyKey string
+	coldStart      bool
+	// scheduledAt is the scheduled start of the request.
+	scheduledAt time.Time
 }
 
-// seed identifies the prompt to the engine stand-ins.
+// seed returns the seed from which the engine stand-ins derive the answer to the prompt.
 func (r *request) seed() uint64 {
 	return standin.Seed(cluster.ModelID(r.model), r.chatPrompt())
 }
 
-// chatPrompt is the text that the answer follows from.
+// chatPrompt returns the rendered chat prompt, which determines the answer.
 func (r *request) chatPrompt() string {
 	return engine.ChatPrompt([]engine.Message{{Role: "user", Content: r.prompt}})
 }
@@ -59,57 +59,58 @@
 	})
 }
 
-// source draws the requests of a run from its seed.
-type source struct {
+// generator generates the requests of a run from its seed.
+type generator struct {
 	config Config
 	random *rand.Rand
 	count  int
 	filler string
 }
 
-func newSource(config Config) *source {
-	return &source{
+func newGenerator(config Config) *generator {
+	return &generator{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 1)),
 		filler: strings.Repeat("lorem ipsum ", config.PromptBytes/len("lorem ipsum ")+1),
 	}
 }
 
-// gap draws the time until the next request.
-func (s *source) gap() time.Duration {
+// nextInterval returns the random time until the next request.
+func (s *generator) nextInterval() time.Duration {
 	return time.Duration(s.random.ExpFloat64() / s.config.Rate * float64(time.Second))
 }
 
-// next draws a request. Each prompt is unique to the run.
-func (s *source) next(due time.Time) *request {
+// generate returns a random request. Each prompt is unique within the run.
+func (s *generator) generate(scheduledAt time.Time) *request {
 	s.count++
 	model := s.config.Models[s.random.IntN(len(s.config.Models))]
 	prompt := s.filler[:s.config.PromptBytes] + fmt.Sprintf(" %d-%d", s.config.Seed, s.count)
-	drawn := &request{
+	generated := &request{
 		target: s.config.Targets[s.count%len(s.config.Targets)],
-		model:  model, prompt: prompt, tokens: s.config.MaxTokens, due: due,
-		stream:     s.random.Float64() < s.config.StreamShare,
-		cancel:     s.random.Float64() < s.config.CancelShare,
-		repeatable: s.random.Float64() >= s.config.NotRepeatableShare,
+		model:  model, prompt: prompt, tokens: s.config.MaxTokens, scheduledAt: scheduledAt,
+		stream:      s.random.Float64() < s.config.StreamShare,
+		cancelEarly: s.random.Float64() < s.config.CancelShare,
+		repeatable:  s.random.Float64() >= s.config.NotRepeatableShare,
 	}
 	if s.random.Float64() < s.config.RepeatShare {
-		drawn.key = fmt.Sprintf("load-%d-%d", s.config.Seed, s.count)
-		drawn.repeatable = false
+		generated.idempotencyKey = fmt.Sprintf("load-%d-%d", s.config.Seed, s.count)
+		generated.repeatable = false
 	}
-	return drawn
+	return generated
 }
 
-// drawn returns the next request, and its repetition when it has a key. Both are
-// made before either is launched, because a launched request changes.
-func (s *source) drawn(due time.Time) []*request {
-	first := s.next(due)
-	if first.key == "" {
+// generateWithDuplicate returns the next request, and its duplicate when it has an idempotency key.
+// The duplicate is copied before the first is launched, because launching modifies the request.
+func (s *generator) generateWithDuplicate(scheduledAt time.Time) []*request {
+	first := s.generate(scheduledAt)
+	if first.idempotencyKey == "" {
 		return []*request{first}
 	}
-	return []*request{first, s.again(first)}
+	return []*request{first, s.duplicate(first)}
 }
 
-// again is the request as its caller sends it the second time.
-func (s *source) again(first *request) *request {
+// duplicate returns a copy of the request for the next target, as a client that repeats it would
+// send it.
+func (s *generator) duplicate(first *request) *request {
 	second := *first
 	second.target = s.config.Targets[(s.count+1)%len(s.config.Targets)]
 	return &second
--- a/experiment/load/run.go
+++ b/experiment/load/run.go
@@ -20,45 +20,45 @@
 const (
 	dialTimeout = 5 * time.Second
 	idleTimeout = 30 * time.Second
-	// avoidTime is how long a target that sent a request on gets no other, and
-	// the pause when all have.
-	avoidTime = time.Second
-	// headerRepeatable says whether a request may run twice.
+	// avoidDuration is how long a target that caused a retry receives no other request, and the
+	// pause before the next round when all targets did.
+	avoidDuration = time.Second
+	// headerRepeatable states whether a request may run more than once.
 	headerRepeatable     = "X-Valveslip-Repeatable"
 	headerIdempotencyKey = "Idempotency-Key"
 	bufferBytes          = 16 << 10
 )
 
-// Run sends the load and returns what was measured once every request has
-// ended. When ctx ends, no more requests start.
+// Run sends the load and returns the measurements once every request has ended. When ctx ends, no
+// more requests start.
 func Run(ctx context.Context, config Config) (Report, error) {
-	config, err := config.check()
+	config, err := config.validate()
 	if err != nil {
 		return Report{}, err
 	}
 	runner := newRunner(config)
-	defer runner.http.CloseIdleConnections()
+	defer runner.client.CloseIdleConnections()
 	runner.dispatch(ctx)
 	runner.pending.Wait()
-	runner.bar(func(bar *progressbar.ProgressBar) { _ = bar.Finish() })
-	report := runner.tally.report(runner.lastDue.Sub(runner.start))
-	return report, runner.tally.askRuns(context.WithoutCancel(ctx), config, &report)
+	runner.updateProgress(func(bar *progressbar.ProgressBar) { _ = bar.Finish() })
+	report := runner.collector.report(runner.lastDue.Sub(runner.start))
+	return report, runner.collector.countUnexpectedRuns(context.WithoutCancel(ctx), config, &report)
 }
 
-// runner is a run in progress.
+// runner is the state of a run in progress.
 type runner struct {
-	config   Config
-	http     *http.Client
-	tally    *tally
-	pending  sync.WaitGroup
-	inFlight atomic.Int64
-	progress *progressbar.ProgressBar
-	start    time.Time
-	lastDue  time.Time
+	config    Config
+	client    *http.Client
+	collector *resultCollector
+	pending   sync.WaitGroup
+	inFlight  atomic.Int64
+	progress  *progressbar.ProgressBar
+	start     time.Time
+	lastDue   time.Time
 
-	mu      sync.Mutex
-	started map[string]bool // models whose first answer has begun
-	avoided map[string]time.Time
+	mu             sync.Mutex
+	answeredModels map[string]bool // models of which an answer has begun
+	avoidedUntil   map[string]time.Time
 }
 
 func newRunner(config Config) *runner {
@@ -69,10 +69,10 @@
 		DisableCompression:  true,
 		ReadBufferSize:      bufferBytes,
 	}
-	runner := &runner{config: config, http: &http.Client{Transport: transport}, tally: newTally(), started: map[string]bool{},
-		avoided: map[string]time.Time{}}
+	runner := &runner{config: config, client: &http.Client{Transport: transport}, collector: newResultCollector(), answeredModels: map[string]bool{},
+		avoidedUntil: map[string]time.Time{}}
 	for _, model := range config.Warm {
-		runner.started[model] = true
+		runner.answeredModels[model] = true
 	}
 	if config.Progress != nil {
 		expected := int(config.Rate * config.Duration.Seconds())
@@ -83,24 +83,24 @@
 	return runner
 }
 
-// bar does something with the progress bar when there is one.
-func (r *runner) bar(do func(*progressbar.ProgressBar)) {
+// updateProgress calls update with the progress bar if there is one.
+func (r *runner) updateProgress(update func(*progressbar.ProgressBar)) {
 	if r.progress != nil {
-		do(r.progress)
+		update(r.progress)
 	}
 }
 
-// dispatch starts every request when it is due.
+// dispatch starts every request at its scheduled time.
 func (r *runner) dispatch(ctx context.Context) {
-	source := newSource(r.config)
+	source := newGenerator(r.config)
 	r.start = time.Now()
 	r.lastDue = r.start
 	end := r.start.Add(r.config.Duration)
-	for due := r.start.Add(source.gap()); due.Before(end); due = due.Add(source.gap()) {
+	for due := r.start.Add(source.nextInterval()); due.Before(end); due = due.Add(source.nextInterval()) {
 		if !sleep.For(ctx, time.Until(due)) {
 			return
 		}
-		for _, request := range source.drawn(due) {
+		for _, request := range source.generateWithDuplicate(due) {
 			r.launch(ctx, request)
 		}
 		r.lastDue = due
@@ -109,113 +109,115 @@
 	r.lastDue = end
 }
 
-// launch starts one request in the background.
+// launch starts one request in the background, or drops it if MaxInFlight requests are in progress.
 func (r *runner) launch(ctx context.Context, request *request) {
 	if r.inFlight.Add(1) > int64(r.config.MaxInFlight) {
 		r.inFlight.Add(-1)
-		r.tally.skip()
+		r.collector.addNotSent()
 		return
 	}
-	request.cold = !r.answered(request.model)
+	request.coldStart = !r.hasAnswered(request.model)
 	r.pending.Add(1)
 	go func() {
 		defer r.pending.Done()
 		defer r.inFlight.Add(-1)
 		result := r.send(ctx, request)
-		r.tally.add(request, result)
-		r.bar(func(bar *progressbar.ProgressBar) { _ = bar.Add(1) })
+		r.collector.add(request, result)
+		r.updateProgress(func(bar *progressbar.ProgressBar) { _ = bar.Add(1) })
 	}()
 }
 
-// answered reports whether an answer of the model has begun.
-func (r *runner) answered(model string) bool {
+// hasAnswered reports whether an answer of the model has begun.
+func (r *runner) hasAnswered(model string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.started[model]
+	return r.answeredModels[model]
 }
 
 // markAnswered records that an answer of the model has begun.
 func (r *runner) markAnswered(model string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.started[model] = true
+	r.answeredModels[model] = true
 }
 
-// send sends one request and reads its answer to the end.
+// send sends one request, retries it on other targets if Config.MoveOn is set, and returns its
+// result.
 func (r *runner) send(ctx context.Context, request *request) *result {
 	result := &result{}
-	// A run that is told to stop lets its requests end.
-	bounded, cancel := context.WithDeadline(context.WithoutCancel(ctx), request.due.Add(r.config.LostAfter))
+	// Requests in progress may finish after the run is cancelled.
+	deadlineCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), request.scheduledAt.Add(r.config.LostAfter))
 	defer cancel()
-	leaving, leave := context.WithCancel(bounded)
-	defer leave()
-	if request.cancel {
-		timer := time.AfterFunc(r.config.CancelAfter, leave)
+	callerCtx, disconnect := context.WithCancel(deadlineCtx)
+	defer disconnect()
+	if request.cancelEarly {
+		timer := time.AfterFunc(r.config.CancelAfter, disconnect)
 		defer timer.Stop()
 	}
-	request.target = r.usable(request.target)
-	r.exchange(leaving, request, result, leave)
-	for moves := 1; r.config.MoveOn && result.movable() && leaving.Err() == nil; moves++ {
-		r.avoid(request.target)
-		if moves%len(r.config.Targets) == 0 && !sleep.For(leaving, avoidTime) {
+	request.target = r.selectTarget(request.target)
+	r.sendOnce(callerCtx, request, result, disconnect)
+	for retries := 1; r.config.MoveOn && result.canRetryElsewhere() && callerCtx.Err() == nil; retries++ {
+		r.avoidTarget(request.target)
+		if retries%len(r.config.Targets) == 0 && !sleep.For(callerCtx, avoidDuration) {
 			break
 		}
-		result.reset()
-		request.target = r.usable(r.nextTarget(request.target))
-		r.exchange(leaving, request, result, leave)
+		result.resetForRetry()
+		request.target = r.selectTarget(r.nextTarget(request.target))
+		r.sendOnce(callerCtx, request, result, disconnect)
 	}
-	result.total = time.Since(request.due)
+	result.total = time.Since(request.scheduledAt)
 	switch {
-	case result.end != endBroken && result.end != endUnreachable:
-	case bounded.Err() != nil:
-		result.end = endLost
-	case leaving.Err() != nil:
-		result.end = endCancelled
+	case result.outcome != outcomeBroken && result.outcome != outcomeUnreachable:
+	case deadlineCtx.Err() != nil:
+		result.outcome = outcomeLost
+	case callerCtx.Err() != nil:
+		result.outcome = outcomeCancelled
 	}
 	return result
 }
 
-// avoid keeps requests away from a target for a while.
-func (r *runner) avoid(target string) {
+// avoidTarget excludes a target from selection for avoidDuration.
+func (r *runner) avoidTarget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.avoided[target] = time.Now().Add(avoidTime)
+	r.avoidedUntil[target] = time.Now().Add(avoidDuration)
 }
 
-// usable is the target, or the next one that is not avoided, if there is one.
-func (r *runner) usable(target string) string {
+// selectTarget returns the given target, or the next one that is not avoided. If all are avoided,
+// it returns the given one.
+func (r *runner) selectTarget(target string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now, chosen := time.Now(), target
+	now, candidate := time.Now(), target
 	for range r.config.Targets {
-		if !now.Before(r.avoided[chosen]) {
-			return chosen
+		if !now.Before(r.avoidedUntil[candidate]) {
+			return candidate
 		}
-		chosen = r.nextTarget(chosen)
+		candidate = r.nextTarget(candidate)
 	}
 	return target
 }
 
-// nextTarget is the one that follows the given one.
+// nextTarget returns the target that follows the given one in the configured order.
 func (r *runner) nextTarget(target string) string {
-	at := slices.Index(r.config.Targets, target)
-	return r.config.Targets[(at+1)%len(r.config.Targets)]
+	index := slices.Index(r.config.Targets, target)
+	return r.config.Targets[(index+1)%len(r.config.Targets)]
 }
 
-// exchange sends one request, reads its answer and records how it ended.
-func (r *runner) exchange(ctx context.Context, request *request, result *result, leave func()) {
+// sendOnce sends the request to its current target, reads the answer and records the outcome.
+func (r *runner) sendOnce(ctx context.Context, request *request, result *result, disconnect func()) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	call, err := r.build(httptrace.WithClientTrace(ctx, trace), request)
+	httpRequest, err := r.newHTTPRequest(httptrace.WithClientTrace(ctx, trace), request)
 	if err != nil {
-		result.end, result.detail = endUnreachable, err.Error()
+		result.outcome, result.detail = outcomeUnreachable, err.Error()
 		return
 	}
-	answer, err := r.http.Do(call)
+	answer, err := r.client.Do(httpRequest)
 	if err != nil {
-		result.end, result.detail = endUnreachable, err.Error()
+		result.outcome, result.detail = outcomeUnreachable, err.Error()
 		if connected.Load() {
-			result.end = endBroken
+			result.outcome = outcomeBroken
 		}
 		return
 	}
@@ -224,41 +226,41 @@
 		readError(answer, result)
 		return
 	}
-	reader := reader{
+	reader := answerReader{
 		request: request, result: result, seed: request.seed(),
-		first: func() { r.markAnswered(request.model) }, leave: leave,
+		onFirstToken: func() { r.markAnswered(request.model) }, disconnect: disconnect,
 	}
 	if request.stream {
-		reader.stream(answer.Body)
+		reader.readStream(answer.Body)
 	} else {
-		reader.whole(answer.Body)
+		reader.readWhole(answer.Body)
 	}
 }
 
-// build makes the HTTP request.
-func (r *runner) build(ctx context.Context, request *request) (*http.Request, error) {
+// newHTTPRequest builds the HTTP request with its headers.
+func (r *runner) newHTTPRequest(ctx context.Context, request *request) (*http.Request, error) {
 	body, err := request.body()
 	if err != nil {
 		return nil, err
 	}
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, request.target+"/v1/chat/completions", bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, request.target+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	call.Header.Set("Content-Type", "application/json")
+	httpRequest.Header.Set("Content-Type", "application/json")
 	if r.config.Token != "" {
-		call.Header.Set("Authorization", "Bearer "+r.config.Token)
+		httpRequest.Header.Set("Authorization", "Bearer "+r.config.Token)
 	}
 	if r.config.Deadline > 0 {
-		call.Header.Set(engine.HeaderDeadline, r.config.Deadline.String())
+		httpRequest.Header.Set(engine.HeaderDeadline, r.config.Deadline.String())
 	}
-	if request.key != "" {
-		call.Header.Set(headerIdempotencyKey, request.key)
+	if request.idempotencyKey != "" {
+		httpRequest.Header.Set(headerIdempotencyKey, request.idempotencyKey)
 	}
 	if request.repeatable {
-		call.Header.Set(headerRepeatable, "true")
+		httpRequest.Header.Set(headerRepeatable, "true")
 	} else {
-		call.Header.Set(headerRepeatable, "false")
+		httpRequest.Header.Set(headerRepeatable, "false")
 	}
-	return call, nil
+	return httpRequest, nil
 }
--- a/experiment/load/runs.go
+++ b/experiment/load/runs.go
@@ -11,14 +11,14 @@
 	standin "github.com/valveslip/valveslip/standin/engine"
 )
 
-// RunsOfEngines returns a Config.Runs that sums what the engine stand-ins at
-// the base URLs counted. An engine whose process has ended since knows nothing
-// of its earlier runs.
+// RunsOfEngines returns a function for Config.Runs that sums the execution counts of the engine
+// stand-ins at the given base URLs. An engine process that was restarted has lost its earlier
+// counts.
 func RunsOfEngines(engines []string) func(context.Context, []uint64) ([]int, error) {
 	return func(ctx context.Context, seeds []uint64) ([]int, error) {
 		sums := make([]int, len(seeds))
 		for _, engine := range engines {
-			counts, err := runsOfEngine(ctx, engine, seeds)
+			counts, err := fetchEngineRuns(ctx, engine, seeds)
 			if err != nil {
 				return nil, err
 			}
@@ -30,25 +30,25 @@
 	}
 }
 
-// runsOfEngine asks one engine.
-func runsOfEngine(ctx context.Context, engine string, seeds []uint64) ([]int, error) {
+// fetchEngineRuns returns the execution counts of one engine.
+func fetchEngineRuns(ctx context.Context, engine string, seeds []uint64) ([]int, error) {
 	body, err := json.Marshal(seeds)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode the seeds")
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, engine+standin.PathRuns, bytes.NewReader(body))
 	if err != nil {
-		return nil, eris.Wrap(err, "build the request for runs")
+		return nil, eris.Wrap(err, "build the request for execution counts")
 	}
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, eris.Wrapf(err, "ask engine %s", engine)
+		return nil, eris.Wrapf(err, "fetch the execution counts of engine %s", engine)
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("engine %s answered %d", engine, answer.StatusCode)
+		return nil, eris.Errorf("engine %s answered the request for execution counts with status %d", engine, answer.StatusCode)
 	}
 	var counts []int
 	err = json.NewDecoder(answer.Body).Decode(&counts)
-	return counts, eris.Wrapf(err, "decode the answer of engine %s", engine)
+	return counts, eris.Wrapf(err, "decode the execution counts of engine %s", engine)
 }
