--- a/experiment/prefixes/doc.go
+++ b/experiment/prefixes/doc.go
@@ -1,6 +1,5 @@
-// Package prefixes compares ways to tell routers which engine may have a
-// prompt's prefix cached: many real routing cores, modelled engines with small
-// prefix caches, conversations that reach another router with each turn, and
-// cache events that come late and with gaps. It runs on virtual time; the same
-// options and seed give the same result.
+// Package prefixes compares strategies by which routers learn which engine may have a prompt's
+// prefix cached. It runs many real routing cores against simulated engines with small prefix
+// caches. The turns of a conversation reach different routers, and cache events arrive late and
+// with gaps. The simulation uses virtual time: equal options and seed give equal results.
 package prefixes
--- a/experiment/prefixes/engine.go
+++ b/experiment/prefixes/engine.go
@@ -8,145 +8,149 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Times of a modelled engine.
+// Times of a simulated engine.
 const (
-	// blockTime prefills one block that is not cached; one prompt at a time.
-	blockTime = 10 * time.Millisecond
-	// promptTime is what each prompt takes besides.
-	promptTime = 5 * time.Millisecond
-	// tokenTime is the time between two tokens of an answer.
-	tokenTime = 15 * time.Millisecond
+	// blockPrefillTime is the time to prefill one block that is not cached. An engine prefills one
+	// prompt at a time.
+	blockPrefillTime = 10 * time.Millisecond
+	// promptOverhead is the fixed prefill time of each prompt.
+	promptOverhead = 5 * time.Millisecond
+	// tokenInterval is the time between two tokens of an answer.
+	tokenInterval = 15 * time.Millisecond
 )
 
-// run is one attempt of a turn on an engine.
-type run struct {
+// execution is one attempt of a turn on an engine.
+type execution struct {
 	turn    *turn
 	attempt cluster.Attempt
 	router  int
 }
 
-// published is a cache event and when readers may see it.
-type published struct {
-	at    int64
-	event cluster.CacheEvent
+// pendingEvent is a cache event and the time from which readers can see it.
+type pendingEvent struct {
+	visibleAt int64
+	event     cluster.CacheEvent
 }
 
-// engine batches answers, prefills one prompt at a time and caches prefix
-// blocks, least recently used first out.
+// engine simulates an engine that generates answers concurrently, prefills one prompt at a time and
+// caches prefix blocks with least-recently-used eviction.
 type engine struct {
-	world    *world
-	id       cluster.MachineID
-	gone     bool
-	running  int
-	waiting  []run
-	busy     bool
-	cached   map[uint64]*list.Element
-	order    *list.List
-	sequence uint64
-	events   []published
-	requests int
-	// reported is the work that the next status names.
-	reported int
+	simulator      *simulator
+	id             cluster.MachineID
+	removed        bool
+	occupiedSlots  int
+	prefillQueue   []execution
+	prefilling     bool
+	cached         map[uint64]*list.Element
+	lruOrder       *list.List
+	eventSequence  uint64
+	pendingEvents  []pendingEvent
+	startedPrompts int
+	// reportedRunning is the number of occupied slots that the next status reports.
+	reportedRunning int
 }
 
-func newEngine(w *world, id cluster.MachineID) *engine {
-	return &engine{world: w, id: id, cached: map[uint64]*list.Element{}, order: list.New()}
+func newEngine(s *simulator, id cluster.MachineID) *engine {
+	return &engine{simulator: s, id: id, cached: map[uint64]*list.Element{}, lruOrder: list.New()}
 }
 
-// record is what the cell's status says of the replica.
-func (e *engine) record(leaving bool) wire.ReplicaRecord {
+// replicaRecord returns the replica as the cell status describes it.
+func (e *engine) replicaRecord(leaving bool) wire.ReplicaRecord {
 	return wire.ReplicaRecord{
 		Machine: e.id, Address: string(e.id), Model: model, Version: "v1", State: cluster.ReplicaLoaded,
-		Slots: e.world.options.Slots, Leaving: leaving,
+		Slots: e.simulator.options.Slots, Leaving: leaving,
 	}
 }
 
-// accept takes a run or refuses it for lack of a slot.
-func (e *engine) accept(r run) bool {
-	if e.gone || e.running >= e.world.options.Slots {
+// tryAccept queues an execution, or returns false if the engine is removed or has no free slot.
+func (e *engine) tryAccept(r execution) bool {
+	if e.removed || e.occupiedSlots >= e.simulator.options.Slots {
 		return false
 	}
-	e.running++
-	e.waiting = append(e.waiting, r)
-	e.prefill()
+	e.occupiedSlots++
+	e.prefillQueue = append(e.prefillQueue, r)
+	e.startPrefill()
 	return true
 }
 
-// prefill begins with the next prompt.
-func (e *engine) prefill() {
-	if e.busy || len(e.waiting) == 0 {
+// startPrefill starts the prefill of the next queued prompt, unless one is in progress.
+func (e *engine) startPrefill() {
+	if e.prefilling || len(e.prefillQueue) == 0 {
 		return
 	}
-	next := e.waiting[0]
-	e.waiting = e.waiting[1:]
-	e.busy = true
-	hits := e.match(next.turn.blocks)
-	e.insert(next.turn.blocks)
-	e.world.count(e, next, hits)
-	took := promptTime + time.Duration(len(next.turn.blocks)-hits)*blockTime
-	e.world.after(took, func() {
-		e.busy = false
-		e.world.firstToken(next)
-		e.world.after(time.Duration(next.turn.tokens)*tokenTime, func() {
-			e.running--
-			e.world.ended(next)
+	next := e.prefillQueue[0]
+	e.prefillQueue = e.prefillQueue[1:]
+	e.prefilling = true
+	hits := e.touchCachedPrefix(next.turn.blocks)
+	e.cacheBlocks(next.turn.blocks)
+	e.simulator.recordPrefill(e, next, hits)
+	took := promptOverhead + time.Duration(len(next.turn.blocks)-hits)*blockPrefillTime
+	e.simulator.schedule(took, func() {
+		e.prefilling = false
+		e.simulator.recordFirstToken(next)
+		e.simulator.schedule(time.Duration(next.turn.tokens)*tokenInterval, func() {
+			e.occupiedSlots--
+			e.simulator.completeExecution(next)
 		})
-		e.prefill()
+		e.startPrefill()
 	})
 }
 
-// match returns how many leading blocks are cached, and uses them.
-func (e *engine) match(blocks []uint64) int {
+// touchCachedPrefix returns how many leading blocks are cached, and marks them as recently used.
+func (e *engine) touchCachedPrefix(blocks []uint64) int {
 	for i, block := range blocks {
 		element := e.cached[block]
 		if element == nil {
 			return i
 		}
-		e.order.MoveToBack(element)
+		e.lruOrder.MoveToBack(element)
 	}
 	return len(blocks)
 }
 
-func (e *engine) insert(blocks []uint64) {
+// cacheBlocks adds the blocks to the cache, evicts the least recently used ones above its capacity and
+// publishes both.
+func (e *engine) cacheBlocks(blocks []uint64) {
 	for _, block := range blocks {
 		if element := e.cached[block]; element != nil {
-			e.order.MoveToBack(element)
+			e.lruOrder.MoveToBack(element)
 			continue
 		}
-		e.cached[block] = e.order.PushBack(block)
-		e.publish(block, false)
-		if e.order.Len() > e.world.options.CacheBlocks {
-			oldest := e.order.Remove(e.order.Front()).(uint64)
+		e.cached[block] = e.lruOrder.PushBack(block)
+		e.addCacheEvent(block, false)
+		if e.lruOrder.Len() > e.simulator.options.CacheBlocks {
+			oldest := e.lruOrder.Remove(e.lruOrder.Front()).(uint64)
 			delete(e.cached, oldest)
-			e.publish(oldest, true)
+			e.addCacheEvent(oldest, true)
 		}
 	}
 }
 
-// publish numbers an event; each EventGap-th gets lost.
-func (e *engine) publish(block uint64, evicted bool) {
-	e.sequence++
-	if e.sequence%e.world.options.EventGap == 0 {
+// addCacheEvent assigns the next sequence number to a cache event. Every EventLossInterval-th event
+// is dropped, which leaves a gap.
+func (e *engine) addCacheEvent(block uint64, evicted bool) {
+	e.eventSequence++
+	if e.eventSequence%e.simulator.options.EventLossInterval == 0 {
 		return
 	}
-	e.events = append(e.events, published{
-		at: e.world.now + int64(e.world.options.EventDelay),
+	e.pendingEvents = append(e.pendingEvents, pendingEvent{
+		visibleAt: e.simulator.now + int64(e.simulator.options.EventDelay),
 		event: cluster.CacheEvent{
-			Machine: e.id, Sequence: e.sequence, Model: model, PrefixHash: block, Evicted: evicted,
+			Machine: e.id, Sequence: e.eventSequence, Model: model, PrefixHash: block, Evicted: evicted,
 		},
 	})
 }
 
-// take returns the published events that were not taken yet.
-func (e *engine) take() []cluster.CacheEvent {
+// takePublishedEvents removes and returns the pending events that are visible by now.
+func (e *engine) takePublishedEvents() []cluster.CacheEvent {
 	count := 0
-	for count < len(e.events) && e.events[count].at <= e.world.now {
+	for count < len(e.pendingEvents) && e.pendingEvents[count].visibleAt <= e.simulator.now {
 		count++
 	}
 	var taken []cluster.CacheEvent
-	for _, each := range e.events[:count] {
+	for _, each := range e.pendingEvents[:count] {
 		taken = append(taken, each.event)
 	}
-	e.events = e.events[count:]
+	e.pendingEvents = e.pendingEvents[count:]
 	return taken
 }
--- a/experiment/prefixes/prefixes_test.go
+++ b/experiment/prefixes/prefixes_test.go
@@ -7,59 +7,60 @@
 	"time"
 )
 
-// short is a run of a few thousand requests.
-func short(way Way) Options {
-	return Options{Way: way, Seed: 1, Warm: time.Minute, Length: 2 * time.Minute}
+// shortOptions returns options for a run of a few thousand requests.
+func shortOptions(strategy Strategy) Options {
+	return Options{Strategy: strategy, Seed: 1, WarmUp: time.Minute, Duration: 2 * time.Minute}
 }
 
-func TestSameSeedSameResult(t *testing.T) {
-	if first, second := Run(short(WayTold)), Run(short(WayTold)); !reflect.DeepEqual(first, second) {
+// TestRunIsDeterministicForASeed guards against dependence on map order or real time.
+func TestRunIsDeterministicForASeed(t *testing.T) {
+	if first, second := Run(shortOptions(StrategyShared)), Run(shortOptions(StrategyShared)); !reflect.DeepEqual(first, second) {
 		t.Errorf("%+v and %+v", first, second)
 	}
 }
 
-// TestToldPays holds what routers' telling each other is for: more of the
-// prompts cached and earlier first tokens than with their own memory alone, for
-// less than engines' events take, and nobody left without an answer.
-func TestToldPays(t *testing.T) {
-	for _, leaves := range []int{0, 4} {
-		results := map[Way]Result{}
-		for _, way := range []Way{WayMemory, WayEvents, WayTold} {
-			options := short(way)
-			options.Leaves = leaves
-			results[way] = Run(options)
+// TestSharedPrefixesImproveCachingAtLowerCostThanEvents guards the benefit of routers sharing the
+// prefixes that they sent: a higher cached share and earlier first tokens than with their own
+// memory alone, less traffic than the engines' cache events, and no failed requests.
+func TestSharedPrefixesImproveCachingAtLowerCostThanEvents(t *testing.T) {
+	for _, replaced := range []int{0, 4} {
+		results := map[Strategy]Result{}
+		for _, strategy := range []Strategy{StrategyMemory, StrategyEvents, StrategyShared} {
+			options := shortOptions(strategy)
+			options.ReplacedMachines = replaced
+			results[strategy] = Run(options)
 		}
-		memory, events, told := results[WayMemory], results[WayEvents], results[WayTold]
-		if told.CachedShare < memory.CachedShare+0.2 || told.P50 > memory.P50/2 || told.P95 > memory.P95 {
-			t.Errorf("%d leave: told %+v, own memory %+v", leaves, told, memory)
+		memory, events, shared := results[StrategyMemory], results[StrategyEvents], results[StrategyShared]
+		if shared.CachedShare < memory.CachedShare+0.2 || shared.P50 > memory.P50/2 || shared.P95 > memory.P95 {
+			t.Errorf("%d machines replaced: shared %+v, own memory %+v", replaced, shared, memory)
 		}
-		if told.CachedShare < events.CachedShare-0.05 || told.BytesPerNode > events.BytesPerNode/2 {
-			t.Errorf("%d leave: told %+v, events %+v", leaves, told, events)
+		if shared.CachedShare < events.CachedShare-0.05 || shared.BytesPerNode > events.BytesPerNode/2 {
+			t.Errorf("%d machines replaced: shared %+v, events %+v", replaced, shared, events)
 		}
-		if told.Failed > 0 || told.Imbalance > 1.5 || told.Requests == 0 {
-			t.Errorf("%d leave: %+v", leaves, told)
+		if shared.Failed > 0 || shared.Imbalance > 1.5 || shared.Requests == 0 {
+			t.Errorf("%d machines replaced: %+v", replaced, shared)
 		}
 	}
 }
 
-// BenchmarkWays compares all ways in four situations by what they report.
-func BenchmarkWays(b *testing.B) {
+// BenchmarkStrategies reports the results of all strategies in five situations.
+func BenchmarkStrategies(b *testing.B) {
 	for _, situation := range []struct {
 		name    string
 		options Options
 	}{
 		{"base", Options{}},
-		{"agents", Options{Think: 2 * time.Second}},
-		{"one_system_prompt", Options{Systems: 1, SystemBlocks: 24}},
-		{"three_machines_replaced", Options{Leaves: 3}},
-		{"sticky_sessions", Options{Sticky: true}},
+		{"agents", Options{MeanThinkTime: 2 * time.Second}},
+		{"one_system_prompt", Options{SystemPrompts: 1, MeanSystemBlocks: 24}},
+		{"three_machines_replaced", Options{ReplacedMachines: 3}},
+		{"sticky_sessions", Options{StickySessions: true}},
 	} {
-		for _, way := range Ways {
-			b.Run(fmt.Sprintf("%s/%s", situation.name, way), func(b *testing.B) {
+		for _, strategy := range Strategies {
+			b.Run(fmt.Sprintf("%s/%s", situation.name, strategy), func(b *testing.B) {
 				var sum Result
 				for i := range b.N {
 					options := situation.options
-					options.Way, options.Seed = way, uint64(i%5)+1
+					options.Strategy, options.Seed = strategy, uint64(i%5)+1
 					result := Run(options)
 					sum.CachedShare += result.CachedShare
 					sum.P50, sum.P95, sum.P99 = sum.P50+result.P50, sum.P95+result.P95, sum.P99+result.P99
@@ -79,16 +80,16 @@
 	}
 }
 
-// BenchmarkMove compares the minute after machines left, three of twelve and the
-// only one, with caches lost and with caches moved whole and at once.
-func BenchmarkMove(b *testing.B) {
-	for _, situation := range []Options{{Leaves: 3}, {Machines: 1, Sessions: 0.5, Leaves: 1}} {
+// BenchmarkCacheMove reports the first-token times in the minute after a replacement of three of
+// twelve machines or of the only one, with lost caches and with moved caches.
+func BenchmarkCacheMove(b *testing.B) {
+	for _, situation := range []Options{{ReplacedMachines: 3}, {Machines: 1, SessionRate: 0.5, ReplacedMachines: 1}} {
 		for _, moved := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d_leave/moved=%t", situation.Leaves, moved), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d_leave/moved=%t", situation.ReplacedMachines, moved), func(b *testing.B) {
 				var p50, p95 time.Duration
 				for i := range b.N {
 					options := situation
-					options.Seed, options.MoveCaches, options.Length = uint64(i%5)+1, moved, 2*time.Minute
+					options.Seed, options.MoveCaches, options.Duration = uint64(i%5)+1, moved, 2*time.Minute
 					result := Run(options)
 					p50, p95 = p50+result.AfterP50, p95+result.AfterP95
 				}
--- a/experiment/prefixes/result.go
+++ b/experiment/prefixes/result.go
@@ -5,69 +5,73 @@
 	"time"
 )
 
-// aftermath is the time after a replacement that is reported apart.
-const aftermath = time.Minute
+// replacementWindow is the time after a replacement that is reported separately.
+const replacementWindow = time.Minute
 
-// measured sums up a run.
-type measured struct {
-	blocks, hits     int
-	refusals, failed int
-	first            []time.Duration
-	// after are the first-token times in the minute after the replacement.
-	after []time.Duration
+// measurements aggregates the measurements of a run.
+type measurements struct {
+	promptBlocks, cachedBlocks int
+	refusals, failures         int
+	firstTokenTimes            []time.Duration
+	// firstTokenTimesAfterReplacement holds the times of requests that arrived within
+	// replacementWindow after the replacement.
+	firstTokenTimesAfterReplacement []time.Duration
 }
 
-// Result is what one run measured after it was warm.
+// Result holds the measurements of one run after its warm-up.
 type Result struct {
-	Way Way
-	// Requests that got a first token; Failed ones ended without an answer and
-	// Refusals are those of engines for lack of a slot, both of the whole run.
+	Strategy Strategy
+	// Requests counts the requests that got a first token. Failed requests ended without an answer
+	// and Refusals counts dispatches that an engine refused, both including the warm-up.
 	Requests, Failed, Refusals int
-	// CachedShare of the prompts' blocks.
+	// CachedShare is the share of the prompts' blocks that were cached.
 	CachedShare float64
-	// First-token times, from the arrival at the router.
+	// Percentiles of the first-token time, measured from the arrival at the router.
 	P50, P95, P99 time.Duration
-	// AfterP50 and AfterP95 are those of the minute after machines were replaced.
+	// AfterP50 and AfterP95 are the same for requests that arrived in the minute after the machines
+	// were replaced.
 	AfterP50, AfterP95 time.Duration
-	// Imbalance is the largest number of requests of a machine over the mean.
+	// Imbalance is the largest number of requests of a machine divided by the mean.
 	Imbalance float64
-	// BytesPerNode that a router sends and receives a second.
+	// BytesPerNode is the number of bytes that a router sends and receives per second.
 	BytesPerNode float64
 }
 
-// count notes that an engine began with a prompt.
-func (w *world) count(e *engine, r run, hits int) {
-	if !w.warm() {
+// recordPrefill counts a prompt and its cached blocks when its prefill starts.
+func (s *simulator) recordPrefill(e *engine, r execution, hits int) {
+	if !s.isMeasuring() {
 		return
 	}
-	e.requests++
-	w.measured.blocks += len(r.turn.blocks)
-	w.measured.hits += hits
+	e.startedPrompts++
+	s.measurements.promptBlocks += len(r.turn.blocks)
+	s.measurements.cachedBlocks += hits
 }
 
-func (w *world) result() Result {
-	m := &w.measured
-	slices.Sort(m.first)
-	slices.Sort(m.after)
+// buildResult computes the result from the measurements.
+func (s *simulator) buildResult() Result {
+	m := &s.measurements
+	slices.Sort(m.firstTokenTimes)
+	slices.Sort(m.firstTokenTimesAfterReplacement)
 	result := Result{
-		Way: w.options.Way, Requests: len(m.first), Failed: m.failed, Refusals: m.refusals,
-		CachedShare:  float64(m.hits) / float64(max(m.blocks, 1)),
-		P50:          quantile(m.first, 0.5),
-		P95:          quantile(m.first, 0.95),
-		P99:          quantile(m.first, 0.99),
-		AfterP50:     quantile(m.after, 0.5),
-		AfterP95:     quantile(m.after, 0.95),
-		BytesPerNode: float64(w.news.bytes) / float64(len(w.routers)) / w.options.Length.Seconds(),
+		Strategy: s.options.Strategy, Requests: len(m.firstTokenTimes), Failed: m.failures, Refusals: m.refusals,
+		CachedShare:  float64(m.cachedBlocks) / float64(max(m.promptBlocks, 1)),
+		P50:          percentile(m.firstTokenTimes, 0.5),
+		P95:          percentile(m.firstTokenTimes, 0.95),
+		P99:          percentile(m.firstTokenTimes, 0.99),
+		AfterP50:     percentile(m.firstTokenTimesAfterReplacement, 0.5),
+		AfterP95:     percentile(m.firstTokenTimesAfterReplacement, 0.95),
+		BytesPerNode: float64(s.updates.sentBytes) / float64(len(s.routers)) / s.options.Duration.Seconds(),
 	}
 	largest, sum := 0, 0
-	for _, e := range w.engines {
-		largest, sum = max(largest, e.requests), sum+e.requests
+	for _, e := range s.engines {
+		largest, sum = max(largest, e.startedPrompts), sum+e.startedPrompts
 	}
-	result.Imbalance = float64(largest*len(w.engines)) / float64(max(sum, 1))
+	result.Imbalance = float64(largest*len(s.engines)) / float64(max(sum, 1))
 	return result
 }
 
-func quantile(sorted []time.Duration, share float64) time.Duration {
+// percentile returns the element at the given share of the sorted times, or zero if there are none.
+func percentile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
