--- a/experiment/recovery/recovery.go
+++ b/experiment/recovery/recovery.go
@@ -13,45 +13,47 @@
 	"github.com/valveslip/valveslip/simulation"
 )
 
-// Times of the trials.
+// Durations of a trial and of its faults.
 const (
-	warmTime    = 2 * time.Minute
-	watchTime   = 2 * time.Minute
-	restartTime = 8 * time.Second
-	pauseTime   = time.Minute
-	noticeTime  = 20 * time.Second
-	outageTime  = time.Hour
-	pollTime    = 50 * time.Millisecond
-	// searchTime bounds the wait for a load in progress.
-	searchTime = 5 * time.Minute
+	warmUpDuration        = 2 * time.Minute
+	observationDuration   = 2 * time.Minute
+	restartDelay          = 8 * time.Second
+	pauseDuration         = time.Minute
+	reclaimNoticeDuration = 20 * time.Second
+	outageDuration        = time.Hour
+	pollInterval          = 50 * time.Millisecond
+	// loadSearchTimeout limits the wait for a load in progress.
+	loadSearchTimeout = 5 * time.Minute
 )
 
-// Options of Measure.
+// Options configures Measure.
 type Options struct {
-	// Scenario whose deployment and traffic is used; its faults are not.
+	// Scenario defines the deployment and the traffic; its faults are ignored.
 	Scenario *experiment.Scenario
-	// Seeds of each case, and the Workers that run at once.
+	// Seeds is the number of seeds of each case, Workers the number of trials that run
+	// concurrently.
 	Seeds, Workers int
-	// Progress is called after each trial; nil means none.
+	// Progress is called after each trial unless nil.
 	Progress func()
 }
 
-// Report is the outcome of one case. Times are sorted.
+// Report holds the results of one interval of one test case. Times are sorted.
 type Report struct {
 	Name string
-	// Measure says from when to when the times count.
+	// Measure describes where the measured interval ends.
 	Measure string
 	Times   []time.Duration
-	// Without counts the trials in which the end did not come within the time
-	// watched, such as a model that nobody wanted any more.
+	// Without counts the trials in which the interval did not end within the observed time, for
+	// example because a model was no longer requested.
 	Without int
-	// Violations of promises found by the checkers.
+	// Violations counts the invariant violations that the checkers found.
 	Violations int
-	// Served, Refused and Other count requests that arrived during an outage.
+	// Served, Refused and Other count the requests that arrived after the start of a key-value
+	// outage, by outcome.
 	Served, Refused, Other int
 }
 
-// Quantile returns the time at a share of the sorted times.
+// Quantile returns the time at the given share of the sorted times, or zero if there are none.
 func (r *Report) Quantile(share float64) time.Duration {
 	if len(r.Times) == 0 {
 		return 0
@@ -59,152 +61,161 @@
 	return r.Times[min(int(share*float64(len(r.Times))), len(r.Times)-1)]
 }
 
-// measure is one case: it injects its fault in a fresh trial and returns the
-// times measured, by the index of the measure, and false for one without end.
-type measure struct {
-	name     string
-	duration time.Duration
-	measures []string
-	run      func(t *trial) []timed
+// testCase is one fault. Its run function injects the fault into a trial after the warm-up and
+// returns one interval for each element of measuredIntervals.
+type testCase struct {
+	name              string
+	duration          time.Duration
+	measuredIntervals []string
+	run               func(t *trial) []interval
 }
 
-// timed is one measured time.
-type timed struct {
-	time  time.Duration
-	ended bool
+// interval is one measured time; completed is false if its end was not observed.
+type interval struct {
+	duration  time.Duration
+	completed bool
 }
 
-func cases() []measure {
-	const watched = warmTime + searchTime + watchTime
-	return []measure{
-		{"controller dies", watched, []string{"to a plan by another node"}, controllerDies},
-		{"controller is paused for 1 min", watched, []string{"to a plan by another node", "from its resumption to its last plan"}, controllerPauses},
-		{"controller dies, key-value answers lost", watched, []string{"to a plan by another node"}, answersLost},
-		{"engine dies in a load", watched, []string{"to the next order to load the model"}, engineDies},
-		{"machine is reclaimed in a load", watched, []string{"to the next order to load the model"}, machineReclaimed},
-		{"key-value service down for 1 h, a third of the nodes restarts", warmTime + outageTime + watchTime,
-			[]string{"longest time without a plan where the controller lived", "from its return to a plan where the controller restarted"}, outage},
+// testCases returns all cases in the order of the reports.
+func testCases() []testCase {
+	const watched = warmUpDuration + loadSearchTimeout + observationDuration
+	return []testCase{
+		{"controller dies", watched, []string{"to a plan by another node"}, measureControllerCrash},
+		{"controller is paused for 1 min", watched, []string{"to a plan by another node", "from its resumption to its last plan"}, measureControllerPause},
+		{"controller dies, key-value answers lost", watched, []string{"to a plan by another node"}, measureCrashWithLostAnswers},
+		{"engine dies in a load", watched, []string{"to the next order to load the model"}, measureEngineCrash},
+		{"machine is reclaimed in a load", watched, []string{"to the next order to load the model"}, measureMachineReclaim},
+		{"key-value service down for 1 h, a third of the nodes restarts", warmUpDuration + outageDuration + observationDuration,
+			[]string{"longest time without a plan where the controller lived", "from its return to a plan where the controller restarted"}, measureKeyValueOutage},
 	}
 }
 
-func controllerDies(t *trial) []timed {
-	zone := t.zone()
-	holder := t.controller(zone)
+// measureControllerCrash measures the time until another node plans for the zone of a crashed controller.
+func measureControllerCrash(t *trial) []interval {
+	zone := t.selectedZone()
+	controller := t.lastPlanner(zone)
 	from := t.now()
-	t.world.Inject(simulation.Fault{Kind: simulation.FaultNodeCrash, Node: holder, Duration: restartTime})
-	t.run(watchTime)
-	return []timed{t.plan(from, zone, holder)}
+	t.world.Inject(simulation.Fault{Kind: simulation.FaultNodeCrash, Node: controller, Duration: restartDelay})
+	t.advance(observationDuration)
+	return []interval{t.timeToPlan(from, zone, controller)}
 }
 
-func (t *trial) plan(from time.Time, zone cluster.ZoneID, except cluster.NodeID) timed {
-	after, ended := t.planAfter(from, zone, except)
-	return timed{after, ended}
+// timeToPlan returns the time from from until a node other than except plans for the zone.
+func (t *trial) timeToPlan(from time.Time, zone cluster.ZoneID, except cluster.NodeID) interval {
+	after, ended := t.timeToPlanByOther(from, zone, except)
+	return interval{after, ended}
 }
 
-func controllerPauses(t *trial) []timed {
-	zone := t.zone()
-	holder := t.controller(zone)
+// measureControllerPause measures the time until another node plans, and how long after its resumption the
+// paused controller still plans with an expired lease.
+func measureControllerPause(t *trial) []interval {
+	zone := t.selectedZone()
+	controller := t.lastPlanner(zone)
 	from := t.now()
-	t.world.Inject(simulation.Fault{Kind: simulation.FaultNodePause, Node: holder, Duration: pauseTime})
-	t.run(pauseTime + watchTime)
-	resumed := from.Add(pauseTime)
-	last := timed{}
+	t.world.Inject(simulation.Fault{Kind: simulation.FaultNodePause, Node: controller, Duration: pauseDuration})
+	t.advance(pauseDuration + observationDuration)
+	resumed := from.Add(pauseDuration)
+	lastPlan := interval{}
 	for _, plan := range t.plans {
-		if plan.node == holder && !plan.at.Before(resumed) {
-			last = timed{plan.at.Sub(resumed), true}
+		if plan.node == controller && !plan.plannedAt.Before(resumed) {
+			lastPlan = interval{plan.plannedAt.Sub(resumed), true}
 		}
 	}
-	return []timed{t.plan(from, zone, holder), last}
+	return []interval{t.timeToPlan(from, zone, controller), lastPlan}
 }
 
-func answersLost(t *trial) []timed {
-	t.world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueLost, Duration: watchTime})
-	return controllerDies(t)
+// measureCrashWithLostAnswers is measureControllerCrash while answers of the key-value service are lost.
+func measureCrashWithLostAnswers(t *trial) []interval {
+	t.world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueLost, Duration: observationDuration})
+	return measureControllerCrash(t)
 }
 
-// findLoad waits for a load in progress.
-func (t *trial) findLoad() (cluster.MachineID, cluster.ModelID, bool) {
-	for end := t.now().Add(searchTime); t.now().Before(end); t.run(pollTime) {
-		if machine, model, found := t.loading(); found {
+// waitForLoad advances the trial until a load is in progress.
+func (t *trial) waitForLoad() (cluster.MachineID, cluster.ModelID, bool) {
+	for end := t.now().Add(loadSearchTimeout); t.now().Before(end); t.advance(pollInterval) {
+		if machine, model, found := t.findLoadingEngine(); found {
 			return machine, model, true
 		}
 	}
 	return "", "", false
 }
 
-func engineDies(t *trial) []timed {
-	return t.interruptLoad(simulation.Fault{Kind: simulation.FaultEngineCrash})
+func measureEngineCrash(t *trial) []interval {
+	return t.measureInterruptedLoad(simulation.Fault{Kind: simulation.FaultEngineCrash})
 }
 
-func machineReclaimed(t *trial) []timed {
-	return t.interruptLoad(simulation.Fault{Kind: simulation.FaultMachineReclaim, Duration: noticeTime})
+func measureMachineReclaim(t *trial) []interval {
+	return t.measureInterruptedLoad(simulation.Fault{Kind: simulation.FaultMachineReclaim, Duration: reclaimNoticeDuration})
 }
 
-func (t *trial) interruptLoad(fault simulation.Fault) []timed {
-	machine, model, found := t.findLoad()
+// measureInterruptedLoad injects the fault at a machine that loads a model, and measures the time until the
+// model is ordered to load again.
+func (t *trial) measureInterruptedLoad(fault simulation.Fault) []interval {
+	machine, model, found := t.waitForLoad()
 	if !found {
-		return []timed{{}}
+		return []interval{{}}
 	}
 	from := t.now()
 	fault.Machine = machine
 	t.world.Inject(fault)
-	t.run(watchTime)
-	after, ended := t.loadAfter(from, model)
-	return []timed{{after, ended}}
+	t.advance(observationDuration)
+	after, ended := t.timeToNextLoad(from, model)
+	return []interval{{after, ended}}
 }
 
-// outage takes the key-value service away. A third of the nodes restarts
-// meanwhile, the controller of one zone among them.
-func outage(t *trial) []timed {
-	zone := t.zone()
-	lost := t.controller(zone)
+// measureKeyValueOutage makes the key-value service unavailable. During the outage a third of the
+// nodes restarts, among them the controller of one zone.
+func measureKeyValueOutage(t *trial) []interval {
+	zone := t.selectedZone()
+	restartedZone := t.lastPlanner(zone)
 	from := t.now()
-	t.countFrom = from
-	t.world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueDown, Duration: outageTime})
-	t.run(outageTime / 6)
-	t.world.Inject(simulation.Fault{Kind: simulation.FaultNodeCrash, Node: lost, Duration: restartTime})
-	others := t.otherNodes(zone)
+	t.countRequestsFrom = from
+	t.world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueDown, Duration: outageDuration})
+	t.advance(outageDuration / 6)
+	t.world.Inject(simulation.Fault{Kind: simulation.FaultNodeCrash, Node: restartedZone, Duration: restartDelay})
+	others := t.nonControllersOutside(zone)
 	for i := 1; i < len(t.world.Nodes())/3; i++ {
-		t.run(outageTime / 6)
-		t.world.Inject(simulation.Fault{Kind: simulation.FaultNodeCrash, Node: others[i%len(others)], Duration: restartTime})
+		t.advance(outageDuration / 6)
+		t.world.Inject(simulation.Fault{Kind: simulation.FaultNodeCrash, Node: others[i%len(others)], Duration: restartDelay})
 	}
-	back := from.Add(outageTime)
-	t.world.Run(back)
-	gap := time.Duration(0)
-	for _, other := range t.survivingZones(zone) {
-		gap = max(gap, t.longestGap(from, other))
+	outageEnd := from.Add(outageDuration)
+	t.world.Run(outageEnd)
+	longestGap := time.Duration(0)
+	for _, other := range t.zonesExcept(zone) {
+		longestGap = max(longestGap, t.longestGap(from, other))
 	}
-	t.run(watchTime)
-	return []timed{{gap, true}, t.plan(back, zone, lost)}
+	t.advance(observationDuration)
+	return []interval{{longestGap, true}, t.timeToPlan(outageEnd, zone, restartedZone)}
 }
 
-// otherNodes lists the nodes of other zones that are not their controllers.
-func (t *trial) otherNodes(zone cluster.ZoneID) []cluster.NodeID {
+// nonControllersOutside returns the nodes of other zones that are not the controllers there.
+func (t *trial) nonControllersOutside(zone cluster.ZoneID) []cluster.NodeID {
 	var nodes []cluster.NodeID
 	for _, process := range t.world.Nodes() {
-		if process.Place.Zone != zone && process.ID != t.controller(process.Place.Zone) {
+		if process.Place.Zone != zone && process.ID != t.lastPlanner(process.Place.Zone) {
 			nodes = append(nodes, process.ID)
 		}
 	}
 	return nodes
 }
 
-func (t *trial) survivingZones(lost cluster.ZoneID) []cluster.ZoneID {
+// zonesExcept returns all zones but the excluded one.
+func (t *trial) zonesExcept(excluded cluster.ZoneID) []cluster.ZoneID {
 	var zones []cluster.ZoneID
 	for _, process := range t.world.Nodes() {
-		if zone := process.Place.Zone; zone != lost && !slices.Contains(zones, zone) {
+		if zone := process.Place.Zone; zone != excluded && !slices.Contains(zones, zone) {
 			zones = append(zones, zone)
 		}
 	}
 	return zones
 }
 
-// Measure runs every case with every seed and returns a report for each
-// measure. The result does not depend on the number of workers.
+// Measure runs every case with every seed and returns one report for each measured interval. The
+// result does not depend on the number of workers.
 func Measure(ctx context.Context, options Options) ([]Report, error) {
 	var reports []Report
-	for _, c := range cases() {
-		results := make([][]timed, options.Seeds)
+	for _, test := range testCases() {
+		results := make([][]interval, options.Seeds)
 		trials := make([]*trial, options.Seeds)
 		group, ctx := errgroup.WithContext(ctx)
 		group.SetLimit(max(options.Workers, 1))
@@ -213,12 +224,12 @@
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
-				t, err := newTrial(*options.Scenario, uint64(i+1), c.duration)
+				t, err := newTrial(*options.Scenario, uint64(i+1), test.duration)
 				if err != nil {
-					return eris.Wrap(err, c.name)
+					return eris.Wrap(err, test.name)
 				}
-				t.run(warmTime)
-				results[i], trials[i] = c.run(t), t
+				t.advance(warmUpDuration)
+				results[i], trials[i] = test.run(t), t
 				if options.Progress != nil {
 					options.Progress()
 				}
@@ -228,20 +239,20 @@
 		if err := group.Wait(); err != nil {
 			return nil, err
 		}
-		reports = append(reports, c.reports(results, trials)...)
+		reports = append(reports, test.buildReports(results, trials)...)
 	}
 	return reports, nil
 }
 
-// reports sums the trials of a case up.
-func (c *measure) reports(results [][]timed, trials []*trial) []Report {
-	reports := make([]Report, len(c.measures))
+// buildReports aggregates the trials of a case.
+func (c *testCase) buildReports(results [][]interval, trials []*trial) []Report {
+	reports := make([]Report, len(c.measuredIntervals))
 	for m := range reports {
 		report := &reports[m]
-		report.Name, report.Measure = c.name, c.measures[m]
+		report.Name, report.Measure = c.name, c.measuredIntervals[m]
 		for i, result := range results {
-			if result[m].ended {
-				report.Times = append(report.Times, result[m].time)
+			if result[m].completed {
+				report.Times = append(report.Times, result[m].duration)
 			} else {
 				report.Without++
 			}
--- a/experiment/recovery/recovery_test.go
+++ b/experiment/recovery/recovery_test.go
@@ -7,7 +7,9 @@
 	"github.com/valveslip/valveslip/experiment"
 )
 
-func TestControlRecoversFromEveryFault(t *testing.T) {
+// TestMeasureReportsRecoveryWithoutViolations guards against a fault after which the controllers or loads do not
+// recover, and against a key-value outage in which fewer requests are served than refused.
+func TestMeasureReportsRecoveryWithoutViolations(t *testing.T) {
 	scenario, err := experiment.Load("faults")
 	if err != nil {
 		t.Fatal(err)
--- a/experiment/recovery/service.go
+++ b/experiment/recovery/service.go
@@ -12,11 +12,11 @@
 	"github.com/valveslip/valveslip/simulation"
 )
 
-// Fault is a fault whose recovery is measured.
+// Fault names a fault whose recovery is measured.
 type Fault string
 
-// The faults. Each happens while the controller of the zone has just ordered a
-// load for a waiting request.
+// The faults. Each is injected just after the controller of the zone has ordered a load for a
+// waiting request.
 const (
 	FaultNone             Fault = "none"
 	FaultControllerCrash  Fault = "controller-crash"
@@ -30,11 +30,11 @@
 	FaultZoneCut          Fault = "zone-cut"
 	FaultKeyValueDown     Fault = "key-value-down"
 	FaultKeyValueRestarts Fault = "key-value-down-restarts"
-	// FaultKeyValueControllers restarts the controllers of all zones.
+	// FaultKeyValueControllers restarts the controllers of the zones, up to a third of the nodes.
 	FaultKeyValueControllers Fault = "key-value-down-controllers"
 )
 
-// Faults lists all, in the order in which they are reported.
+// Faults returns all faults in the order of the reports.
 func Faults() []Fault {
 	return []Fault{
 		FaultNone, FaultControllerCrash, FaultControllerPause, FaultControllerStop,
@@ -44,31 +44,31 @@
 	}
 }
 
-// ServiceTimes are the times of one seed, all from the fault on. A time is
-// negative when what it measures did not happen.
+// ServiceTimes holds the times measured with one seed, counted from the fault. A negative time
+// means that the event did not occur.
 type ServiceTimes struct {
 	Seed uint64 `json:"seed"`
-	// Planning is the longest time after the fault without a plan of the
-	// zone's newest controller.
+	// Planning is the longest time after the fault without a plan by the zone's current controller.
 	Planning time.Duration `json:"planning"`
 	// Apportioner is the time until a live node is the apportioner.
 	Apportioner time.Duration `json:"apportioner"`
-	// UnderWay is the time until the request is served whose model was being
-	// loaded when the fault happened.
+	// UnderWay is the time until the first token of the request whose model was loading when the
+	// fault occurred.
 	UnderWay time.Duration `json:"under_way"`
-	// Here and Anywhere are the times until requests are served that came just
-	// after the fault for cold models, one of which only the zone may hold.
+	// Here and Anywhere are the times until the first tokens of two requests that arrive just after
+	// the fault for models that are not loaded. The model of Here may only be placed in the faulted
+	// zone, that of Anywhere in any zone.
 	Here     time.Duration `json:"here"`
 	Anywhere time.Duration `json:"anywhere"`
-	// Arrived and Served count the requests that came after the fault.
-	Arrived    int                    `json:"arrived"`
-	Served     int                    `json:"served"`
-	Violations []simulation.Violation `json:"violations,omitempty"`
-	violated   int
+	// Arrived and Served count the requests that arrived after the fault.
+	Arrived        int                    `json:"arrived"`
+	Served         int                    `json:"served"`
+	Violations     []simulation.Violation `json:"violations,omitempty"`
+	violationCount int
 }
 
-// Quantiles of a measured time over the seeds. Missing counts the seeds in
-// which it did not happen; they count in no quantile.
+// Quantiles summarizes a measured time over the seeds. Missing counts the seeds in which the event
+// did not occur; the quantiles exclude them.
 type Quantiles struct {
 	P50     time.Duration `json:"p50"`
 	P99     time.Duration `json:"p99"`
@@ -76,7 +76,7 @@
 	Missing int           `json:"missing"`
 }
 
-// ServiceReport sums one fault's seeds up.
+// ServiceReport aggregates the seeds of one fault.
 type ServiceReport struct {
 	Fault       Fault     `json:"fault"`
 	Planning    Quantiles `json:"planning"`
@@ -84,27 +84,27 @@
 	UnderWay    Quantiles `json:"under_way"`
 	Here        Quantiles `json:"here"`
 	Anywhere    Quantiles `json:"anywhere"`
-	// Arrived and Served count the requests that came after the fault.
+	// Arrived and Served count the requests that arrived after the fault.
 	Arrived    int            `json:"arrived"`
 	Served     int            `json:"served"`
 	Violations int            `json:"violations"`
 	Seeds      []ServiceTimes `json:"seeds"`
 }
 
-// ServiceOptions of MeasureService.
+// ServiceOptions configures MeasureService.
 type ServiceOptions struct {
-	// Scenario must have the zone and the models of the committed one named
-	// recovery.
+	// Scenario must have the zone and the models of the built-in scenario named recovery.
 	Scenario *experiment.Scenario
 	Faults   []Fault
-	// Seeds of each fault, and the Workers that run at once.
+	// Seeds is the number of seeds of each fault, Workers the number of runs that execute
+	// concurrently.
 	Seeds, Workers int
-	// Progress is called after each run; nil means none.
+	// Progress is called after each run unless nil.
 	Progress func()
 }
 
-// MeasureService measures every fault over every seed. The result does not
-// depend on the number of workers.
+// MeasureService runs every fault with every seed. The result does not depend on the number of
+// workers.
 func MeasureService(ctx context.Context, options ServiceOptions) ([]ServiceReport, error) {
 	times := make([][]ServiceTimes, len(options.Faults))
 	group, ctx := errgroup.WithContext(ctx)
@@ -130,53 +130,53 @@
 	}
 	reports := make([]ServiceReport, len(options.Faults))
 	for f, fault := range options.Faults {
-		reports[f] = summarize(fault, times[f])
+		reports[f] = buildServiceReport(fault, times[f])
 	}
 	return reports, nil
 }
 
-// summarize computes the quantiles of one fault.
-func summarize(fault Fault, seeds []ServiceTimes) ServiceReport {
-	of := func(pick func(*ServiceTimes) time.Duration) Quantiles {
+// buildServiceReport computes the quantiles and sums of one fault.
+func buildServiceReport(fault Fault, seeds []ServiceTimes) ServiceReport {
+	quantilesFor := func(pick func(*ServiceTimes) time.Duration) Quantiles {
 		var all []time.Duration
 		for i := range seeds {
 			all = append(all, pick(&seeds[i]))
 		}
-		return quantilesOf(all)
+		return computeQuantiles(all)
 	}
 	summary := ServiceReport{
 		Fault:       fault,
-		Planning:    of(func(t *ServiceTimes) time.Duration { return t.Planning }),
-		Apportioner: of(func(t *ServiceTimes) time.Duration { return t.Apportioner }),
-		UnderWay:    of(func(t *ServiceTimes) time.Duration { return t.UnderWay }),
-		Here:        of(func(t *ServiceTimes) time.Duration { return t.Here }),
-		Anywhere:    of(func(t *ServiceTimes) time.Duration { return t.Anywhere }),
+		Planning:    quantilesFor(func(t *ServiceTimes) time.Duration { return t.Planning }),
+		Apportioner: quantilesFor(func(t *ServiceTimes) time.Duration { return t.Apportioner }),
+		UnderWay:    quantilesFor(func(t *ServiceTimes) time.Duration { return t.UnderWay }),
+		Here:        quantilesFor(func(t *ServiceTimes) time.Duration { return t.Here }),
+		Anywhere:    quantilesFor(func(t *ServiceTimes) time.Duration { return t.Anywhere }),
 		Seeds:       seeds,
 	}
 	for i := range seeds {
 		summary.Arrived += seeds[i].Arrived
 		summary.Served += seeds[i].Served
-		summary.Violations += seeds[i].violated
+		summary.Violations += seeds[i].violationCount
 	}
 	return summary
 }
 
-// quantilesOf the times that are not negative, by nearest rank.
-func quantilesOf(all []time.Duration) Quantiles {
-	var happened []time.Duration
-	for _, one := range all {
-		if one >= 0 {
-			happened = append(happened, one)
+// computeQuantiles returns the quantiles of the durations that are not negative, by nearest rank.
+func computeQuantiles(durations []time.Duration) Quantiles {
+	var measured []time.Duration
+	for _, duration := range durations {
+		if duration >= 0 {
+			measured = append(measured, duration)
 		}
 	}
-	found := Quantiles{Missing: len(all) - len(happened)}
-	if len(happened) == 0 {
-		return found
+	quantiles := Quantiles{Missing: len(durations) - len(measured)}
+	if len(measured) == 0 {
+		return quantiles
 	}
-	slices.Sort(happened)
-	rank := func(share float64) time.Duration {
-		return happened[max(int(math.Ceil(share*float64(len(happened))))-1, 0)]
+	slices.Sort(measured)
+	nearestRank := func(share float64) time.Duration {
+		return measured[max(int(math.Ceil(share*float64(len(measured))))-1, 0)]
 	}
-	found.P50, found.P99, found.Max = rank(0.5), rank(0.99), happened[len(happened)-1]
-	return found
+	quantiles.P50, quantiles.P99, quantiles.Max = nearestRank(0.5), nearestRank(0.99), measured[len(measured)-1]
+	return quantiles
 }
--- a/experiment/recovery/service_run.go
+++ b/experiment/recovery/service_run.go
@@ -13,248 +13,257 @@
 )
 
 const (
-	// serviceZone is the zone that the faults hit; the scenario's models
-	// serviceUnderWay and serviceHere may be held there only.
-	serviceZone     cluster.ZoneID  = "a"
-	serviceUnderWay cluster.ModelID = "here-00"
-	serviceHere     cluster.ModelID = "here-01"
-	serviceAnywhere cluster.ModelID = "anywhere-00"
+	// faultedZone is the zone in which the faults are injected. interruptedModel and zoneModel may
+	// only be placed in this zone, anyZoneModel in any zone.
+	faultedZone      cluster.ZoneID  = "a"
+	interruptedModel cluster.ModelID = "here-00"
+	zoneModel        cluster.ModelID = "here-01"
+	anyZoneModel     cluster.ModelID = "anywhere-00"
 
-	// midLoad is how long after the order a fault of the machine happens.
-	midLoad = 1500 * time.Millisecond
-	// askedAfter is how long after the fault the next requests come.
-	askedAfter = 100 * time.Millisecond
-	// replacement is how long a dead process takes to be replaced.
-	replacement = 10 * time.Second
-	// lostTime is how long answers of the key-value service are lost.
-	lostTime = 30 * time.Second
-	lostHalf = 0.5
-	// reclaimNotice of a machine.
-	reclaimNotice = 10 * time.Second
-	zoneCutTime   = 10 * time.Minute
-	// restartsAfter the begin of the outage a third of the nodes restart.
-	restartsAfter = 5 * time.Minute
-	// observed is how long a run goes on after the end of the fault.
-	observed = 2 * time.Minute
-	// offsetStream tells the random offset of the fault from other streams.
-	offsetStream = 0x7265636f
-	// serviceDeadline of the requests.
-	serviceDeadline = 10 * time.Minute
+	// machineFaultDelay is the time from the load order to a fault of the engine or machine, so
+	// that the fault interrupts the load.
+	machineFaultDelay = 1500 * time.Millisecond
+	// requestDelayAfterFault is the time from the fault to the requests for the models that are not
+	// loaded.
+	requestDelayAfterFault = 100 * time.Millisecond
+	// processReplacementDelay is the time until a new process replaces a stopped one.
+	processReplacementDelay = 10 * time.Second
+	// lostAnswersDuration is how long lostAnswersShare of the answers of the key-value service are
+	// lost.
+	lostAnswersDuration = 30 * time.Second
+	lostAnswersShare    = 0.5
+	// reclaimNotice is the time between the notice of a reclaim and the loss of the machine.
+	reclaimNotice   = 10 * time.Second
+	zoneCutDuration = 10 * time.Minute
+	// restartDelayInOutage is the time from the start of the outage until a third of the nodes
+	// restart.
+	restartDelayInOutage = 5 * time.Minute
+	// observationAfterFault is how long a run continues after the end of the fault.
+	observationAfterFault = 2 * time.Minute
+	// faultOffsetStream selects the random stream of the fault's offset, apart from the other
+	// streams of the seed.
+	faultOffsetStream = 0x7265636f
+	// requestDeadline is the deadline of the measured requests.
+	requestDeadline = 10 * time.Minute
 )
 
-// serviceRun is one fault in one seed.
+// serviceRun is the run of one fault with one seed.
 type serviceRun struct {
 	world *simulation.World
 	fault Fault
 	times ServiceTimes
-	// began is when the fault happened, zero before.
-	began time.Time
-	// triggered is true once the load that the fault interrupts was ordered.
-	triggered bool
-	// planned is when the zone's newest controller last planned.
-	planned time.Time
-	victim  *simulation.Node
-	machine cluster.MachineID
-	appoint *simulation.Node
+	// faultAt is the time of the fault, zero before it.
+	faultAt time.Time
+	// loadOrdered is true once the load that the fault interrupts was ordered.
+	loadOrdered bool
+	// lastPlanAt is the time of the last plan by the zone's current controller.
+	lastPlanAt     time.Time
+	targetNode     *simulation.Node
+	loadingMachine cluster.MachineID
+	apportioner    *simulation.Node
 }
 
-// measureService runs one fault in one seed. The scenario must have the zone
-// and the models of the committed one named recovery.
+// measureService runs one fault with one seed. The scenario must have the zone and the models of
+// the built-in scenario named recovery.
 func measureService(scenario *experiment.Scenario, fault Fault, seed uint64) (ServiceTimes, error) {
-	never := time.Duration(-1)
+	notMeasured := time.Duration(-1)
 	run := &serviceRun{fault: fault, times: ServiceTimes{
-		Seed: seed, Apportioner: never, UnderWay: never, Here: never, Anywhere: never,
+		Seed: seed, Apportioner: notMeasured, UnderWay: notMeasured, Here: notMeasured, Anywhere: notMeasured,
 	}}
 	policies, err := experiment.ParsePolicies("adaptive")
 	if err != nil {
 		return run.times, err
 	}
-	longer := *scenario
-	longer.Duration = run.length()
-	run.world, err = experiment.NewWorld(&longer, policies[0], seed, experiment.WorldOptions{
-		EncodeMessages: true, Tamper: simulation.Tamper{Effect: run.observe}, Finished: run.finished,
+	extended := *scenario
+	extended.Duration = run.duration()
+	run.world, err = experiment.NewWorld(&extended, policies[0], seed, experiment.WorldOptions{
+		EncodeMessages: true, Tamper: simulation.Tamper{Effect: run.observeEffect}, Finished: run.recordResult,
 	})
 	if err != nil {
 		return run.times, err
 	}
-	// The fault falls anywhere between two renewals of the lease.
-	offset := time.Duration(rand.New(rand.NewPCG(seed, offsetStream)).Int64N(int64(10 * time.Second)))
-	begin := simulation.Epoch.Add(scenario.Warmup + offset)
-	run.world.Kernel.At(begin, simulation.LabelArrival, run.begin)
-	run.world.Run(begin.Add(run.length()))
-	if run.began.IsZero() {
-		return run.times, eris.Errorf("seed %d: no load was ordered in zone %s", seed, serviceZone)
+	// The offset varies the time of the fault between two renewals of the lease.
+	offset := time.Duration(rand.New(rand.NewPCG(seed, faultOffsetStream)).Int64N(int64(10 * time.Second)))
+	requestAt := simulation.Epoch.Add(scenario.Warmup + offset)
+	run.world.Kernel.At(requestAt, simulation.LabelArrival, run.requestInterruptedModel)
+	run.world.Run(requestAt.Add(run.duration()))
+	if run.faultAt.IsZero() {
+		return run.times, eris.Errorf("seed %d: no load was ordered in zone %s", seed, faultedZone)
 	}
-	run.noPlan(run.world.Kernel.Now())
+	run.updatePlanningGap(run.world.Kernel.Now())
 	run.times.Violations = run.world.Checkers.Violations
-	run.times.violated = run.world.Checkers.Total()
+	run.times.violationCount = run.world.Checkers.Total()
 	return run.times, nil
 }
 
-// length of a run after its warm-up.
-func (r *serviceRun) length() time.Duration {
+// duration returns the length of a run after its warm-up.
+func (r *serviceRun) duration() time.Duration {
 	switch r.fault {
 	case FaultZoneCut:
-		return zoneCutTime + observed
+		return zoneCutDuration + observationAfterFault
 	case FaultKeyValueDown, FaultKeyValueRestarts, FaultKeyValueControllers:
-		return outageTime + observed
+		return outageDuration + observationAfterFault
 	default:
-		return pauseTime + observed
+		return pauseDuration + observationAfterFault
 	}
 }
 
-// begin asks for the model whose load the fault interrupts.
-func (r *serviceRun) begin() {
-	r.victim = r.world.Controller(serviceZone)
+// requestInterruptedModel requests the model whose load the fault interrupts. In an outage with
+// restarts, it starts the outage first.
+func (r *serviceRun) requestInterruptedModel() {
+	r.targetNode = r.world.Controller(faultedZone)
 	if r.fault == FaultKeyValueRestarts || r.fault == FaultKeyValueControllers {
-		r.world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueDown, Duration: outageTime})
-		r.world.Kernel.After(restartsAfter, simulation.LabelFault, func() { r.ask(serviceUnderWay) })
+		r.world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueDown, Duration: outageDuration})
+		r.world.Kernel.After(restartDelayInOutage, simulation.LabelFault, func() { r.sendRequest(interruptedModel) })
 		return
 	}
-	r.ask(serviceUnderWay)
+	r.sendRequest(interruptedModel)
 }
 
-// ask sends a request to a node of the zone that the fault leaves alone.
-func (r *serviceRun) ask(model cluster.ModelID) {
+// sendRequest sends a request to a node of the zone other than targetNode.
+func (r *serviceRun) sendRequest(model cluster.ModelID) {
 	r.world.Ask(simulation.Arrival{
-		At: r.world.Kernel.Now(), Model: model, Zone: serviceZone, TokenPath: "/", Team: "/", Repeatable: true,
-		Deadline: serviceDeadline, PromptTokens: 100, Tokens: 20,
-	}, r.victim)
+		At: r.world.Kernel.Now(), Model: model, Zone: faultedZone, TokenPath: "/", Team: "/", Repeatable: true,
+		Deadline: requestDeadline, PromptTokens: 100, Tokens: 20,
+	}, r.targetNode)
 }
 
-// observe follows the plans of the zone and waits for the load to interrupt.
-func (r *serviceRun) observe(from *simulation.Node, effect node.Effect) node.Effect {
+// observeEffect records the plans of the zone and schedules the fault when the load to interrupt is
+// ordered.
+func (r *serviceRun) observeEffect(from *simulation.Node, effect node.Effect) node.Effect {
 	switch e := effect.(type) {
 	case node.Planned:
-		if e.Zone == serviceZone && r.world.Controller(serviceZone) == from {
-			r.noPlan(r.world.Kernel.Now())
-			r.planned = r.world.Kernel.Now()
+		if e.Zone == faultedZone && r.world.Controller(faultedZone) == from {
+			r.updatePlanningGap(r.world.Kernel.Now())
+			r.lastPlanAt = r.world.Kernel.Now()
 		}
 	case node.EngineCall:
-		if !r.triggered && e.Operation == node.EngineOrder && e.Order.Kind == cluster.OrderLoad &&
-			e.Order.Model == serviceUnderWay {
-			r.triggered = true
-			r.machine, r.victim = e.Machine.ID, from
-			r.world.Kernel.After(r.delay(), simulation.LabelFault, r.strike)
+		if !r.loadOrdered && e.Operation == node.EngineOrder && e.Order.Kind == cluster.OrderLoad &&
+			e.Order.Model == interruptedModel {
+			r.loadOrdered = true
+			r.loadingMachine, r.targetNode = e.Machine.ID, from
+			r.world.Kernel.After(r.faultDelay(), simulation.LabelFault, r.injectAndMeasure)
 		}
 	}
 	return effect
 }
 
-// delay of the fault after the order.
-func (r *serviceRun) delay() time.Duration {
+// faultDelay returns the time from the load order to the fault.
+func (r *serviceRun) faultDelay() time.Duration {
 	switch r.fault {
 	case FaultEngineCrash, FaultReclaimNotice, FaultReclaimSudden:
-		return midLoad
+		return machineFaultDelay
 	default:
-		// The order is on its way, its answer has not come.
+		// The order has been sent and its answer has not arrived.
 		return 0
 	}
 }
 
-// noPlan notes the time without a plan that ends now.
-func (r *serviceRun) noPlan(now time.Time) {
-	if r.began.IsZero() {
+// updatePlanningGap updates the longest time without a plan with the gap that ends now.
+func (r *serviceRun) updatePlanningGap(now time.Time) {
+	if r.faultAt.IsZero() {
 		return
 	}
-	since := r.planned
-	if since.Before(r.began) {
-		since = r.began
+	since := r.lastPlanAt
+	if since.Before(r.faultAt) {
+		since = r.faultAt
 	}
 	r.times.Planning = max(r.times.Planning, now.Sub(since))
 }
 
-// strike makes the fault happen and asks for the cold models.
-func (r *serviceRun) strike() {
-	w := r.world
-	r.began = w.Kernel.Now()
-	r.appoint = w.Apportioner()
-	r.inject()
-	w.Kernel.After(askedAfter, simulation.LabelArrival, func() {
-		r.ask(serviceHere)
-		r.ask(serviceAnywhere)
+// injectAndMeasure injects the fault, requests the models that are not loaded and waits for a live
+// apportioner.
+func (r *serviceRun) injectAndMeasure() {
+	world := r.world
+	r.faultAt = world.Kernel.Now()
+	r.apportioner = world.Apportioner()
+	r.injectFault()
+	world.Kernel.After(requestDelayAfterFault, simulation.LabelArrival, func() {
+		r.sendRequest(zoneModel)
+		r.sendRequest(anyZoneModel)
 	})
-	const poll = 100 * time.Millisecond
-	w.Kernel.Every(0, poll, simulation.LabelFault, func() bool {
-		if w.Apportioner() == nil {
+	const apportionerPollInterval = 100 * time.Millisecond
+	world.Kernel.Every(0, apportionerPollInterval, simulation.LabelFault, func() bool {
+		if world.Apportioner() == nil {
 			return true
 		}
-		r.times.Apportioner = w.Kernel.Now().Sub(r.began)
+		r.times.Apportioner = world.Kernel.Now().Sub(r.faultAt)
 		return false
 	})
 }
 
-// inject makes the fault happen.
-func (r *serviceRun) inject() {
-	w := r.world
+// injectFault injects the fault of the run.
+func (r *serviceRun) injectFault() {
+	world := r.world
 	switch r.fault {
 	case FaultControllerCrash:
-		w.Inject(simulation.Fault{Node: r.victim.ID, Kind: simulation.FaultNodeCrash, Duration: replacement})
+		world.Inject(simulation.Fault{Node: r.targetNode.ID, Kind: simulation.FaultNodeCrash, Duration: processReplacementDelay})
 	case FaultControllerPause:
-		w.Inject(simulation.Fault{Node: r.victim.ID, Kind: simulation.FaultNodePause, Duration: pauseTime})
+		world.Inject(simulation.Fault{Node: r.targetNode.ID, Kind: simulation.FaultNodePause, Duration: pauseDuration})
 	case FaultControllerStop:
-		w.Inject(simulation.Fault{Node: r.victim.ID, Kind: simulation.FaultNodeStop, Duration: replacement})
+		world.Inject(simulation.Fault{Node: r.targetNode.ID, Kind: simulation.FaultNodeStop, Duration: processReplacementDelay})
 	case FaultCrashLostAnswers:
-		w.KeyValue.LostAnswers = lostHalf
-		w.Kernel.After(lostTime, simulation.LabelFault, func() { w.KeyValue.LostAnswers = 0 })
-		w.Inject(simulation.Fault{Node: r.victim.ID, Kind: simulation.FaultNodeCrash, Duration: replacement})
+		world.KeyValue.LostAnswers = lostAnswersShare
+		world.Kernel.After(lostAnswersDuration, simulation.LabelFault, func() { world.KeyValue.LostAnswers = 0 })
+		world.Inject(simulation.Fault{Node: r.targetNode.ID, Kind: simulation.FaultNodeCrash, Duration: processReplacementDelay})
 	case FaultApportionerCrash:
-		if r.appoint != nil {
-			w.Inject(simulation.Fault{Node: r.appoint.ID, Kind: simulation.FaultNodeCrash, Duration: replacement})
+		if r.apportioner != nil {
+			world.Inject(simulation.Fault{Node: r.apportioner.ID, Kind: simulation.FaultNodeCrash, Duration: processReplacementDelay})
 		}
 	case FaultEngineCrash:
-		w.Inject(simulation.Fault{Machine: r.machine, Kind: simulation.FaultEngineCrash})
+		world.Inject(simulation.Fault{Machine: r.loadingMachine, Kind: simulation.FaultEngineCrash})
 	case FaultReclaimNotice:
-		w.Inject(simulation.Fault{Machine: r.machine, Kind: simulation.FaultMachineReclaim, Duration: reclaimNotice})
+		world.Inject(simulation.Fault{Machine: r.loadingMachine, Kind: simulation.FaultMachineReclaim, Duration: reclaimNotice})
 	case FaultReclaimSudden:
-		w.Inject(simulation.Fault{Machine: r.machine, Kind: simulation.FaultMachineReclaim})
+		world.Inject(simulation.Fault{Machine: r.loadingMachine, Kind: simulation.FaultMachineReclaim})
 	case FaultZoneCut:
-		w.Inject(simulation.Fault{Kind: simulation.FaultZoneCut, Zone: serviceZone, Duration: zoneCutTime})
+		world.Inject(simulation.Fault{Kind: simulation.FaultZoneCut, Zone: faultedZone, Duration: zoneCutDuration})
 	case FaultKeyValueDown:
-		w.Inject(simulation.Fault{Kind: simulation.FaultKeyValueDown, Duration: outageTime})
+		world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueDown, Duration: outageDuration})
 	case FaultKeyValueRestarts, FaultKeyValueControllers:
-		r.restartThird(r.fault == FaultKeyValueControllers)
+		r.restartThirdOfNodes(r.fault == FaultKeyValueControllers)
 	}
 }
 
-// restartThird restarts a third of the nodes: the zone's controller and, of the
-// other zones, either the controllers too or none of them.
-func (r *serviceRun) restartThird(controllers bool) {
+// restartThirdOfNodes restarts a third of the nodes: the controller of faultedZone and nodes of
+// other zones, which are all controllers or all not.
+func (r *serviceRun) restartThirdOfNodes(controllers bool) {
 	const third = 3
 	nodes := r.world.Nodes()
-	left := len(nodes)/third - 1
-	r.restart(r.victim)
+	remaining := len(nodes)/third - 1
+	r.restartNode(r.targetNode)
 	for _, candidate := range nodes {
-		holds := r.world.Controller(candidate.Place.Zone) == candidate
-		if candidate.Place.Zone != serviceZone && holds == controllers && left > 0 {
-			left--
-			r.restart(candidate)
+		isController := r.world.Controller(candidate.Place.Zone) == candidate
+		if candidate.Place.Zone != faultedZone && isController == controllers && remaining > 0 {
+			remaining--
+			r.restartNode(candidate)
 		}
 	}
 }
 
-func (r *serviceRun) restart(victim *simulation.Node) {
-	r.world.Inject(simulation.Fault{Kind: simulation.FaultNodeCrash, Node: victim.ID, Duration: replacement})
+// restartNode crashes a node, which restarts after processReplacementDelay.
+func (r *serviceRun) restartNode(target *simulation.Node) {
+	r.world.Inject(simulation.Fault{Kind: simulation.FaultNodeCrash, Node: target.ID, Duration: processReplacementDelay})
 }
 
-// finished takes the outcome of the requests that measure.
-func (r *serviceRun) finished(result simulation.Result) {
-	if !r.began.IsZero() && result.Arrival.At.After(r.began) {
+// recordResult counts a finished request and records the time to its first token.
+func (r *serviceRun) recordResult(result simulation.Result) {
+	if !r.faultAt.IsZero() && result.Arrival.At.After(r.faultAt) {
 		r.times.Arrived++
 		if result.Outcome == simulation.OutcomeServed {
 			r.times.Served++
 		}
 	}
-	if result.Outcome != simulation.OutcomeServed || r.began.IsZero() {
+	if result.Outcome != simulation.OutcomeServed || r.faultAt.IsZero() {
 		return
 	}
-	after := result.FirstToken.Sub(r.began)
+	after := result.FirstToken.Sub(r.faultAt)
 	switch result.Arrival.Model {
-	case serviceUnderWay:
+	case interruptedModel:
 		r.times.UnderWay = after
-	case serviceHere:
+	case zoneModel:
 		r.times.Here = after
-	case serviceAnywhere:
+	case anyZoneModel:
 		r.times.Anywhere = after
 	}
 }
--- a/experiment/recovery/service_test.go
+++ b/experiment/recovery/service_test.go
@@ -7,9 +7,9 @@
 	"github.com/valveslip/valveslip/experiment"
 )
 
-// TestServiceComesBackInBoundedTime runs the faults of one seed and holds the times, which
-// are virtual and so the same in every run, against what is documented.
-func TestServiceComesBackInBoundedTime(t *testing.T) {
+// TestServiceRecoversWithinTimeBounds guards the documented recovery times. Times are virtual, so
+// the same seed gives the same times in every run.
+func TestServiceRecoversWithinTimeBounds(t *testing.T) {
 	scenario, err := experiment.Load("recovery")
 	if err != nil {
 		t.Fatal(err)
@@ -32,8 +32,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if times.violated > 0 {
-				t.Errorf("%d violations, first %v", times.violated, times.Violations[0])
+			if times.violationCount > 0 {
+				t.Errorf("%d violations, first %v", times.violationCount, times.Violations[0])
 			}
 			for _, measured := range []struct {
 				name         string
@@ -52,8 +52,10 @@
 	}
 }
 
-func TestQuantilesLeaveOutWhatDidNotHappen(t *testing.T) {
-	found := quantilesOf([]time.Duration{3, -1, 1, 2, 4})
+// TestQuantilesExcludeMissingMeasurements guards against counting the negative value of a missing measurement as
+// a short time.
+func TestQuantilesExcludeMissingMeasurements(t *testing.T) {
+	found := computeQuantiles([]time.Duration{3, -1, 1, 2, 4})
 	if want := (Quantiles{P50: 2, P99: 4, Max: 4, Missing: 1}); found != want {
 		t.Errorf("got %+v, want %+v", found, want)
 	}
--- a/experiment/recovery/trial.go
+++ b/experiment/recovery/trial.go
@@ -10,32 +10,32 @@
 	"github.com/valveslip/valveslip/simulation"
 )
 
-// planned is one planning round that was seen.
-type planned struct {
-	zone cluster.ZoneID
-	node cluster.NodeID
-	at   time.Time
+// observedPlan is one observed planning round.
+type observedPlan struct {
+	zone      cluster.ZoneID
+	node      cluster.NodeID
+	plannedAt time.Time
 }
 
-// ordered is one order to load that was seen.
-type ordered struct {
-	model   cluster.ModelID
-	machine cluster.MachineID
-	at      time.Time
+// observedLoad is one observed load order.
+type observedLoad struct {
+	model     cluster.ModelID
+	machine   cluster.MachineID
+	orderedAt time.Time
 }
 
-// trial is one run of the simulated system in which a fault is injected.
+// trial is one run of the simulated system into which a fault is injected.
 type trial struct {
 	world *simulation.World
 	seed  uint64
-	plans []planned
-	loads []ordered
-	// served and refused count the requests that arrived after countFrom.
-	countFrom              time.Time
+	plans []observedPlan
+	loads []observedLoad
+	// served, refused and other count the requests that arrived at or after countRequestsFrom.
+	countRequestsFrom      time.Time
 	served, refused, other int
 }
 
-// newTrial builds the deployment of the scenario without its random faults.
+// newTrial creates the deployment of the scenario without its faults.
 func newTrial(scenario experiment.Scenario, seed uint64, duration time.Duration) (*trial, error) {
 	scenario.FaultRates, scenario.Faults = nil, nil
 	scenario.Duration = duration
@@ -45,28 +45,29 @@
 	}
 	t := &trial{seed: seed}
 	t.world, err = experiment.NewWorld(&scenario, policies[0], seed, experiment.WorldOptions{
-		Tamper: simulation.Tamper{Effect: t.observe}, Finished: t.finished,
+		Tamper: simulation.Tamper{Effect: t.observeEffect}, Finished: t.countRequest,
 	})
 	return t, err
 }
 
-// observe records what nodes decide and changes nothing.
-func (t *trial) observe(from *simulation.Node, effect node.Effect) node.Effect {
+// observeEffect records plans and load orders and returns the effect unchanged.
+func (t *trial) observeEffect(from *simulation.Node, effect node.Effect) node.Effect {
 	now := t.world.Kernel.Now()
 	switch effect := effect.(type) {
 	case node.Planned:
-		t.plans = append(t.plans, planned{zone: effect.Zone, node: from.ID, at: now})
+		t.plans = append(t.plans, observedPlan{zone: effect.Zone, node: from.ID, plannedAt: now})
 	case node.EngineCall:
 		if effect.Operation == node.EngineOrder && effect.Order.Kind == cluster.OrderLoad {
-			t.loads = append(t.loads, ordered{model: effect.Order.Model, machine: effect.Order.Machine, at: now})
+			t.loads = append(t.loads, observedLoad{model: effect.Order.Model, machine: effect.Order.Machine, orderedAt: now})
 		}
 	}
 	return effect
 }
 
-func (t *trial) finished(result simulation.Result) {
+// countRequest counts a finished request by its outcome.
+func (t *trial) countRequest(result simulation.Result) {
 	switch {
-	case t.countFrom.IsZero() || result.Arrival.At.Before(t.countFrom):
+	case t.countRequestsFrom.IsZero() || result.Arrival.At.Before(t.countRequestsFrom):
 	case result.Outcome == simulation.OutcomeServed:
 		t.served++
 	case result.Outcome == simulation.OutcomeRefused:
@@ -78,11 +79,11 @@
 
 func (t *trial) now() time.Time { return t.world.Kernel.Now() }
 
-// run lets virtual time pass.
-func (t *trial) run(duration time.Duration) { t.world.Run(t.now().Add(duration)) }
+// advance runs the simulation for the given virtual time.
+func (t *trial) advance(duration time.Duration) { t.world.Run(t.now().Add(duration)) }
 
-// zone is the zone that the seed chooses.
-func (t *trial) zone() cluster.ZoneID {
+// selectedZone returns the zone that the seed selects for the fault.
+func (t *trial) selectedZone() cluster.ZoneID {
 	var zones []cluster.ZoneID
 	for _, process := range t.world.Nodes() {
 		if !slices.Contains(zones, process.Place.Zone) {
@@ -92,8 +93,8 @@
 	return zones[t.seed%uint64(len(zones))]
 }
 
-// controller is the node that planned last for the zone.
-func (t *trial) controller(zone cluster.ZoneID) cluster.NodeID {
+// lastPlanner returns the node that last planned for the zone.
+func (t *trial) lastPlanner(zone cluster.ZoneID) cluster.NodeID {
 	for _, plan := range slices.Backward(t.plans) {
 		if plan.zone == zone {
 			return plan.node
@@ -102,32 +103,31 @@
 	return ""
 }
 
-// planAfter returns how long after from a node other than except planned for
-// the zone.
-func (t *trial) planAfter(from time.Time, zone cluster.ZoneID, except cluster.NodeID) (time.Duration, bool) {
+// timeToPlanByOther returns the time from from until a node other than except planned for the zone.
+func (t *trial) timeToPlanByOther(from time.Time, zone cluster.ZoneID, except cluster.NodeID) (time.Duration, bool) {
 	for _, plan := range t.plans {
-		if plan.zone == zone && plan.node != except && !plan.at.Before(from) {
-			return plan.at.Sub(from), true
+		if plan.zone == zone && plan.node != except && !plan.plannedAt.Before(from) {
+			return plan.plannedAt.Sub(from), true
 		}
 	}
 	return 0, false
 }
 
-// longestGap returns the longest time between plans for the zone from then on.
+// longestGap returns the longest time without a plan for the zone since from.
 func (t *trial) longestGap(from time.Time, zone cluster.ZoneID) time.Duration {
 	last, longest := from, time.Duration(0)
 	for _, plan := range t.plans {
-		if plan.zone != zone || plan.at.Before(from) {
+		if plan.zone != zone || plan.plannedAt.Before(from) {
 			continue
 		}
-		longest = max(longest, plan.at.Sub(last))
-		last = plan.at
+		longest = max(longest, plan.plannedAt.Sub(last))
+		last = plan.plannedAt
 	}
 	return max(longest, t.now().Sub(last))
 }
 
-// loading finds an engine that loads a model right now.
-func (t *trial) loading() (cluster.MachineID, cluster.ModelID, bool) {
+// findLoadingEngine returns an engine that is loading a model, and the model.
+func (t *trial) findLoadingEngine() (cluster.MachineID, cluster.ModelID, bool) {
 	for _, engine := range t.world.Engines() {
 		if !engine.Alive || engine.Leaving {
 			continue
@@ -142,11 +142,11 @@
 	return "", "", false
 }
 
-// loadAfter returns how long after from the model was ordered to load again.
-func (t *trial) loadAfter(from time.Time, model cluster.ModelID) (time.Duration, bool) {
+// timeToNextLoad returns the time from from until the model was next ordered to load.
+func (t *trial) timeToNextLoad(from time.Time, model cluster.ModelID) (time.Duration, bool) {
 	for _, order := range t.loads {
-		if order.model == model && order.at.After(from) {
-			return order.at.Sub(from), true
+		if order.model == model && order.orderedAt.After(from) {
+			return order.orderedAt.Sub(from), true
 		}
 	}
 	return 0, false
