--- a/experiment/campaign.go
+++ b/experiment/campaign.go
@@ -15,11 +15,11 @@
 	FirstSeed uint64
 	Seeds     int
 	Workers   int
-	// Progress is called after each seed; nil means none.
+	// Progress is called after each seed unless nil.
 	Progress func()
 }
 
-// CampaignReport sums the seeds of a campaign up.
+// CampaignReport aggregates the seeds of a campaign.
 type CampaignReport struct {
 	Scenario string                        `json:"scenario"`
 	Seeds    int                           `json:"seeds"`
@@ -32,11 +32,11 @@
 	Faults   map[simulation.FaultKind]int  `json:"faults"`
 	Checked  map[simulation.Promise]uint64 `json:"checked"`
 	Violated map[simulation.Promise]int    `json:"violated"`
-	// Failing holds the reports of the seeds with violations, by seed.
+	// Failing holds the reports of the seeds with violations, in order of the seeds.
 	Failing []*WorldReport `json:"failing"`
 }
 
-// Violations returns the number of violations.
+// Violations returns the total number of violations.
 func (r *CampaignReport) Violations() int {
 	total := 0
 	for _, count := range r.Violated {
@@ -45,9 +45,9 @@
 	return total
 }
 
-// Run executes the campaign.
+// Run runs all seeds and returns the aggregated report.
 func (c *Campaign) Run(ctx context.Context) (*CampaignReport, error) {
-	adaptivePolicy, err := parsePolicy("adaptive")
+	policy, err := parsePolicy("adaptive")
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 				return ctx.Err()
 			}
 			seed := c.FirstSeed + uint64(i)
-			result, err := RunWorld(c.Scenario, adaptivePolicy, seed, WorldOptions{Faults: true, EncodeMessages: true})
+			result, err := RunWorld(c.Scenario, policy, seed, WorldOptions{Faults: true, EncodeMessages: true})
 			reports[i] = result
 			if c.Progress != nil {
 				mutex.Lock()
@@ -74,33 +74,33 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	return c.sum(reports), nil
+	return c.aggregate(reports), nil
 }
 
-// sum adds the seeds up.
-func (c *Campaign) sum(reports []*WorldReport) *CampaignReport {
+// aggregate sums the reports of the seeds.
+func (c *Campaign) aggregate(reports []*WorldReport) *CampaignReport {
 	total := &CampaignReport{
 		Scenario: c.Scenario.Name, Seeds: c.Seeds, Faults: map[simulation.FaultKind]int{},
 		Checked: map[simulation.Promise]uint64{}, Violated: map[simulation.Promise]int{},
 	}
-	for _, one := range reports {
-		total.Events += one.Events
-		total.Arrived += one.Arrived
-		total.Served += one.Served
-		total.Refused += one.Refused
-		total.Failed += one.Failed
-		total.Lost += one.Lost
-		for kind, count := range one.Faults {
+	for _, report := range reports {
+		total.Events += report.Events
+		total.Arrived += report.Arrived
+		total.Served += report.Served
+		total.Refused += report.Refused
+		total.Failed += report.Failed
+		total.Lost += report.Lost
+		for kind, count := range report.Faults {
 			total.Faults[kind] += count
 		}
-		for promise, count := range one.Checked {
+		for promise, count := range report.Checked {
 			total.Checked[promise] += count
 		}
-		for promise, count := range one.Violated {
+		for promise, count := range report.Violated {
 			total.Violated[promise] += count
 		}
-		if one.Total() > 0 {
-			total.Failing = append(total.Failing, one)
+		if report.Total() > 0 {
+			total.Failing = append(total.Failing, report)
 		}
 	}
 	return total
--- a/experiment/capacity_meter.go
+++ b/experiment/capacity_meter.go
@@ -10,46 +10,47 @@
 	"github.com/valveslip/valveslip/simulation"
 )
 
-// readClock is what a clock of the process or of the calling thread says
-// has been used so far.
+// readClock returns the time of a processor clock of the process or of the calling thread, zero on
+// error.
 func readClock(clock int32) time.Duration {
-	var read unix.Timespec
-	if err := unix.ClockGettime(clock, &read); err != nil {
+	var clockTime unix.Timespec
+	if err := unix.ClockGettime(clock, &clockTime); err != nil {
 		return 0
 	}
-	return time.Duration(read.Nano())
+	return time.Duration(clockTime.Nano())
 }
 
-// processTime is the processor time of all threads so far.
-func processTime() time.Duration { return readClock(unix.CLOCK_PROCESS_CPUTIME_ID) }
+// processCPUTime returns the processor time that all threads have used.
+func processCPUTime() time.Duration { return readClock(unix.CLOCK_PROCESS_CPUTIME_ID) }
 
-// capacityMeter sums what the processes spend by what for.
+// capacityMeter sums the processor time of each node by type of work.
 type capacityMeter struct {
-	measuring   bool
-	roles       map[*simulation.Node]Role
-	spent       map[*simulation.Node]map[string]time.Duration
-	requestPath time.Duration
+	measuring       bool
+	roles           map[*simulation.Node]Role
+	cpuTimes        map[*simulation.Node]map[string]time.Duration
+	requestPathTime time.Duration
 }
 
 func newCapacityMeter() *capacityMeter {
-	return &capacityMeter{roles: map[*simulation.Node]Role{}, spent: map[*simulation.Node]map[string]time.Duration{}}
+	return &capacityMeter{roles: map[*simulation.Node]Role{}, cpuTimes: map[*simulation.Node]map[string]time.Duration{}}
 }
 
-// begin notes the roles and starts to measure.
-func (m *capacityMeter) begin(world *simulation.World) {
+// start records the roles and starts measuring.
+func (m *capacityMeter) start(world *simulation.World) {
 	m.measuring = true
 	for _, member := range world.Nodes() {
-		m.spent[member] = map[string]time.Duration{}
+		m.cpuTimes[member] = map[string]time.Duration{}
 		m.roles[member] = roleOf(member)
 	}
 }
 
-func (m *capacityMeter) end() { m.measuring = false }
+// stop ends the measurement.
+func (m *capacityMeter) stop() { m.measuring = false }
 
-// role returns the node's role as noted when measuring began.
+// role returns the role that the node had when the measurement started.
 func (m *capacityMeter) role(member *simulation.Node) Role { return m.roles[member] }
 
-// roleOf inspects a node's core.
+// roleOf returns the current role of a node.
 func roleOf(member *simulation.Node) Role {
 	core, ok := member.Core().(*node.Core)
 	if !ok || !core.Controller().Holding() {
@@ -63,7 +64,7 @@
 	return RoleController
 }
 
-// Now implements simulation.Meter with the processor time of the thread.
+// Now implements simulation.Meter. It returns the processor time of the calling thread.
 func (m *capacityMeter) Now() time.Duration {
 	if !m.measuring {
 		return 0
@@ -71,31 +72,31 @@
 	return readClock(unix.CLOCK_THREAD_CPUTIME_ID)
 }
 
-// Stepped implements simulation.Meter.
-func (m *capacityMeter) Stepped(on *simulation.Node, event node.Event, took time.Duration) {
+// Stepped implements simulation.Meter. It adds the processor time of an event to the type of work that the event belongs to.
+func (m *capacityMeter) Stepped(member *simulation.Node, event node.Event, cpuTime time.Duration) {
 	if !m.measuring {
 		return
 	}
 	switch e := event.(type) {
 	case node.RoutingInput:
-		m.requestPath += took
+		m.requestPathTime += cpuTime
 	case node.Tick:
-		m.spent[on]["tick"] += took
+		m.cpuTimes[member]["tick"] += cpuTime
 	case node.MessageReceived:
-		m.spent[on][fmt.Sprintf("%T", e.Message)] += took
+		m.cpuTimes[member][fmt.Sprintf("%T", e.Message)] += cpuTime
 	case node.EngineAnswered:
-		m.spent[on]["engine answers"] += took
+		m.cpuTimes[member]["engine answers"] += cpuTime
 	case node.MachinesListed:
-		m.spent[on]["machine list"] += took
+		m.cpuTimes[member]["machine list"] += cpuTime
 	default:
-		m.spent[on]["key-value and other"] += took
+		m.cpuTimes[member]["key-value and other"] += cpuTime
 	}
 }
 
-// Coded implements simulation.Meter.
-func (m *capacityMeter) Coded(on *simulation.Node, took time.Duration) {
+// Coded implements simulation.Meter. It adds the processor time of encoding or decoding.
+func (m *capacityMeter) Coded(member *simulation.Node, cpuTime time.Duration) {
 	if m.measuring {
-		m.spent[on]["codec"] += took
+		m.cpuTimes[member]["codec"] += cpuTime
 	}
 }
 
--- a/experiment/capacity_report.go
+++ b/experiment/capacity_report.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// The users' budgets.
+// Budgets per node that users set.
 const (
-	budgetCore          = 3.8 // percent of a core
-	budgetMemory        = 32  // megabytes
-	budgetBytes         = 13  // kilobytes a second
-	budgetConfiguration = 13  // seconds
+	budgetCorePercent          = 3.8
+	budgetMemoryMB             = 32
+	budgetKilobytesPerSecond   = 13
+	budgetConfigurationSeconds = 13
 )
 
-// CapacityRow is one measured quantity over the sizes.
+// CapacityRow is one quantity measured at several deployment sizes.
 type CapacityRow struct {
 	Who  string `json:"who"`
 	What string `json:"what"`
 	Unit string `json:"unit"`
-	// Values by sample.
+	// Values holds one value per sample.
 	Values []float64 `json:"values"`
-	// Slope for each further zone, by least squares over the samples, and
-	// Whole the value that line gives at the whole size.
+	// Slope is the increase per zone, fitted by least squares over the samples. Whole is the value
+	// of the fitted line at the full size.
 	Slope float64 `json:"slope"`
 	Whole float64 `json:"whole"`
-	// Budget of the users, zero for none.
+	// Budget is the limit that users set, zero for none.
 	Budget float64 `json:"budget,omitempty"`
 }
 
-// Over reports whether the value worked out for the whole size is over budget.
+// Over reports whether the value extrapolated to the full size exceeds the budget.
 func (r *CapacityRow) Over() bool { return r.Budget > 0 && r.Whole > r.Budget }
 
 // CapacityReport is the content of the capacity page.
@@ -39,28 +39,28 @@
 	Rows     []*CapacityRow    `json:"rows"`
 }
 
-// NewCapacityReport works the whole size out from the samples.
+// NewCapacityReport extrapolates the samples to the full size of the scenario.
 func NewCapacityReport(scenario *Scenario, samples []*CapacitySample) *CapacityReport {
-	report := &CapacityReport{Scenario: scenario.Name, Whole: describe(scenario), Samples: samples}
+	report := &CapacityReport{Scenario: scenario.Name, Whole: newCapacitySample(scenario), Samples: samples}
 	for _, role := range Roles() {
 		report.addRole(role)
 	}
 	report.addShared()
 	report.add("configuration", "in force, p50", "s", 0, func(s *CapacitySample) float64 { return s.ConfigurationP50 })
 	report.add("configuration", "in force, p99", "s", 0, func(s *CapacitySample) float64 { return s.ConfigurationP99 })
-	report.add("configuration", "in force, last node", "s", budgetConfiguration, func(s *CapacitySample) float64 { return s.ConfigurationMax })
+	report.add("configuration", "in force, last node", "s", budgetConfigurationSeconds, func(s *CapacitySample) float64 { return s.ConfigurationMax })
 	report.add("requests", "arrived", "/s", 0, func(s *CapacitySample) float64 { return s.RequestsPerSecond })
 	report.add("requests", "served of those", "share", 0, func(s *CapacitySample) float64 { return s.ServedShare })
 	report.add("requests", "routing core, each", "us", 0, func(s *CapacitySample) float64 { return s.RequestCore * 1e6 })
 	return report
 }
 
-// add fits one quantity. Samples without the role are left out of the fit.
+// add adds a row for a quantity that every sample has.
 func (r *CapacityReport) add(who, what, unit string, budget float64, value func(*CapacitySample) float64) {
 	r.addWhere(who, what, unit, budget, value, func(*CapacitySample) bool { return true })
 }
 
-// addWhere fits one quantity over the samples that have it.
+// addWhere adds a row for a quantity. The fit uses only the samples for which has returns true.
 func (r *CapacityReport) addWhere(who, what, unit string, budget float64, value func(*CapacitySample) float64, has func(*CapacitySample) bool) {
 	row := &CapacityRow{Who: who, What: what, Unit: unit, Budget: budget}
 	var zones, values []float64
@@ -72,13 +72,13 @@
 		}
 	}
 	var base float64
-	base, row.Slope = line(zones, values)
+	base, row.Slope = fitLine(zones, values)
 	row.Whole = max(0, base+row.Slope*float64(r.Whole.Zones))
 	r.Rows = append(r.Rows, row)
 }
 
-// line fits values = base + slope * positions by least squares.
-func line(positions, values []float64) (base, slope float64) {
+// fitLine fits values = base + slope * positions by least squares.
+func fitLine(positions, values []float64) (base, slope float64) {
 	count := float64(len(values))
 	if count == 0 {
 		return 0, 0
@@ -93,30 +93,30 @@
 	return (sumY - slope*sumX) / count, slope
 }
 
-// addRole adds the rows of one role.
+// addRole adds the rows of a role.
 func (r *CapacityReport) addRole(role Role) {
 	has := func(s *CapacitySample) bool { return s.Roles[role].Nodes > 0 }
 	add := func(what, unit string, budget float64, value func(*RoleCost) float64) {
 		r.addWhere(string(role), what, unit, budget, func(s *CapacitySample) float64 { return value(s.Roles[role]) }, has)
 	}
-	add("processor", "% of a core", budgetCore, func(c *RoleCost) float64 { return 100 * c.Core })
-	for _, kind := range r.kinds(role, func(c *RoleCost) map[string]float64 { return c.CoreBy }) {
+	add("processor", "% of a core", budgetCorePercent, func(c *RoleCost) float64 { return 100 * c.Core })
+	for _, kind := range r.sortedKinds(role, func(c *RoleCost) map[string]float64 { return c.CoreBy }) {
 		add("processor: "+kind, "% of a core", 0, func(c *RoleCost) float64 { return 100 * c.CoreBy[kind] })
 	}
-	add("memory", "MB", budgetMemory, func(c *RoleCost) float64 { return c.Memory / 1e6 })
-	add("sent and received", "KB/s", budgetBytes, func(c *RoleCost) float64 { return (c.Sent + c.Received) / 1e3 })
+	add("memory", "MB", budgetMemoryMB, func(c *RoleCost) float64 { return c.Memory / 1e6 })
+	add("sent and received", "KB/s", budgetKilobytesPerSecond, func(c *RoleCost) float64 { return (c.Sent + c.Received) / 1e3 })
 	add("sent", "KB/s", 0, func(c *RoleCost) float64 { return c.Sent / 1e3 })
-	for _, kind := range r.kinds(role, func(c *RoleCost) map[string]float64 { return c.BytesBy }) {
+	for _, kind := range r.sortedKinds(role, func(c *RoleCost) map[string]float64 { return c.BytesBy }) {
 		add("bytes: "+strings.TrimPrefix(kind, "wire."), "KB/s", 0, func(c *RoleCost) float64 { return c.BytesBy[kind] / 1e3 })
 	}
 	add("messages sent", "/s", 0, func(c *RoleCost) float64 { return c.MessagesSent })
 }
 
-// kinds lists what a role's cost is divided by, in order.
-func (r *CapacityReport) kinds(role Role, of func(*RoleCost) map[string]float64) []string {
+// sortedKinds returns the sorted kinds into which the costs of a role are divided.
+func (r *CapacityReport) sortedKinds(role Role, costs func(*RoleCost) map[string]float64) []string {
 	var kinds []string
 	for _, sample := range r.Samples {
-		for kind, value := range of(sample.Roles[role]) {
+		for kind, value := range costs(sample.Roles[role]) {
 			if value > 0 && !slices.Contains(kinds, kind) {
 				kinds = append(kinds, kind)
 			}
@@ -126,7 +126,7 @@
 	return kinds
 }
 
-// addShared adds the rows of the shared things.
+// addShared adds the rows of the shared services.
 func (r *CapacityReport) addShared() {
 	add := func(who, what, unit string, value func(*SharedCost) float64) {
 		r.add(who, what, unit, 0, func(s *CapacitySample) float64 { return value(&s.Shared) })
--- a/experiment/capacity_test.go
+++ b/experiment/capacity_test.go
@@ -6,12 +6,14 @@
 	"time"
 )
 
-func TestCapacityIsMeasuredAndRepeats(t *testing.T) {
+// TestMeasureCapacityIsDeterministicForASeed guards the size of the two-year scenario, and against results that
+// depend on map order or real time. Processor times are only checked to be positive.
+func TestMeasureCapacityIsDeterministicForASeed(t *testing.T) {
 	scenario, err := Load("two-year")
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := describe(scenario)
+	whole := newCapacitySample(scenario)
 	if whole.Nodes != 340 || whole.Zones != 18 || whole.Regions != 5 || whole.Workers != 1600 || whole.Models != 62 || whole.Adapters != 1600 {
 		t.Fatalf("the two-year scenario has %+v", whole)
 	}
@@ -38,8 +40,9 @@
 	}
 }
 
-func TestLineAndBudget(t *testing.T) {
-	base, slope := line([]float64{1, 2, 4}, []float64{5, 7, 11})
+// TestFitLineAndBudgetCheck guards the extrapolation to the full size and its comparison with the budget.
+func TestFitLineAndBudgetCheck(t *testing.T) {
+	base, slope := fitLine([]float64{1, 2, 4}, []float64{5, 7, 11})
 	if math.Abs(base-3) > 1e-9 || math.Abs(slope-2) > 1e-9 {
 		t.Errorf("line is %g + %g x", base, slope)
 	}
--- a/experiment/deployment.go
+++ b/experiment/deployment.go
@@ -11,13 +11,13 @@
 	"github.com/valveslip/valveslip/simulation"
 )
 
-// defaultRestartTime of engines.
+// defaultRestartTime is the restart time of an engine whose worker class states none.
 const defaultRestartTime = 30 * time.Second
 
-// machinesPerRack is how many machines of a zone share a rack.
+// machinesPerRack is the number of machines of a zone that share a rack.
 const machinesPerRack = 8
 
-// buildDeployment lays the scenario's machines out over its zones.
+// buildDeployment distributes the scenario's machines evenly over its zones.
 func buildDeployment(scenario *Scenario, models *Models) simulation.Deployment {
 	deployment := simulation.Deployment{
 		Network: simulation.NetworkConfig{
@@ -51,11 +51,11 @@
 			next++
 		}
 	}
-	preload(scenario, models, &deployment)
+	addCachedCheckpoints(scenario, models, &deployment)
 	return deployment
 }
 
-// machineConfig describes one machine.
+// machineConfig returns the configuration of one machine.
 func machineConfig(scenario *Scenario, worker *Worker, zone, number int) simulation.MachineConfig {
 	place := scenario.Zones[zone]
 	restart := worker.RestartTime
@@ -79,26 +79,26 @@
 	}
 }
 
-// preload draws which checkpoints the machines' caches hold at the start. The
-// draw belongs to the scenario, not to the run's seed.
-func preload(scenario *Scenario, models *Models, deployment *simulation.Deployment) {
-	random := rand.New(rand.NewPCG(modelSeed, xxhash.Sum64String(scenario.Name+"/cache")))
+// addCachedCheckpoints selects at random the checkpoints that the machines cache at the start. The
+// selection depends on the scenario and not on the seed of the run.
+func addCachedCheckpoints(scenario *Scenario, models *Models, deployment *simulation.Deployment) {
+	random := rand.New(rand.NewPCG(scenarioSeed, xxhash.Sum64String(scenario.Name+"/cache")))
 	for _, machine := range deployment.Machines {
 		for _, member := range models.Members {
 			onDisk, inHost := random.Float64(), random.Float64()
 			if member.Group.Pool != machine.Engine.Pool {
 				continue
 			}
-			held := simulation.Preload{Machine: machine.Machine.ID, Model: member.ID, Bytes: member.Bytes}
+			cached := simulation.Preload{Machine: machine.Machine.ID, Model: member.ID, Bytes: member.Bytes}
 			switch {
 			case inHost < member.Group.InHost:
-				held.Tier = cluster.TierMemory
+				cached.Tier = cluster.TierMemory
 			case onDisk < member.Group.OnDisk:
-				held.Tier = cluster.TierDisk
+				cached.Tier = cluster.TierDisk
 			default:
 				continue
 			}
-			deployment.Preloaded = append(deployment.Preloaded, held)
+			deployment.Preloaded = append(deployment.Preloaded, cached)
 		}
 	}
 }
--- a/experiment/oracle.go
+++ b/experiment/oracle.go
@@ -10,56 +10,56 @@
 	"github.com/valveslip/valveslip/settings"
 )
 
-// oracle is a planner that knows every arrival. It loads a model just in time,
-// keeps it over a gap only when the gap is shorter than a reload, and evicts
-// what is needed latest. It shows what no real policy can beat by much.
+// oracle is a planner that knows every arrival in advance. It loads a model just in time, keeps an
+// idle model only if its next use is sooner than a reload would take, and evicts the model with the
+// latest next use. Its result approximates the best that a policy can achieve.
 type oracle struct {
-	future map[cluster.ModelID][]time.Time
-	// position of the first arrival that has not come, by model.
-	position map[cluster.ModelID]int
-	// adapters by base model.
+	arrivals map[cluster.ModelID][]time.Time
+	// nextArrival is the index of the first arrival that is still to come, by model.
+	nextArrival map[cluster.ModelID]int
+	// adapters holds the adapters by base model.
 	adapters map[cluster.ModelID][]cluster.ModelID
 }
 
-// newOracle returns an oracle for the given arrivals, sorted by time.
-func newOracle(future map[cluster.ModelID][]time.Time) *oracle {
-	return &oracle{future: future, position: map[cluster.ModelID]int{}}
+// newOracle returns an oracle for the given arrivals, which must be sorted by time.
+func newOracle(arrivals map[cluster.ModelID][]time.Time) *oracle {
+	return &oracle{arrivals: arrivals, nextArrival: map[cluster.ModelID]int{}}
 }
 
-// oracleRound is one plan of an oracle.
+// oracleRound is one planning round of an oracle.
 type oracleRound struct {
 	*oracle
-	state  *placement.State
-	plan   placement.Plan
-	need   map[cluster.ModelID]time.Time
-	budget int
+	state      *placement.State
+	plan       placement.Plan
+	neededAt   map[cluster.ModelID]time.Time
+	loadBudget int
 }
 
-// margin is how much earlier than needed an oracle begins a load, since loads
-// wait for each other at the store.
-const margin = 15 * time.Second
+// loadLeadTime is how much earlier than necessary the oracle starts a load, because loads compete
+// for the weight store.
+const loadLeadTime = 15 * time.Second
 
-// slowestRate of a load in bytes a second and the overhead of each.
+// Assumed minimum rate of a load, and its fixed overhead.
 const (
-	slowestRate  = 1e9
-	loadOverhead = 2 * time.Second
+	minLoadBytesPerSecond = 1e9
+	loadOverhead          = 2 * time.Second
 )
 
 // Plan implements placement.Planner.
 func (o *oracle) Plan(state placement.State) placement.Plan {
-	o.index(state.Settings)
-	round := &oracleRound{oracle: o, state: &state, need: map[cluster.ModelID]time.Time{}}
-	round.budget = state.Store.Concurrency - round.loading()
-	wanted := round.wanted()
-	for _, model := range wanted {
-		round.ensure(model)
+	o.indexAdapters(state.Settings)
+	round := &oracleRound{oracle: o, state: &state, neededAt: map[cluster.ModelID]time.Time{}}
+	round.loadBudget = state.Store.Concurrency - round.countLoading()
+	toLoad := round.modelsToLoad()
+	for _, model := range toLoad {
+		round.ensureReplicas(model)
 	}
-	round.release()
+	round.unloadUnneeded()
 	return round.plan
 }
 
-// index finds the adapters of each base.
-func (o *oracle) index(snapshot *settings.Snapshot) {
+// indexAdapters collects the adapters of each base model once.
+func (o *oracle) indexAdapters(snapshot *settings.Snapshot) {
 	if o.adapters != nil {
 		return
 	}
@@ -71,28 +71,29 @@
 	}
 }
 
-// next returns when the model is needed next, counting its adapters.
-func (o *oracle) next(model cluster.ModelID, now time.Time) time.Time {
-	times := o.future[model]
-	i := o.position[model]
+// nextUse returns the next arrival for the model or any of its adapters, or a time in the far
+// future if there is none.
+func (o *oracle) nextUse(model cluster.ModelID, now time.Time) time.Time {
+	times := o.arrivals[model]
+	i := o.nextArrival[model]
 	for i < len(times) && times[i].Before(now) {
 		i++
 	}
-	o.position[model] = i
+	o.nextArrival[model] = i
 	next := time.Unix(math.MaxInt32, 0)
 	if i < len(times) {
 		next = times[i]
 	}
 	for _, adapter := range o.adapters[model] {
-		if at := o.next(adapter, now); at.Before(next) {
+		if at := o.nextUse(adapter, now); at.Before(next) {
 			next = at
 		}
 	}
 	return next
 }
 
-// loading counts loads under way.
-func (r *oracleRound) loading() int {
+// countLoading returns the number of loads in progress.
+func (r *oracleRound) countLoading() int {
 	count := 0
 	for i := range r.state.Machines {
 		for _, slot := range r.state.Machines[i].Replicas {
@@ -104,33 +105,34 @@
 	return count
 }
 
-// wanted returns the models that must be loaded now, the most urgent first.
-func (r *oracleRound) wanted() []*settings.Model {
+// modelsToLoad returns the models that must be loaded now, the most urgent first and a base before
+// its adapters. It also sets neededAt for all models.
+func (r *oracleRound) modelsToLoad() []*settings.Model {
 	now := r.state.Now
-	var wanted []*settings.Model
+	var toLoad []*settings.Model
 	for i := range r.state.Settings.Models {
 		model := &r.state.Settings.Models[i]
-		at := r.next(model.ID, now)
-		if r.busy(model.ID) {
+		at := r.nextUse(model.ID, now)
+		if r.hasRequests(model.ID) {
 			at = now
 		}
-		r.need[model.ID] = at
-		if at.Sub(now) <= r.loadTime(model.Policy.Memory)+margin {
-			wanted = append(wanted, model)
+		r.neededAt[model.ID] = at
+		if at.Sub(now) <= r.maxLoadTime(model.Policy.Memory)+loadLeadTime {
+			toLoad = append(toLoad, model)
 		}
 	}
-	sort.SliceStable(wanted, func(i, j int) bool {
-		left, right := wanted[i], wanted[j]
-		if !r.need[left.ID].Equal(r.need[right.ID]) {
-			return r.need[left.ID].Before(r.need[right.ID])
+	sort.SliceStable(toLoad, func(i, j int) bool {
+		left, right := toLoad[i], toLoad[j]
+		if !r.neededAt[left.ID].Equal(r.neededAt[right.ID]) {
+			return r.neededAt[left.ID].Before(r.neededAt[right.ID])
 		}
 		return left.Base == "" && right.Base != ""
 	})
-	return wanted
+	return toLoad
 }
 
-// busy reports whether the model or an adapter of it has requests.
-func (r *oracleRound) busy(model cluster.ModelID) bool {
+// hasRequests reports whether the model or any of its adapters has waiting or running requests.
+func (r *oracleRound) hasRequests(model cluster.ModelID) bool {
 	if demand := r.state.Demand[model]; demand.Waiting+demand.Running > 0 {
 		return true
 	}
@@ -142,34 +144,35 @@
 	return false
 }
 
-// loadTime is the longest a load takes when the store is not overloaded.
-func (r *oracleRound) loadTime(bytes int64) time.Duration {
-	return loadOverhead + time.Duration(float64(bytes)/slowestRate*float64(time.Second))
+// maxLoadTime returns the longest time that a load takes if the store is not overloaded.
+func (r *oracleRound) maxLoadTime(bytes int64) time.Duration {
+	return loadOverhead + time.Duration(float64(bytes)/minLoadBytesPerSecond*float64(time.Second))
 }
 
-// ensure orders a load unless enough replicas of the model are held.
-func (r *oracleRound) ensure(model *settings.Model) {
-	held := 0
+// ensureReplicas orders a load unless the model has enough replicas or the round's load budget is
+// used up.
+func (r *oracleRound) ensureReplicas(model *settings.Model) {
+	existing := 0
 	for i := range r.state.Machines {
-		if r.holds(&r.state.Machines[i], model.ID) {
-			held++
+		if r.hasReplica(&r.state.Machines[i], model.ID) {
+			existing++
 		}
 	}
 	demand := r.state.Demand[model.ID]
 	replicas := 1
-	if slots := r.state.Machines[0].Slots; demand.Waiting > 0 && held > 0 {
+	if slots := r.state.Machines[0].Slots; demand.Waiting > 0 && existing > 0 {
 		replicas = 1 + (demand.Waiting+demand.Running)/slots
 	}
-	if held >= min(replicas, model.Policy.MaxReplicas) || r.budget <= 0 {
+	if existing >= min(replicas, model.Policy.MaxReplicas) || r.loadBudget <= 0 {
 		return
 	}
-	if chosen := r.choose(model); chosen != nil {
-		r.load(chosen, model)
+	if chosen := r.chooseMachine(model); chosen != nil {
+		r.orderLoad(chosen, model)
 	}
 }
 
-// holds reports whether the machine holds the model in any state.
-func (r *oracleRound) holds(machine *placement.Machine, model cluster.ModelID) bool {
+// hasReplica reports whether the machine has a replica of the model in any state.
+func (r *oracleRound) hasReplica(machine *placement.Machine, model cluster.ModelID) bool {
 	for _, slot := range machine.Replicas {
 		if slot.Model == model {
 			return true
@@ -178,37 +181,38 @@
 	return false
 }
 
-// choose returns the machine with the fastest tier that has room now, or makes
-// room on the one that loses what is needed latest.
-func (r *oracleRound) choose(model *settings.Model) *placement.Machine {
-	var best, evict *placement.Machine
+// chooseMachine returns the machine with enough free memory and the fastest cache tier for the
+// model. If none has enough, it evicts replicas from the machine whose replicas are needed latest
+// and returns nil.
+func (r *oracleRound) chooseMachine(model *settings.Model) *placement.Machine {
+	var best, evictFrom *placement.Machine
 	var latest time.Time
 	for i := range r.state.Machines {
 		machine := &r.state.Machines[i]
-		if machine.Pool != model.Policy.EnginePool || machine.Leaving || !machine.Sealed || r.holds(machine, model.ID) {
+		if machine.Pool != model.Policy.EnginePool || machine.Leaving || !machine.Sealed || r.hasReplica(machine, model.ID) {
 			continue
 		}
-		if model.Base != "" && !r.holds(machine, model.Base) {
+		if model.Base != "" && !r.hasReplica(machine, model.Base) {
 			continue
 		}
-		if free(machine) >= model.Policy.Memory {
+		if freeMemory(machine) >= model.Policy.Memory {
 			if best == nil || machine.Cached[model.ID] > best.Cached[model.ID] {
 				best = machine
 			}
 			continue
 		}
-		if at, ok := r.evictable(machine, model); ok && at.After(latest) {
-			evict, latest = machine, at
+		if neededAt, ok := r.evictionNeededAt(machine, model); ok && neededAt.After(latest) {
+			evictFrom, latest = machine, neededAt
 		}
 	}
-	if best == nil && evict != nil {
-		r.evict(evict, model)
+	if best == nil && evictFrom != nil {
+		r.evictFor(evictFrom, model)
 	}
 	return best
 }
 
-// free is the machine's unreserved memory.
-func free(machine *placement.Machine) int64 {
+// freeMemory returns the unreserved memory of a machine.
+func freeMemory(machine *placement.Machine) int64 {
 	left := machine.MemoryBytes
 	for _, slot := range machine.Replicas {
 		left -= slot.Bytes
@@ -216,46 +220,47 @@
 	return left
 }
 
-// candidates lists the idle replicas of a machine, the latest needed first.
-func (r *oracleRound) candidates(machine *placement.Machine, model *settings.Model) []placement.Slot {
+// evictionCandidates returns the idle replicas of a machine that are needed later than the model,
+// the latest first.
+func (r *oracleRound) evictionCandidates(machine *placement.Machine, model *settings.Model) []placement.Slot {
 	var idle []placement.Slot
 	for _, slot := range machine.Replicas {
-		if slot.State == cluster.ReplicaLoaded && slot.Model != model.Base && !r.busy(slot.Model) && r.need[slot.Model].After(r.need[model.ID]) {
+		if slot.State == cluster.ReplicaLoaded && slot.Model != model.Base && !r.hasRequests(slot.Model) && r.neededAt[slot.Model].After(r.neededAt[model.ID]) {
 			idle = append(idle, slot)
 		}
 	}
-	sort.SliceStable(idle, func(i, j int) bool { return r.need[idle[i].Model].After(r.need[idle[j].Model]) })
+	sort.SliceStable(idle, func(i, j int) bool { return r.neededAt[idle[i].Model].After(r.neededAt[idle[j].Model]) })
 	return idle
 }
 
-// evictable returns when the earliest of the replicas that would have to go is
-// needed, or false when the machine cannot make room.
-func (r *oracleRound) evictable(machine *placement.Machine, model *settings.Model) (time.Time, bool) {
-	left := free(machine)
-	for _, slot := range r.candidates(machine, model) {
+// evictionNeededAt returns the earliest next use among the replicas that would have to be evicted
+// for the model, or false if the machine cannot make enough room.
+func (r *oracleRound) evictionNeededAt(machine *placement.Machine, model *settings.Model) (time.Time, bool) {
+	left := freeMemory(machine)
+	for _, slot := range r.evictionCandidates(machine, model) {
 		left += slot.Bytes
 		if left >= model.Policy.Memory {
-			return r.need[slot.Model], true
+			return r.neededAt[slot.Model], true
 		}
 	}
 	return time.Time{}, false
 }
 
-// evict unloads replicas until the model fits.
-func (r *oracleRound) evict(machine *placement.Machine, model *settings.Model) {
-	left := free(machine)
-	for _, slot := range r.candidates(machine, model) {
+// evictFor unloads replicas until the model fits.
+func (r *oracleRound) evictFor(machine *placement.Machine, model *settings.Model) {
+	left := freeMemory(machine)
+	for _, slot := range r.evictionCandidates(machine, model) {
 		if left >= model.Policy.Memory {
 			return
 		}
 		left += slot.Bytes
-		r.unload(machine, slot.Model)
+		r.orderUnload(machine, slot.Model)
 	}
 }
 
-// load orders a load and reserves its memory for the rest of the round.
-func (r *oracleRound) load(machine *placement.Machine, model *settings.Model) {
-	r.budget--
+// orderLoad orders a load and reserves its memory for the rest of the round.
+func (r *oracleRound) orderLoad(machine *placement.Machine, model *settings.Model) {
+	r.loadBudget--
 	machine.Replicas = append(machine.Replicas, placement.Slot{
 		Model: model.ID, State: cluster.ReplicaLoading, Bytes: model.Policy.Memory,
 	})
@@ -265,8 +270,8 @@
 	})
 }
 
-// unload orders an unload.
-func (r *oracleRound) unload(machine *placement.Machine, model cluster.ModelID) {
+// orderUnload orders an unload.
+func (r *oracleRound) orderUnload(machine *placement.Machine, model cluster.ModelID) {
 	for i := range machine.Replicas {
 		if machine.Replicas[i].Model == model {
 			machine.Replicas[i].State = cluster.ReplicaUnloading
@@ -277,17 +282,17 @@
 	})
 }
 
-// release unloads what is not needed for longer than a reload takes.
-func (r *oracleRound) release() {
+// unloadUnneeded unloads idle models whose next use is later than a reload takes.
+func (r *oracleRound) unloadUnneeded() {
 	for i := range r.state.Machines {
 		machine := &r.state.Machines[i]
 		for _, slot := range machine.Replicas {
 			model := r.state.Settings.Model(slot.Model)
-			if slot.State != cluster.ReplicaLoaded || model == nil || r.busy(slot.Model) {
+			if slot.State != cluster.ReplicaLoaded || model == nil || r.hasRequests(slot.Model) {
 				continue
 			}
-			if r.need[slot.Model].Sub(r.state.Now) > r.loadTime(model.Policy.Memory)+2*margin {
-				r.unload(machine, slot.Model)
+			if r.neededAt[slot.Model].Sub(r.state.Now) > r.maxLoadTime(model.Policy.Memory)+2*loadLeadTime {
+				r.orderUnload(machine, slot.Model)
 			}
 		}
 	}
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -16,8 +16,8 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// Report is the outcome of a plan. It holds nothing of the run's own time, so
-// two runs of one plan write the same bytes.
+// Report is the result of a plan. It contains no real times, so two runs of the same plan write the
+// same bytes.
 type Report struct {
 	Reference    string         `json:"reference"`
 	Summaries    []*Summary     `json:"summaries"`
@@ -25,21 +25,21 @@
 	Measurements []*Measurement `json:"measurements"`
 }
 
-// NewReport sums measurements up against a reference policy.
+// NewReport summarizes measurements and compares them with a reference policy.
 func NewReport(measurements []*Measurement, reference string) *Report {
 	summaries := Summarize(measurements, reference)
 	return &Report{Reference: reference, Summaries: summaries, Goals: Goals(summaries), Measurements: measurements}
 }
 
-// ReadReport reads the JSON file of an earlier run.
+// ReadReport reads results.json of an earlier run.
 func ReadReport(path string) (*Report, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "earlier results")
+		return nil, eris.Wrap(err, "read earlier results")
 	}
 	var earlier Report
 	if err := json.Unmarshal(data, &earlier); err != nil {
-		return nil, eris.Wrapf(err, "earlier results %s", path)
+		return nil, eris.Wrapf(err, "decode earlier results %s", path)
 	}
 	return &earlier, nil
 }
@@ -54,10 +54,10 @@
 	return nil
 }
 
-// Write writes results.json, summary.csv, samples.csv and report.html.
+// Write writes results.json, summary.csv, samples.csv and report.html to the directory.
 func (r *Report) Write(directory string) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
-		return eris.Wrap(err, "output folder")
+		return eris.Wrap(err, "create the output folder")
 	}
 	files := []struct {
 		name  string
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// writeFile creates a file and closes it whatever happens.
+// writeFile creates a file, and closes it even if writing fails.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return encoder.Encode(r)
 }
 
-// writeSummary writes one row a run and metric.
+// writeSummary writes one row per run with all metrics.
 func (r *Report) writeSummary(to io.Writer) error {
 	writer := csv.NewWriter(to)
 	header := []string{"scenario", "policy", "seed", "requests", "served", "hash"}
@@ -113,7 +113,7 @@
 	return writer.WriteAll(rows)
 }
 
-// refusalText lists refusals by code, in order.
+// refusalText formats the refusals by code, sorted by code.
 func refusalText(refusals map[verdict.Code]int) string {
 	text := ""
 	for _, code := range slices.Sorted(maps.Keys(refusals)) {
@@ -122,7 +122,7 @@
 	return text
 }
 
-// writeSamples writes the state over time.
+// writeSamples writes the samples of all runs.
 func (r *Report) writeSamples(to io.Writer) error {
 	writer := csv.NewWriter(to)
 	rows := [][]string{{"scenario", "policy", "seed", "hours", "loaded", "idle_accelerators", "store_fetches", "first_token_p99"}}
@@ -138,7 +138,7 @@
 	return writer.WriteAll(rows)
 }
 
-// refusalCodes lists the codes that occur in any run, in order.
+// refusalCodes returns the sorted codes that occur in any run.
 func refusalCodes(runs []*Measurement) []verdict.Code {
 	seen := map[verdict.Code]bool{}
 	for _, run := range runs {
--- a/experiment/html.go
+++ b/experiment/report_html.go
@@ -15,14 +15,14 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// page is the template of the report.
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+// reportTemplate is the template of the HTML report.
+var reportTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>valveslip experiment</title>
 <style>
 body{font:15px/1.4 sans-serif;margin:2em auto;max-width:75em;color:#222}
@@ -39,59 +39,59 @@
 {{end}}</body></html>
 `))
 
-// pageScenario is one scenario in the report.
-type pageScenario struct {
+// scenarioSection is the section of one scenario.
+type scenarioSection struct {
 	Name   string
 	Header []string
-	Rows   []pageRow
+	Rows   []policyRow
 	Plots  []template.HTML
 }
 
-// pageRow is one policy's row.
-type pageRow struct {
+// policyRow is the table row of one policy.
+type policyRow struct {
 	Policy string
 	Cells  []string
 }
 
-// Text writes a spread for people.
+// Text formats a spread for display.
 func (s Spread) Text() string {
 	return fmt.Sprintf("%.4g [%.4g, %.4g]", s.Median, s.Low, s.High)
 }
 
-// writeHTML writes one self-contained page.
+// writeHTML writes the report as one self-contained page.
 func (r *Report) writeHTML(to io.Writer) error {
-	var scenarios []pageScenario
-	for _, name := range r.scenarios() {
-		scenario := pageScenario{Name: name}
+	var scenarios []scenarioSection
+	for _, name := range r.scenarioNames() {
+		scenario := scenarioSection{Name: name}
 		for _, metric := range Metrics() {
 			scenario.Header = append(scenario.Header, metric.Title)
 		}
-		var first []*Measurement
+		var firstRuns []*Measurement
 		for _, summary := range r.Summaries {
 			if summary.Scenario != name {
 				continue
 			}
-			row := pageRow{Policy: summary.Policy}
+			row := policyRow{Policy: summary.Policy}
 			for _, metric := range Metrics() {
 				row.Cells = append(row.Cells, summary.Metrics[metric.Name].Text())
 			}
 			scenario.Rows = append(scenario.Rows, row)
 			if run := r.firstRun(name, summary.Policy); run != nil {
-				first = append(first, run)
+				firstRuns = append(firstRuns, run)
 			}
 		}
-		plots, err := drawPlots(first)
+		plots, err := drawPlots(firstRuns)
 		if err != nil {
 			return err
 		}
 		scenario.Plots = plots
 		scenarios = append(scenarios, scenario)
 	}
-	return page.Execute(to, scenarios)
+	return reportTemplate.Execute(to, scenarios)
 }
 
-// scenarios lists the scenarios in order.
-func (r *Report) scenarios() []string {
+// scenarioNames returns the names of the scenarios in order.
+func (r *Report) scenarioNames() []string {
 	var names []string
 	for _, summary := range r.Summaries {
 		if len(names) == 0 || names[len(names)-1] != summary.Scenario {
@@ -101,7 +101,7 @@
 	return names
 }
 
-// firstRun returns the first seed's run of a policy.
+// firstRun returns the run of a policy with the first seed, or nil.
 func (r *Report) firstRun(scenario, policy string) *Measurement {
 	for _, m := range r.Measurements {
 		if m.Scenario == scenario && m.Policy == policy {
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// drawPlots draws the plots of one scenario from one run a policy.
+// drawPlots returns the plots of a scenario, given one run per policy.
 func drawPlots(runs []*Measurement) ([]template.HTML, error) {
-	over := func(value func(Sample) float64) func(*Measurement) plotter.XYs {
+	timeSeries := func(value func(Sample) float64) func(*Measurement) plotter.XYs {
 		return func(m *Measurement) plotter.XYs {
 			points := make(plotter.XYs, len(m.Samples))
 			for i, sample := range m.Samples {
@@ -126,42 +126,42 @@
 		title, x, y string
 		points      func(*Measurement) plotter.XYs
 	}{
-		{"Cold start, cumulative distribution over all requests", "seconds", "share of requests", coldCurve},
-		{"First token, p99 of each interval", "hours", "seconds", over(func(s Sample) float64 { return s.FirstToken99 })},
-		{"Loaded replicas", "hours", "replicas", over(func(s Sample) float64 { return float64(s.Loaded) })},
-		{"Idle accelerators", "hours", "accelerators", over(func(s Sample) float64 { return s.Idle })},
-		{"Weight store", "hours", "fetches at once", over(func(s Sample) float64 { return float64(s.Store) })},
+		{"Cold start, cumulative distribution over all requests", "seconds", "share of requests", coldStartDistribution},
+		{"First token, p99 of each interval", "hours", "seconds", timeSeries(func(s Sample) float64 { return s.FirstToken99 })},
+		{"Loaded replicas", "hours", "replicas", timeSeries(func(s Sample) float64 { return float64(s.Loaded) })},
+		{"Idle accelerators", "hours", "accelerators", timeSeries(func(s Sample) float64 { return s.Idle })},
+		{"Weight store", "hours", "fetches at once", timeSeries(func(s Sample) float64 { return float64(s.Store) })},
 	}
-	var drawn []template.HTML
+	var images []template.HTML
 	for _, line := range lines {
-		created := plot.New()
-		created.Title.Text, created.X.Label.Text, created.Y.Label.Text = line.title, line.x, line.y
+		chart := plot.New()
+		chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = line.title, line.x, line.y
 		for i, run := range runs {
 			curve, err := plotter.NewLine(line.points(run))
 			if err != nil {
 				return nil, err
 			}
 			curve.Color, curve.Dashes = plotutil.Color(i), plotutil.Dashes(i/7)
-			created.Add(curve)
-			created.Legend.Add(run.Policy, curve)
+			chart.Add(curve)
+			chart.Legend.Add(run.Policy, curve)
 		}
-		svg, err := render(created)
+		svg, err := renderSVG(chart)
 		if err != nil {
 			return nil, err
 		}
-		drawn = append(drawn, svg)
+		images = append(images, svg)
 	}
 	bars, err := refusalBars(runs)
 	if err != nil {
 		return nil, err
 	}
-	return append(drawn, bars), nil
+	return append(images, bars), nil
 }
 
-// coldCurve is the distribution of cold starts.
-func coldCurve(m *Measurement) plotter.XYs {
-	points := make(plotter.XYs, 0, len(quantiles))
-	for i, percentile := range quantiles {
+// coldStartDistribution returns the cumulative distribution of the cold start times.
+func coldStartDistribution(m *Measurement) plotter.XYs {
+	points := make(plotter.XYs, 0, len(storedPercentiles))
+	for i, percentile := range storedPercentiles {
 		if i < len(m.ColdStart) {
 			points = append(points, plotter.XY{X: m.ColdStart[i], Y: percentile / 100})
 		}
@@ -169,10 +169,10 @@
 	return points
 }
 
-// refusalBars draws unserved requests by reason, one group a policy.
+// refusalBars draws the number of unserved requests by reason, with one group of bars per policy.
 func refusalBars(runs []*Measurement) (template.HTML, error) {
-	created := plot.New()
-	created.Title.Text, created.Y.Label.Text = "Requests that were not served, by reason", "requests"
+	chart := plot.New()
+	chart.Title.Text, chart.Y.Label.Text = "Requests that were not served, by reason", "requests"
 	codes := refusalCodes(runs)
 	names := make([]string, len(runs))
 	const barWidth = 6 * vg.Millimeter
@@ -187,25 +187,25 @@
 		}
 		bars.Color, bars.LineStyle.Width = plotutil.Color(i), 0
 		bars.Offset = barWidth / vg.Length(len(codes)) * vg.Length(float64(i)-float64(len(codes)-1)/2)
-		created.Add(bars)
-		created.Legend.Add(string(code), bars)
+		chart.Add(bars)
+		chart.Legend.Add(string(code), bars)
 	}
 	if len(codes) == 0 {
-		created.Title.Text = "Every request was served"
+		chart.Title.Text = "Every request was served"
 	}
 	if len(runs) > 0 && len(codes) > 0 {
-		created.NominalX(names...)
-		created.X.Tick.Label.Rotation = math.Pi / 6
-		created.X.Tick.Label.XAlign = draw.XRight
+		chart.NominalX(names...)
+		chart.X.Tick.Label.Rotation = math.Pi / 6
+		chart.X.Tick.Label.XAlign = draw.XRight
 	}
-	return render(created)
+	return renderSVG(chart)
 }
 
-// render draws a plot as inline SVG.
-func render(created *plot.Plot) (template.HTML, error) {
+// renderSVG returns a plot as inline SVG.
+func renderSVG(chart *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
-	created.Legend.Top = true
-	created.Draw(draw.New(canvas))
+	chart.Legend.Top = true
+	chart.Draw(draw.New(canvas))
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
--- a/experiment/report_test.go
+++ b/experiment/report_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// shortPlan runs half an hour of the dental scenario after a morning.
+// shortPlan returns a plan that measures half an hour of the dental scenario after a warm-up of
+// nine hours.
 func shortPlan(t *testing.T, workers int) *Plan {
 	t.Helper()
 	scenario, err := Load("dental")
@@ -24,7 +25,8 @@
 	return &Plan{Scenarios: []*Scenario{scenario}, Policies: policies, FirstSeed: 1, Seeds: 1, Workers: workers}
 }
 
-func TestReportIsTheSameForEveryNumberOfWorkers(t *testing.T) {
+// TestReportDoesNotDependOnWorkerCount guards against results that depend on the order in which concurrent runs end.
+func TestReportDoesNotDependOnWorkerCount(t *testing.T) {
 	var written [2][]byte
 	for i, workers := range []int{1, 4} {
 		measurements, err := shortPlan(t, workers).Run(t.Context())
@@ -46,15 +48,16 @@
 		if err != nil || bytes.Count(page, []byte("<svg")) != 6 || bytes.Contains(page, []byte("src=")) {
 			t.Errorf("the page has %d plots, error %v", bytes.Count(page, []byte("<svg")), err)
 		}
-		checkOracle(t, measurements)
+		requireOracleIsBest(t, measurements)
 	}
 	if !bytes.Equal(written[0], written[1]) {
 		t.Error("one and four workers wrote different files")
 	}
 }
 
-// checkOracle checks that no policy beats the one that knows the arrivals.
-func checkOracle(t *testing.T, measurements []*Measurement) {
+// requireOracleIsBest checks that no policy has fewer cold starts than the one that knows the
+// arrivals.
+func requireOracleIsBest(t *testing.T, measurements []*Measurement) {
 	t.Helper()
 	for _, m := range measurements {
 		if m.Requests == 0 || m.Served == 0 {
@@ -68,8 +71,10 @@
 	}
 }
 
-func TestSpreadAndGoals(t *testing.T) {
-	spread := spreadOf([]float64{5, 1, 3, 2, 4})
+// TestSpreadAndGoalsMatchKnownValues guards the interpolation of quantiles, and of the fixed keep-alives inside and
+// outside the range of those that ran.
+func TestSpreadAndGoalsMatchKnownValues(t *testing.T) {
+	spread := computeSpread([]float64{5, 1, 3, 2, 4})
 	if spread.Median != 3 || math.Abs(spread.Low-1.1) > 1e-9 || math.Abs(spread.High-4.9) > 1e-9 {
 		t.Errorf("spread is %+v", spread)
 	}
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -12,31 +12,31 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// The resolution of measured times.
+// Range and resolution of recorded times, and the interval between samples.
 const (
-	highestTime       = int64(2 * time.Hour / time.Millisecond)
-	significantDigits = 3
-	sampleInterval    = 10 * time.Minute
+	maxRecordedMilliseconds = int64(2 * time.Hour / time.Millisecond)
+	significantDigits       = 3
+	sampleInterval          = 10 * time.Minute
 )
 
-// quantiles at which distributions are kept.
-var quantiles = []float64{0, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 99.99, 100}
+// storedPercentiles are the percentiles at which distributions are stored.
+var storedPercentiles = []float64{0, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 99.99, 100}
 
 // Sample is the state at one time of a run.
 type Sample struct {
-	// Hours since measurements began.
+	// Hours is the time since the start of the measurement.
 	Hours float64 `json:"hours"`
-	// Loaded replicas and Idle accelerators now.
+	// Loaded is the number of loaded replicas, Idle the number of idle accelerators.
 	Loaded int     `json:"loaded"`
 	Idle   float64 `json:"idle"`
-	// Store fetches running now.
+	// Store is the number of fetches in progress.
 	Store int `json:"store"`
-	// FirstToken99 is the 99th percentile of the first token's delay over the
-	// interval that ends here, in seconds.
+	// FirstToken99 is the 99th percentile of the first-token time in seconds over the interval that
+	// ends with this sample.
 	FirstToken99 float64 `json:"first_token_p99"`
 }
 
-// Measurement is what one run gave. Times are in seconds.
+// Measurement holds the results of one run. Times are in seconds.
 type Measurement struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
@@ -45,35 +45,34 @@
 	Served   int    `json:"served"`
 	// Refusals by code.
 	Refusals map[verdict.Code]int `json:"refusals"`
-	// Cold counts requests that waited for a load.
+	// Cold counts the requests that waited for a load.
 	Cold int `json:"cold"`
-	// ColdStart is the distribution over all requests of the time that each
-	// waited with no replica of its model loaded; a request that was refused
-	// meanwhile counts with its whole wait.
+	// ColdStart is the distribution, over all requests, of the time that a request waited while no
+	// replica of its model was loaded. A request that was refused while waiting counts with its
+	// whole wait.
 	ColdStart []float64 `json:"cold_start"`
-	// ColdOnly is the same over the requests that waited.
+	// ColdOnly is the same distribution over the requests that waited.
 	ColdOnly []float64 `json:"cold_only"`
-	// FirstToken is the distribution over served requests.
+	// FirstToken is the distribution of the first-token time over served requests.
 	FirstToken []float64 `json:"first_token"`
-	// Accelerator hours with a loaded idle replica, with a running one and
-	// with one being loaded.
+	// Accelerator hours with a loaded idle replica, with a busy one, and with one that is loading.
 	IdleHours    float64 `json:"idle_hours"`
 	BusyHours    float64 `json:"busy_hours"`
 	LoadingHours float64 `json:"loading_hours"`
 	Loads        int     `json:"loads"`
-	// StoreBusy is the mean number of running fetches, StorePeak the largest.
+	// StoreBusy is the mean number of fetches in progress, StorePeak the maximum.
 	StoreBusy float64  `json:"store_busy"`
 	StorePeak int      `json:"store_peak"`
 	Samples   []Sample `json:"samples"`
-	// Events and Hash of the event log.
+	// Events is the number of simulated events, Hash the hash of the event log.
 	Events uint64 `json:"events"`
 	Hash   uint64 `json:"hash,string"`
 }
 
-// Quantile returns the value of a kept distribution at a percentile, zero when
-// it is not kept.
+// Quantile returns the value of a stored distribution at a percentile, zero if the percentile is
+// not stored.
 func Quantile(distribution []float64, percentile float64) float64 {
-	for i, kept := range quantiles {
+	for i, kept := range storedPercentiles {
 		if kept == percentile && i < len(distribution) {
 			return distribution[i]
 		}
@@ -81,69 +80,69 @@
 	return 0
 }
 
-// recorder collects what a run measures.
+// recorder collects the measurements of a run.
 type recorder struct {
-	from        time.Time
-	result      *Measurement
-	cold        *hdrhistogram.Histogram
-	coldOnly    *hdrhistogram.Histogram
-	firstToken  *hdrhistogram.Histogram
-	intervalTop *hdrhistogram.Histogram
+	measureFrom        time.Time
+	result             *Measurement
+	coldStart          *hdrhistogram.Histogram
+	coldOnly           *hdrhistogram.Histogram
+	firstToken         *hdrhistogram.Histogram
+	intervalFirstToken *hdrhistogram.Histogram
 }
 
-// newRecorder returns a recorder of requests that arrive from a time on.
-func newRecorder(from time.Time, result *Measurement) *recorder {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, highestTime, significantDigits) }
+// newRecorder returns a recorder for the requests that arrive at measureFrom or later.
+func newRecorder(measureFrom time.Time, result *Measurement) *recorder {
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecordedMilliseconds, significantDigits) }
 	return &recorder{
-		from: from, result: result, cold: histogram(), coldOnly: histogram(),
-		firstToken: histogram(), intervalTop: histogram(),
+		measureFrom: measureFrom, result: result, coldStart: histogram(), coldOnly: histogram(),
+		firstToken: histogram(), intervalFirstToken: histogram(),
 	}
 }
 
-// finished records one request.
-func (r *recorder) finished(ended simulation.Result) {
-	if ended.Arrival.At.Before(r.from) {
+// recordResult records a request that has ended.
+func (r *recorder) recordResult(result simulation.Result) {
+	if result.Arrival.At.Before(r.measureFrom) {
 		return
 	}
 	r.result.Requests++
-	record(r.cold, ended.ColdStart)
-	if ended.ColdStart > 0 {
+	recordMilliseconds(r.coldStart, result.ColdStart)
+	if result.ColdStart > 0 {
 		r.result.Cold++
-		record(r.coldOnly, ended.ColdStart)
+		recordMilliseconds(r.coldOnly, result.ColdStart)
 	}
-	if ended.Outcome != simulation.OutcomeServed {
-		r.result.Refusals[ended.Code]++
+	if result.Outcome != simulation.OutcomeServed {
+		r.result.Refusals[result.Code]++
 		return
 	}
 	r.result.Served++
-	wait := ended.FirstToken.Sub(ended.Arrival.At)
-	record(r.firstToken, wait)
-	record(r.intervalTop, wait)
+	wait := result.FirstToken.Sub(result.Arrival.At)
+	recordMilliseconds(r.firstToken, wait)
+	recordMilliseconds(r.intervalFirstToken, wait)
 }
 
-// record adds a time, bounded by what the histogram holds.
-func record(histogram *hdrhistogram.Histogram, value time.Duration) {
-	_ = histogram.RecordValue(min(value.Milliseconds(), highestTime))
+// recordMilliseconds adds a time to the histogram, limited to its range.
+func recordMilliseconds(histogram *hdrhistogram.Histogram, value time.Duration) {
+	_ = histogram.RecordValue(min(value.Milliseconds(), maxRecordedMilliseconds))
 }
 
-// distribution returns the values at the kept percentiles, in seconds.
-func distribution(histogram *hdrhistogram.Histogram) []float64 {
-	values := make([]float64, len(quantiles))
-	for i, percentile := range quantiles {
+// percentileValues returns the values at storedPercentiles, in seconds.
+func percentileValues(histogram *hdrhistogram.Histogram) []float64 {
+	values := make([]float64, len(storedPercentiles))
+	for i, percentile := range storedPercentiles {
 		values[i] = float64(histogram.ValueAtQuantile(percentile)) / 1000
 	}
 	return values
 }
 
-// close completes the measurement.
-func (r *recorder) close() {
-	r.result.ColdStart = distribution(r.cold)
-	r.result.ColdOnly = distribution(r.coldOnly)
-	r.result.FirstToken = distribution(r.firstToken)
+// finish writes the distributions to the measurement.
+func (r *recorder) finish() {
+	r.result.ColdStart = percentileValues(r.coldStart)
+	r.result.ColdOnly = percentileValues(r.coldOnly)
+	r.result.FirstToken = percentileValues(r.firstToken)
 }
 
-// RunCell runs one scenario under one policy and seed with the planner alone:
-// one cell, no faults, one queue a model.
+// RunCell runs one scenario under one policy and seed with only the planner: one cell without
+// faults and with one queue per model.
 func RunCell(scenario *Scenario, policy Policy, seed uint64) (*Measurement, error) {
 	models, err := buildModels(scenario, policy.Override)
 	if err != nil {
@@ -153,49 +152,49 @@
 	end := begin.Add(scenario.Duration)
 	var future map[cluster.ModelID][]time.Time
 	if policy.Clairvoyant {
-		future = collect(newSource(scenario, models, seed, end))
+		future = collectArrivals(newTrafficSource(scenario, models, seed, end))
 	}
 	result := &Measurement{Scenario: scenario.Name, Policy: policy.Name, Seed: seed, Refusals: map[verdict.Code]int{}}
 	recorder := newRecorder(begin, result)
 	cell := simulation.NewCell(simulation.CellConfig{
 		Seed: seed, Deployment: buildDeployment(scenario, models), Settings: models.Snapshot,
-		Planner: policy.make(future), Source: newSource(scenario, models, seed, end),
-		PlanInterval: time.Second, WakeInterval: 100 * time.Millisecond, Finished: recorder.finished,
+		Planner: policy.newPlanner(future), Source: newTrafficSource(scenario, models, seed, end),
+		PlanInterval: time.Second, WakeInterval: 100 * time.Millisecond, Finished: recorder.recordResult,
 	})
 	cell.Run(begin)
 	cell.Usage.Reset()
 	busyBefore, loadsBefore := cell.Store.Busy, cell.Usage.Loads
 	for at := begin.Add(sampleInterval); !at.After(end); at = at.Add(sampleInterval) {
 		cell.Run(at)
-		result.Samples = append(result.Samples, recorder.sample(at.Sub(begin), cell.Usage, cell.Store))
+		result.Samples = append(result.Samples, recorder.takeSample(at.Sub(begin), cell.Usage, cell.Store))
 	}
 	cell.Run(end)
-	recorder.close()
-	result.account(cell.Usage, loadsBefore)
+	recorder.finish()
+	result.setUsage(cell.Usage, loadsBefore)
 	result.StoreBusy = (cell.Store.Busy - busyBefore) / scenario.Duration.Seconds()
 	result.StorePeak = cell.Store.Peak
 	result.Events, result.Hash = cell.Kernel.Executed(), cell.Kernel.Hash()
 	return result, nil
 }
 
-// sample takes the state at one time and begins a new interval.
-func (r *recorder) sample(since time.Duration, usage *simulation.Usage, store *simulation.WeightStore) Sample {
-	taken := Sample{
+// takeSample returns the current state and starts a new interval.
+func (r *recorder) takeSample(since time.Duration, usage *simulation.Usage, store *simulation.WeightStore) Sample {
+	sample := Sample{
 		Hours: since.Hours(), Loaded: usage.Loaded(), Idle: usage.Idle(), Store: store.Active(),
-		FirstToken99: float64(r.intervalTop.ValueAtQuantile(99)) / 1000,
+		FirstToken99: float64(r.intervalFirstToken.ValueAtQuantile(99)) / 1000,
 	}
-	r.intervalTop.Reset()
-	return taken
+	r.intervalFirstToken.Reset()
+	return sample
 }
 
-// account takes over the accelerator hours.
-func (m *Measurement) account(usage *simulation.Usage, loadsBefore int) {
+// setUsage sets the accelerator hours and the number of loads.
+func (m *Measurement) setUsage(usage *simulation.Usage, loadsBefore int) {
 	m.IdleHours, m.BusyHours, m.LoadingHours = usage.IdleHours, usage.BusyHours, usage.LoadingHours
 	m.Loads = usage.Loads - loadsBefore
 }
 
-// collect reads all arrivals of a source by model.
-func collect(source *trafficSource) map[cluster.ModelID][]time.Time {
+// collectArrivals reads all arrivals of a source and groups them by model.
+func collectArrivals(source *trafficSource) map[cluster.ModelID][]time.Time {
 	future := map[cluster.ModelID][]time.Time{}
 	for {
 		arrival, ok := source.Next()
@@ -206,21 +205,21 @@
 	}
 }
 
-// Plan is a set of runs.
+// Plan is a set of runs: every scenario under every policy with every seed.
 type Plan struct {
 	Scenarios []*Scenario
 	Policies  []Policy
-	// FirstSeed and Seeds give the seeds.
+	// The seeds are Seeds consecutive numbers from FirstSeed.
 	FirstSeed uint64
 	Seeds     int
-	// Workers run at once.
+	// Workers is the number of concurrent runs.
 	Workers int
-	// Progress is called after each run; nil means none.
+	// Progress is called after each run unless nil.
 	Progress func()
 }
 
-// Run executes the plan and returns the measurements in the plan's order,
-// whatever ran first.
+// Run executes the plan and returns the measurements in the order of the plan, whichever run ended
+// first.
 func (p *Plan) Run(ctx context.Context) ([]*Measurement, error) {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(p.Workers, 1))
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -14,27 +14,27 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// builtin holds the committed scenarios.
+// builtinScenarios holds the embedded scenarios.
 //
 //go:embed scenarios/*.yaml
-var builtin embed.FS
+var builtinScenarios embed.FS
 
 // Scenario is a deployment with its models, traffic and faults.
 type Scenario struct {
-	// Name of the scenario, that of its file.
+	// Name is the name of the scenario and of its file.
 	Name string `yaml:"name"`
-	// Description in one sentence.
+	// Description describes the scenario in one sentence.
 	Description string `yaml:"description"`
-	// Warmup runs before measurements begin, Duration is measured.
+	// Warmup is the time before the measurement, Duration that of the measurement.
 	Warmup   time.Duration `yaml:"warmup"`
 	Duration time.Duration `yaml:"duration"`
-	// ClientDelay is the one-way delay between callers and nodes.
+	// ClientDelay is the one-way delay between clients and nodes.
 	ClientDelay time.Duration `yaml:"client_delay"`
 	Network     Network       `yaml:"network"`
 	Zones       []Zone        `yaml:"zones"`
 	Store       Store         `yaml:"store"`
 	KeyValue    KeyValue      `yaml:"key_value"`
-	// MachineListLag is how late the machine list shows changes.
+	// MachineListLag is the delay with which the machine list shows changes.
 	MachineListLag time.Duration `yaml:"machine_list_lag"`
 	Workers        []Worker      `yaml:"workers"`
 	Models         []ModelGroup  `yaml:"models"`
@@ -43,20 +43,21 @@
 	FaultRates     []FaultRate   `yaml:"fault_rates"`
 }
 
-// Network holds the one-way delays.
+// Network holds the one-way delays and the faults of messages.
 type Network struct {
 	WithinZone     time.Duration `yaml:"within_zone"`
 	BetweenZones   time.Duration `yaml:"between_zones"`
 	BetweenRegions time.Duration `yaml:"between_regions"`
-	// Jitter is the share of a delay added at random.
+	// Jitter is the random increase of a delay, as a share of the delay.
 	Jitter float64 `yaml:"jitter"`
-	// Loss, Duplication and Reordering of messages between nodes, 0 to 1.
+	// Loss, Duplication and Reordering are the shares of messages between nodes that are affected,
+	// 0 to 1.
 	Loss        float64 `yaml:"loss"`
 	Duplication float64 `yaml:"duplication"`
 	Reordering  float64 `yaml:"reordering"`
 }
 
-// Zone is one zone.
+// Zone is a zone of the deployment.
 type Zone struct {
 	Name   string `yaml:"name"`
 	Region string `yaml:"region"`
@@ -68,59 +69,59 @@
 type Store struct {
 	StartsPerSecond float64 `yaml:"starts_per_second"`
 	Concurrency     int     `yaml:"concurrency"`
-	// Rate of one load at full speed, bytes a second.
+	// Rate is the maximum rate of one load in bytes per second.
 	Rate Bytes `yaml:"rate"`
 }
 
 // KeyValue is the key-value service.
 type KeyValue struct {
-	// Delay is the service's own time for an answer.
+	// Delay is the processing time of the service for a request.
 	Delay time.Duration `yaml:"delay"`
-	// RequestsPerSecond it answers; zero means unlimited.
+	// RequestsPerSecond limits the requests that the service processes; zero means unlimited.
 	RequestsPerSecond float64 `yaml:"requests_per_second"`
 }
 
-// Worker is a class of back-end machines, spread evenly over the zones.
+// Worker is a class of back-end machines, which are distributed evenly over the zones.
 type Worker struct {
 	Pool         string `yaml:"pool"`
 	Count        int    `yaml:"count"`
 	Accelerators int    `yaml:"accelerators"`
-	// Memory of all accelerators of a machine.
+	// Memory is the total memory of the accelerators of a machine.
 	Memory Bytes `yaml:"memory"`
-	// Slots is how many requests run at once.
+	// Slots is the number of concurrent requests.
 	Slots int `yaml:"slots"`
-	// Disk and Host bound the checkpoint caches.
+	// Disk and Host are the capacities of the checkpoint caches on disk and in host memory.
 	Disk Bytes `yaml:"disk"`
 	Host Bytes `yaml:"host"`
-	// DiskRate and HostRate of a load from there, bytes a second.
+	// DiskRate and HostRate are the load rates from these caches in bytes per second.
 	DiskRate Bytes `yaml:"disk_rate"`
 	HostRate Bytes `yaml:"host_rate"`
-	// LoadOverhead is added to every load.
+	// LoadOverhead is the fixed time of every load.
 	LoadOverhead time.Duration `yaml:"load_overhead"`
-	// PrefillRate in tokens a second.
+	// PrefillRate is in tokens per second.
 	PrefillRate float64 `yaml:"prefill_rate"`
-	// TokenTime between tokens alone; TokenTimeSlope for each further request.
+	// TokenTime is the time between tokens of a single request. TokenTimeSlope is added for each
+	// further concurrent request.
 	TokenTime      time.Duration `yaml:"token_time"`
 	TokenTimeSlope time.Duration `yaml:"token_time_slope"`
-	// RestartTime of a dead engine.
+	// RestartTime is how long a crashed engine takes to restart.
 	RestartTime time.Duration `yaml:"restart_time"`
 }
 
 // ModelGroup is a set of similar models with their adapters.
 type ModelGroup struct {
-	// Name prefixes the models' names and is the team's name.
+	// Name is the prefix of the models' names and the name of the team.
 	Name  string `yaml:"name"`
 	Pool  string `yaml:"pool"`
 	Count int    `yaml:"count"`
-	// Memory of a replica, drawn between Least and Most on a log scale.
+	// Memory is the size of a replica, random between Least and Most on a logarithmic scale.
 	Memory ByteRange `yaml:"memory"`
-	// Adapters are spread over the group's models.
+	// Adapters is the number of adapters, which are distributed over the group's models.
 	Adapters      int       `yaml:"adapters"`
 	AdapterMemory ByteRange `yaml:"adapter_memory"`
-	// Policy keys of the group, in the settings tree's own names and units.
+	// Policy holds the policy keys of the group, with the names and units of the settings tree.
 	Policy map[string]any `yaml:"policy"`
-	// OnDisk and InHost are the shares of machine caches that hold a model at
-	// the start.
+	// OnDisk and InHost are the shares of machine caches that hold a model at the start.
 	OnDisk float64 `yaml:"on_disk"`
 	InHost float64 `yaml:"in_host"`
 }
@@ -131,10 +132,10 @@
 	Most  Bytes `yaml:"most"`
 }
 
-// Bytes is a number of bytes; YAML takes units such as 16GiB or 500MB.
+// Bytes is a number of bytes. In YAML it needs a unit, such as 16GiB or 500MB.
 type Bytes int64
 
-// byteUnits by suffix, longest first.
+// byteUnits lists the units; a unit comes before those that are a suffix of it.
 var byteUnits = []struct {
 	suffix string
 	factor float64
@@ -159,21 +160,21 @@
 	return eris.Errorf("line %d: size %q needs a unit, such as 16GiB", value.Line, value.Value)
 }
 
-// Load reads the committed scenario of that name, or else the file.
+// Load reads the built-in scenario of that name, or else the file of that name.
 func Load(name string) (*Scenario, error) {
-	data, err := builtin.ReadFile("scenarios/" + name + ".yaml")
+	data, err := builtinScenarios.ReadFile("scenarios/" + name + ".yaml")
 	if err != nil {
 		data, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return nil, eris.Wrapf(err, "read scenario %q; committed ones are %s", name, strings.Join(Names(), ", "))
+		return nil, eris.Wrapf(err, "read scenario %q; built-in scenarios are %s", name, strings.Join(Names(), ", "))
 	}
 	return Parse(data)
 }
 
-// Names lists the committed scenarios.
+// Names returns the sorted names of the built-in scenarios.
 func Names() []string {
-	entries, err := builtin.ReadDir("scenarios")
+	entries, err := builtinScenarios.ReadDir("scenarios")
 	if err != nil {
 		return nil
 	}
@@ -185,13 +186,13 @@
 	return names
 }
 
-// Parse reads and validates a scenario. Unknown keys are errors.
+// Parse decodes and validates a scenario. Unknown keys are errors.
 func Parse(data []byte) (*Scenario, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
 	var scenario Scenario
 	if err := decoder.Decode(&scenario); err != nil {
-		return nil, eris.Wrap(err, "scenario")
+		return nil, eris.Wrap(err, "decode scenario")
 	}
 	if err := scenario.Validate(); err != nil {
 		return nil, err
--- a/experiment/scenario_test.go
+++ b/experiment/scenario_test.go
@@ -8,7 +8,8 @@
 	"github.com/valveslip/valveslip/simulation"
 )
 
-func TestCommittedScenariosAreValid(t *testing.T) {
+// TestBuiltinScenariosAreValid guards against a built-in scenario that does not parse or whose settings tree lacks models.
+func TestBuiltinScenariosAreValid(t *testing.T) {
 	if len(Names()) == 0 {
 		t.Fatal("no scenario is embedded")
 	}
@@ -27,7 +28,8 @@
 	}
 }
 
-func TestScenariosOfTheUsersHaveTheirSizes(t *testing.T) {
+// TestCustomerScenariosHaveRequiredSizes guards against unintended changes of the deployments that users described.
+func TestCustomerScenariosHaveRequiredSizes(t *testing.T) {
 	for _, test := range []struct {
 		name                                       string
 		zones, workers, models, adapters, parallel int
@@ -53,8 +55,9 @@
 	}
 }
 
-func TestParseNamesWhatIsWrong(t *testing.T) {
-	base, err := builtin.ReadFile("scenarios/dental.yaml")
+// TestParseErrorNamesInvalidValue guards against errors that do not show which key of a scenario is invalid.
+func TestParseErrorNamesInvalidValue(t *testing.T) {
+	base, err := builtinScenarios.ReadFile("scenarios/dental.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +79,9 @@
 	}
 }
 
-func TestTrafficIsOrderedAndRepeatsBySeed(t *testing.T) {
+// TestTrafficIsOrderedAndDeterministicForASeed guards the order and reproducibility of arrivals, and the evening peak of
+// the dental scenario.
+func TestTrafficIsOrderedAndDeterministicForASeed(t *testing.T) {
 	scenario, err := Load("dental")
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +92,7 @@
 	}
 	until := simulation.Epoch.Add(24 * time.Hour)
 	read := func(seed uint64) []simulation.Arrival {
-		source := newSource(scenario, models, seed, until)
+		source := newTrafficSource(scenario, models, seed, until)
 		var all []simulation.Arrival
 		for arrival, ok := source.Next(); ok; arrival, ok = source.Next() {
 			all = append(all, arrival)
@@ -98,7 +103,7 @@
 	evening := 0
 	for i := range first {
 		if i > 0 && first[i].At.Before(first[i-1].At) {
-			t.Fatalf("arrival %d comes before the one ahead of it", i)
+			t.Fatalf("arrival %d is earlier than its predecessor", i)
 		}
 		if !first[i].At.Equal(again[i].At) || first[i].Model != again[i].Model {
 			t.Fatalf("arrival %d differs between two reads of one seed", i)
@@ -111,11 +116,12 @@
 		t.Fatalf("%d, %d and %d arrivals by seeds 1, 1 and 2", len(first), len(again), len(other))
 	}
 	if evening < len(first)/3 {
-		t.Errorf("%d of %d requests come in the evening rush", evening, len(first))
+		t.Errorf("%d of %d requests arrive in the evening peak, want at least a third", evening, len(first))
 	}
 }
 
-func TestPoliciesAreNamedStrictly(t *testing.T) {
+// TestParsePoliciesRejectsUnknownNames guards against misspelled policies or parameters that are silently accepted.
+func TestParsePoliciesRejectsUnknownNames(t *testing.T) {
 	policies, err := ParsePolicies("adaptive,adaptive@0.3,always,fixed-5m,lru,oracle")
 	if err != nil || len(policies) != 6 {
 		t.Fatalf("%d policies, error %v", len(policies), err)
--- a/experiment/summary.go
+++ b/experiment/summary.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Spread is a median with the interval that holds 95% of the seeds' values,
+// Spread is a median with the interval that contains 95% of the values of the seeds. Quantiles are
 // interpolated between order statistics.
 type Spread struct {
 	Median float64 `json:"median"`
@@ -13,15 +13,15 @@
 	High   float64 `json:"high"`
 }
 
-// spreadOf returns the spread of values, zero for none.
-func spreadOf(values []float64) Spread {
+// computeSpread returns the spread of values, zero if there are none.
+func computeSpread(values []float64) Spread {
 	sorted := slices.Clone(values)
 	slices.Sort(sorted)
-	return Spread{Median: orderStatistic(sorted, 0.5), Low: orderStatistic(sorted, 0.025), High: orderStatistic(sorted, 0.975)}
+	return Spread{Median: interpolateQuantile(sorted, 0.5), Low: interpolateQuantile(sorted, 0.025), High: interpolateQuantile(sorted, 0.975)}
 }
 
-// orderStatistic interpolates the quantile of sorted values.
-func orderStatistic(sorted []float64, quantile float64) float64 {
+// interpolateQuantile returns the interpolated quantile of sorted values, zero if there are none.
+func interpolateQuantile(sorted []float64, quantile float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
@@ -33,59 +33,59 @@
 	return sorted[below] + (position-float64(below))*(sorted[below+1]-sorted[below])
 }
 
-// Metric is one measured quantity of a run.
+// Metric is a measured quantity of a run.
 type Metric struct {
-	// Name as in the CSV and JSON files.
+	// Name is the name in the CSV and JSON files.
 	Name string
-	// Title for people, with the unit.
+	// Title is the heading for display, with the unit.
 	Title string
 	value func(*Measurement) float64
 }
 
-// Metrics lists what a summary holds. Smaller is better for all.
+// Metrics returns the metrics of a summary. Smaller is better for all of them.
 func Metrics() []Metric {
 	return []Metric{
 		{"cold_start_p50", "cold p50 s", func(m *Measurement) float64 { return Quantile(m.ColdStart, 50) }},
 		{"cold_start_p99", "cold p99 s", func(m *Measurement) float64 { return Quantile(m.ColdStart, 99) }},
 		{"cold_start_p999", "cold p99.9 s", func(m *Measurement) float64 { return Quantile(m.ColdStart, 99.9) }},
-		{"cold_share", "cold share", func(m *Measurement) float64 { return ratio(float64(m.Cold), float64(m.Requests)) }},
+		{"cold_share", "cold share", func(m *Measurement) float64 { return divide(float64(m.Cold), float64(m.Requests)) }},
 		{"first_token_p95", "first token p95 s", func(m *Measurement) float64 { return Quantile(m.FirstToken, 95) }},
 		{"first_token_p99", "first token p99 s", func(m *Measurement) float64 { return Quantile(m.FirstToken, 99) }},
 		{"idle_hours", "idle accelerator h", func(m *Measurement) float64 { return m.IdleHours }},
 		{"unserved_share", "unserved share", func(m *Measurement) float64 {
-			return ratio(float64(m.Requests-m.Served), float64(m.Requests))
+			return divide(float64(m.Requests-m.Served), float64(m.Requests))
 		}},
 		{"loads", "loads", func(m *Measurement) float64 { return float64(m.Loads) }},
 	}
 }
 
-// ratio divides, giving 0 for nothing over nothing.
-func ratio(over, under float64) float64 {
-	if under == 0 {
-		if over == 0 {
+// divide returns the quotient, 0 for 0/0 and infinity for other divisions by zero.
+func divide(numerator, denominator float64) float64 {
+	if denominator == 0 {
+		if numerator == 0 {
 			return 0
 		}
 		return math.Inf(1)
 	}
-	return over / under
+	return numerator / denominator
 }
 
-// Summary is one scenario under one policy over all seeds.
+// Summary holds the results of one scenario under one policy over all seeds.
 type Summary struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
 	Seeds    int    `json:"seeds"`
-	// Metrics by name.
+	// Metrics holds the spread of each metric by its name.
 	Metrics map[string]Spread `json:"metrics"`
-	// Ratios to the reference policy's run of the same seed, by metric;
-	// metrics whose reference is zero are left out.
+	// Ratios holds, by metric, the spread of the ratio to the run of the reference policy with the
+	// same seed. It omits metrics for which a reference value is zero.
 	Ratios map[string]Spread `json:"ratios,omitempty"`
 
 	runs []*Measurement
 }
 
-// Summarize groups measurements by scenario and policy, in order of their first
-// appearance, and compares each with the reference policy, if it ran.
+// Summarize groups measurements by scenario and policy in order of their first appearance, and
+// compares each group with the reference policy if there are measurements of it.
 func Summarize(measurements []*Measurement, reference string) []*Summary {
 	var summaries []*Summary
 	index := map[[2]string]*Summary{}
@@ -98,13 +98,13 @@
 		index[key].runs = append(index[key].runs, measured)
 	}
 	for _, summary := range summaries {
-		summary.fill(index[[2]string{summary.Scenario, reference}])
+		summary.computeMetrics(index[[2]string{summary.Scenario, reference}])
 	}
 	return summaries
 }
 
-// fill computes the spreads and, with a reference, the ratios.
-func (s *Summary) fill(reference *Summary) {
+// computeMetrics computes the spreads and, with a reference, the ratios.
+func (s *Summary) computeMetrics(reference *Summary) {
 	s.Seeds = len(s.runs)
 	s.Metrics = map[string]Spread{}
 	for _, metric := range Metrics() {
@@ -112,7 +112,7 @@
 		for _, run := range s.runs {
 			values = append(values, metric.value(run))
 		}
-		s.Metrics[metric.Name] = spreadOf(values)
+		s.Metrics[metric.Name] = computeSpread(values)
 	}
 	if reference == nil || reference == s {
 		return
@@ -121,69 +121,72 @@
 	for _, metric := range Metrics() {
 		var ratios []float64
 		for i, run := range s.runs {
-			if under := metric.value(reference.runs[i]); under > 0 {
-				ratios = append(ratios, metric.value(run)/under)
+			if referenceValue := metric.value(reference.runs[i]); referenceValue > 0 {
+				ratios = append(ratios, metric.value(run)/referenceValue)
 			}
 		}
 		if len(ratios) == len(s.runs) {
-			s.Ratios[metric.Name] = spreadOf(ratios)
+			s.Ratios[metric.Name] = computeSpread(ratios)
 		}
 	}
 }
 
-// Goal compares a policy with the best fixed keep-alive of its scenario.
+// Goal compares a policy with the fixed keep-alives of its scenario.
 type Goal struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
-	// AtEqualIdle is the policy's p99 cold start over that of the fixed
-	// keep-alives interpolated at the same idle hours; AtEqualColdStart is its
-	// idle hours over theirs at the same p99. NaN-free: zero when the fixed
-	// keep-alives that ran do not reach that far.
+	// AtEqualIdle is the policy's 99th percentile of cold start divided by that of the fixed
+	// keep-alives, interpolated at the same idle hours. AtEqualColdStart is its idle hours divided
+	// by theirs, interpolated at the same 99th percentile. Both are zero, never NaN, if the fixed
+	// keep-alives that ran do not cover the value.
 	AtEqualIdle      float64 `json:"cold_start_at_equal_idle"`
 	AtEqualColdStart float64 `json:"idle_at_equal_cold_start"`
 }
 
-// Goals compares every policy that is no fixed keep-alive with the frontier of
-// the fixed keep-alives of its scenario, by medians.
+// Goals compares every policy that is not a fixed keep-alive with the fixed keep-alives of its
+// scenario, by medians.
 func Goals(summaries []*Summary) []Goal {
 	var goals []Goal
 	for _, summary := range summaries {
-		if isFixed(summary.Policy) {
+		if isFixedKeepAlive(summary.Policy) {
 			continue
 		}
-		var frontier []point
+		var frontier []operatingPoint
 		for _, other := range summaries {
-			if other.Scenario == summary.Scenario && isFixed(other.Policy) {
-				frontier = append(frontier, other.point())
+			if other.Scenario == summary.Scenario && isFixedKeepAlive(other.Policy) {
+				frontier = append(frontier, other.operatingPoint())
 			}
 		}
-		own := summary.point()
+		own := summary.operatingPoint()
 		goals = append(goals, Goal{
 			Scenario: summary.Scenario, Policy: summary.Policy,
-			AtEqualIdle:      compare(own.cold, interpolate(frontier, own.idle, byIdle)),
-			AtEqualColdStart: compare(own.idle, interpolate(frontier, own.cold, byCold)),
+			AtEqualIdle:      ratioOrZero(own.cold, interpolate(frontier, own.idle, idleAxes)),
+			AtEqualColdStart: ratioOrZero(own.idle, interpolate(frontier, own.cold, coldStartAxes)),
 		})
 	}
 	return goals
 }
 
-// isFixed reports whether the policy is a fixed keep-alive.
-func isFixed(policy string) bool { return len(policy) > 6 && policy[:6] == "fixed-" }
+// isFixedKeepAlive reports whether the policy is a fixed keep-alive.
+func isFixedKeepAlive(policy string) bool { return len(policy) > 6 && policy[:6] == "fixed-" }
 
-// point is a policy's idle hours and p99 cold start.
-type point struct{ idle, cold float64 }
+// operatingPoint holds a policy's idle hours and its 99th percentile of cold start.
+type operatingPoint struct{ idle, cold float64 }
 
-func (s *Summary) point() point {
-	return point{idle: s.Metrics["idle_hours"].Median, cold: s.Metrics["cold_start_p99"].Median}
+// operatingPoint returns the medians of the summary as a point.
+func (s *Summary) operatingPoint() operatingPoint {
+	return operatingPoint{idle: s.Metrics["idle_hours"].Median, cold: s.Metrics["cold_start_p99"].Median}
 }
 
-func byIdle(p point) (float64, float64) { return p.idle, p.cold }
-func byCold(p point) (float64, float64) { return p.cold, p.idle }
+// idleAxes returns the idle hours as position and the cold start as value; coldStartAxes returns the reverse.
+func idleAxes(p operatingPoint) (float64, float64)      { return p.idle, p.cold }
+func coldStartAxes(p operatingPoint) (float64, float64) { return p.cold, p.idle }
 
-// interpolate returns the frontier's value at a position, false outside it.
-func interpolate(frontier []point, at float64, axes func(point) (float64, float64)) float64 {
+// interpolate returns the value of the frontier at a position, or NaN outside its range. The axes
+// function selects position and value of a point.
+func interpolate(frontier []operatingPoint, at float64, axes func(operatingPoint) (float64, float64)) float64 {
 	sorted := slices.Clone(frontier)
-	slices.SortFunc(sorted, func(a, b point) int {
+	slices.SortFunc(sorted, func(a, b operatingPoint) int {
 		left, _ := axes(a)
 		right, _ := axes(b)
 		if left < right {
@@ -201,8 +204,8 @@
 	return math.NaN()
 }
 
-// compare returns own over other, zero when there is no other.
-func compare(own, other float64) float64 {
+// ratioOrZero returns own divided by other, or zero if other is zero or NaN.
+func ratioOrZero(own, other float64) float64 {
 	if math.IsNaN(other) || other == 0 {
 		return 0
 	}
--- a/experiment/traffic.go
+++ b/experiment/traffic.go
@@ -13,95 +13,96 @@
 	"github.com/valveslip/valveslip/simulation"
 )
 
-// Shape is how the rate of sessions changes over a day.
+// Shape is the pattern of the session rate over a day.
 type Shape string
 
 // The shapes.
 const (
-	// ShapeSteady has the same rate all day.
+	// ShapeSteady has a constant rate.
 	ShapeSteady Shape = "steady"
-	// ShapeDiurnal peaks at Peak and falls to Floor at the opposite hour.
+	// ShapeDiurnal has its maximum at the hour Peak and falls to the share Floor of it twelve hours
+	// later.
 	ShapeDiurnal Shape = "diurnal"
-	// ShapeWindow has sessions only between From and To each day.
+	// ShapeWindow has sessions only between From and To of each day.
 	ShapeWindow Shape = "window"
-	// ShapePeriodic has one session each Period, with Jitter.
+	// ShapePeriodic has one session per Period, delayed by a random time up to Jitter.
 	ShapePeriodic Shape = "periodic"
-	// ShapeWakeup wakes Share of the models at a random time between From and
-	// To each day; each then has sessions for Awake.
+	// ShapeWakeup activates the share Share of the models each day, each at a random time between
+	// From and To. An activated model then has sessions for Awake.
 	ShapeWakeup Shape = "wakeup"
 )
 
-// Traffic is one source of requests to a group's models. A session is a run of
-// requests of one caller.
+// Traffic is a source of requests to the models of a group. A session is a sequence of requests of
+// one client.
 type Traffic struct {
 	Name string `yaml:"name"`
-	// Models is the group; Target is "models", "adapters" or "all".
+	// Models is the name of the group. Target is "models", "adapters" or "all".
 	Models string `yaml:"models"`
 	Target string `yaml:"target"`
 	Shape  Shape  `yaml:"shape"`
-	// SessionsPerDay over all models of the group. Popularity is the exponent
-	// of the Zipf distribution over them; 0 is even.
+	// SessionsPerDay is the mean over all models of the group. Popularity is the exponent of the
+	// Zipf distribution over the models; 0 distributes sessions evenly.
 	SessionsPerDay float64 `yaml:"sessions_per_day"`
 	Popularity     float64 `yaml:"popularity"`
-	// Requests of a session: mean of a geometric distribution. Think is the
-	// mean pause between them.
+	// Requests is the mean number of requests of a session, geometrically distributed. Think is the
+	// mean time between them.
 	Requests float64       `yaml:"requests"`
 	Think    time.Duration `yaml:"think"`
-	// Peak hour and Floor of ShapeDiurnal.
+	// Peak (hour of the day) and Floor belong to ShapeDiurnal.
 	Peak  float64 `yaml:"peak"`
 	Floor float64 `yaml:"floor"`
 	// From and To are hours of the day.
 	From float64 `yaml:"from"`
 	To   float64 `yaml:"to"`
-	// Period, Jitter of ShapePeriodic; Share and Awake of ShapeWakeup.
+	// Period and Jitter belong to ShapePeriodic, Share and Awake to ShapeWakeup.
 	Period time.Duration `yaml:"period"`
 	Jitter time.Duration `yaml:"jitter"`
 	Share  float64       `yaml:"share"`
 	Awake  time.Duration `yaml:"awake"`
-	// PromptTokens and Tokens are means of exponential distributions.
+	// PromptTokens and Tokens are the means of exponential distributions.
 	PromptTokens float64 `yaml:"prompt_tokens"`
 	Tokens       float64 `yaml:"tokens"`
-	// PrefixBlocks shared by the requests of a session.
+	// PrefixBlocks is the number of prefix blocks that the requests of a session share.
 	PrefixBlocks int `yaml:"prefix_blocks"`
-	// Deadline of a request; Repeatable and Priority as callers state them.
+	// Deadline, Repeatable and Priority are stated in each request.
 	Deadline   time.Duration `yaml:"deadline"`
 	Repeatable bool          `yaml:"repeatable"`
 	Priority   int           `yaml:"priority"`
 }
 
-// generator yields the sessions of one traffic entry for one model.
-type generator struct {
+// sessionGenerator generates the sessions of one traffic entry for one model.
+type sessionGenerator struct {
 	traffic *Traffic
 	model   *Member
 	random  *rand.Rand
 	zones   []cluster.ZoneID
-	// rate of sessions a second, averaged over the day.
-	rate  float64
-	phase time.Duration
-	// awake is the day's awake window of ShapeWakeup.
-	wakeDay   int
-	wakeFrom  time.Duration
-	wakeWakes bool
-	number    uint64
+	// rate is the mean number of sessions per second over the day.
+	rate         float64
+	periodOffset time.Duration
+	// awakeToday and awakeFrom describe the activation of ShapeWakeup on the day awakeDay.
+	awakeDay     int
+	awakeFrom    time.Duration
+	awakeToday   bool
+	sessionCount uint64
 }
 
-// trafficSource merges the generators' arrivals in order of time.
+// trafficSource merges the arrivals of all generators in order of time.
 type trafficSource struct {
 	until time.Time
 	queue arrivalQueue
 }
 
-// pendingArrival is a request or the next session of a generator.
+// pendingArrival is a queued request, or the start of a generator's next session.
 type pendingArrival struct {
-	at      time.Time
-	order   uint64
-	from    *generator
-	session bool
-	arrival simulation.Arrival
+	at             time.Time
+	order          uint64
+	generator      *sessionGenerator
+	isSessionStart bool
+	arrival        simulation.Arrival
 }
 
-// newSource returns the arrivals of a scenario up to a time.
-func newSource(scenario *Scenario, models *Models, seed uint64, until time.Time) *trafficSource {
+// newTrafficSource returns a source of the arrivals of a scenario up to a time.
+func newTrafficSource(scenario *Scenario, models *Models, seed uint64, until time.Time) *trafficSource {
 	source := &trafficSource{until: until}
 	zones := make([]cluster.ZoneID, 0, len(scenario.Zones))
 	for _, zone := range scenario.Zones {
@@ -109,26 +110,26 @@
 	}
 	for i := range scenario.Traffic {
 		traffic := &scenario.Traffic[i]
-		members := models.targets(traffic)
+		members := models.matchingMembers(traffic)
 		weights := zipf(len(members), traffic.Popularity)
 		for j, member := range members {
 			purpose := fmt.Sprintf("traffic/%s/%s", traffic.Name, member.ID)
-			created := &generator{
+			created := &sessionGenerator{
 				traffic: traffic, model: member, zones: zones,
 				random: rand.New(rand.NewPCG(seed, xxhash.Sum64String(purpose))),
 				rate:   traffic.SessionsPerDay * weights[j] / (24 * time.Hour).Seconds(),
 			}
 			if traffic.Period > 0 {
-				created.phase = time.Duration(created.random.Int64N(int64(traffic.Period)))
+				created.periodOffset = time.Duration(created.random.Int64N(int64(traffic.Period)))
 			}
-			created.wakeDay = -1
-			source.schedule(created, simulation.Epoch)
+			created.awakeDay = -1
+			source.scheduleSession(created, simulation.Epoch)
 		}
 	}
 	return source
 }
 
-// zipf returns count weights that sum to 1, falling with the given exponent.
+// zipf returns count weights with the sum 1 that fall with the given exponent.
 func zipf(count int, exponent float64) []float64 {
 	weights := make([]float64, count)
 	total := 0.0
@@ -149,76 +150,80 @@
 		if next.at.After(s.until) {
 			return simulation.Arrival{}, false
 		}
-		if !next.session {
+		if !next.isSessionStart {
 			return next.arrival, true
 		}
-		s.begin(next.from, next.at)
-		s.schedule(next.from, next.at)
+		s.queueSession(next.generator, next.at)
+		s.scheduleSession(next.generator, next.at)
 	}
 	return simulation.Arrival{}, false
 }
 
-// schedule queues the generator's next session after a time.
-func (s *trafficSource) schedule(from *generator, after time.Time) {
-	at, ok := from.next(after, s.until)
+// scheduleSession queues the start of the generator's next session after a time.
+func (s *trafficSource) scheduleSession(generator *sessionGenerator, after time.Time) {
+	at, ok := generator.nextSession(after, s.until)
 	if ok {
-		s.push(pendingArrival{at: at, from: from, session: true})
+		s.enqueue(pendingArrival{at: at, generator: generator, isSessionStart: true})
 	}
 }
 
-// begin queues the requests of a session.
-func (s *trafficSource) begin(from *generator, at time.Time) {
-	traffic := from.traffic
-	zone := from.zones[from.random.IntN(len(from.zones))]
-	prefixes := from.prefixes()
+// queueSession queues all requests of a session.
+func (s *trafficSource) queueSession(generator *sessionGenerator, at time.Time) {
+	traffic := generator.traffic
+	zone := generator.zones[generator.random.IntN(len(generator.zones))]
+	prefixes := generator.newSessionPrefixes()
 	for {
-		s.push(pendingArrival{at: at, from: from, arrival: simulation.Arrival{
-			At: at, Model: from.model.ID, Zone: zone, TokenPath: from.model.Team, Team: from.model.Team,
+		s.enqueue(pendingArrival{at: at, generator: generator, arrival: simulation.Arrival{
+			At: at, Model: generator.model.ID, Zone: zone, TokenPath: generator.model.Team, Team: generator.model.Team,
 			Priority: traffic.Priority, Deadline: traffic.Deadline, Repeatable: traffic.Repeatable,
-			PromptTokens: from.tokens(traffic.PromptTokens), Tokens: from.tokens(traffic.Tokens), Prefixes: prefixes,
+			PromptTokens: generator.randomTokenCount(traffic.PromptTokens), Tokens: generator.randomTokenCount(traffic.Tokens), Prefixes: prefixes,
 		}})
-		if from.random.Float64() >= 1-1/math.Max(traffic.Requests, 1) {
+		if generator.random.Float64() >= 1-1/math.Max(traffic.Requests, 1) {
 			return
 		}
-		at = at.Add(time.Duration(from.random.ExpFloat64() * float64(traffic.Think)))
+		at = at.Add(time.Duration(generator.random.ExpFloat64() * float64(traffic.Think)))
 	}
 }
 
-// push queues one item.
-func (s *trafficSource) push(item pendingArrival) {
-	s.queue.pushed++
-	item.order = s.queue.pushed
+// enqueue adds an item to the queue.
+func (s *trafficSource) enqueue(item pendingArrival) {
+	s.queue.enqueued++
+	item.order = s.queue.enqueued
 	heap.Push(&s.queue, item)
 }
 
-// tokens draws a number of tokens, at least one.
-func (g *generator) tokens(mean float64) int { return 1 + int(g.random.ExpFloat64()*mean) }
+// randomTokenCount returns a random number of tokens, at least one.
+func (g *sessionGenerator) randomTokenCount(mean float64) int {
+	return 1 + int(g.random.ExpFloat64()*mean)
+}
 
-// prefixes returns the prompt prefix blocks of a new session: the first half is
-// common to all of the model's sessions.
-func (g *generator) prefixes() []uint64 {
+// newSessionPrefixes returns the prompt prefix blocks of a new session. The first half is common to
+// all sessions of the model.
+func (g *sessionGenerator) newSessionPrefixes() []uint64 {
 	if g.traffic.PrefixBlocks == 0 {
 		return nil
 	}
-	g.number++
+	g.sessionCount++
 	blocks := make([]uint64, g.traffic.PrefixBlocks)
 	for i := range blocks {
 		key := fmt.Sprintf("%s/%d", g.model.ID, i)
 		if i >= len(blocks)/2 {
-			key += fmt.Sprintf("/%s/%d", g.traffic.Name, g.number)
+			key += fmt.Sprintf("/%s/%d", g.traffic.Name, g.sessionCount)
 		}
 		blocks[i] = xxhash.Sum64String(key)
 	}
 	return blocks
 }
 
-// next returns the time of the generator's next session after a time.
-func (g *generator) next(after, until time.Time) (time.Time, bool) {
+// nextSession returns the time of the generator's next session after a time, or false if there is
+// none until the end.
+func (g *sessionGenerator) nextSession(after, until time.Time) (time.Time, bool) {
 	if g.traffic.Shape == ShapePeriodic {
-		return g.nextPeriodic(after), true
+		return g.nextPeriodicSession(after), true
 	}
-	// Thinning: candidates at the peak rate, kept by the rate at their time.
-	peak := g.rate * g.peakFactor()
+	// Thinning: candidate times are generated at the maximum rate, and each is accepted with the
+	// probability of the rate at its time divided by the maximum rate.
+	peak := g.rate * g.maxRateFactor()
 	for at := after; ; {
 		if peak <= 0 {
 			return time.Time{}, false
@@ -227,29 +232,29 @@
 		if at.After(until) {
 			return time.Time{}, false
 		}
-		if g.random.Float64()*g.peakFactor() < g.factor(at) {
+		if g.random.Float64()*g.maxRateFactor() < g.rateFactor(at) {
 			return at, true
 		}
 	}
 }
 
-// nextPeriodic returns the next multiple of the period, jittered.
-func (g *generator) nextPeriodic(after time.Time) time.Time {
+// nextPeriodicSession returns the next multiple of the period, with jitter.
+func (g *sessionGenerator) nextPeriodicSession(after time.Time) time.Time {
 	period := g.traffic.Period
-	since := after.Sub(simulation.Epoch) - g.phase
+	since := after.Sub(simulation.Epoch) - g.periodOffset
 	number := since/period + 1
 	if since < 0 {
 		number = 0
 	}
-	at := simulation.Epoch.Add(g.phase + number*period)
+	at := simulation.Epoch.Add(g.periodOffset + number*period)
 	if g.traffic.Jitter > 0 {
 		at = at.Add(time.Duration(g.random.Int64N(int64(g.traffic.Jitter))))
 	}
 	return at
 }
 
-// peakFactor is the largest value of factor.
-func (g *generator) peakFactor() float64 {
+// maxRateFactor returns the maximum of rateFactor over the day.
+func (g *sessionGenerator) maxRateFactor() float64 {
 	switch g.traffic.Shape {
 	case ShapeDiurnal:
 		return 2 / (1 + g.traffic.Floor)
@@ -262,8 +267,8 @@
 	}
 }
 
-// factor is the rate at a time as a multiple of the day's mean.
-func (g *generator) factor(at time.Time) float64 {
+// rateFactor returns the rate at a time as a multiple of the daily mean.
+func (g *sessionGenerator) rateFactor(at time.Time) float64 {
 	since := at.Sub(simulation.Epoch)
 	hour := math.Mod(since.Hours(), 24)
 	switch g.traffic.Shape {
@@ -275,33 +280,34 @@
 		if hour < g.traffic.From || hour >= g.traffic.To {
 			return 0
 		}
-		return g.peakFactor()
+		return g.maxRateFactor()
 	case ShapeWakeup:
-		return g.wakeFactor(since)
+		return g.wakeupRateFactor(since)
 	default:
 		return 1
 	}
 }
 
-// wakeFactor is the rate of ShapeWakeup: the model sleeps or is awake.
-func (g *generator) wakeFactor(since time.Duration) float64 {
+// wakeupRateFactor returns the rate factor of ShapeWakeup: zero while the model is inactive, the
+// maximum while it is active.
+func (g *sessionGenerator) wakeupRateFactor(since time.Duration) float64 {
 	const day = 24 * time.Hour
-	if today := int(since / day); today != g.wakeDay {
-		g.wakeDay = today
-		g.wakeWakes = g.random.Float64() < g.traffic.Share
+	if today := int(since / day); today != g.awakeDay {
+		g.awakeDay = today
+		g.awakeToday = g.random.Float64() < g.traffic.Share
 		hour := g.traffic.From + g.random.Float64()*(g.traffic.To-g.traffic.From)
-		g.wakeFrom = time.Duration(today)*day + time.Duration(hour*float64(time.Hour))
+		g.awakeFrom = time.Duration(today)*day + time.Duration(hour*float64(time.Hour))
 	}
-	if !g.wakeWakes || since < g.wakeFrom || since >= g.wakeFrom+g.traffic.Awake {
+	if !g.awakeToday || since < g.awakeFrom || since >= g.awakeFrom+g.traffic.Awake {
 		return 0
 	}
-	return g.peakFactor()
+	return g.maxRateFactor()
 }
 
-// arrivalQueue is a heap by time, then by order of queueing.
+// arrivalQueue is a heap ordered by time, then by order of insertion.
 type arrivalQueue struct {
-	items  []pendingArrival
-	pushed uint64
+	items    []pendingArrival
+	enqueued uint64
 }
 
 // Len implements heap.Interface.
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -10,24 +10,25 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// settleTime runs on after the last arrival, so that every request ends.
-const settleTime = 3 * time.Minute
+// settleDuration is how long the simulation continues after the last arrival, so that every request
+// ends.
+const settleDuration = 3 * time.Minute
 
-// WorldOptions change how a scenario runs on the whole product.
+// WorldOptions configures how a scenario runs on the whole system.
 type WorldOptions struct {
-	// Faults injects the scenario's faults.
+	// Faults enables the faults of the scenario.
 	Faults bool
-	// EncodeMessages passes messages between nodes through the codec.
+	// EncodeMessages encodes and decodes the messages between nodes.
 	EncodeMessages bool
-	// Meter measures what the processes spend; nil measures nothing.
+	// Meter measures the processor time of the processes; nil measures nothing.
 	Meter simulation.Meter
-	// Tamper plants defects, for tests of the checkers.
+	// Tamper injects defects for tests of the checkers.
 	Tamper simulation.Tamper
-	// Finished is called for every ended request; nil means none.
+	// Finished is called for every request that has ended unless nil.
 	Finished func(simulation.Result)
 }
 
-// WorldReport is what a run of the whole product gave.
+// WorldReport holds the results of a run of the whole system.
 type WorldReport struct {
 	Seed       uint64                        `json:"seed"`
 	Events     uint64                        `json:"events"`
@@ -45,7 +46,7 @@
 	Violated   map[simulation.Promise]int    `json:"violated"`
 }
 
-// Total returns the number of violations.
+// Total returns the total number of violations.
 func (r *WorldReport) Total() int {
 	total := 0
 	for _, count := range r.Violated {
@@ -54,7 +55,7 @@
 	return total
 }
 
-// NewWorld builds the whole product on a scenario.
+// NewWorld creates the whole system for a scenario.
 func NewWorld(scenario *Scenario, policy Policy, seed uint64, options WorldOptions) (*simulation.World, error) {
 	models, err := buildModels(scenario, policy.Override)
 	if err != nil {
@@ -63,37 +64,37 @@
 	end := simulation.Epoch.Add(scenario.Warmup + scenario.Duration)
 	var future map[cluster.ModelID][]time.Time
 	if policy.Clairvoyant {
-		future = collect(newSource(scenario, models, seed, end))
+		future = collectArrivals(newTrafficSource(scenario, models, seed, end))
 	}
-	config := node.CoreConfig{NewPlanner: func() placement.Planner { return policy.make(future) }}
+	config := node.CoreConfig{NewPlanner: func() placement.Planner { return policy.newPlanner(future) }}
 	world, err := simulation.NewWorld(simulation.WorldConfig{
 		Seed: seed, Deployment: buildDeployment(scenario, models), Tree: models.Tree,
-		NewCore: simulation.NodeCores(config), Source: newSource(scenario, models, seed, end),
+		NewCore: simulation.NodeCores(config), Source: newTrafficSource(scenario, models, seed, end),
 		EncodeMessages: options.EncodeMessages, Meter: options.Meter, Tamper: options.Tamper, Finished: options.Finished,
 	})
 	if err != nil {
 		return nil, err
 	}
 	if options.Faults {
-		world.Schedule(scenario.schedule())
-		world.InjectAtRandom(scenario.rates(), end)
+		world.Schedule(scenario.scheduledFaults())
+		world.InjectAtRandom(scenario.randomFaultRates(), end)
 	}
 	return world, nil
 }
 
-// RunWorld runs a scenario on the whole product: every node's core, the
-// platform, callers and, if asked, faults, watched by the promise checkers.
+// RunWorld runs a scenario on the whole system: the cores of all nodes, the platform, the clients
+// and optionally faults. Checkers watch the guarantees of the system.
 func RunWorld(scenario *Scenario, policy Policy, seed uint64, options WorldOptions) (*WorldReport, error) {
 	world, err := NewWorld(scenario, policy, seed, options)
 	if err != nil {
 		return nil, err
 	}
-	world.Run(simulation.Epoch.Add(scenario.Warmup + scenario.Duration + settleTime))
-	return report(world, seed), nil
+	world.Run(simulation.Epoch.Add(scenario.Warmup + scenario.Duration + settleDuration))
+	return newWorldReport(world, seed), nil
 }
 
-// report sums a finished world up.
-func report(world *simulation.World, seed uint64) *WorldReport {
+// newWorldReport returns the report of a world that has finished.
+func newWorldReport(world *simulation.World, seed uint64) *WorldReport {
 	outcomes := world.Callers.Outcomes
 	return &WorldReport{
 		Seed: seed, Events: world.Kernel.Executed(), Hash: world.Kernel.Hash(),
@@ -105,8 +106,8 @@
 	}
 }
 
-// schedule converts the scheduled faults.
-func (s *Scenario) schedule() []simulation.Fault {
+// scheduledFaults converts the scheduled faults for the simulator.
+func (s *Scenario) scheduledFaults() []simulation.Fault {
 	faults := make([]simulation.Fault, 0, len(s.Faults))
 	for _, fault := range s.Faults {
 		faults = append(faults, simulation.Fault{
@@ -117,8 +118,8 @@
 	return faults
 }
 
-// rates converts the random faults.
-func (s *Scenario) rates() []simulation.FaultRate {
+// randomFaultRates converts the random faults for the simulator.
+func (s *Scenario) randomFaultRates() []simulation.FaultRate {
 	rates := make([]simulation.FaultRate, 0, len(s.FaultRates))
 	for _, rate := range s.FaultRates {
 		rates = append(rates, simulation.FaultRate{Kind: rate.Kind, PerDay: rate.PerDay, Duration: rate.Duration})
--- a/experiment/world_test.go
+++ b/experiment/world_test.go
@@ -5,15 +5,17 @@
 	"testing"
 )
 
-// faultSeeds are the fixed seeds of the fault campaign in tests.
-const faultSeeds = 6
+// campaignSeeds is the number of seeds of the fault campaign.
+const campaignSeeds = 6
 
-func TestFaultsBreakNoPromise(t *testing.T) {
+// TestCampaignWithFaultsHasNoViolations guards the guarantees that the checkers watch, under random faults of many
+// kinds.
+func TestCampaignWithFaultsHasNoViolations(t *testing.T) {
 	scenario, err := Load("faults")
 	if err != nil {
 		t.Fatal(err)
 	}
-	campaign := Campaign{Scenario: scenario, FirstSeed: 1, Seeds: faultSeeds, Workers: 2}
+	campaign := Campaign{Scenario: scenario, FirstSeed: 1, Seeds: campaignSeeds, Workers: 2}
 	report, err := campaign.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -22,11 +24,13 @@
 		t.Errorf("seed %d: %v", failing.Seed, failing.Violations)
 	}
 	if report.Served < report.Arrived/2 || report.Events == 0 || len(report.Faults) < 10 {
-		t.Errorf("the campaign did too little: %d of %d served, %d events, faults %v", report.Served, report.Arrived, report.Events, report.Faults)
+		t.Errorf("the campaign exercised too little: %d of %d served, %d events, faults %v", report.Served, report.Arrived, report.Events, report.Faults)
 	}
 }
 
-func TestWorldRepeatsItselfBySeed(t *testing.T) {
+// TestRunWorldIsDeterministicForASeed guards against dependence on goroutine scheduling, by comparing a run on all
+// processors with one on a single processor.
+func TestRunWorldIsDeterministicForASeed(t *testing.T) {
 	scenario, err := Load("faults")
 	if err != nil {
 		t.Fatal(err)
