--- a/cmd/valveslip/platform_node.go
+++ b/cmd/valveslip/platform_node.go
@@ -174,7 +174,7 @@
 			Subset: platformSubset, DrainRetryAfter: platformDrainRetryAfter,
 		},
 	}
-	core.Dispatching, core.Fetches = true, true
+	core.Dispatching, core.FetchesCachedPrefixes = true, true
 	core.HeedShare = platformHeedShare
 	core.Lending = lending.Config{
 		Window: platform.Seconds(settings.Bounds.QuotaWindowSeconds), Overrun: settings.Bounds.QuotaOverrun, Slack: settings.Bounds.QuotaSlack,
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -50,8 +50,8 @@
 	// Work tunes the estimates that it learns from them.
 	Dispatching bool
 	Work        work.Config
-	// Fetches is set if engines can fetch cached prompt prefixes from each other.
-	Fetches bool
+	// FetchesCachedPrefixes is set if engines can fetch cached prompt prefixes from each other.
+	FetchesCachedPrefixes bool
 	// HeedShare is the largest share of their remaining time for which callers follow a
 	// Retry-After. Default 1.
 	HeedShare float64
--- a/fleet/dispatch_client.go
+++ b/fleet/dispatch_client.go
@@ -65,7 +65,7 @@
 		core: core, requests: map[cluster.RequestID]*placedRequest{}, pending: map[int64]*placedRequest{},
 		held: map[cluster.RequestID]*placedRequest{},
 	}
-	d.dispatcher = dispatch.New(dispatch.Config{Self: core.config.Self.dispatchPeer(), CacheTokens: d.cacheTokens, FetchesCachedPrefixes: core.config.Fetches, Work: core.config.Work})
+	d.dispatcher = dispatch.New(dispatch.Config{Self: core.config.Self.dispatchPeer(), CacheTokens: d.cacheTokens, FetchesCachedPrefixes: core.config.FetchesCachedPrefixes, Work: core.config.Work})
 	return d
 }
 
