--- a/cmd/valveslip/platform_node.go
+++ b/cmd/valveslip/platform_node.go
@@ -191,7 +191,7 @@
 		MetricsAddress: net.JoinHostPort(settings.IP, strconv.Itoa(metricsPort)), ReadyPath: platform.ReadyPath,
 		Grace: platform.Seconds(settings.Bounds.GraceSeconds),
 		Store: platform.NewStoreClient(settings.Store.Address, watchPollTime), Engines: platform.NewEngineClient(),
-		Feed: feed.Config{Within: platform.Milliseconds(min(settings.Bounds.DrainMillis, settings.Bounds.ConfigMillis))},
+		Feed: feed.Config{MaxChangeDelay: platform.Milliseconds(min(settings.Bounds.DrainMillis, settings.Bounds.ConfigMillis))},
 		Callers: shell.CallerBounds{
 			RetainedBytes: int64(settings.Resources.MemoryMB * retainedMemoryShare * (1 << 20)), Requests: int(settings.Resources.MemoryMB * requestsPerMB),
 		},
--- a/fleet/feed/config.go
+++ b/fleet/feed/config.go
@@ -8,13 +8,13 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// minDelayWithRoot is the least Config.Within at which relays learn from a root. In simulations
+// minDelayWithRoot is the least Config.MaxChangeDelay at which relays learn from a root. In simulations
 // with a root that dies, a store that hides changes for 1 s and three of ten updates lost, every
 // change is known after at most 3 s with a root, and after 2 s where relays poll the store
 // themselves.
 const minDelayWithRoot = 3 * time.Second
 
-// Timeouts of leaves of a fleet with a root, as fractions of Config.Within: leafTimeoutDivisor
+// Timeouts of leaves of a fleet with a root, as fractions of Config.MaxChangeDelay: leafTimeoutDivisor
 // gives the timeout of the first leaf and leafStepDivisor the step between leaves, 1 s and 8 ms for
 // 3 s. The longer leaves wait, the fewer of them poll the store when a call of the root hangs.
 const (
@@ -63,9 +63,9 @@
 	// MinRelaysForRoot is the least number of relays at which one of them polls the store for all.
 	// Default 3.
 	MinRelaysForRoot int
-	// Within is the time in which a change of the store must be known. Zero means too short a time
+	// MaxChangeDelay is the time in which a change of the store must be known. Zero means too short a time
 	// for a root.
-	Within time.Duration
+	MaxChangeDelay time.Duration
 	// MaxValueBytes is the size above which values are not forwarded but read from the store by
 	// each node. Default 1 MiB, enough for the configuration of some thousand models.
 	MaxValueBytes int
@@ -76,9 +76,9 @@
 	c.PollInterval = cmp.Or(c.PollInterval, defaultPollInterval)
 	c.RelayPollInterval = cmp.Or(c.RelayPollInterval, defaultRelayPollInterval)
 	c.SourceTimeout = cmp.Or(c.SourceTimeout, defaultSourceTimeout)
-	if c.Within >= minDelayWithRoot {
-		c.LeafSourceTimeout = cmp.Or(c.LeafSourceTimeout, c.Within/leafTimeoutDivisor)
-		c.LeafTimeoutStep = cmp.Or(c.LeafTimeoutStep, c.Within/leafStepDivisor)
+	if c.MaxChangeDelay >= minDelayWithRoot {
+		c.LeafSourceTimeout = cmp.Or(c.LeafSourceTimeout, c.MaxChangeDelay/leafTimeoutDivisor)
+		c.LeafTimeoutStep = cmp.Or(c.LeafTimeoutStep, c.MaxChangeDelay/leafStepDivisor)
 	}
 	c.RelayTimeoutStep = cmp.Or(c.RelayTimeoutStep, defaultRelayTimeoutStep)
 	c.LeafTimeoutStep = cmp.Or(c.LeafTimeoutStep, defaultLeafTimeoutStep)
--- a/fleet/feed/isolation_test.go
+++ b/fleet/feed/isolation_test.go
@@ -73,7 +73,7 @@
 			peers = append(peers, Peer{ID: id, Address: string(id), Zone: cluster.ZoneID(fmt.Sprint(z)), Capacity: float64(group - i)})
 		}
 	}
-	c := New(Config{Self: peers[0], Within: minDelayWithRoot}, allNews{}, 1)
+	c := New(Config{Self: peers[0], MaxChangeDelay: minDelayWithRoot}, allNews{}, 1)
 	c.Step(began, PeersChanged{Peers: peers})
 	c.Step(began, ReadDone{Began: began, Revision: 10})
 	var sentAt []time.Time
--- a/fleet/feed/simulation_test.go
+++ b/fleet/feed/simulation_test.go
@@ -106,7 +106,7 @@
 
 // setChangeBound restarts all nodes with another bound.
 func (s *simulation) setChangeBound(bound time.Duration) {
-	s.changeBound, s.config.Within = bound, bound
+	s.changeBound, s.config.MaxChangeDelay = bound, bound
 	for i, p := range s.peers {
 		cfg := s.config
 		cfg.Self = p.Peer
@@ -118,7 +118,7 @@
 func newSimulationInZones(seed uint64, peers, zones int) *simulation {
 	s := &simulation{rand: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(1_000_000, 0), zones: zones, changeBound: zoneChangeBound}
 	if zones > 1 {
-		s.changeBound, s.config.Within = crossZoneChangeBound, crossZoneChangeBound
+		s.changeBound, s.config.MaxChangeDelay = crossZoneChangeBound, crossZoneChangeBound
 	}
 	s.write("start")
 	for i := range peers {
--- a/fleet/feed/start_test.go
+++ b/fleet/feed/start_test.go
@@ -129,7 +129,7 @@
 // startNode makes a node write its record and begin its startup.
 func (f *startingFleet) startNode(n *startingNode) {
 	n.startedAt, n.recordedAt = f.now, f.now.Add(2*storeRoundTrip)
-	n.core = New(Config{Self: n.Peer, Within: 5 * time.Second}, acceptAll{}, uint64(f.agenda.Len()))
+	n.core = New(Config{Self: n.Peer, MaxChangeDelay: 5 * time.Second}, acceptAll{}, uint64(f.agenda.Len()))
 	f.step(n, Tick{})
 }
 
--- a/fleet/feed/tree.go
+++ b/fleet/feed/tree.go
@@ -51,7 +51,7 @@
 	t.peers[cfg.Self.ID] = cfg.Self
 	zones := rankByZone(t.peers)
 	t.relays = relaysOf(cfg, zones)
-	t.hasRoot = len(t.relays) >= cfg.MinRelaysForRoot && cfg.Within >= minDelayWithRoot
+	t.hasRoot = len(t.relays) >= cfg.MinRelaysForRoot && cfg.MaxChangeDelay >= minDelayWithRoot
 	t.assignRole(cfg, zones[cfg.Self.Zone])
 	t.relays = slices.DeleteFunc(t.relays, func(p Peer) bool { return p.ID == cfg.Self.ID })
 	return t
--- a/fleet/feed/tree_test.go
+++ b/fleet/feed/tree_test.go
@@ -27,7 +27,7 @@
 		peers := peersInZones(sizes...)
 		roots, sources := 0, map[cluster.NodeID]int{}
 		for _, self := range peers {
-			cfg := Config{Self: self, Within: minDelayWithRoot}.withDefaults()
+			cfg := Config{Self: self, MaxChangeDelay: minDelayWithRoot}.withDefaults()
 			node := newTree(&cfg, peers)
 			if node.role == root {
 				roots++
@@ -42,7 +42,7 @@
 			t.Errorf("%v: %d roots", sizes, roots)
 		}
 		for _, p := range peers {
-			cfg := Config{Self: p, Within: minDelayWithRoot}.withDefaults()
+			cfg := Config{Self: p, MaxChangeDelay: minDelayWithRoot}.withDefaults()
 			if node := newTree(&cfg, peers); node.hasSource() && sources[p.ID] != 1 {
 				t.Errorf("%v: %s has %d sources", sizes, p.ID, sources[p.ID])
 			}
@@ -56,7 +56,7 @@
 func TestShortBoundPreventsRoot(t *testing.T) {
 	peers := peersInZones(8, 8, 8, 3)
 	for _, self := range peers {
-		cfg := Config{Self: self, Within: minDelayWithRoot - 1}.withDefaults()
+		cfg := Config{Self: self, MaxChangeDelay: minDelayWithRoot - 1}.withDefaults()
 		node := newTree(&cfg, peers)
 		if node.hasRoot || node.role == root || node.role == relay && node.hasSource() {
 			t.Errorf("%s learns from a root", self.ID)
--- a/fleet/shell/size_bench_test.go
+++ b/fleet/shell/size_bench_test.go
@@ -34,7 +34,7 @@
 		},
 		Codec: platform.Codec{}, Log: eventlog.New(io.Discard, eventlog.Options{}),
 	}
-	n.options.Feed.Within = 5 * time.Second
+	n.options.Feed.MaxChangeDelay = 5 * time.Second
 	n.options = n.options.withDefaults()
 	n.startTime = n.options.Now()
 	n.becameReady = make(chan struct{})
--- a/fleet/shell/staleness.go
+++ b/fleet/shell/staleness.go
@@ -9,7 +9,7 @@
 	"github.com/valveslip/valveslip/fleet/feed"
 )
 
-// staleAfterShare is the share of the maximum delay of changes (feed.Config.Within) from which
+// staleAfterShare is the share of the maximum delay of changes (feed.Config.MaxChangeDelay) from which
 // the view of the store is logged as stale: the remaining half of the delay is left to find
 // the cause.
 const staleAfterShare = 0.5
@@ -20,7 +20,7 @@
 
 // staleAfter returns the age from which the node's view of the store counts as stale.
 func (n *Node) staleAfter() time.Duration {
-	if within := n.options.Feed.Within; within > 0 {
+	if within := n.options.Feed.MaxChangeDelay; within > 0 {
 		return time.Duration(float64(within) * staleAfterShare)
 	}
 	return defaultStaleAfter
