--- a/cmd/valveslip/tenants.go
+++ b/cmd/valveslip/tenants.go
@@ -138,9 +138,9 @@
 			k.Lent += count
 		case lending.Refused.String():
 			k.Refused += count
-		case lending.ReturnLent.String():
+		case lending.LentToReturning.String():
 			k.ReturnLent += count
-		case lending.ReturnRefused.String():
+		case lending.RefusedReturning.String():
 			k.ReturnRefused += count
 		}
 	})
--- a/fleet/lending/tally.go
+++ b/fleet/lending/tally.go
@@ -19,8 +19,8 @@
 const (
 	Lent Outcome = iota
 	Refused
-	ReturnLent
-	ReturnRefused
+	LentToReturning
+	RefusedReturning
 	outcomeCount
 )
 
@@ -65,11 +65,11 @@
 func (t decision) outcome() Outcome {
 	switch {
 	case t.granted && t.fromReservation:
-		return ReturnLent
+		return LentToReturning
 	case t.granted:
 		return Lent
 	case t.fromReservation:
-		return ReturnRefused
+		return RefusedReturning
 	}
 	return Refused
 }
--- a/fleet/shell/tenants.go
+++ b/fleet/shell/tenants.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		rank, size := strconv.Itoa(t.Rank), strconv.FormatFloat(t.SizeBelow, 'f', 0, 64)
-		for _, o := range []lending.Outcome{lending.Lent, lending.Refused, lending.ReturnLent, lending.ReturnRefused} {
+		for _, o := range []lending.Outcome{lending.Lent, lending.Refused, lending.LentToReturning, lending.RefusedReturning} {
 			output <- prometheus.MustNewConstMetric(f.requests, prometheus.CounterValue, float64(t.Count(o)), t.Tenant, rank, size, o.String())
 		}
 	}
