--- a/cmd/valveslip/platform_node.go
+++ b/cmd/valveslip/platform_node.go
@@ -175,7 +175,7 @@
 		},
 	}
 	core.Dispatching, core.FetchesCachedPrefixes = true, true
-	core.HeedShare = platformHeedShare
+	core.MaxRetryAfterShare = platformHeedShare
 	core.Lending = lending.Config{
 		Window: platform.Seconds(settings.Bounds.QuotaWindowSeconds), Overrun: settings.Bounds.QuotaOverrun, Slack: settings.Bounds.QuotaSlack,
 	}
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -52,9 +52,9 @@
 	Work        work.Config
 	// FetchesCachedPrefixes is set if engines can fetch cached prompt prefixes from each other.
 	FetchesCachedPrefixes bool
-	// HeedShare is the largest share of their remaining time for which callers follow a
+	// MaxRetryAfterShare is the largest share of their remaining time for which callers follow a
 	// Retry-After. Default 1.
-	HeedShare float64
+	MaxRetryAfterShare float64
 	// Lending tunes how the limits of tenants are divided. The core fills in Self and
 	// ProofWithin.
 	Lending lending.Config
@@ -69,7 +69,7 @@
 	c.LoadOverrun = cmp.Or(c.LoadOverrun, 1.1)
 	c.HolderTTL = cmp.Or(c.HolderTTL, 2*time.Second)
 	c.NodeTTL = cmp.Or(c.NodeTTL, 30*time.Second)
-	c.HeedShare = cmp.Or(c.HeedShare, 1)
+	c.MaxRetryAfterShare = cmp.Or(c.MaxRetryAfterShare, 1)
 	c.PauseHold = cmp.Or(c.PauseHold, 300*time.Millisecond)
 	c.Lending.Self, c.Lending.ProofWithin = c.Self.lendingPeer(), c.KeyProof
 	c.Lending = c.Lending.WithDefaults()
--- a/fleet/gate_tokens.go
+++ b/fleet/gate_tokens.go
@@ -59,7 +59,7 @@
 // maxHeededWait returns the longest Retry-After that the request's caller can still follow.
 func (g *gate) maxHeededWait(held *gatedRequest) time.Duration {
 	left := held.deadline.Sub(g.core.now)
-	return max(time.Duration(float64(left)*g.core.config.HeedShare), 0)
+	return max(time.Duration(float64(left)*g.core.config.MaxRetryAfterShare), 0)
 }
 
 // tokenWaitShare is the share of its remaining time for which an arriving request may wait for
