--- a/cmd/valveslip/platform_node.go
+++ b/cmd/valveslip/platform_node.go
@@ -120,9 +120,9 @@
 // end. It returns a function that returns the configuration after the flags are parsed.
 func poisonFlags(flags *flag.FlagSet) func() poison.Config {
 	ends := flags.Int("poison-ends", poison.DefaultEnds, "machines that end under a request until all nodes refuse it; 0 refuses none")
-	duration := flags.Duration("poison-for", poison.DefaultConviction, "how long such a request is refused")
+	duration := flags.Duration("poison-for", poison.DefaultBlockDuration, "how long such a request is refused")
 	return func() poison.Config {
-		cfg := poison.Config{Ends: *ends, Conviction: *duration}
+		cfg := poison.Config{Ends: *ends, BlockDuration: *duration}
 		if cfg.Ends <= 0 {
 			cfg.Ends = -1
 		}
--- a/fleet/poison_store.go
+++ b/fleet/poison_store.go
@@ -86,7 +86,7 @@
 // attributedEnds returns the number of machines whose end is attributed to a request.
 func (s *poisonSync) attributedEnds(content poison.Fingerprint) int {
 	record, _ := s.core.router.PoisonRecord(content)
-	return len(record.StandingEnds())
+	return len(record.AttributedEnds())
 }
 
 // writeAnswered handles the answer to a write. A record that another node has already written
--- a/routing/poison/record.go
+++ b/routing/poison/record.go
@@ -22,8 +22,8 @@
 	Cleared []cluster.MachineID
 }
 
-// StandingEnds lists the machines whose end is attributed to the request.
-func (r *Record) StandingEnds() []cluster.MachineID {
+// AttributedEnds lists the machines whose end is attributed to the request.
+func (r *Record) AttributedEnds() []cluster.MachineID {
 	var standing []cluster.MachineID
 	for _, machine := range r.Ends {
 		if !contains(r.Cleared, machine) {
@@ -34,7 +34,7 @@
 }
 
 // AttributedEndCount returns the number of ends that are attributed to the request.
-func (r *Record) AttributedEndCount() int { return len(r.StandingEnds()) }
+func (r *Record) AttributedEndCount() int { return len(r.AttributedEnds()) }
 
 // Merged returns the union of two records of one request, and whether it differs from r.
 func (r *Record) Merged(other *Record) (Record, bool) {
--- a/routing/poison/table.go
+++ b/routing/poison/table.go
@@ -17,9 +17,9 @@
 	// DefaultSuspicion is how long ends are remembered that don't block a request: longer than
 	// callers keep retrying one request.
 	DefaultSuspicion = 10 * time.Minute
-	// DefaultConviction is how long a request stays blocked: about the time until somebody has
+	// DefaultBlockDuration is how long a request stays blocked: about the time until somebody has
 	// fixed the machines' software or the request.
-	DefaultConviction = time.Hour
+	DefaultBlockDuration = time.Hour
 	// DefaultMaxRecords bounds the table: at about 300 bytes a record, it takes 1.2 MB.
 	DefaultMaxRecords = 4096
 )
@@ -55,14 +55,14 @@
 	Ends int
 	// Suspicion is how long a record is kept whose request is not blocked, and BlockDuration how
 	// long a request is blocked.
-	Suspicion, Conviction time.Duration
-	MaxRecords            int
+	Suspicion, BlockDuration time.Duration
+	MaxRecords               int
 }
 
 func (c Config) withDefaults() Config {
 	c.Ends = cmp.Or(c.Ends, DefaultEnds)
 	c.Suspicion = cmp.Or(c.Suspicion, DefaultSuspicion)
-	c.Conviction = cmp.Or(c.Conviction, DefaultConviction)
+	c.BlockDuration = cmp.Or(c.BlockDuration, DefaultBlockDuration)
 	c.MaxRecords = cmp.Or(c.MaxRecords, DefaultMaxRecords)
 	return c
 }
@@ -149,7 +149,7 @@
 	if known == nil || known.blockedSince.IsZero() {
 		return 0, false
 	}
-	left := t.config.Conviction - now.Sub(known.blockedSince)
+	left := t.config.BlockDuration - now.Sub(known.blockedSince)
 	return left, left > 0
 }
 
@@ -401,7 +401,7 @@
 	for content, known := range t.entries {
 		since, kept := known.changed, t.config.Suspicion
 		if !known.blockedSince.IsZero() {
-			since, kept = known.blockedSince, t.config.Conviction
+			since, kept = known.blockedSince, t.config.BlockDuration
 		}
 		if now.Sub(since) >= kept {
 			t.remove(content)
--- a/routing/poison/table_test.go
+++ b/routing/poison/table_test.go
@@ -39,13 +39,13 @@
 	}
 	table.Learn(now, []Record{{Content: harmful, Ends: []cluster.MachineID{"c", "a"}}})
 	left, is := table.Blocked(now, harmful)
-	if !is || left != DefaultConviction || len(table.TakeNewlyBlocked()) != 1 {
+	if !is || left != DefaultBlockDuration || len(table.TakeNewlyBlocked()) != 1 {
 		t.Errorf("blocked %v for %s", is, left)
 	}
-	if isBlocked(table, now.Add(DefaultConviction), harmful) {
+	if isBlocked(table, now.Add(DefaultBlockDuration), harmful) {
 		t.Error("the request is blocked for longer than the configured duration")
 	}
-	table.Sweep(now.Add(DefaultConviction))
+	table.Sweep(now.Add(DefaultBlockDuration))
 	if !table.Empty() {
 		t.Error("an expired record is kept")
 	}
--- a/routing/poisoned.go
+++ b/routing/poisoned.go
@@ -142,7 +142,7 @@
 // under it.
 func (r *Router) poisonFailure(content poison.Fingerprint, left time.Duration) (*verdict.Error, Explanation) {
 	record, _ := r.poison.Record(content)
-	ends := record.StandingEnds()
+	ends := record.AttributedEnds()
 	names := make([]string, len(ends))
 	for i, machine := range ends {
 		names[i] = string(machine)
