--- a/cmd/valveslip/poison.go
+++ b/cmd/valveslip/poison.go
@@ -117,7 +117,7 @@
 		row.Error = err.Error()
 		return row
 	}
-	row.Machines, row.Tests = stored.Record.AttributedEnds(), stored.Tests
+	row.Machines, row.Tests = stored.Record.AttributedEnds(), stored.Probes
 	return row
 }
 
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -71,7 +71,7 @@
 	// Probes is how often a node was allowed to send the request once more, and Prober the node of
 	// the last probe. EndsBefore is the number of machines that had ended under the request before
 	// that probe.
-	Tests      int
+	Probes     int
 	Prober     cluster.NodeID
 	EndsBefore int
 	Revision   int64
--- a/fleet/poison.go
+++ b/fleet/poison.go
@@ -283,7 +283,7 @@
 		content := record.Record.Content
 		before := s.stored[content]
 		s.stored[content] = &storedPoison{StoredPoisonRecord: *record, readAt: s.core.now}
-		if before != nil && !before.claimedAt.IsZero() && before.Tests < record.Tests && record.Prober == s.core.config.Self.ID {
+		if before != nil && !before.claimedAt.IsZero() && before.Probes < record.Probes && record.Prober == s.core.config.Self.ID {
 			granted = append(granted, content)
 		}
 		delete(s.writes, content)
--- a/fleet/poison_record_test.go
+++ b/fleet/poison_record_test.go
@@ -109,7 +109,7 @@
 		s := newPoisonSimulation(7, 4, 3)
 		s.runFor(2 * time.Second)
 		stored := StoredPoisonRecord{
-			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}, Tests: tests, Prober: "ended-1",
+			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}, Probes: tests, Prober: "ended-1",
 		}
 		s.writeStore(keyvalue.Operation{Key: KeyPoison + popularContent.String(), Value: encodePoison(&stored)})
 		s.runFor(2 * time.Second)
@@ -145,7 +145,7 @@
 		s.runFor(2 * time.Second)
 		stored := StoredPoisonRecord{
 			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}},
-			Tests:  c.tests, Prober: s.nodes[1].id, EndsBefore: c.endsBefore,
+			Probes: c.tests, Prober: s.nodes[1].id, EndsBefore: c.endsBefore,
 		}
 		s.writeStore(keyvalue.Operation{Key: KeyPoison + popularContent.String(), Value: encodePoison(&stored)})
 		s.runFor(poisonProbeSpacing + 2*time.Second)
--- a/fleet/poison_store.go
+++ b/fleet/poison_store.go
@@ -60,12 +60,12 @@
 	case s.lastProbeInconclusive(stored):
 		allowed = maxPoisonProbes + 1
 	}
-	if stored.Tests >= allowed || stored.Tests > 0 && s.core.now.Sub(stored.readAt) < spacing {
+	if stored.Probes >= allowed || stored.Probes > 0 && s.core.now.Sub(stored.readAt) < spacing {
 		return
 	}
 	stored.claimedAt = s.core.now
 	claim := StoredPoisonRecord{
-		Record: stored.Record, Tests: stored.Tests + 1, Prober: s.core.config.Self.ID, EndsBefore: s.attributedEnds(content),
+		Record: stored.Record, Probes: stored.Probes + 1, Prober: s.core.config.Self.ID, EndsBefore: s.attributedEnds(content),
 	}
 	s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&claim), Revision: stored.Revision})
 }
@@ -74,7 +74,7 @@
 // gone or was replaced by that of another process of its machine.
 func (s *poisonSync) proberEnded(stored *storedPoison) bool {
 	_, lives := s.core.nodes.live[stored.Prober]
-	return stored.Tests > 0 && !lives && stored.Prober != s.core.config.Self.ID
+	return stored.Probes > 0 && !lives && stored.Prober != s.core.config.Self.ID
 }
 
 // lastProbeInconclusive reports whether no machine has ended under the request since its last
@@ -156,7 +156,7 @@
 
 func encodePoison(stored *StoredPoisonRecord) []byte {
 	record := &stored.Record
-	data, err := json.Marshal(poisonDocument{Ends: record.Ends, Cleared: record.Cleared, Probes: stored.Tests, Prober: stored.Prober, Before: stored.EndsBefore})
+	data, err := json.Marshal(poisonDocument{Ends: record.Ends, Cleared: record.Cleared, Probes: stored.Probes, Prober: stored.Prober, Before: stored.EndsBefore})
 	if err != nil {
 		return nil
 	}
@@ -175,6 +175,6 @@
 		return stored, eris.Wrap(err, "decode poison record")
 	}
 	record := poison.Record{Content: content, Ends: document.Ends, Cleared: document.Cleared}
-	stored.Record, stored.Tests, stored.Prober, stored.EndsBefore = record.Valid(), document.Probes, document.Prober, document.Before
+	stored.Record, stored.Probes, stored.Prober, stored.EndsBefore = record.Valid(), document.Probes, document.Prober, document.Before
 	return stored, nil
 }
