--- a/experiment/prefixes/updates.go
+++ b/experiment/prefixes/updates.go
@@ -55,7 +55,7 @@
 		size := encodedSize(wire.SentPrefixes{From: "node-a", Zone: zone, Relayed: true, Groups: groups})
 		for router := range u.simulator.routers {
 			u.addBytes(size)
-			u.simulator.stepRouter(router, routing.PrefixesTold{Groups: groups})
+			u.simulator.stepRouter(router, routing.PrefixesReceived{Groups: groups})
 		}
 	}
 	for _, router := range u.simulator.routers {
--- a/node/prefixes.go
+++ b/node/prefixes.go
@@ -48,7 +48,7 @@
 	switch {
 	case message.Zone != c.self.Zone:
 	case message.Relayed:
-		c.stepRouter(routing.PrefixesTold{Groups: message.Groups})
+		c.stepRouter(routing.PrefixesReceived{Groups: message.Groups})
 	case c.cellRole.controller.Holding():
 		c.cellRole.prefixes.pending.NoteGroups(message.Groups)
 	}
@@ -76,7 +76,7 @@
 	if len(groups) == 0 {
 		return
 	}
-	core.stepRouter(routing.PrefixesTold{Groups: groups})
+	core.stepRouter(routing.PrefixesReceived{Groups: groups})
 	r.sendToZone(wire.SentPrefixes{From: core.self.ID, Zone: core.self.Zone, Relayed: true, Groups: groups})
 }
 
--- a/routing/prefixes.go
+++ b/routing/prefixes.go
@@ -9,9 +9,9 @@
 // maxUnpublished bounds the prompts that are not yet sent to the other routers.
 const maxUnpublished = 128
 
-// PrefixesTold carries which prompts other routers of the zone sent to which machines. It arrives
+// PrefixesReceived carries which prompts other routers of the zone sent to which machines. It arrives
 // some seconds late and may be incomplete.
-type PrefixesTold struct{ Groups []wire.PrefixGroup }
+type PrefixesReceived struct{ Groups []wire.PrefixGroup }
 
 // CacheMoved reports that a model's prefix cache was copied from one machine to another.
 type CacheMoved struct {
@@ -19,8 +19,8 @@
 	From, To cluster.MachineID
 }
 
-func (PrefixesTold) routingEvent() {}
-func (CacheMoved) routingEvent()   {}
+func (PrefixesReceived) routingEvent() {}
+func (CacheMoved) routingEvent()       {}
 
 // SentPrefixes returns the prompts of this router that engines have begun to answer since the last
 // call, at most maxUnpublished, for the other routers of the zone.
@@ -34,9 +34,9 @@
 	}
 }
 
-// prefixesTold applies the prompts of other routers. Machines without a replica of the model are
+// applyReportedPrefixes applies the prompts of other routers. Machines without a replica of the model are
 // skipped: they are gone, or their status has not arrived yet.
-func (r *Router) prefixesTold(groups []wire.PrefixGroup) {
+func (r *Router) applyReportedPrefixes(groups []wire.PrefixGroup) {
 	for i := range groups {
 		group := &groups[i]
 		machine, model := r.machines[group.Machine], r.models[group.Model]
--- a/routing/prefixes_test.go
+++ b/routing/prefixes_test.go
@@ -14,8 +14,8 @@
 // longPrompt has four blocks, so its longest recorded prefix has four.
 var longPrompt = []uint64{1, 2, 3, 4}
 
-func published(machine cluster.MachineID, prefixes ...uint64) PrefixesTold {
-	return PrefixesTold{Groups: []wire.PrefixGroup{{Machine: machine, Model: "chat", Hashes: prefixes}}}
+func published(machine cluster.MachineID, prefixes ...uint64) PrefixesReceived {
+	return PrefixesReceived{Groups: []wire.PrefixGroup{{Machine: machine, Model: "chat", Hashes: prefixes}}}
 }
 
 // TestOnlyPromptsReadByEngineArePublished guards against publishing a prompt that an engine refused
@@ -57,7 +57,7 @@
 		{"half an hour old", func(f *fixture) { f.step(published("m05", 4)); f.advance(30 * time.Minute) }, false},
 		{"machine unknown", func(f *fixture) { f.step(published("elsewhere", 4)) }, false},
 		{"model unknown", func(f *fixture) {
-			f.step(PrefixesTold{Groups: []wire.PrefixGroup{{Machine: "m05", Model: "other", Hashes: []uint64{4}}}})
+			f.step(PrefixesReceived{Groups: []wire.PrefixGroup{{Machine: "m05", Model: "other", Hashes: []uint64{4}}}})
 		}, false},
 		{"cache moved", func(f *fixture) {
 			f.step(published("m01", 4))
--- a/routing/router.go
+++ b/routing/router.go
@@ -178,8 +178,8 @@
 		r.drain()
 	case CacheEventsArrived:
 		r.cacheEvents(event.Events)
-	case PrefixesTold:
-		r.prefixesTold(event.Groups)
+	case PrefixesReceived:
+		r.applyReportedPrefixes(event.Groups)
 	case CacheMoved:
 		r.cacheMoved(event)
 	}
