--- a/experiment/prefixes/updates.go
+++ b/experiment/prefixes/updates.go
@@ -24,7 +24,7 @@
 type updateSender struct {
 	simulator *simulator
 	// ledger aggregates at the controller the prefixes that routers reported.
-	ledger *affinity.Ledger
+	ledger *affinity.PrefixLog
 	// syntheticSequences holds the last sequence number of the synthetic events of each preferred
 	// machine.
 	syntheticSequences map[cluster.MachineID]uint64
@@ -106,7 +106,7 @@
 // strategies without a preferred machine.
 func (u *updateSender) injectPreferredMachine(router int, prefixes []uint64) {
 	strategy := u.simulator.options.Strategy
-	longest, found := affinity.Longest(prefixes)
+	longest, found := affinity.ReportedPrefix(prefixes)
 	if !found || strategy != StrategyPreferred && strategy != StrategySharedPreferred {
 		return
 	}
--- a/node/prefixes.go
+++ b/node/prefixes.go
@@ -56,12 +56,12 @@
 
 // prefixRelay collects the routers' reports in the controller.
 type prefixRelay struct {
-	pending   *affinity.Ledger
+	pending   *affinity.PrefixLog
 	nextRelay time.Time
 }
 
 func newPrefixRelay() prefixRelay {
-	return prefixRelay{pending: affinity.NewLedger(maxRelayedPrefixes)}
+	return prefixRelay{pending: affinity.NewPrefixLog(maxRelayedPrefixes)}
 }
 
 // relayPrefixes sends the prefixes collected since the last relay to the routers of
--- a/routing/affinity/ledger.go
+++ b/routing/affinity/ledger.go
@@ -8,26 +8,26 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// Ledger collects the prompts that were sent to machines until they are reported to other routers.
+// PrefixLog collects the prompts that were sent to machines until they are reported to other routers.
 // If there are too many, it keeps the newest. The zero value holds at most one entry.
-type Ledger struct {
+type PrefixLog struct {
 	limit int
 	// entries are ordered by age, the oldest first.
-	entries []ledgerEntry
+	entries []prefixLogEntry
 }
 
-type ledgerEntry struct {
+type prefixLogEntry struct {
 	machine cluster.MachineID
 	model   cluster.ModelID
 	prefix  uint64
 }
 
-// NewLedger returns an empty ledger of at most limit entries.
-func NewLedger(limit int) *Ledger { return &Ledger{limit: limit} }
+// NewPrefixLog returns an empty ledger of at most limit entries.
+func NewPrefixLog(limit int) *PrefixLog { return &PrefixLog{limit: limit} }
 
 // Note adds the longest prefix of a prompt. A prefix that is already known becomes the newest.
-func (l *Ledger) Note(machine cluster.MachineID, model cluster.ModelID, prefix uint64) {
-	added := ledgerEntry{machine, model, prefix}
+func (l *PrefixLog) Note(machine cluster.MachineID, model cluster.ModelID, prefix uint64) {
+	added := prefixLogEntry{machine, model, prefix}
 	if at := slices.Index(l.entries, added); at >= 0 {
 		l.entries = slices.Delete(l.entries, at, at+1)
 	} else if len(l.entries) > 0 && len(l.entries) >= l.limit {
@@ -37,7 +37,7 @@
 }
 
 // NoteGroups adds the prefixes that a router reported, whose newest ones are kept longest.
-func (l *Ledger) NoteGroups(groups []wire.PrefixGroup) {
+func (l *PrefixLog) NoteGroups(groups []wire.PrefixGroup) {
 	for _, group := range groups {
 		for _, prefix := range slices.Backward(group.Hashes) {
 			l.Note(group.Machine, group.Model, prefix)
@@ -47,11 +47,11 @@
 
 // Take returns and removes all entries. The groups are sorted by machine and model, and their
 // prefixes from the newest to the oldest.
-func (l *Ledger) Take() []wire.PrefixGroup {
+func (l *PrefixLog) Take() []wire.PrefixGroup {
 	taken := l.entries
 	l.entries = nil
 	slices.Reverse(taken)
-	slices.SortStableFunc(taken, func(a, b ledgerEntry) int {
+	slices.SortStableFunc(taken, func(a, b prefixLogEntry) int {
 		return cmp.Or(cmp.Compare(a.machine, b.machine), cmp.Compare(a.model, b.model))
 	})
 	var groups []wire.PrefixGroup
--- a/routing/affinity/ledger_test.go
+++ b/routing/affinity/ledger_test.go
@@ -7,14 +7,14 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestFullLedgerKeepsNewestEntries checks that a full ledger drops the oldest entries, that a
+// TestFullPrefixLogKeepsNewestEntries checks that a full ledger drops the oldest entries, that a
 // repeated entry becomes the newest, and that entries from several routers keep their order.
-func TestFullLedgerKeepsNewestEntries(t *testing.T) {
-	router := NewLedger(3)
+func TestFullPrefixLogKeepsNewestEntries(t *testing.T) {
+	router := NewPrefixLog(3)
 	for _, prefix := range []uint64{1, 2, 3, 2, 4} {
 		router.Note("m1", "chat", prefix)
 	}
-	controller := NewLedger(4)
+	controller := NewPrefixLog(4)
 	controller.NoteGroups([]wire.PrefixGroup{{Machine: "m2", Model: "chat", Hashes: []uint64{8, 7}}, {Machine: "m0", Model: "chat", Hashes: []uint64{9}}})
 	controller.NoteGroups(router.Take())
 	want := []wire.PrefixGroup{
@@ -29,15 +29,15 @@
 	}
 }
 
-// TestLongestPrefixIsFoundByLookup checks that a prefix reported by Longest is found by longer
+// TestReportedPrefixIsFoundByLookup checks that a prefix reported by Longest is found by longer
 // prompts with the same beginning, since reporters and readers must use the same prefix lengths.
-func TestLongestPrefixIsFoundByLookup(t *testing.T) {
+func TestReportedPrefixIsFoundByLookup(t *testing.T) {
 	chain := []uint64{1, 2, 3, 4, 5, 6, 7}
-	if _, ok := Longest(nil); ok {
+	if _, ok := ReportedPrefix(nil); ok {
 		t.Error("an empty prompt has a prefix")
 	}
 	x := New(Config{})
-	prefix, _ := Longest(chain)
+	prefix, _ := ReportedPrefix(chain)
 	x.AddReported(now, "m1", "chat", prefix)
 	expectBlocks(t, x, now, append(chain, 8, 9), 4)
 	expectBlocks(t, x, now, chain[:3], 0)
--- a/routing/affinity/reported.go
+++ b/routing/affinity/reported.go
@@ -2,10 +2,10 @@
 
 import "github.com/valveslip/valveslip/cluster"
 
-// Longest returns the prefix that is reported to other routers for a prompt: the longest one that
+// ReportedPrefix returns the prefix that is reported to other routers for a prompt: the longest one that
 // they look up. The next turn of a conversation is at least as long, so its lookup finds this
 // prefix before all shorter ones. It returns false for an empty prompt.
-func Longest(prefixes []uint64) (uint64, bool) {
+func ReportedPrefix(prefixes []uint64) (uint64, bool) {
 	for i := len(prefixLengths) - 1; i >= 0; i-- {
 		if prefixLengths[i] <= len(prefixes) {
 			return prefixes[prefixLengths[i]-1], true
--- a/routing/prefixes.go
+++ b/routing/prefixes.go
@@ -29,7 +29,7 @@
 // recordReadPrompt records a prompt for the other routers once the engine has read it. A prompt
 // that an engine refused is not in its cache and not published.
 func (r *Router) recordReadPrompt(read *request) {
-	if prefix, ok := affinity.Longest(read.Prefixes); ok {
+	if prefix, ok := affinity.ReportedPrefix(read.Prefixes); ok {
 		r.unpublishedPrefixes.Note(read.machine.id, read.Model, prefix)
 	}
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -59,7 +59,7 @@
 	// suspectCallers are the callers under whose requests several machines ended in succession.
 	suspectCallers *poison.Callers
 	// unpublishedPrefixes are the prompts that have not been sent to the other routers yet.
-	unpublishedPrefixes *affinity.Ledger
+	unpublishedPrefixes *affinity.PrefixLog
 	// routers is the number of routers that share the replicas and rank this router's position
 	// among them. Limits are divided by limitDivisor, which stays above routers until
 	// limitDivisorUntil after some routers disappeared.
@@ -100,7 +100,7 @@
 		prefixes:            affinity.New(config.Affinity),
 		poison:              poison.NewTable(config.Poison),
 		suspectCallers:      poison.NewCallers(),
-		unpublishedPrefixes: affinity.NewLedger(maxUnpublished),
+		unpublishedPrefixes: affinity.NewPrefixLog(maxUnpublished),
 	}
 	router.limits.Divide(limit.Division{Routers: config.ExpectedRouters})
 	return router
