--- a/experiment/hollow/node.go
+++ b/experiment/hollow/node.go
@@ -115,7 +115,7 @@
 	if n.deployment.options.WatchAll {
 		return
 	}
-	n.applyReplication(n.replication.Step(now, replication.StampSeen{
+	n.applyReplication(n.replication.Step(now, replication.HeartbeatStamp{
 		From: heartbeat.From.ID, Address: heartbeat.From.PeerAddress, Stamp: heartbeat.Stamp,
 		SameZone: heartbeat.From.Zone == n.identity.Zone,
 	}))
--- a/experiment/recovery/service_run.go
+++ b/experiment/recovery/service_run.go
@@ -132,7 +132,7 @@
 // ordered.
 func (r *serviceRun) observeEffect(from *simulation.Node, effect node.Effect) node.Effect {
 	switch e := effect.(type) {
-	case node.Planned:
+	case node.PlanMade:
 		if e.Zone == faultedZone && r.world.Controller(faultedZone) == from {
 			r.updatePlanningGap(r.world.Kernel.Now())
 			r.lastPlanAt = r.world.Kernel.Now()
--- a/experiment/recovery/trial.go
+++ b/experiment/recovery/trial.go
@@ -54,7 +54,7 @@
 func (t *trial) observeEffect(from *simulation.Node, effect node.Effect) node.Effect {
 	now := t.world.Kernel.Now()
 	switch effect := effect.(type) {
-	case node.Planned:
+	case node.PlanMade:
 		t.plans = append(t.plans, observedPlan{zone: effect.Zone, node: from.ID, plannedAt: now})
 	case node.EngineCall:
 		if effect.Operation == node.EngineOrder && effect.Order.Kind == cluster.OrderLoad {
--- a/node/controller.go
+++ b/node/controller.go
@@ -377,7 +377,7 @@
 	r.recordExpectedLoadEnds(plan)
 	r.core.apportioner.setPlannedReplicas(plan.Wanted)
 	r.stepController(authority.PlanMade{Plan: plan})
-	r.core.emit(Planned{Zone: r.core.self.Zone, Plan: plan})
+	r.core.emit(PlanMade{Zone: r.core.self.Zone, Plan: plan})
 }
 
 // nextPlanTime returns when the next plan is due: after planInterval, or sooner if the
--- a/node/core.go
+++ b/node/core.go
@@ -230,7 +230,7 @@
 	for _, claim := range heartbeat.Claims {
 		c.claimReceived(claim)
 	}
-	c.stepReplication(replication.StampSeen{
+	c.stepReplication(replication.HeartbeatStamp{
 		From:     heartbeat.From.ID,
 		Address:  heartbeat.From.PeerAddress,
 		Stamp:    heartbeat.Stamp,
@@ -268,7 +268,7 @@
 		case replication.InForce:
 			c.stepRouter(routing.SettingsChanged{Snapshot: e.Snapshot})
 			c.cellRole.settingsChanged()
-			c.emit(SettingsInForce{Snapshot: e.Snapshot})
+			c.emit(SettingsApplied{Snapshot: e.Snapshot})
 		case replication.LoadNeeded:
 			c.restartRead()
 		case replication.Rejected:
@@ -331,6 +331,6 @@
 func (c *Core) checkDrained() {
 	if c.draining && !c.drained && c.router.InFlight() == 0 {
 		c.drained = true
-		c.emit(Drained{})
+		c.emit(DrainCompleted{})
 	}
 }
--- a/node/events.go
+++ b/node/events.go
@@ -165,8 +165,8 @@
 // RoutingOutput passes an effect of the routing core to the request path.
 type RoutingOutput struct{ Effect routing.Effect }
 
-// SettingsInForce reports that the snapshot now applies to all decisions.
-type SettingsInForce struct{ Snapshot *settings.Snapshot }
+// SettingsApplied reports that the snapshot now applies to all decisions.
+type SettingsApplied struct{ Snapshot *settings.Snapshot }
 
 // SettingsRejected reports that new settings could not be applied. The previous ones
 // stay in force; an operator must act.
@@ -182,14 +182,14 @@
 	Err error
 }
 
-// Planned reports a plan that this node made as controller.
-type Planned struct {
+// PlanMade reports a plan that this node made as controller.
+type PlanMade struct {
 	Zone cluster.ZoneID
 	Plan placement.Plan
 }
 
-// Drained reports that a graceful stop is complete.
-type Drained struct{}
+// DrainCompleted reports that a graceful stop is complete.
+type DrainCompleted struct{}
 
 func (SendMessage) nodeEffect()      {}
 func (KeyValueCall) nodeEffect()     {}
@@ -197,8 +197,8 @@
 func (ListMachines) nodeEffect()     {}
 func (ReadStoreStatus) nodeEffect()  {}
 func (RoutingOutput) nodeEffect()    {}
-func (SettingsInForce) nodeEffect()  {}
+func (SettingsApplied) nodeEffect()  {}
 func (SettingsRejected) nodeEffect() {}
 func (RecordUnreadable) nodeEffect() {}
-func (Planned) nodeEffect()          {}
-func (Drained) nodeEffect()          {}
+func (PlanMade) nodeEffect()         {}
+func (DrainCompleted) nodeEffect()   {}
--- a/node/shell/fixture_test.go
+++ b/node/shell/fixture_test.go
@@ -49,7 +49,7 @@
 	var effects []node.Effect
 	if !c.initialized {
 		c.initialized = true
-		effects = append(effects, node.SettingsInForce{Snapshot: c.snapshot})
+		effects = append(effects, node.SettingsApplied{Snapshot: c.snapshot})
 		c.router.Step(now, routing.SettingsChanged{Snapshot: c.snapshot})
 		c.router.Step(now, routing.CellStatusChanged{Status: c.status})
 	}
@@ -71,7 +71,7 @@
 		}
 	}
 	if c.draining && c.router.InFlight() == 0 {
-		effects = append(effects, node.Drained{})
+		effects = append(effects, node.DrainCompleted{})
 	}
 	return effects
 }
--- a/node/shell/step.go
+++ b/node/shell/step.go
@@ -47,22 +47,22 @@
 		n.listMachines()
 	case node.ReadStoreStatus:
 		n.readStoreStatus()
-	case node.SettingsInForce:
+	case node.SettingsApplied:
 		n.applySettings(effect)
 	case node.SettingsRejected:
 		n.logger.Error("settings rejected", "history", effect.Stamp.History, "revision", effect.Stamp.Revision, "error", effect.Err)
 	case node.RecordUnreadable:
 		n.logger.Error("cannot decode stored record", "key", effect.Key, "error", effect.Err)
-	case node.Planned:
+	case node.PlanMade:
 		n.journal.RecordPlan(now, effect.Zone, &effect.Plan)
 		n.logPlan(effect)
-	case node.Drained:
+	case node.DrainCompleted:
 		n.drainedOnce.Do(func() { close(n.drained) })
 	}
 }
 
 // applySettings makes a snapshot the settings that all requests are checked against.
-func (n *Node) applySettings(effect node.SettingsInForce) {
+func (n *Node) applySettings(effect node.SettingsApplied) {
 	n.settings.Store(effect.Snapshot)
 	stamp := effect.Snapshot.Stamp
 	n.metrics.settingsRevision.Set(float64(stamp.Revision))
@@ -73,7 +73,7 @@
 }
 
 // logPlan logs the orders of a plan and adds them to the event log.
-func (n *Node) logPlan(effect node.Planned) {
+func (n *Node) logPlan(effect node.PlanMade) {
 	for _, action := range effect.Plan.Actions {
 		n.backend.Append(admin.Event{
 			At: time.Now(), Kind: admin.EventOrder, Path: n.modelPath(action.Model), Model: action.Model, Zone: effect.Zone, Node: n.self.ID,
--- a/replication/bench_test.go
+++ b/replication/bench_test.go
@@ -49,7 +49,7 @@
 				core.Step(epoch, Loaded{Tree: tree, Stamp: stamp})
 				for peer := range 340 {
 					id := fmt.Sprintf("peer-%03d", peer)
-					core.Step(epoch, StampSeen{From: cluster.NodeID(id), Address: id + ":7000", Stamp: stamp, SameZone: peer < 19})
+					core.Step(epoch, HeartbeatStamp{From: cluster.NodeID(id), Address: id + ":7000", Stamp: stamp, SameZone: peer < 19})
 				}
 				b.StartTimer()
 				effects := core.Step(epoch, MessageReceived{Message: wire.ConfigurationEntries{From: "peer-000", History: "h1", After: 1, Entries: entries}})
@@ -83,7 +83,7 @@
 	core := newCore("a")
 	h := newHistory(b, "h1", 1)
 	core.Step(epoch, h.loaded(1))
-	seen := StampSeen{From: "peer", Address: "peer:7000", Stamp: h.stamp(1)}
+	seen := HeartbeatStamp{From: "peer", Address: "peer:7000", Stamp: h.stamp(1)}
 	b.ReportAllocs()
 	for b.Loop() {
 		core.Step(epoch, seen)
--- a/replication/core.go
+++ b/replication/core.go
@@ -72,7 +72,7 @@
 		c.receiveLoaded(e)
 	case Accepted:
 		c.receiveAccepted(now, e)
-	case StampSeen:
+	case HeartbeatStamp:
 		c.receiveStamp(now, e)
 	case MessageReceived:
 		c.receive(now, e)
--- a/replication/core_test.go
+++ b/replication/core_test.go
@@ -89,7 +89,7 @@
 	a, b := newCore("a"), newCore("b")
 	a.Step(epoch, h.loaded(2))
 	b.Step(epoch, h.loaded(2))
-	a.Step(epoch, StampSeen{From: "b", Address: "b:7000", Stamp: b.Stamp(), SameZone: true})
+	a.Step(epoch, HeartbeatStamp{From: "b", Address: "b:7000", Stamp: b.Stamp(), SameZone: true})
 	sends := effectsOf[Send](a.Step(epoch, h.accepted(0, 5)))
 	if len(sends) != 1 || sends[0].Address != "b:7000" {
 		t.Fatalf("pushed %+v", sends)
@@ -114,7 +114,7 @@
 	fresh := cores["c:7000"]
 	for _, id := range []string{"a", "b"} {
 		address := id + ":7000"
-		deliverAll(epoch, cores, fresh.Step(epoch, StampSeen{
+		deliverAll(epoch, cores, fresh.Step(epoch, HeartbeatStamp{
 			From: cluster.NodeID(id), Address: address, Stamp: cores[address].Stamp(),
 		}))
 	}
@@ -153,7 +153,7 @@
 	a.Step(epoch, h.loaded(2))
 	a.Step(epoch, h.accepted(2, 5))
 	b.Step(epoch, Loaded{Tree: other.trees[2], Stamp: settings.Stamp{History: "h1", Revision: 2, Digest: other.trees[2].Digest()}})
-	effects := b.Step(epoch, StampSeen{From: "a", Address: "a:7000", Stamp: a.Stamp()})
+	effects := b.Step(epoch, HeartbeatStamp{From: "a", Address: "a:7000", Stamp: a.Stamp()})
 	deliverAll(epoch, cores, effects)
 	if b.Stamp() != h.stamp(5) || b.Tree().Digest() != h.trees[5].Digest() {
 		t.Errorf("stamp %+v", b.Stamp())
@@ -213,8 +213,8 @@
 func TestUnansweredRequestIsSentToAnotherPeer(t *testing.T) {
 	h := newHistory(t, "h1", 2)
 	core := newCore("a")
-	asked := effectsOf[Send](core.Step(epoch, StampSeen{From: "b", Address: "b:7000", Stamp: h.stamp(2)}))
-	if again := effectsOf[Send](core.Step(epoch, StampSeen{From: "c", Address: "c:7000", Stamp: h.stamp(2)})); len(asked) != 1 || len(again) != 0 {
+	asked := effectsOf[Send](core.Step(epoch, HeartbeatStamp{From: "b", Address: "b:7000", Stamp: h.stamp(2)}))
+	if again := effectsOf[Send](core.Step(epoch, HeartbeatStamp{From: "c", Address: "c:7000", Stamp: h.stamp(2)})); len(asked) != 1 || len(again) != 0 {
 		t.Fatalf("sent %d and %d requests, want 1 and 0", len(asked), len(again))
 	}
 	later := epoch.Add(core.config.RequestTimeout)
--- a/replication/property_test.go
+++ b/replication/property_test.go
@@ -96,7 +96,7 @@
 }
 
 func (w *simulation) heartbeat(from, to int) {
-	w.step(to, StampSeen{
+	w.step(to, HeartbeatStamp{
 		From: w.cores[from].self, Address: address(from), Stamp: w.cores[from].Stamp(), SameZone: from%2 == to%2,
 	})
 }
@@ -240,7 +240,7 @@
 			return event
 		},
 		"ignores heartbeats": func(core *Core, event Event) Event {
-			if _, isStamp := event.(StampSeen); isStamp {
+			if _, isStamp := event.(HeartbeatStamp); isStamp {
 				return Tick{}
 			}
 			return event
--- a/replication/spread.go
+++ b/replication/spread.go
@@ -11,7 +11,7 @@
 
 // receiveStamp records the stamp of a peer's heartbeat and, if it is newer than the one in
 // force, requests the configuration from that peer.
-func (c *Core) receiveStamp(now time.Time, event StampSeen) {
+func (c *Core) receiveStamp(now time.Time, event HeartbeatStamp) {
 	if event.From == c.self || event.From == "" {
 		return
 	}
--- a/replication/types.go
+++ b/replication/types.go
@@ -69,8 +69,8 @@
 	Entries []settings.Entry
 }
 
-// StampSeen holds the stamp of a peer's heartbeat.
-type StampSeen struct {
+// HeartbeatStamp holds the stamp of a peer's heartbeat.
+type HeartbeatStamp struct {
 	From     cluster.NodeID
 	Address  string
 	Stamp    settings.Stamp
@@ -95,7 +95,7 @@
 
 func (Loaded) replicationEvent()          {}
 func (Accepted) replicationEvent()        {}
-func (StampSeen) replicationEvent()       {}
+func (HeartbeatStamp) replicationEvent()  {}
 func (MessageReceived) replicationEvent() {}
 func (PeerGone) replicationEvent()        {}
 func (Tick) replicationEvent()            {}
--- a/simulation/checkers_test.go
+++ b/simulation/checkers_test.go
@@ -95,22 +95,22 @@
 	{name: "a planned stop does not wait", promise: PromisePlannedStop,
 		effect: func(_ *World, from *Node, effect node.Effect) node.Effect {
 			if from.draining {
-				return node.Drained{}
+				return node.DrainCompleted{}
 			}
 			return effect
 		}},
 	{name: "a node goes back to an older configuration", promise: PromiseConfiguration,
 		effect: func(w *World, from *Node, effect node.Effect) node.Effect {
-			if inForce, ok := effect.(node.SettingsInForce); ok && from.revision > 1 {
+			if inForce, ok := effect.(node.SettingsApplied); ok && from.revision > 1 {
 				old := *inForce.Snapshot
 				old.Stamp.Revision = 1
-				return node.SettingsInForce{Snapshot: &old}
+				return node.SettingsApplied{Snapshot: &old}
 			}
 			return effect
 		}},
 	{name: "an edit never reaches a node", promise: PromiseConfiguration,
 		effect: func(_ *World, from *Node, effect node.Effect) node.Effect {
-			if inForce, ok := effect.(node.SettingsInForce); ok && inForce.Snapshot.Stamp.Revision > 1 && from.number == 3 {
+			if inForce, ok := effect.(node.SettingsApplied); ok && inForce.Snapshot.Stamp.Revision > 1 && from.number == 3 {
 				return nil
 			}
 			return effect
--- a/simulation/node.go
+++ b/simulation/node.go
@@ -183,9 +183,9 @@
 		n.readStoreStatus()
 	case node.RoutingOutput:
 		w.Callers.applyEffect(n, e.Effect)
-	case node.SettingsInForce:
+	case node.SettingsApplied:
 		w.Checkers.checkInForce(n, e.Snapshot.Stamp)
-	case node.Drained:
+	case node.DrainCompleted:
 		w.Checkers.checkDrained(n)
 		n.endPlannedStop()
 	}
