--- a/authority/explore/apportion_state.go
+++ b/authority/explore/apportion_state.go
@@ -12,17 +12,17 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// EscrowScenario is the size of an exploration of apportioning: a few zones of one machine
+// ApportionScenario is the size of an exploration of apportioning: a few zones of one machine
 // each, one model, and apportioners that all act as the only one. A zone's controllers
 // follow the takeover protocol; their orders take effect at once.
-type EscrowScenario struct {
+type ApportionScenario struct {
 	Name         string
 	Apportioners int
 	Zones        int
 	// Settled scenarios start after the first edit was divided and read by everyone.
 	Settled bool
 	// Edits are the accepted settings, in order.
-	Edits []EscrowEdit
+	Edits []ApportionEdit
 	// Depth and States bound the exploration; zero States means no bound.
 	Depth, States int
 	// Takeovers of zones, zones that leave, expiries of the machine list's lag and
@@ -30,9 +30,9 @@
 	Takeovers, Leaves, Lapses, Restarts int
 }
 
-// EscrowEdit is one revision of the settings: the model's replica limit and the zones that
+// ApportionEdit is one revision of the settings: the model's replica limit and the zones that
 // may hold it.
-type EscrowEdit struct {
+type ApportionEdit struct {
 	Maximum int
 	Zones   []int
 }
@@ -83,14 +83,14 @@
 
 // apportionSearch explores one scenario in one variant.
 type apportionSearch struct {
-	scenario  EscrowScenario
+	scenario  ApportionScenario
 	variant   Variant
 	snapshots []*settings.Snapshot
 }
 
-// Escrow explores a scenario of apportioning breadth first until a violation, the depth or
+// Apportioning explores a scenario of apportioning breadth first until a violation, the depth or
 // the bound on states.
-func Escrow(ctx context.Context, scenario EscrowScenario, variant Variant) (Result, error) {
+func Apportioning(ctx context.Context, scenario ApportionScenario, variant Variant) (Result, error) {
 	s := &apportionSearch{scenario: scenario, variant: variant}
 	for i, edit := range scenario.Edits {
 		policy := settings.Policy{MaxReplicas: edit.Maximum}
--- a/authority/explore/explore_test.go
+++ b/authority/explore/explore_test.go
@@ -92,11 +92,11 @@
 // TestApportioningExceedsNoLimit guards against more replicas than decided over all zones,
 // with several apportioners, takeovers, restarts and zones that leave.
 func TestApportioningExceedsNoLimit(t *testing.T) {
-	requireSafe(t, Escrow, EscrowScenarios(stateBound))
+	requireSafe(t, Apportioning, ApportionScenarios(stateBound))
 }
 
 // TestBrokenApportioningVariantsCauseViolations guards against checks that cannot fail:
 // each broken variant of apportioning must lead to a violation.
 func TestBrokenApportioningVariantsCauseViolations(t *testing.T) {
-	requireViolation(t, Escrow, EscrowScenarios(40*stateBound), func(s EscrowScenario) string { return s.Name }, EscrowDefects())
+	requireViolation(t, Apportioning, ApportionScenarios(40*stateBound), func(s ApportionScenario) string { return s.Name }, ApportionDefects())
 }
--- a/authority/explore/scenario.go
+++ b/authority/explore/scenario.go
@@ -47,18 +47,18 @@
 	}
 }
 
-// EscrowScenarios returns the scenarios of apportioning, each bounded to the given number
+// ApportionScenarios returns the scenarios of apportioning, each bounded to the given number
 // of states.
-func EscrowScenarios(states int) []EscrowScenario {
-	singleMaximum := slices.Clip([]EscrowEdit{{1, []int{0}}, {1, []int{1}}})
-	changingMaximum := []EscrowEdit{{2, []int{0, 1}}, {2, []int{1, 2}}, {1, []int{0, 2}}}
-	scenarios := []EscrowScenario{
+func ApportionScenarios(states int) []ApportionScenario {
+	singleMaximum := slices.Clip([]ApportionEdit{{1, []int{0}}, {1, []int{1}}})
+	changingMaximum := []ApportionEdit{{2, []int{0, 1}}, {2, []int{1, 2}}, {1, []int{0, 2}}}
+	scenarios := []ApportionScenario{
 		{Name: "one apportioner", Apportioners: 1, Zones: 2, Settled: true, Edits: singleMaximum, Takeovers: 1},
 		{Name: "two apportioners", Apportioners: 2, Zones: 2, Edits: singleMaximum, Takeovers: 1},
 		{Name: "edited back", Apportioners: 2, Zones: 2, Settled: true, Edits: append(singleMaximum, singleMaximum[0])},
 		{Name: "three zones", Apportioners: 2, Zones: 3, Settled: true, Edits: changingMaximum},
 		{Name: "there and back", Apportioners: 2, Zones: 2, Settled: true, Edits: append(singleMaximum, singleMaximum[0], singleMaximum[1]), Takeovers: 1, Restarts: 1},
-		{Name: "a zone goes", Apportioners: 1, Zones: 2, Settled: true, Edits: []EscrowEdit{{1, []int{0, 1}}}, Leaves: 1, Lapses: 2, Restarts: 1},
+		{Name: "a zone goes", Apportioners: 1, Zones: 2, Settled: true, Edits: []ApportionEdit{{1, []int{0, 1}}}, Leaves: 1, Lapses: 2, Restarts: 1},
 	}
 	for i := range scenarios {
 		scenarios[i].Depth, scenarios[i].States = unboundedDepth, states
@@ -66,8 +66,8 @@
 	return scenarios
 }
 
-// EscrowDefects returns the broken variants of apportioning.
-func EscrowDefects() []Defect {
+// ApportionDefects returns the broken variants of apportioning.
+func ApportionDefects() []Defect {
 	return []Defect{
 		{VariantNoEscrow, "one apportioner"},
 		{VariantEndlessLease, "one apportioner"},
--- a/cmd/valveslip/check_takeover.go
+++ b/cmd/valveslip/check_takeover.go
@@ -45,7 +45,7 @@
 		FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			if custom.Controllers == 0 {
-				return exploreScenarios(ctx, out, explore.Scenarios(*states), explore.EscrowScenarios(*states))
+				return exploreScenarios(ctx, out, explore.Scenarios(*states), explore.ApportionScenarios(*states))
 			}
 			if custom.Controllers < 0 || custom.Machines < 1 || custom.Machines+custom.Joining > 10 {
 				return &exitError{code: exitUsage, err: errors.New("between 1 and 10 machines are needed")}
@@ -58,7 +58,7 @@
 
 // exploreScenarios explores the scenarios and prints a line for each. It fails if a
 // scenario has a violation, and prints the steps that lead to it.
-func exploreScenarios(ctx context.Context, out io.Writer, takeovers []explore.Scenario, escrows []explore.EscrowScenario) error {
+func exploreScenarios(ctx context.Context, out io.Writer, takeovers []explore.Scenario, escrows []explore.ApportionScenario) error {
 	var results []explore.Result
 	for _, scenario := range takeovers {
 		result, err := explore.Takeover(ctx, scenario, explore.VariantNone)
@@ -68,7 +68,7 @@
 		results = append(results, result)
 	}
 	for _, scenario := range escrows {
-		result, err := explore.Escrow(ctx, scenario, explore.VariantNone)
+		result, err := explore.Apportioning(ctx, scenario, explore.VariantNone)
 		if err != nil {
 			return err
 		}
--- a/cmd/valveslip/explain.go
+++ b/cmd/valveslip/explain.go
@@ -77,7 +77,7 @@
 
 // writeStory writes the explanation of one request.
 func writeStory(output io.Writer, log *explain.Log, id string, asJSON bool) error {
-	story, known := log.Tell(id)
+	story, known := log.Story(id)
 	if !known {
 		return &exitError{code: exitNotFound, err: fmt.Errorf("the logs know no request %s", id)}
 	}
--- a/explain/cause.go
+++ b/explain/cause.go
@@ -187,7 +187,7 @@
 func (l *Log) groupByCause(include func(*Story) bool) []Group {
 	var groups []Group
 	for _, id := range l.Requests() {
-		story, found := l.Tell(id)
+		story, found := l.Story(id)
 		if !found || !include(&story) {
 			continue
 		}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -39,7 +39,7 @@
 		"c": "its node ended without a word and started again 1.5 s later",
 		"d": "served",
 	} {
-		story, known := log.Tell(id)
+		story, known := log.Story(id)
 		if !known || !story.Known || story.Cause != want {
 			t.Errorf("request %s: %q, want %q", id, story.Cause, want)
 		}
@@ -47,7 +47,7 @@
 			t.Errorf("the text on %s lacks the cause:\n%s", id, story.Text())
 		}
 	}
-	if _, known := log.Tell("x"); known {
+	if _, known := log.Story("x"); known {
 		t.Error("a request that no log names is known")
 	}
 }
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if story, known := log.Tell("f"); !known || story.Cause != "refused by a limit: "+cause {
+	if story, known := log.Story("f"); !known || story.Cause != "refused by a limit: "+cause {
 		t.Errorf("%q", story.Cause)
 	}
 }
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	story, known := log.Tell("e")
+	story, known := log.Story("e")
 	if want := "refused before it was accepted: the body did not come in time"; !known || story.Cause != want || story.Status != "408" {
 		t.Errorf("story %+v, want the cause %q", story, want)
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	story, known := log.Tell("e")
+	story, known := log.Story("e")
 	want := "refused: machines ended while they ran this request: i-1, i-2, i-3"
 	if !known || !story.Known || story.Cause != want {
 		t.Errorf("cause %q, want %q", story.Cause, want)
@@ -137,10 +137,10 @@
 		t.Fatal(err)
 	}
 	const want = "its node ended without a word and did not start again: its log ends 12.5 s before the others'"
-	if story, _ := log.Tell("e"); !story.Known || story.Cause != want {
+	if story, _ := log.Story("e"); !story.Known || story.Cause != want {
 		t.Errorf("%q, want %q", story.Cause, want)
 	}
-	if story, _ := log.Tell("f"); story.Known {
+	if story, _ := log.Story("f"); story.Known {
 		t.Errorf("%q, want no cause where the logs end", story.Cause)
 	}
 }
--- a/explain/pause_test.go
+++ b/explain/pause_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	story, _ := log.Tell("a")
+	story, _ := log.Story("a")
 	want := "served, but its longest pause took 800 ms where 500 are in time: machine i-1 had prompts of 15700 tokens to read (2), the longest by request c1 through n3: 15000 of s/k"
 	if story.Cause != want {
 		t.Errorf("cause %q, want %q", story.Cause, want)
@@ -59,7 +59,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if story, _ := log.Tell("a"); story.Cause != "served" || story.Pause == nil || len(log.LatePauses()) != 0 {
+		if story, _ := log.Story("a"); story.Cause != "served" || story.Pause == nil || len(log.LatePauses()) != 0 {
 			t.Errorf("with %q: cause %q, pause %+v", change[1], story.Cause, story.Pause)
 		}
 	}
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if story, _ := log.Tell("a"); story.Pause != nil || story.Cause != "served" {
+	if story, _ := log.Story("a"); story.Pause != nil || story.Cause != "served" {
 		t.Errorf("cause %q, pause %+v", story.Cause, story.Pause)
 	}
 }
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	want := "served, but its longest pause took 800 ms where 500 are in time: the stream went on from machine i-1 to i-2"
-	if story, _ := log.Tell("a"); story.Cause != want {
+	if story, _ := log.Story("a"); story.Cause != want {
 		t.Errorf("cause %q, want %q", story.Cause, want)
 	}
 }
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	want := "served, but its longest pause took 800 ms where 500 are in time: no node sent machine i-1 anything then"
-	if story, _ := log.Tell("a"); story.Cause != want {
+	if story, _ := log.Story("a"); story.Cause != want {
 		t.Errorf("cause %q, want %q", story.Cause, want)
 	}
 }
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if story, _ := log.Tell("a"); story.Pause.Sent != 3 || story.Pause.Tokens != 24700 {
+	if story, _ := log.Story("a"); story.Pause.Sent != 3 || story.Pause.Tokens != 24700 {
 		t.Errorf("pause %+v, want the continued stream's prompt too", story.Pause)
 	}
 }
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if story, _ := log.Tell("a"); story.Pause.Sent != 22 || len(story.Pause.Prompts) != maxPrompts || story.Pause.Prompts[2].Request != "g19" {
+	if story, _ := log.Story("a"); story.Pause.Sent != 22 || len(story.Pause.Prompts) != maxPrompts || story.Pause.Prompts[2].Request != "g19" {
 		t.Errorf("pause %+v", story.Pause)
 	}
 }
--- a/explain/story.go
+++ b/explain/story.go
@@ -83,8 +83,8 @@
 	return ids
 }
 
-// Tell returns the story of a request, false when no line names the request.
-func (l *Log) Tell(id string) (Story, bool) {
+// Story returns the story of a request, false when no line names the request.
+func (l *Log) Story(id string) (Story, bool) {
 	requestLines := l.byRequest[id]
 	if len(requestLines) == 0 {
 		return Story{}, false
