--- a/authority/ledger.go
+++ b/authority/ledger.go
@@ -255,10 +255,10 @@
 }
 
 // plannerSlots returns the replicas and pending loads for the planner, sorted by model.
-func (m *machineLedger) plannerSlots() []placement.Slot {
-	slots := make([]placement.Slot, 0, len(m.inventory.Replicas)+len(m.pending))
+func (m *machineLedger) plannerSlots() []placement.Replica {
+	slots := make([]placement.Replica, 0, len(m.inventory.Replicas)+len(m.pending))
 	for _, replica := range m.inventory.Replicas {
-		slot := placement.Slot{
+		slot := placement.Replica{
 			Model: replica.Model, Version: replica.Version, State: replica.State,
 			Bytes: max(replica.Bytes, m.reservedBytes[replica.Model]), Since: replica.Since,
 		}
@@ -272,12 +272,12 @@
 		if _, found := m.inventory.Find(pending.order.Model); found || pending.order.Kind != cluster.OrderLoad {
 			continue
 		}
-		slots = append(slots, placement.Slot{
+		slots = append(slots, placement.Replica{
 			Model: pending.order.Model, Version: pending.order.Version, State: cluster.ReplicaLoading,
 			Unknown: pending.outcomeUnknown, Bytes: m.reservedBytes[pending.order.Model], Since: pending.sentAt,
 		})
 	}
-	slices.SortFunc(slots, func(a, b placement.Slot) int { return compareStrings(a.Model, b.Model) })
+	slices.SortFunc(slots, func(a, b placement.Replica) int { return compareStrings(a.Model, b.Model) })
 	return slots
 }
 
--- a/authority/sequence/machine.go
+++ b/authority/sequence/machine.go
@@ -130,11 +130,11 @@
 }
 
 // plannerSlots returns the replicas for the planner, sorted by model.
-func (m *machine) plannerSlots(size func(cluster.ModelID) int64) []placement.Slot {
-	slots := make([]placement.Slot, 0, len(m.replicas))
+func (m *machine) plannerSlots(size func(cluster.ModelID) int64) []placement.Replica {
+	slots := make([]placement.Replica, 0, len(m.replicas))
 	for _, model := range m.modelIDs() {
 		current := m.replicas[model]
-		slots = append(slots, placement.Slot{
+		slots = append(slots, placement.Replica{
 			Model: model, State: current.state, Unknown: current.outcomeUnknown, Bytes: max(current.bytes, size(model)), Since: current.stateSince,
 		})
 	}
--- a/authority/snapshot.go
+++ b/authority/snapshot.go
@@ -64,7 +64,7 @@
 			}
 			position := findOrAddMachine(state, index, id)
 			state.Machines[position].Replicas = append(state.Machines[position].Replicas,
-				placement.Slot{Model: allotted.Model, State: cluster.ReplicaLoading, Unknown: true})
+				placement.Replica{Model: allotted.Model, State: cluster.ReplicaLoading, Unknown: true})
 			room--
 		}
 	}
--- a/experiment/oracle.go
+++ b/experiment/oracle.go
@@ -222,8 +222,8 @@
 
 // evictionCandidates returns the idle replicas of a machine that are needed later than the model,
 // the latest first.
-func (r *oracleRound) evictionCandidates(machine *placement.Machine, model *settings.Model) []placement.Slot {
-	var idle []placement.Slot
+func (r *oracleRound) evictionCandidates(machine *placement.Machine, model *settings.Model) []placement.Replica {
+	var idle []placement.Replica
 	for _, slot := range machine.Replicas {
 		if slot.State == cluster.ReplicaLoaded && slot.Model != model.Base && !r.hasRequests(slot.Model) && r.neededAt[slot.Model].After(r.neededAt[model.ID]) {
 			idle = append(idle, slot)
@@ -261,7 +261,7 @@
 // orderLoad orders a load and reserves its memory for the rest of the round.
 func (r *oracleRound) orderLoad(machine *placement.Machine, model *settings.Model) {
 	r.loadBudget--
-	machine.Replicas = append(machine.Replicas, placement.Slot{
+	machine.Replicas = append(machine.Replicas, placement.Replica{
 		Model: model.ID, State: cluster.ReplicaLoading, Bytes: model.Policy.Memory,
 	})
 	r.plan.Actions = append(r.plan.Actions, placement.Action{
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -121,13 +121,13 @@
 	if len(plan.Actions) != 1 || len(role.expectedLoadEnds) != 0 {
 		t.Fatalf("%d loads, %d of them published with an assumed end", len(plan.Actions), len(role.expectedLoadEnds))
 	}
-	slot := placement.Slot{Model: "first", State: cluster.ReplicaLoading, Bytes: policy.Memory, Since: now}
-	state.Machines[0].Replicas = []placement.Slot{slot}
+	slot := placement.Replica{Model: "first", State: cluster.ReplicaLoading, Bytes: policy.Memory, Since: now}
+	state.Machines[0].Replicas = []placement.Replica{slot}
 	state.Demand = nil
 	state.Now = now.Add(500 * time.Millisecond)
 	role.planner.Plan(state)
 	slot.State, slot.Since = cluster.ReplicaLoaded, now.Add(time.Second)
-	state.Machines[0].Replicas = []placement.Slot{slot}
+	state.Machines[0].Replicas = []placement.Replica{slot}
 	state.Demand = map[cluster.ModelID]placement.Demand{"second": {Waiting: 1}}
 	state.Now = now.Add(2 * time.Second)
 	role.recordExpectedLoadEnds(role.planner.Plan(state))
--- a/node/shell/inspection/local.go
+++ b/node/shell/inspection/local.go
@@ -85,7 +85,7 @@
 }
 
 // replicaView returns a replica in the form of the administration API.
-func replicaView(zone cluster.ZoneID, machine cluster.MachineID, slot placement.Slot) admin.Replica {
+func replicaView(zone cluster.ZoneID, machine cluster.MachineID, slot placement.Replica) admin.Replica {
 	state := slot.State.String()
 	if slot.Unknown {
 		state = stateUnknown
--- a/placement/check_test.go
+++ b/placement/check_test.go
@@ -189,8 +189,8 @@
 	return &c.state.Machines[at]
 }
 
-func (c *invariantChecker) slot(machine *Machine, id cluster.ModelID) *Slot {
-	at := slices.IndexFunc(machine.Replicas, func(s Slot) bool { return s.Model == id })
+func (c *invariantChecker) slot(machine *Machine, id cluster.ModelID) *Replica {
+	at := slices.IndexFunc(machine.Replicas, func(s Replica) bool { return s.Model == id })
 	if at < 0 {
 		return nil
 	}
--- a/placement/eviction_cost_test.go
+++ b/placement/eviction_cost_test.go
@@ -192,7 +192,7 @@
 			state.LoadTime = func(cluster.ModelID, cluster.Tier) time.Duration { return time.Second }
 			state.Store.Concurrency = test.concurrency
 			loading := Machine{ID: "machine-0009", Pool: "assistant", Sealed: true, Busy: true, MemoryBytes: 10 * gigabyte}
-			loading.Replicas = []Slot{{Model: "rare", State: cluster.ReplicaLoading, Since: state.Now, Bytes: 10 * gigabyte, Version: "1"}}
+			loading.Replicas = []Replica{{Model: "rare", State: cluster.ReplicaLoading, Since: state.Now, Bytes: 10 * gigabyte, Version: "1"}}
 			state.Machines = append(state.Machines, loading)
 			var plan Plan
 			for range 12 {
--- a/placement/round.go
+++ b/placement/round.go
@@ -104,7 +104,7 @@
 
 // replicaState is one replica in a round; slot is its record in the ledger.
 type replicaState struct {
-	slot    *Slot
+	slot    *Replica
 	model   int32
 	machine int32
 	// next links the replicas of one model.
@@ -213,7 +213,7 @@
 }
 
 // indexReplica adds one replica. A replica occupies its memory in every state.
-func (r *round) indexReplica(m int32, machine *machineState, slot *Slot) {
+func (r *round) indexReplica(m int32, machine *machineState, slot *Replica) {
 	machine.free -= slot.Bytes
 	replica := replicaState{slot: slot, model: r.catalogue.indexOf(slot.Model), machine: m, next: noIndex}
 	replica.unloading = slot.State == cluster.ReplicaUnloading
--- a/placement/types.go
+++ b/placement/types.go
@@ -23,9 +23,9 @@
 	Objective time.Duration
 }
 
-// Slot is one replica of a model in the controller's ledger. It counts with its memory in every
+// Replica is one replica of a model in the controller's ledger. It counts with its memory in every
 // state. If Unknown is set, the replica may or may not exist.
-type Slot struct {
+type Replica struct {
 	Model   cluster.ModelID
 	Version string
 	State   cluster.ReplicaState
@@ -53,7 +53,7 @@
 	Busy          bool
 	OrderTimeLeft time.Duration
 	// Replicas lists the replicas on the machine, reserved ones included, sorted by model.
-	Replicas []Slot
+	Replicas []Replica
 	Cached   map[cluster.ModelID]cluster.Tier
 	// Load is the last load report of the engine. It may be stale.
 	Load cluster.LoadReport
--- a/placement/wait.go
+++ b/placement/wait.go
@@ -80,9 +80,9 @@
 }
 
 // remainingLoadTime returns the expected remaining seconds of a running load.
-func (r *round) remainingLoadTime(m, model int32, slot *Slot) float64 {
-	expected, began := r.coldStart(model), slot.Since
-	if load, known := r.store.pending[loadKey{machine: r.state.Machines[m].ID, model: slot.Model}]; known {
+func (r *round) remainingLoadTime(m, model int32, replica *Replica) float64 {
+	expected, began := r.coldStart(model), replica.Since
+	if load, known := r.store.pending[loadKey{machine: r.state.Machines[m].ID, model: replica.Model}]; known {
 		expected, began = load.expected, load.ordered
 	}
 	return max(expected-r.state.Now.Sub(began), 0).Seconds()
--- a/placement/world_simulation_test.go
+++ b/placement/world_simulation_test.go
@@ -280,7 +280,7 @@
 }
 
 func (w *starvationWorld) holds(machine *Machine, id cluster.ModelID, state cluster.ReplicaState) bool {
-	return slices.ContainsFunc(machine.Replicas, func(s Slot) bool { return s.Model == id && s.State == state })
+	return slices.ContainsFunc(machine.Replicas, func(s Replica) bool { return s.Model == id && s.State == state })
 }
 
 // plan returns the plan for the present demand.
@@ -334,7 +334,7 @@
 			w.completesAt[key] = w.state.Now.Add(w.loadTime(action.Model, action.Tier))
 			continue
 		}
-		slot := slices.IndexFunc(w.state.Machines[at].Replicas, func(s Slot) bool { return s.Model == action.Model })
+		slot := slices.IndexFunc(w.state.Machines[at].Replicas, func(s Replica) bool { return s.Model == action.Model })
 		w.state.Machines[at].Replicas[slot].State = cluster.ReplicaUnloading
 		w.completesAt[key] = w.lastRun(action.Model).Add(worldUnloadTime)
 	}
@@ -376,7 +376,7 @@
 			slot.State, slot.Since = cluster.ReplicaLoaded, due
 			w.leaveCopy(machine, slot.Model)
 		}
-		machine.Replicas = slices.DeleteFunc(machine.Replicas, func(s Slot) bool {
+		machine.Replicas = slices.DeleteFunc(machine.Replicas, func(s Replica) bool {
 			return unloaded[s.Model] || unloaded[w.state.Settings.Model(s.Model).Base]
 		})
 	}
--- a/placement/world_test.go
+++ b/placement/world_test.go
@@ -74,16 +74,16 @@
 }
 
 // addLoadedReplica puts a loaded replica on the machine.
-func addLoadedReplica(state *State, machine int, id cluster.ModelID) *Slot {
+func addLoadedReplica(state *State, machine int, id cluster.ModelID) *Replica {
 	model := state.Settings.Model(id)
-	slot := Slot{Model: id, State: cluster.ReplicaLoaded, Since: state.Now}
+	slot := Replica{Model: id, State: cluster.ReplicaLoaded, Since: state.Now}
 	if model != nil {
 		slot.Version, slot.Bytes = model.Policy.Version, model.Policy.Memory
 	}
 	replicas := append(state.Machines[machine].Replicas, slot)
-	slices.SortFunc(replicas, func(a, b Slot) int { return strings.Compare(string(a.Model), string(b.Model)) })
+	slices.SortFunc(replicas, func(a, b Replica) int { return strings.Compare(string(a.Model), string(b.Model)) })
 	state.Machines[machine].Replicas = replicas
-	at := slices.IndexFunc(replicas, func(s Slot) bool { return s.Model == id })
+	at := slices.IndexFunc(replicas, func(s Replica) bool { return s.Model == id })
 	return &replicas[at]
 }
 
@@ -106,7 +106,7 @@
 			slot.State = cluster.ReplicaLoading
 			e.completesAt[key] = state.Now.Add(time.Duration(e.loadTimeFactor * float64(action.ExpectedTime)))
 		case cluster.OrderUnload:
-			at := slices.IndexFunc(machine.Replicas, func(s Slot) bool { return s.Model == action.Model })
+			at := slices.IndexFunc(machine.Replicas, func(s Replica) bool { return s.Model == action.Model })
 			machine.Replicas[at].State = cluster.ReplicaUnloading
 			e.completesAt[key] = state.Now.Add(time.Second)
 		case cluster.OrderSetPool:
--- a/simulation/cellplan.go
+++ b/simulation/cellplan.go
@@ -98,7 +98,7 @@
 	machine.Load.PerModel = map[cluster.ModelID]int{}
 	for _, model := range e.models() {
 		held := e.replicas[model]
-		machine.Replicas = append(machine.Replicas, placement.Slot{
+		machine.Replicas = append(machine.Replicas, placement.Replica{
 			Model: model, Version: held.Version, State: held.State, Bytes: held.Bytes, Since: held.Since,
 		})
 		if held.running > 0 {
