--- a/api/admin/bench_test.go
+++ b/api/admin/bench_test.go
@@ -22,7 +22,7 @@
 		changes = append(changes, settings.Change{Path: fmt.Sprintf("/team-%02d/adapter-%04d", i%40, i), Create: settings.KindAdapter,
 			Set: map[string]settings.Value{"base": settings.Value(fmt.Sprintf(`"model-%02d"`, i%62)), "memory": `"512MiB"`}})
 	}
-	_, tree, err := settings.Empty().Validate(settings.Edit{ID: "bench", Changes: changes})
+	_, tree, err := settings.EmptyTree().Validate(settings.Edit{ID: "bench", Changes: changes})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/api/admin/isolation_test.go
+++ b/api/admin/isolation_test.go
@@ -37,7 +37,7 @@
 			changes = append(changes, settings.Change{Path: path, Create: kind, Set: map[string]settings.Value{"priority": "-1"}})
 		}
 	}
-	_, tree, err := settings.Empty().Validate(settings.Edit{ID: otherTeam, Changes: changes})
+	_, tree, err := settings.EmptyTree().Validate(settings.Edit{ID: otherTeam, Changes: changes})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	return string(settings.FromLevels(append(tree.Levels(path), tree.Level("/"))).Encode())
+	return string(settings.TreeFromLevels(append(tree.Levels(path), tree.Level("/"))).Encode())
 }
 
 // TestRandomRequestsKeepTeamsIsolated guards against a token that reaches beyond its
--- a/api/admin/tree.go
+++ b/api/admin/tree.go
@@ -71,7 +71,7 @@
 	}
 	tree, snapshot := s.Backend.Settings()
 	if tree == nil || snapshot == nil {
-		return settings.Empty(), settings.Stamp{}, nil
+		return settings.EmptyTree(), settings.Stamp{}, nil
 	}
 	return tree, snapshot.Stamp, nil
 }
--- a/cmd/valveslip/tree.go
+++ b/cmd/valveslip/tree.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, admin.Stamp{}, err
 	}
-	return settings.FromLevels(levels), stamp, nil
+	return settings.TreeFromLevels(levels), stamp, nil
 }
 
 // usageError returns the error for an invalid command line.
--- a/cmd/valveslip/tree_get.go
+++ b/cmd/valveslip/tree_get.go
@@ -36,7 +36,7 @@
 			return &exitError{code: exitNotFound, err: admin.ErrNotFound}
 		}
 		return o.printValue(admin.TreePage{Stamp: stamp, Levels: levels}, func(out io.Writer) error {
-			data, err := settings.FromLevels(levels).EncodeYAML(levels[0].Path)
+			data, err := settings.TreeFromLevels(levels).EncodeYAML(levels[0].Path)
 			if err != nil {
 				return err
 			}
--- a/experiment/hollow/spread.go
+++ b/experiment/hollow/spread.go
@@ -271,7 +271,7 @@
 			settings.KeyBase: settings.Value(fmt.Sprintf(`"model-%02d"`, adapter%models)), "memory": `"512MiB"`, "version": `"2"`,
 		})
 	}
-	_, tree, err := settings.Empty().Validate(edit)
+	_, tree, err := settings.EmptyTree().Validate(edit)
 	return tree, err
 }
 
--- a/replication/bench_test.go
+++ b/replication/bench_test.go
@@ -27,7 +27,7 @@
 			settings.KeyBase: settings.Value(fmt.Sprintf(`"model-%02d"`, adapter%62)), "memory": `"512MiB"`,
 		})
 	}
-	_, tree, err := settings.Empty().Validate(edit)
+	_, tree, err := settings.EmptyTree().Validate(edit)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/replication/core_test.go
+++ b/replication/core_test.go
@@ -24,7 +24,7 @@
 // which edits it contains.
 func newHistory(t testing.TB, name string, count int) *testHistory {
 	t.Helper()
-	h := &testHistory{name: name, trees: []*settings.Tree{settings.Empty()}}
+	h := &testHistory{name: name, trees: []*settings.Tree{settings.EmptyTree()}}
 	for revision := 1; revision <= count; revision++ {
 		edit := settings.Edit{ID: fmt.Sprintf("%s-%d", name, revision), Author: "test", Changes: []settings.Change{{
 			Path: fmt.Sprintf("/team-%02d", revision), Create: settings.KindTeam,
@@ -145,7 +145,7 @@
 // edits because its tree differs from the accepted one of the same revision.
 func TestDigestMismatchIsRepairedBySnapshot(t *testing.T) {
 	h, other := newHistory(t, "h1", 5), newHistory(t, "h1", 5)
-	other.trees[2], _ = settings.Empty().Apply(settings.Edit{Changes: []settings.Change{{
+	other.trees[2], _ = settings.EmptyTree().Apply(settings.Edit{Changes: []settings.Change{{
 		Path: settings.RootPath, Set: map[string]settings.Value{"priority": "3"},
 	}}})
 	cores := map[string]*Core{"a:7000": newCore("a"), "b:7000": newCore("b")}
--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -31,7 +31,7 @@
 			Values: map[string]Value{KeyBase: encodeValue(fmt.Sprintf("model-%02d", i%expectedModels)), "memory": `"512MiB"`, "version": `"2"`},
 		})
 	}
-	return fromLevels(levels)
+	return treeFromLevels(levels)
 }
 
 func BenchmarkCompile(b *testing.B) {
--- a/settings/encode.go
+++ b/settings/encode.go
@@ -91,7 +91,7 @@
 // occurs twice, or if a parent is missing.
 func buildCheckedTree(levels []*Level) (*Tree, error) {
 	var problems ValidationErrors
-	tree := fromLevels(levels)
+	tree := treeFromLevels(levels)
 	seen := make(map[string]bool, len(levels))
 	for _, level := range levels {
 		if problem := checkPath(level.Path); problem != "" {
--- a/settings/layout.go
+++ b/settings/layout.go
@@ -174,7 +174,7 @@
 		}
 	}
 	if record.Revision == 0 {
-		return Empty(), Stamp{}, nil
+		return EmptyTree(), Stamp{}, nil
 	}
 	tree, err := buildCheckedTree(levels)
 	if err != nil {
--- a/settings/store.go
+++ b/settings/store.go
@@ -167,7 +167,7 @@
 	if current.modRevision != 0 {
 		return current.head.stamp(), ErrExists
 	}
-	edit := Edit{ID: rand.Text(), Author: author, Message: "initial tree", At: s.now().UTC(), Changes: tree.Diff(Empty())}
+	edit := Edit{ID: rand.Text(), Author: author, Message: "initial tree", At: s.now().UTC(), Changes: tree.Diff(EmptyTree())}
 	if len(edit.Changes) == 0 {
 		edit.Changes = noOpChanges()
 	}
--- a/settings/store_test.go
+++ b/settings/store_test.go
@@ -47,7 +47,7 @@
 		t.Fatalf("Initialize returned stamp %+v, error %v", stamp, err)
 	}
 	store := newStore(service)
-	if _, err := store.Initialize(ctx, Empty(), "other"); !errors.Is(err, ErrExists) {
+	if _, err := store.Initialize(ctx, EmptyTree(), "other"); !errors.Is(err, ErrExists) {
 		t.Fatalf("Initialize with a tree stored already: error %v, want ErrExists", err)
 	}
 	entry := mustCommit(t, store, "e1", 1, setKey("/dental", "keep_alive", `"20m"`))
@@ -65,7 +65,7 @@
 	if _, ok := StampFromEvents(nil); ok {
 		t.Error("StampFromEvents returned a stamp without events")
 	}
-	for revision, want := range map[int64]uint64{0: Empty().Digest(), 1: tree.Digest(), 2: entry.Digest} {
+	for revision, want := range map[int64]uint64{0: EmptyTree().Digest(), 1: tree.Digest(), 2: entry.Digest} {
 		if old, err := store.TreeAt(ctx, revision); err != nil || old.Digest() != want {
 			t.Errorf("tree at revision %d: wrong content or error %v", revision, err)
 		}
@@ -245,7 +245,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	replayed, position := Empty(), map[string]int64{}
+	replayed, position := EmptyTree(), map[string]int64{}
 	for i, entry := range entries {
 		if entry.Revision != int64(i)+1 || position[entry.Edit.ID] != 0 {
 			t.Fatalf("entry %d has revision %d, id %s", i, entry.Revision, entry.Edit.ID)
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -66,8 +66,8 @@
 	digest uint64
 }
 
-// Empty returns a tree with only the root level.
-func Empty() *Tree {
+// EmptyTree returns a tree with only the root level.
+func EmptyTree() *Tree {
 	tree := &Tree{levels: map[string]*Level{}}
 	tree.putLevel(&Level{Path: RootPath, Kind: KindOrganization})
 	return tree
@@ -119,12 +119,12 @@
 	return at
 }
 
-// FromLevels builds a tree from some levels of another tree, for comparison. It does not validate
+// TreeFromLevels builds a tree from some levels of another tree, for comparison. It does not validate
 // them.
-func FromLevels(levels []*Level) *Tree { return fromLevels(levels) }
+func TreeFromLevels(levels []*Level) *Tree { return treeFromLevels(levels) }
 
-// fromLevels builds a tree from levels with distinct paths, and adds a root if there is none.
-func fromLevels(levels []*Level) *Tree {
+// treeFromLevels builds a tree from levels with distinct paths, and adds a root if there is none.
+func treeFromLevels(levels []*Level) *Tree {
 	tree := &Tree{levels: make(map[string]*Level, len(levels)+1)}
 	for _, level := range levels {
 		if old := tree.levels[level.Path]; old != nil {
--- a/settings/tree_test.go
+++ b/settings/tree_test.go
@@ -132,7 +132,7 @@
 			t.Errorf("prune %v: applying again would change %+v", prune, again)
 		}
 	}
-	if _, err := fragment.Changes(Empty(), false); err == nil {
+	if _, err := fragment.Changes(EmptyTree(), false); err == nil {
 		t.Error("a new level without a kind was accepted")
 	}
 }
@@ -180,7 +180,7 @@
 
 // drawTree draws a tree by applying random edits and keeping those that yield a valid tree.
 func drawTree(t *rapid.T) *Tree {
-	tree := Empty()
+	tree := EmptyTree()
 	for range rapid.IntRange(0, 12).Draw(t, "edits") {
 		if next, err := tree.Apply(Edit{Changes: []Change{drawChange(t, tree)}}); err == nil {
 			if _, err := next.Compile(Stamp{}); err == nil {
@@ -312,7 +312,7 @@
 // FuzzDecodeTree checks that no input makes the decoder panic, and that a decoded tree keeps its
 // content when it is encoded and decoded again.
 func FuzzDecodeTree(f *testing.F) {
-	f.Add(Empty().Encode())
+	f.Add(EmptyTree().Encode())
 	f.Add([]byte(`{"levels":[{"path":"/","kind":"x","values":{"a":null,"b":1e999},"tokens":[{"name":"a"},{"name":"a"}]}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		tree, err := DecodeTree(data)
--- a/settings/yaml.go
+++ b/settings/yaml.go
@@ -44,7 +44,7 @@
 	if err := reader.problems.orNil(); err != nil {
 		return nil, err
 	}
-	tree := fromLevels(slices.Collect(maps.Values(reader.levels)))
+	tree := treeFromLevels(slices.Collect(maps.Values(reader.levels)))
 	if _, err := tree.Compile(Stamp{}); err != nil {
 		return nil, reader.withLocations(err)
 	}
--- a/simulation/operators.go
+++ b/simulation/operators.go
@@ -54,7 +54,7 @@
 
 // commitTree commits the initial settings tree.
 func (w *World) commitTree(tree *settings.Tree) error {
-	return w.commit(settings.Edit{ID: "initial", Author: "operator", Changes: tree.Diff(settings.Empty())}, nil)
+	return w.commit(settings.Edit{ID: "initial", Author: "operator", Changes: tree.Diff(settings.EmptyTree())}, nil)
 }
 
 // commit commits an edit, informs the checkers and the watches, and notifies the
