--- a/cmd/valveslip/platform_node.go
+++ b/cmd/valveslip/platform_node.go
@@ -105,7 +105,7 @@
 		case <-ctx.Done():
 			node.Stop()
 			return nil
-		case err := <-node.Failed():
+		case err := <-node.ListenerErrors():
 			node.Kill()
 			return err
 		}
@@ -189,11 +189,11 @@
 		Core: core, Seed: randomSeed(), CallersAddress: settings.Listen.Callers, ReadyAddress: settings.Listen.Readiness,
 		PeerAddress:    net.JoinHostPort(settings.IP, strconv.Itoa(settings.InternalPorts[0])),
 		MetricsAddress: net.JoinHostPort(settings.IP, strconv.Itoa(metricsPort)), ReadyPath: platform.ReadyPath,
-		Grace: platform.Seconds(settings.Bounds.GraceSeconds),
-		Store: platform.NewStoreClient(settings.Store.Address, watchPollTime), Engines: platform.NewEngineClient(),
+		StopTimeout: platform.Seconds(settings.Bounds.GraceSeconds),
+		Store:       platform.NewStoreClient(settings.Store.Address, watchPollTime), Engines: platform.NewEngineClient(),
 		Feed: feed.Config{MaxChangeDelay: platform.Milliseconds(min(settings.Bounds.DrainMillis, settings.Bounds.ConfigMillis))},
-		Callers: shell.CallerBounds{
-			RetainedBytes: int64(settings.Resources.MemoryMB * retainedMemoryShare * (1 << 20)), Requests: int(settings.Resources.MemoryMB * requestsPerMB),
+		CallerLimits: shell.CallerLimits{
+			RetainedBytes: int64(settings.Resources.MemoryMB * retainedMemoryShare * (1 << 20)), MaxRequestsInFlight: int(settings.Resources.MemoryMB * requestsPerMB),
 		},
 		Codec: platform.Codec{}, Dialect: platform.Dialect{}, Log: log,
 		Logger:  slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})),
--- a/demo/platform/platform.go
+++ b/demo/platform/platform.go
@@ -140,7 +140,7 @@
 					ready++
 				}
 			}
-			if node.Holding() {
+			if node.HoldsOrderLease() {
 				holding++
 			}
 		}
--- a/fleet/shell/callerconn_test.go
+++ b/fleet/shell/callerconn_test.go
@@ -19,7 +19,7 @@
 func newCallerConn(t *testing.T, maxRetained int64) (*callerConn, net.Conn) {
 	t.Helper()
 	n := &Node{retained: retained.NewAccount(maxRetained)}
-	n.options.Callers = CallerBounds{}.withDefaults()
+	n.options.CallerLimits = CallerLimits{}.withDefaults()
 	n.metrics = newMetrics(prometheus.NewRegistry(), n)
 	nodeEnd, callerEnd := net.Pipe()
 	t.Cleanup(func() { _, _ = nodeEnd.Close(), callerEnd.Close() })
--- a/fleet/shell/node.go
+++ b/fleet/shell/node.go
@@ -106,7 +106,7 @@
 	now := options.Now()
 	n := &Node{
 		options: options, startTime: now, epoch: now.Round(0),
-		tickets: make(relay.Tickets), pool: upstream.NewPool(options.Upstream), retained: retained.NewAccount(options.Callers.RetainedBytes),
+		tickets: make(relay.Tickets), pool: upstream.NewPool(options.Upstream), retained: retained.NewAccount(options.CallerLimits.RetainedBytes),
 		registry: prometheus.NewRegistry(), listenerErrors: make(chan error, 3), stopped: make(chan struct{}),
 		becameReady: make(chan struct{}),
 	}
@@ -144,7 +144,7 @@
 	handler := passthrough.NewHandler(passthrough.Config{
 		Catalog: n.servingCatalog, CatalogReady: n.becameReady, Decider: n, Dialect: n.options.Dialect, Pool: n.pool, Log: n.options.Log,
 		Metrics: passthrough.NewMetrics(n.registry), NewID: n.newRequestID, Closing: n.closesConnections.Load, Admits: n.admits,
-		NeedsFingerprint: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayAccept: n.admitRequest, MaxActiveRequests: n.options.Callers.Requests,
+		NeedsFingerprint: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayAccept: n.admitRequest, MaxActiveRequests: n.options.CallerLimits.MaxRequestsInFlight,
 	})
 	if n.callerServer, err = n.startServer(&n.options.CallersAddress, handler, n.limitCallers); err != nil {
 		return errors.Join(eris.Wrap(err, "open the listener for callers"), transport.Close(n.context))
@@ -184,8 +184,8 @@
 	return server, nil
 }
 
-// Failed returns a channel that delivers the error of a listener that failed.
-func (n *Node) Failed() <-chan error { return n.listenerErrors }
+// ListenerErrors returns a channel that delivers the error of a listener that failed.
+func (n *Node) ListenerErrors() <-chan error { return n.listenerErrors }
 
 // waitForTurn returns after the goroutines that are ready to run, such as those of the network,
 // and after those that wait for the core's mutex. The time that it takes is the scheduling delay
@@ -406,8 +406,8 @@
 	return "http://" + n.options.MetricsAddress + MetricsPath
 }
 
-// Holding reports whether this node holds the lease for orders to the engines.
-func (n *Node) Holding() bool {
+// HoldsOrderLease reports whether this node holds the lease for orders to the engines.
+func (n *Node) HoldsOrderLease() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.core.HoldsOrderLease()
--- a/fleet/shell/options.go
+++ b/fleet/shell/options.go
@@ -61,16 +61,16 @@
 	CallersAddress, ReadyAddress, PeerAddress, MetricsAddress string
 	// ReadyPath is the path of the readiness probe.
 	ReadyPath string
-	// Grace is how long a planned stop may take.
-	Grace   time.Duration
-	Store   Store
-	Engines Engines
-	Codec   Codec
-	Dialect passthrough.Dialect
+	// StopTimeout is how long a planned stop may take.
+	StopTimeout time.Duration
+	Store       Store
+	Engines     Engines
+	Codec       Codec
+	Dialect     passthrough.Dialect
 	// Upstream configures the connections to machines.
 	Upstream upstream.Options
-	// Callers limits what is buffered for callers and machines that read slowly.
-	Callers CallerBounds
+	// CallerLimits limits what is buffered for callers and machines that read slowly.
+	CallerLimits CallerLimits
 	// Feed configures where changes of the store are read from. Start fills in Self and Machine.
 	Feed   feed.Config
 	Log    *eventlog.Log
@@ -91,9 +91,9 @@
 
 // withDefaults returns the options with defaults for zero fields.
 func (o Options) withDefaults() Options {
-	o.Grace = cmp.Or(o.Grace, defaultGrace)
-	o.Callers = o.Callers.withDefaults()
-	o.Upstream.SocketBytes = cmp.Or(o.Upstream.SocketBytes, o.Callers.SocketBytes)
+	o.StopTimeout = cmp.Or(o.StopTimeout, defaultGrace)
+	o.CallerLimits = o.CallerLimits.withDefaults()
+	o.Upstream.SocketBytes = cmp.Or(o.Upstream.SocketBytes, o.CallerLimits.SocketBytes)
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
 	}
--- a/fleet/shell/path_test.go
+++ b/fleet/shell/path_test.go
@@ -159,7 +159,7 @@
 	d := newDeployment(t)
 	engine := d.addWorker("e1", engineService, nil)
 	node := d.startNode("n1")
-	d.eventually("the node gives the orders", node.Holding)
+	d.eventually("the node gives the orders", node.HoldsOrderLease)
 	if got := d.callWithRetryAfter(node, http.MethodPost, "/stream/", "p", withModel("rare")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
@@ -261,7 +261,7 @@
 	d := newDeployment(t)
 	engine := d.addWorker("e1", engineService, nil)
 	first := d.startNode("n1")
-	d.eventually("the first node gives the orders", first.Holding)
+	d.eventually("the first node gives the orders", first.HoldsOrderLease)
 	second := d.startNode("n2")
 	if got := d.call(second, http.MethodPost, "/stream/", "p", withModel("rare")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v through the first node", got)
@@ -270,11 +270,11 @@
 	// A node that was paused for the lease duration of 0.6 s may have lost the lease to the other
 	// node.
 	holder, other := first, second
-	if second.Holding() {
+	if second.HoldsOrderLease() {
 		holder, other = second, first
 	}
 	holder.Kill()
-	d.eventually("the other node gives the orders", other.Holding)
+	d.eventually("the other node gives the orders", other.HoldsOrderLease)
 	if got := d.call(other, http.MethodPost, "/stream/", "p", withModel("big")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v after the takeover", got)
 	}
@@ -296,15 +296,15 @@
 		}
 	}
 	first := d.startNode("n1", onMachine("m1", true))
-	d.eventually("the first node gives the orders", first.Holding)
+	d.eventually("the first node gives the orders", first.HoldsOrderLease)
 	first.Kill()
 	restarted := d.startNode("n2", onMachine("m1", false))
-	d.eventually("the node that started again gives the orders", restarted.Holding)
+	d.eventually("the node that started again gives the orders", restarted.HoldsOrderLease)
 	restarted.Kill()
 	d.store.Remove(fleet.KeyHolder)
 	other := d.startNode("n3", onMachine("m2", false))
 	d.eventually("another machine has the lease", func() bool { return len(d.store.Keys(fleet.KeyHolder)) == 1 })
-	if other.Holding() {
+	if other.HoldsOrderLease() {
 		t.Fatal("a node on another machine gives orders before the pause is over")
 	}
 }
--- a/fleet/shell/silent_callers_test.go
+++ b/fleet/shell/silent_callers_test.go
@@ -48,7 +48,7 @@
 	// The load never ends, so the caller disconnects during it.
 	loadingEngine := d.addWorker("e1", engineService, func(config *worker.Config) { config.Held, config.LoadTime = nil, time.Hour })
 	node := d.startNode("n1")
-	d.eventually("the node gives the orders", node.Holding)
+	d.eventually("the node gives the orders", node.HoldsOrderLease)
 	ctx, leave := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node.Address()+"/stream/", strings.NewReader("p"))
 	if err != nil {
--- a/fleet/shell/slowcallers.go
+++ b/fleet/shell/slowcallers.go
@@ -37,21 +37,21 @@
 	buffersPerStalledCaller = 4
 )
 
-// CallerBounds limits what is buffered for callers and machines that read slowly. Zero fields
+// CallerLimits limits what is buffered for callers and machines that read slowly. Zero fields
 // take defaults.
-type CallerBounds struct {
+type CallerLimits struct {
 	// StallTimeout is how long a caller's connection may accept no byte before it is closed.
 	StallTimeout time.Duration
 	// SocketBytes limits the kernel buffer of a connection in each direction.
 	SocketBytes int
 	// RetainedBytes limits the bytes that the node buffers of all requests and answers.
 	RetainedBytes int64
-	// Requests limits the requests in flight; zero means no limit.
-	Requests int
+	// MaxRequestsInFlight limits the requests in flight; zero means no limit.
+	MaxRequestsInFlight int
 }
 
 // withDefaults returns the limits with defaults for zero fields.
-func (b CallerBounds) withDefaults() CallerBounds {
+func (b CallerLimits) withDefaults() CallerLimits {
 	b.StallTimeout = cmp.Or(b.StallTimeout, defaultStalledFor)
 	b.SocketBytes = cmp.Or(b.SocketBytes, defaultSocketBytes)
 	b.RetainedBytes = cmp.Or(b.RetainedBytes, defaultRetainedBytes)
@@ -63,7 +63,7 @@
 // connection.
 func (n *Node) limitCallers(listener net.Listener) net.Listener {
 	if socket, ok := listener.(syscall.Conn); ok {
-		setSocketBuffers(socket, n.options.Callers.SocketBytes)
+		setSocketBuffers(socket, n.options.CallerLimits.SocketBytes)
 	}
 	return callerListener{silenceLimitListener{listener}, n}
 }
@@ -130,7 +130,7 @@
 
 // attemptTimeout returns the duration of one write attempt.
 func (c *callerConn) attemptTimeout() time.Duration {
-	return c.node.options.Callers.StallTimeout / attemptsPerStall
+	return c.node.options.CallerLimits.StallTimeout / attemptsPerStall
 }
 
 // extendDeadline extends the write deadline if less than half of an attempt is left.
@@ -145,7 +145,7 @@
 // first attempt wrote. Meanwhile the kernel buffers of the caller count towards the retained
 // bytes of the node.
 func (c *callerConn) retryWrite(data []byte, written int) (int, error) {
-	reserved := int64(buffersPerStalledCaller * c.node.options.Callers.SocketBytes)
+	reserved := int64(buffersPerStalledCaller * c.node.options.CallerLimits.SocketBytes)
 	lastProgress, failedAttempts, total := time.Now(), 1, 0
 	if written > 0 {
 		failedAttempts = 0
--- a/fleet/shell/slowcallers_test.go
+++ b/fleet/shell/slowcallers_test.go
@@ -148,8 +148,8 @@
 			d.registerEngine("e1", machine.address)
 			// The timeout is longer than the callers take to connect, so that all are connected
 			// at once.
-			bounds := shell.CallerBounds{StallTimeout: 3 * time.Second, SocketBytes: socketBytes, RetainedBytes: test.retained}
-			node := d.startNode("n1", func(o *shell.Options) { o.Callers = bounds })
+			bounds := shell.CallerLimits{StallTimeout: 3 * time.Second, SocketBytes: socketBytes, RetainedBytes: test.retained}
+			node := d.startNode("n1", func(o *shell.Options) { o.CallerLimits = bounds })
 			reportMemory(t, "before")
 			name := func(i int) string { return fmt.Sprintf("slow-%d", i) }
 			connections := make([]net.Conn, callers)
@@ -199,7 +199,7 @@
 	d.registerEngine("e1", machine.address)
 	output := &logText{}
 	node := d.startNode("n1", func(o *shell.Options) {
-		o.Callers = shell.CallerBounds{StallTimeout: 300 * time.Millisecond}
+		o.CallerLimits = shell.CallerLimits{StallTimeout: 300 * time.Millisecond}
 		o.Log = eventlog.New(output, eventlog.Options{})
 	})
 	d.requestWithoutReading(node, "slow")
@@ -226,7 +226,7 @@
 func TestBodyBeyondRetainedLimitIsRejected(t *testing.T) {
 	d := newDeployment(t)
 	plain := d.addWorker("p1", plainService, nil)
-	node := d.startNode("n1", func(o *shell.Options) { o.Callers.RetainedBytes = 96 << 10 })
+	node := d.startNode("n1", func(o *shell.Options) { o.CallerLimits.RetainedBytes = 96 << 10 })
 	const length = 64 << 10
 	stays := d.dial(node, "/write/", "stays", length)
 	if _, err := stays.Write(make([]byte, length-1)); err != nil {
--- a/fleet/shell/stop.go
+++ b/fleet/shell/stop.go
@@ -51,7 +51,7 @@
 	n.step(fleet.ResignStarted{})
 	n.sleepUntil(began.Add(readinessPropagation))
 	n.closesConnections.Store(true)
-	drainEnd := began.Add(n.options.Grace - stopMargin)
+	drainEnd := began.Add(n.options.StopTimeout - stopMargin)
 	n.sleepUntil(began.Add(fullAdmissionTime))
 	n.admissionDeadline.Store(int64(drainEnd.Sub(n.epoch)))
 	rejectedQueued := false
--- a/fleet/shell/suspension_test.go
+++ b/fleet/shell/suspension_test.go
@@ -145,7 +145,7 @@
 	d := newDeployment(t, withoutLatencyObjective)
 	d.addWorker("e1", engineService, nil)
 	node, clock, lines := d.startSuspendableNode("n1")
-	d.eventually("the node gives the orders", node.Holding)
+	d.eventually("the node gives the orders", node.HoldsOrderLease)
 	before := len(lines.String())
 	clock.suspend(5 * time.Second)
 	if got := d.callWithRetryAfter(node, http.MethodPost, "/stream/", "b", withModel("rare")); got.status != http.StatusOK {
