--- a/cmd/valveslip/arguments_test.go
+++ b/cmd/valveslip/arguments_test.go
@@ -14,7 +14,7 @@
 // silently must time out before that.
 func TestSilentlyCutWatchTimesOutBeforeConfigDeadline(t *testing.T) {
 	const configDeadline = 2 * time.Second
-	if detectionTime := watchPollTime + platform.WatchMargin; detectionTime > configDeadline-250*time.Millisecond {
+	if detectionTime := watchPollTime + platform.WatchResponseMargin; detectionTime > configDeadline-250*time.Millisecond {
 		t.Errorf("a silently cut watch is detected only after %s", detectionTime)
 	}
 }
--- a/demo/platform/platform.go
+++ b/demo/platform/platform.go
@@ -111,8 +111,8 @@
 func configuration() platform.ConfigurationDocument {
 	route := func(name, kind, service string, attempts int, resumable bool) platform.RouteDocument {
 		return platform.RouteDocument{
-			Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: 8000, AimMS: 1500,
-			Service: service, Attempts: attempts, Resumable: resumable, GapAimMS: 300,
+			Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: 8000, ObjectiveMS: 1500,
+			Service: service, Attempts: attempts, Resumable: resumable, GapObjectiveMS: 300,
 		}
 	}
 	return platform.ConfigurationDocument{
--- a/fleet/shell/harness_test.go
+++ b/fleet/shell/harness_test.go
@@ -65,15 +65,15 @@
 
 func route(name, kind, service string, attempts int, resumable bool) platform.RouteDocument {
 	return platform.RouteDocument{
-		Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: 8000, AimMS: 400,
-		Priority: 1, Service: service, Attempts: attempts, Resumable: resumable, GapAimMS: 300,
+		Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: 8000, ObjectiveMS: 400,
+		Priority: 1, Service: service, Attempts: attempts, Resumable: resumable, GapObjectiveMS: 300,
 	}
 }
 
 // withoutLatencyObjective removes a route's latency objective, so that no attempt is abandoned
 // for being slow. Tests whose workers answer or fail at once need it because a busy machine may
 // delay a worker.
-func withoutLatencyObjective(route *platform.RouteDocument) { route.AimMS = 0 }
+func withoutLatencyObjective(route *platform.RouteDocument) { route.ObjectiveMS = 0 }
 
 // configure writes a version of the configuration with additional routes.
 func (d *deployment) configure(version int64, more ...platform.RouteDocument) {
--- a/fleet/shell/silence_test.go
+++ b/fleet/shell/silence_test.go
@@ -116,7 +116,7 @@
 // because its caller reads slowly.
 func TestSlowCallerDoesNotCauseFailover(t *testing.T) {
 	// The first event may come late; only the pauses after it are tested.
-	d := newDeployment(t, func(route *platform.RouteDocument) { route.AimMS = 2000 })
+	d := newDeployment(t, func(route *platform.RouteDocument) { route.ObjectiveMS = 2000 })
 	var runs atomic.Int64
 	for _, id := range []string{"e1", "e2"} {
 		d.registerFloodingEngine(id, &runs)
--- a/fleet/shell/size_bench_test.go
+++ b/fleet/shell/size_bench_test.go
@@ -67,7 +67,7 @@
 	data, err := json.Marshal(platform.ConfigurationDocument{
 		Version: 1,
 		Routes: []platform.RouteDocument{{
-			Name: "stream", Host: "h", Prefix: "/stream/", Kind: "streaming", TimeoutMS: 8000, AimMS: 800, Priority: 1, Service: "engine", Attempts: 2, Resumable: true,
+			Name: "stream", Host: "h", Prefix: "/stream/", Kind: "streaming", TimeoutMS: 8000, ObjectiveMS: 800, Priority: 1, Service: "engine", Attempts: 2, Resumable: true,
 		}},
 		Services: []platform.ServiceDocument{{Name: "engine", HealthPath: "/healthz", MaxConnections: 100, Engine: engine}},
 		Limits:   platform.LimitsDocument{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderMS: 3000, IdleMS: 15000},
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -131,8 +131,8 @@
 
 func route(name, kind, service string, resumable bool) platform.RouteDocument {
 	return platform.RouteDocument{
-		Name: name, Host: routeHost, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: routeTimeoutMS, AimMS: responseObjectiveMS,
-		Service: service, Attempts: maxAttempts, Resumable: resumable, GapAimMS: eventGapObjectiveMS,
+		Name: name, Host: routeHost, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: routeTimeoutMS, ObjectiveMS: responseObjectiveMS,
+		Service: service, Attempts: maxAttempts, Resumable: resumable, GapObjectiveMS: eventGapObjectiveMS,
 	}
 }
 
