--- a/api/callers.go
+++ b/api/callers.go
@@ -49,8 +49,8 @@
 	// BodyReadTimeout limits the time for reading a request body, and WriteStallTimeout how long a
 	// write may wait for a caller that does not read its response. Zero means the default.
 	BodyReadTimeout, WriteStallTimeout time.Duration
-	// ShutdownContext is cancelled when the node stops, upon which requests whose body is still being
-	// read are refused. It may be nil.
+	// ShutdownContext is cancelled when the node stops, upon which requests whose body is still
+	// being read are refused. It may be nil.
 	ShutdownContext context.Context
 	// MaxDeadline limits the deadline that a caller may request. Zero means DefaultMaxDeadline.
 	MaxDeadline time.Duration
--- a/api/callers_errors.go
+++ b/api/callers_errors.go
@@ -134,10 +134,10 @@
 	}
 }
 
-// UnsolicitedTimeoutResponse returns a response that closes a connection without a request in progress. It has
-// status 408, which a server may send without a request (RFC 9110, 15.5.9): clients drop an idle
-// connection on which they receive it, and treat it as the response to a request that they sent at
-// the same time.
+// UnsolicitedTimeoutResponse returns a response that closes a connection without a request in
+// progress. It has status 408, which a server may send without a request (RFC 9110, 15.5.9):
+// clients drop an idle connection on which they receive it, and treat it as the response to a
+// request that they sent at the same time.
 func UnsolicitedTimeoutResponse(failure *verdict.Error) []byte {
 	body := append(encodeError(http.StatusRequestTimeout, failure, ""), '\n')
 	response := http.Response{
--- a/api/callers_overload_test.go
+++ b/api/callers_overload_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestAdmissionHandlerRefusesWithoutServing guards against an overloaded node that still serves requests. A
-// refused request must get the verdict not-run and a time to retry, and its connection must be
-// closed. An admitted request must reach the next handler.
+// TestAdmissionHandlerRefusesWithoutServing guards against an overloaded node that still serves
+// requests. A refused request must get the verdict not-run and a time to retry, and its connection
+// must be closed. An admitted request must reach the next handler.
 func TestAdmissionHandlerRefusesWithoutServing(t *testing.T) {
 	for _, admitted := range []bool{true, false} {
 		served := false
--- a/authority/machine_tracker.go
+++ b/authority/machine_tracker.go
@@ -18,7 +18,7 @@
 	machines map[cluster.MachineID]cluster.Machine
 }
 
-// NewMachineTracker returns a Presence for a machine list that is up to lag out of date.
+// NewMachineTracker returns a MachineTracker for a machine list that is up to lag out of date.
 func NewMachineTracker(lag time.Duration) *MachineTracker {
 	return &MachineTracker{lag: lag}
 }
--- a/catalog/tenants_test.go
+++ b/catalog/tenants_test.go
@@ -35,7 +35,7 @@
 	}
 	limit := compiled.Tenant("a").Limit
 	if limit.Charge(1540) != 1540 || limit.Charge(0) != 200 || (Limit{Rate: 1}).Charge(1540) != 1 {
-		t.Error("want the stated tokens, PlainTokens without stated ones, and 1 for a limit in requests")
+		t.Error("want the stated tokens, DefaultTokens without stated ones, and 1 for a limit in requests")
 	}
 }
 
--- a/cmd/valveslip/check_takeover.go
+++ b/cmd/valveslip/check_takeover.go
@@ -58,7 +58,7 @@
 
 // exploreScenarios explores the scenarios and prints a line for each. It fails if a
 // scenario has a violation, and prints the steps that lead to it.
-func exploreScenarios(ctx context.Context, out io.Writer, takeovers []explore.Scenario, escrows []explore.ApportionScenario) error {
+func exploreScenarios(ctx context.Context, out io.Writer, takeovers []explore.Scenario, apportionings []explore.ApportionScenario) error {
 	var results []explore.Result
 	for _, scenario := range takeovers {
 		result, err := explore.Takeover(ctx, scenario, explore.VariantNone)
@@ -67,7 +67,7 @@
 		}
 		results = append(results, result)
 	}
-	for _, scenario := range escrows {
+	for _, scenario := range apportionings {
 		result, err := explore.Apportioning(ctx, scenario, explore.VariantNone)
 		if err != nil {
 			return err
--- a/demand/aggregator_test.go
+++ b/demand/aggregator_test.go
@@ -12,9 +12,9 @@
 // repeated one counted once, and that the next plan counts none of them again.
 func TestArrivalsAreCountedInOnePlan(t *testing.T) {
 	now := time.Unix(0, 0)
-	ledger := New()
+	aggregator := New()
 	report := func(from cluster.NodeID, sequence uint64, arrivals, tokens int) {
-		ledger.Record(now, wire.Demand{
+		aggregator.Record(now, wire.Demand{
 			From: from, Sequence: sequence,
 			Models: []wire.ModelDemand{{Model: "chat", Arrivals: arrivals, PromptTokens: tokens}},
 		})
@@ -23,14 +23,14 @@
 	report("b", 1, 2, 600)
 	report("a", 2, 1, 1000)
 	report("a", 2, 1, 1000) // The same report again.
-	sum := ledger.Sum(now)["chat"]
+	sum := aggregator.Sum(now)["chat"]
 	if sum.Arrivals != 4 || sum.PromptTokens != 10600 {
 		t.Errorf("%d arrivals of %d tokens, want 4 of 10600", sum.Arrivals, sum.PromptTokens)
 	}
 	if want := 9000.0*9000 + 2*300*300 + 1000*1000; sum.PromptSquareSum != want {
 		t.Errorf("squares %.0f, want %.0f", sum.PromptSquareSum, want)
 	}
-	if again := ledger.Sum(now)["chat"]; again.Arrivals != 0 || again.PromptTokens != 0 || again.PromptSquareSum != 0 {
+	if again := aggregator.Sum(now)["chat"]; again.Arrivals != 0 || again.PromptTokens != 0 || again.PromptSquareSum != 0 {
 		t.Errorf("the next plan counts %+v again", again)
 	}
 }
--- a/experiment/prefixes/simulator.go
+++ b/experiment/prefixes/simulator.go
@@ -54,7 +54,7 @@
 		options: options, now: epoch.UnixNano(), enginesByID: map[cluster.MachineID]*engine{}, turns: map[cluster.RequestID]*turn{},
 	}
 	s.sessions = newSessionGenerator(s, options.Seed)
-	s.updates = &updateSender{simulator: s, ledger: affinity.NewPrefixLog(maxRelayedPrefixes), syntheticSequences: map[cluster.MachineID]uint64{}}
+	s.updates = &updateSender{simulator: s, prefixLog: affinity.NewPrefixLog(maxRelayedPrefixes), syntheticSequences: map[cluster.MachineID]uint64{}}
 	for i := range options.Machines {
 		s.addEngine(fmt.Sprintf("m%02d", i))
 	}
--- a/experiment/prefixes/updates.go
+++ b/experiment/prefixes/updates.go
@@ -23,8 +23,8 @@
 // updateSender delivers to the routers what the selected strategy lets them learn.
 type updateSender struct {
 	simulator *simulator
-	// ledger aggregates at the controller the prefixes that routers reported.
-	ledger *affinity.PrefixLog
+	// prefixLog aggregates at the controller the prefixes that routers reported.
+	prefixLog *affinity.PrefixLog
 	// syntheticSequences holds the last sequence number of the synthetic events of each preferred
 	// machine.
 	syntheticSequences map[cluster.MachineID]uint64
@@ -51,7 +51,7 @@
 // exchangeSentPrefixes relays to all routers the prefixes that the controller collected at the
 // previous exchange, and then collects the new ones from the routers.
 func (u *updateSender) exchangeSentPrefixes() {
-	if groups := u.ledger.Take(); len(groups) > 0 {
+	if groups := u.prefixLog.Take(); len(groups) > 0 {
 		size := encodedSize(wire.SentPrefixes{From: "node-a", Zone: zone, Relayed: true, Groups: groups})
 		for router := range u.simulator.routers {
 			u.addBytes(size)
@@ -61,7 +61,7 @@
 	for _, router := range u.simulator.routers {
 		if groups := router.SentPrefixes(); len(groups) > 0 {
 			u.addBytes(encodedSize(wire.SentPrefixes{From: "node-a", Zone: zone, Groups: groups}))
-			u.ledger.NoteGroups(groups)
+			u.prefixLog.NoteGroups(groups)
 		}
 	}
 }
--- a/fleet/core.go
+++ b/fleet/core.go
@@ -168,8 +168,8 @@
 // Ready reports whether the node has a configuration and has read the whole store.
 func (c *Core) Ready() bool { return c.compiled != nil && c.synced }
 
-// NeedsFingerprint reports whether a request with this head may match a known poison request, so that
-// its fingerprint must be computed.
+// NeedsFingerprint reports whether a request with this head may match a known poison request, so
+// that its fingerprint must be computed.
 func (c *Core) NeedsFingerprint(head poison.Head) bool { return c.router.NeedsFingerprint(head) }
 
 // PoisonCounts returns the numbers of suspected and of blocked poison requests.
--- a/fleet/dispatch/core.go
+++ b/fleet/dispatch/core.go
@@ -102,7 +102,8 @@
 	return next
 }
 
-// TrackedAttempts returns the number of attempts, of all nodes, that this node tracks as the dispatcher.
+// TrackedAttempts returns the number of attempts, of all nodes, that this node tracks as the
+// dispatcher.
 func (c *Core) TrackedAttempts() int { return len(c.tracker.attempts) }
 
 // OwnAttempts returns the number of attempts of this node that have not ended.
--- a/fleet/dispatch/events.go
+++ b/fleet/dispatch/events.go
@@ -30,16 +30,17 @@
 	Number            int64
 	Machine, Answered cluster.MachineID
 	Work              wire.EngineWork
-	// Resumed is true if the attempt continues an answer that has already begun: no FirstEventReceived follows.
+	// Resumed is true if the attempt continues an answer that has already begun: no
+	// FirstEventReceived follows.
 	Resumed bool
 }
 
 // FirstEventReceived reports the first event of the answer of an attempt.
 type FirstEventReceived struct{ Number int64 }
 
-// AttemptEnded reports that an attempt no longer uses its machine or was never sent. Read is false if the
-// machine did not run the attempt. The dispatcher doesn't use Read yet: the prompt of an attempt
-// that was not run still counts as cached.
+// AttemptEnded reports that an attempt no longer uses its machine or was never sent. Read is false
+// if the machine did not run the attempt. The dispatcher doesn't use Read yet: the prompt of an
+// attempt that was not run still counts as cached.
 type AttemptEnded struct {
 	Number int64
 	Read   bool
@@ -76,8 +77,8 @@
 	Message wire.Message
 }
 
-// PlacementAnswered carries the placement of an attempt. An empty Machine means that no dispatcher answered
-// or found an engine, and the node places the attempt itself.
+// PlacementAnswered carries the placement of an attempt. An empty Machine means that no dispatcher
+// answered or found an engine, and the node places the attempt itself.
 type PlacementAnswered struct {
 	Number int64
 	// Dispatcher is the node that answered, empty if none did.
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -29,8 +29,8 @@
 	Full    bool
 	// Restarted are machines of Gone that have started again.
 	Restarted []routing.MachineRestarted
-	// Undecodable are machines whose entries can't be decoded. Such an entry is newer than an entry of
-	// the same machine in Workers.
+	// Undecodable are machines whose entries can't be decoded. Such an entry is newer than an entry
+	// of the same machine in Workers.
 	Undecodable []UndecodableWorker
 	// Revision is the store revision at which the entries were read.
 	Revision int64
@@ -81,7 +81,8 @@
 // have no record. The records of Gone were deleted.
 type PoisonRead struct {
 	Records []StoredPoisonRecord
-	// Undecodable are records that can't be decoded; only their fingerprints and revisions are valid.
+	// Undecodable are records that can't be decoded; only their fingerprints and revisions are
+	// valid.
 	Undecodable []StoredPoisonRecord
 	Gone        []poison.Fingerprint
 	Full        bool
--- a/fleet/feed/config.go
+++ b/fleet/feed/config.go
@@ -8,15 +8,16 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// minDelayWithRoot is the least Config.MaxChangeDelay at which relays learn from a root. In simulations
-// with a root that dies, a store that hides changes for 1 s and three of ten updates lost, every
-// change is known after at most 3 s with a root, and after 2 s where relays poll the store
-// themselves.
+// minDelayWithRoot is the least Config.MaxChangeDelay at which relays learn from a root. In
+// simulations with a root that dies, a store that hides changes for 1 s and three of ten updates
+// lost, every change is known after at most 3 s with a root, and after 2 s where relays poll the
+// store themselves.
 const minDelayWithRoot = 3 * time.Second
 
-// Timeouts of leaves of a fleet with a root, as fractions of Config.MaxChangeDelay: leafTimeoutDivisor
-// gives the timeout of the first leaf and leafStepDivisor the step between leaves, 1 s and 8 ms for
-// 3 s. The longer leaves wait, the fewer of them poll the store when a call of the root hangs.
+// Timeouts of leaves of a fleet with a root, as fractions of Config.MaxChangeDelay:
+// leafTimeoutDivisor gives the timeout of the first leaf and leafStepDivisor the step between
+// leaves, 1 s and 8 ms for 3 s. The longer leaves wait, the fewer of them poll the store when a
+// call of the root hangs.
 const (
 	leafTimeoutDivisor = 3
 	leafStepDivisor    = 375
@@ -43,19 +44,19 @@
 	Self Peer
 	// Machine is the name of the machine that the node runs on, empty where it has none.
 	Machine string
-	// PollInterval is the pause between two polls of a node without a source, RelayPollInterval that of a
-	// relay. Defaults 400 and 300 ms.
+	// PollInterval is the pause between two polls of a node without a source, RelayPollInterval
+	// that of a relay. Defaults 400 and 300 ms.
 	PollInterval, RelayPollInterval time.Duration
-	// SourceTimeout is the time without an update from its source after which a node polls the store
-	// itself. Default 540 ms.
+	// SourceTimeout is the time without an update from its source after which a node polls the
+	// store itself. Default 540 ms.
 	SourceTimeout time.Duration
-	// LeafSourceTimeout replaces SourceTimeout for a leaf whose relay has a root, so that updates of a
-	// relay that takes over from the root arrive first. Default a third of Within.
+	// LeafSourceTimeout replaces SourceTimeout for a leaf whose relay has a root, so that updates
+	// of a relay that takes over from the root arrive first. Default a third of MaxChangeDelay.
 	LeafSourceTimeout time.Duration
 	// RelayTimeoutStep and LeafTimeoutStep are added to the timeout for each node that comes before
 	// this one among those with the same source, so that one node polls the store and forwards the
-	// answer to the others. Defaults 20 and 8 ms; a share of Within for leaves where relays may
-	// have a root.
+	// answer to the others. Defaults 20 and 8 ms; a share of MaxChangeDelay for leaves where relays
+	// may have a root.
 	RelayTimeoutStep, LeafTimeoutStep time.Duration
 	// MinZoneNodes is the least number of nodes at which a zone has relays. MaxGroupNodes is how
 	// many nodes one relay serves, itself included. Defaults 4 and 32.
@@ -63,8 +64,8 @@
 	// MinRelaysForRoot is the least number of relays at which one of them polls the store for all.
 	// Default 3.
 	MinRelaysForRoot int
-	// MaxChangeDelay is the time in which a change of the store must be known. Zero means too short a time
-	// for a root.
+	// MaxChangeDelay is the time in which a change of the store must be known. Zero means too short
+	// a time for a root.
 	MaxChangeDelay time.Duration
 	// MaxValueBytes is the size above which values are not forwarded but read from the store by
 	// each node. Default 1 MiB, enough for the configuration of some thousand models.
--- a/fleet/feed/events.go
+++ b/fleet/feed/events.go
@@ -21,8 +21,8 @@
 	Began    time.Time
 	Revision int64
 	Pairs    []wire.StoreChange
-	// MorePages is set if the first page did not hold everything and OnePage was set. Pairs are left
-	// out then.
+	// MorePages is set if the first page did not hold everything and OnePage was set. Pairs are
+	// left out then.
 	MorePages bool
 	Err       error
 }
@@ -96,11 +96,12 @@
 // ReadStarter asks for the record of the starter of this node's zone.
 type ReadStarter struct{}
 
-// ClaimStarter writes this node into the starter's record if the record still has Revision, zero for
-// no record.
+// ClaimStarter writes this node into the starter's record if the record still has Revision, zero
+// for no record.
 type ClaimStarter struct{ Revision int64 }
 
-// ReplaceContents delivers the contents of the store at Revision, as another node's snapshot held them.
+// ReplaceContents delivers the contents of the store at Revision, as another node's snapshot held
+// them.
 type ReplaceContents struct {
 	Revision int64
 	Pairs    []wire.StoreChange
--- a/fleet/gate.go
+++ b/fleet/gate.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// UnprovenRetryAfter is the Retry-After of a refusal for lack of a current key proof: within that
-	// time another node, or this one after a call to the store, may have one.
+	// UnprovenRetryAfter is the Retry-After of a refusal for lack of a current key proof: within
+	// that time another node, or this one after a call to the store, may have one.
 	UnprovenRetryAfter = 300 * time.Millisecond
 	// noLenderRetryAfter is the Retry-After of a refusal because no node lends the tenant's
 	// tokens: the successor of a lost lender takes over within that time.
--- a/fleet/lending/events.go
+++ b/fleet/lending/events.go
@@ -13,8 +13,8 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-// PeersChanged reports the live nodes. HasPredecessor is set if the store held a record of an earlier
-// process of this machine.
+// PeersChanged reports the live nodes. HasPredecessor is set if the store held a record of an
+// earlier process of this machine.
 type PeersChanged struct {
 	Peers          []Peer
 	HasPredecessor bool
--- a/fleet/lending/token_requests.go
+++ b/fleet/lending/token_requests.go
@@ -18,8 +18,8 @@
 	askedNode cluster.NodeID
 }
 
-// handleTokensRequested requests tokens, from this node itself if it is the lender. An isolated node answers
-// immediately that no lender was found.
+// handleTokensRequested requests tokens, from this node itself if it is the lender. An isolated
+// node answers immediately that no lender was found.
 func (c *Core) handleTokensRequested(e TokensRequested) {
 	a := &pendingRequest{TokensRequested: e, startedAt: c.now}
 	c.pendingRequests[e.Number] = a
--- a/fleet/peer_notifier_test.go
+++ b/fleet/peer_notifier_test.go
@@ -46,7 +46,7 @@
 		step(Tick{})
 	}
 	if settledCount != core.peerNotifier.notifications {
-		t.Errorf("%d nodes: PeersSettled was emitted %d times, with %d notifications", nodes, core.peerNotifier.notifications, settledCount)
+		t.Errorf("%d nodes: PeersChanged was emitted %d times, with %d notifications", nodes, core.peerNotifier.notifications, settledCount)
 	}
 	if core.reportedRouters.Routers != nodes || core.peerNotifier.changePending {
 		t.Errorf("%d nodes: the router was told of %d nodes", nodes, core.reportedRouters.Routers)
--- a/fleet/poison_record_test.go
+++ b/fleet/poison_record_test.go
@@ -128,9 +128,8 @@
 	}
 }
 
-// Guards against refusing a request for the hour of its block because the machine of its
-// last probe did not answer, and against another probe of a request under whose last probe a machine
-// ended.
+// Guards against refusing a request for the hour of its block because the machine of its last probe
+// did not answer, and against another probe of a request under whose last probe a machine ended.
 func TestInconclusivePoisonProbeIsRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name              string
--- a/fleet/records.go
+++ b/fleet/records.go
@@ -15,8 +15,8 @@
 	KeyRoot   = "valveslip/"
 	KeyNodes  = KeyRoot + "nodes/"
 	KeyHolder = KeyRoot + "holder"
-	// KeyLastHolder holds the record of the machine that last gave orders. It is written together with
-	// each holder's record and has no expiry.
+	// KeyLastHolder holds the record of the machine that last gave orders. It is written together
+	// with each holder's record and has no expiry.
 	KeyLastHolder = KeyRoot + "last-holder"
 	// KeyTickets is the prefix of the keys that mark, per tenant shard, that a lender has
 	// recently been granted the amount that may be granted only once per window.
--- a/fleet/shell/callerconn_test.go
+++ b/fleet/shell/callerconn_test.go
@@ -39,8 +39,8 @@
 			if n != 0 || !errors.As(err, &stalled) || stalled.Full || stalled.Waiting != 100 {
 				t.Fatalf("%d bytes written, %v", n, err)
 			}
-			if took := time.Since(began); took != defaultStalledFor || stalled.For != took {
-				t.Fatalf("failed after %v, error says %v, want %v", took, stalled.For, defaultStalledFor)
+			if took := time.Since(began); took != defaultStallTimeout || stalled.For != took {
+				t.Fatalf("failed after %v, error says %v, want %v", took, stalled.For, defaultStallTimeout)
 			}
 			if c.node.retained.Used() != 0 || c.node.retained.Peak() != buffersPerStalledCaller*defaultSocketBytes {
 				t.Fatalf("%d bytes are retained, peak %d", c.node.retained.Used(), c.node.retained.Peak())
@@ -53,7 +53,7 @@
 			const length = 20
 			go func() {
 				for range length {
-					time.Sleep(defaultStalledFor * 3 / 4)
+					time.Sleep(defaultStallTimeout * 3 / 4)
 					_, _ = callers.Read(make([]byte, 1))
 				}
 			}()
--- a/fleet/shell/slowcallers.go
+++ b/fleet/shell/slowcallers.go
@@ -14,12 +14,12 @@
 	"github.com/valveslip/valveslip/passthrough"
 )
 
-// Defaults of CallerBounds.
+// Defaults of CallerLimits.
 const (
-	// defaultStalledFor is shorter than the time after which machines cut off an answer that is
+	// defaultStallTimeout is shorter than the time after which machines cut off an answer that is
 	// not read. All that is known of that time is "some seconds". Machines start to count once
 	// the node's buffers are full.
-	defaultStalledFor = 3 * time.Second
+	defaultStallTimeout = 3 * time.Second
 	// defaultSocketBytes allows 32 KB for each round trip to a caller: 32 MB/s at 1 ms, 320 KB/s
 	// at 100 ms. An answer of text needs 10 KB/s.
 	defaultSocketBytes = 32 << 10
@@ -52,7 +52,7 @@
 
 // withDefaults returns the limits with defaults for zero fields.
 func (b CallerLimits) withDefaults() CallerLimits {
-	b.StallTimeout = cmp.Or(b.StallTimeout, defaultStalledFor)
+	b.StallTimeout = cmp.Or(b.StallTimeout, defaultStallTimeout)
 	b.SocketBytes = cmp.Or(b.SocketBytes, defaultSocketBytes)
 	b.RetainedBytes = cmp.Or(b.RetainedBytes, defaultRetainedBytes)
 	return b
--- a/fleet/shell/staleness.go
+++ b/fleet/shell/staleness.go
@@ -9,8 +9,8 @@
 	"github.com/valveslip/valveslip/fleet/feed"
 )
 
-// staleAfterShare is the share of the maximum delay of changes (feed.Config.MaxChangeDelay) from which
-// the view of the store is logged as stale: the remaining half of the delay is left to find
+// staleAfterShare is the share of the maximum delay of changes (feed.Config.MaxChangeDelay) from
+// which the view of the store is logged as stale: the remaining half of the delay is left to find
 // the cause.
 const staleAfterShare = 0.5
 
--- a/keyvalue/lease/lease.go
+++ b/keyvalue/lease/lease.go
@@ -140,8 +140,8 @@
 // SetExtraPair makes each later write of the record write a pair as well.
 func (c *Client) SetExtraPair(beside ExtraPair) { c.extraPair = &beside }
 
-// ReplaceRecord makes the next write replace the record with the given token, which an earlier process
-// of the same holder wrote. The record is never absent in between.
+// ReplaceRecord makes the next write replace the record with the given token, which an earlier
+// process of the same holder wrote. The record is never absent in between.
 func (c *Client) ReplaceRecord(token cluster.FencingToken) { c.replacedToken = token }
 
 // IsHolder reports whether the record is the client's own, as far as the client knows.
--- a/node/shares.go
+++ b/node/shares.go
@@ -21,17 +21,17 @@
 
 // divideLimits divides this zone's share of every limited scope with demand over the
 // zone's routers.
-func divideLimits(core *Core, ledger *demand.Aggregator) map[cluster.NodeID][]wire.ScopeShare {
+func divideLimits(core *Core, aggregator *demand.Aggregator) map[cluster.NodeID][]wire.ScopeShare {
 	snapshot := core.Snapshot()
 	if snapshot == nil || len(snapshot.Scopes) == 0 {
 		return nil
 	}
 	zoneShare := ownLimitShare(core)
 	shares := make(map[cluster.NodeID][]wire.ScopeShare)
-	for _, path := range scopesWithDemand(ledger) {
+	for _, path := range scopesWithDemand(aggregator) {
 		scope, limited := snapshot.Scopes[path]
 		if limited {
-			divideScope(shares, routerWeights(core, ledger, scope.Path), scope, zoneShare)
+			divideScope(shares, routerWeights(core, aggregator, scope.Path), scope, zoneShare)
 		}
 	}
 	return shares
@@ -66,11 +66,11 @@
 	}
 }
 
-func scopesWithDemand(ledger *demand.Aggregator) []string {
+func scopesWithDemand(aggregator *demand.Aggregator) []string {
 	seen := map[string]bool{}
 	var paths []string
-	for _, id := range ledger.Routers() {
-		for _, scope := range ledger.Scopes(id) {
+	for _, id := range aggregator.Routers() {
+		for _, scope := range aggregator.Scopes(id) {
 			if !seen[scope.Path] {
 				seen[scope.Path] = true
 				paths = append(paths, scope.Path)
@@ -119,14 +119,14 @@
 const idleWeight = 0.01
 
 // routerWeights weighs the zone's routers by their requests in flight and arriving.
-func routerWeights(core *Core, ledger *demand.Aggregator, path string) []routerWeight {
+func routerWeights(core *Core, aggregator *demand.Aggregator, path string) []routerWeight {
 	var weights []routerWeight
-	for _, id := range ledger.Routers() {
-		if ledger.Zone(id) != core.self.Zone {
+	for _, id := range aggregator.Routers() {
+		if aggregator.Zone(id) != core.self.Zone {
 			continue
 		}
 		router := routerWeight{id, idleWeight}
-		for _, scope := range ledger.Scopes(id) {
+		for _, scope := range aggregator.Scopes(id) {
 			if scope.Path == path {
 				router.weight += scope.Requests + float64(scope.Concurrency)
 			}
--- a/node/shell/node.go
+++ b/node/shell/node.go
@@ -314,7 +314,7 @@
 // RegionMembers implements keyed.Peers. It returns the other running nodes of the region,
 // among whose zones callers distribute their retries. known is false while the node
 // may still discover others.
-func (n *Node) RegionMembers() (neighbours []cluster.Node, known bool) {
+func (n *Node) RegionMembers() (members []cluster.Node, known bool) {
 	composed := n.Inspect(func(core *node.Core) {
 		for _, member := range core.Members() {
 			if !member.Running() || member.Node.ID == n.self.ID {
@@ -322,10 +322,10 @@
 			}
 			known = true
 			if member.Node.Region == n.self.Region {
-				neighbours = append(neighbours, member.Node)
+				members = append(members, member.Node)
 			}
 		}
 	})
 	alone := !composed || len(n.config.Seeds) == 0 || n.Now().Sub(n.startedAt) > joinTimeout
-	return neighbours, known || alone
+	return members, known || alone
 }
--- a/overload/meter.go
+++ b/overload/meter.go
@@ -100,8 +100,8 @@
 	return m.now() - time.Duration(began)
 }
 
-// holdPoll is the interval at which WaitWhileLate checks whether the process is still late. MaxHold bounds a
-// hold: clients close a connection that is not read for a second.
+// holdPoll is the interval at which WaitWhileLate checks whether the process is still late. MaxHold
+// bounds a hold: clients close a connection that is not read for a second.
 const (
 	holdPoll = 5 * time.Millisecond
 	MaxHold  = time.Second
--- a/overload/refusal.go
+++ b/overload/refusal.go
@@ -15,8 +15,8 @@
 		"this node has more to do than it carries and is %s late; another one takes the request", late.Round(time.Millisecond)).After(retryElsewhereAfter)
 }
 
-// TooManyRequests returns the error for a request that is refused because the process runs as many requests as
-// it has room for.
+// TooManyRequests returns the error for a request that is refused because the process runs as many
+// requests as it has room for.
 func TooManyRequests(running int) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
 		"this node has %d requests under way and room for no more; another one takes the request", running).After(retryElsewhereAfter)
--- a/passthrough/handler.go
+++ b/passthrough/handler.go
@@ -51,8 +51,8 @@
 type Config struct {
 	// Catalog returns the current configuration, nil before the first one.
 	Catalog func() *catalog.Compiled
-	// CatalogReady is closed once Catalog returns the first configuration. Callers that arrive earlier
-	// wait for it for a short time; if nil, none wait.
+	// CatalogReady is closed once Catalog returns the first configuration. Callers that arrive
+	// earlier wait for it for a short time; if nil, none wait.
 	CatalogReady <-chan struct{}
 	Decider      Decider
 	Dialect      Dialect
@@ -63,8 +63,8 @@
 	Closing func() bool
 	// Admits reports whether a request with the given deadline is still accepted. If nil, all are.
 	Admits func(deadline time.Time) bool
-	// NeedsFingerprint reports whether the fingerprint of a request with this head is needed. If nil,
-	// only short bodies are fingerprinted.
+	// NeedsFingerprint reports whether the fingerprint of a request with this head is needed. If
+	// nil, only short bodies are fingerprinted.
 	NeedsFingerprint func(head poison.Head) bool
 	// FindKey returns the tenant of a key, by its hash, that the current configuration doesn't
 	// contain: the key may have been added a moment ago. It waits until the key store of this node
--- a/passthrough/overload_test.go
+++ b/passthrough/overload_test.go
@@ -23,10 +23,10 @@
 		recorder := httptest.NewRecorder()
 		h.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "http://h/r/", nil))
 		if recorder.Code != status {
-			t.Errorf("MayTake %t: status %d, want %d", may, recorder.Code, status)
+			t.Errorf("MayAccept %t: status %d, want %d", may, recorder.Code, status)
 		}
 		if refused := status == http.StatusServiceUnavailable; refused != (recorder.Header().Get("Retry-After") == "0.050") {
-			t.Errorf("MayTake %t: Retry-After %q", may, recorder.Header().Get("Retry-After"))
+			t.Errorf("MayAccept %t: Retry-After %q", may, recorder.Header().Get("Retry-After"))
 		}
 	}
 }
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -10,10 +10,10 @@
 // victim is one replica that may be evicted, with the loss that this causes. For a base model
 // it includes the adapters on the same machine.
 type victim struct {
-	// slot is the index of the replica in round.replicas.
-	slot  int32
-	bytes int64
-	loss  float64
+	// replicaIndex is the index of the replica in round.replicas.
+	replicaIndex int32
+	bytes        int64
+	loss         float64
 }
 
 // evictFor plans the eviction for a load request on the machine where wait and loss together
@@ -150,11 +150,11 @@
 		return r.selectAdapterVictim()
 	}
 	slices.SortFunc(r.victims, func(a, b victim) int {
-		return cmp.Or(cmp.Compare(a.loss/float64(a.bytes), b.loss/float64(b.bytes)), cmp.Compare(a.slot, b.slot))
+		return cmp.Or(cmp.Compare(a.loss/float64(a.bytes), b.loss/float64(b.bytes)), cmp.Compare(a.replicaIndex, b.replicaIndex))
 	})
 	missing := bytes - r.machines[m].freeAfterUnloads
 	for k := 0; k < len(r.victims) && missing > 0; k++ {
-		missing -= r.selectWithAdapters(r.victims[k].slot)
+		missing -= r.selectWithAdapters(r.victims[k].replicaIndex)
 		loss += r.victims[k].loss
 	}
 	return loss, missing <= 0
@@ -165,7 +165,7 @@
 func (r *round) selectAdapterVictim() (loss float64, enough bool) {
 	best := -1
 	for k := range r.victims {
-		replica := &r.replicas[r.victims[k].slot]
+		replica := &r.replicas[r.victims[k].replicaIndex]
 		if r.catalogue.entries[replica.model].base == noIndex {
 			continue
 		}
@@ -176,7 +176,7 @@
 	if best < 0 {
 		return 0, false
 	}
-	r.selectWithAdapters(r.victims[best].slot)
+	r.selectWithAdapters(r.victims[best].replicaIndex)
 	return r.victims[best].loss, true
 }
 
@@ -202,7 +202,7 @@
 // newVictim returns the bytes and the loss of one replica and its dependent adapters.
 func (r *round) newVictim(s int32) victim {
 	replica := &r.replicas[s]
-	result := victim{slot: s}
+	result := victim{replicaIndex: s}
 	replicas := r.replicasOn(replica.machine)
 	for i := range replicas {
 		dependent := &replicas[i]
--- a/placement/types.go
+++ b/placement/types.go
@@ -48,8 +48,8 @@
 	Slots        int
 	// AdapterSlots is the maximum number of adapters on the machine. Zero means no limit.
 	AdapterSlots int
-	// Busy reports that the machine is carrying out an order and takes no other. OrderTimeLeft is the
-	// expected remaining time of that order, zero when it is unknown.
+	// Busy reports that the machine is carrying out an order and takes no other. OrderTimeLeft is
+	// the expected remaining time of that order, zero when it is unknown.
 	Busy          bool
 	OrderTimeLeft time.Duration
 	// Replicas lists the replicas on the machine, reserved ones included, sorted by model.
@@ -65,8 +65,8 @@
 	// at once.
 	StartsPerSecond float64
 	Concurrency     int
-	// InitialConcurrency is the initial estimate of how many concurrent loads the store serves at full
-	// speed, used until loads have been observed. Zero stands for Concurrency.
+	// InitialConcurrency is the initial estimate of how many concurrent loads the store serves at
+	// full speed, used until loads have been observed. Zero stands for Concurrency.
 	InitialConcurrency int
 	// Speed is the present speed of the store as a share of its full speed.
 	Speed float64
--- a/relay/keyed/claims.go
+++ b/relay/keyed/claims.go
@@ -129,10 +129,10 @@
 
 // address returns the peer address of another node of the region.
 func (r *Runner) address(id cluster.NodeID) (string, bool) {
-	neighbours, _ := r.peers.RegionMembers()
-	for _, neighbour := range neighbours {
-		if neighbour.ID == id {
-			return neighbour.PeerAddress, true
+	members, _ := r.peers.RegionMembers()
+	for _, member := range members {
+		if member.ID == id {
+			return member.PeerAddress, true
 		}
 	}
 	return "", false
--- a/relay/keyed/handover.go
+++ b/relay/keyed/handover.go
@@ -80,10 +80,10 @@
 		r.mutex.Unlock()
 		r.peers.Send(address, message)
 	}
-	neighbours, _ := r.peers.RegionMembers()
-	for _, neighbour := range neighbours {
-		if neighbour.ID != successor {
-			r.peers.Send(neighbour.PeerAddress, message)
+	members, _ := r.peers.RegionMembers()
+	for _, member := range members {
+		if member.ID != successor {
+			r.peers.Send(member.PeerAddress, message)
 		}
 	}
 }
--- a/relay/keyed/runner.go
+++ b/relay/keyed/runner.go
@@ -170,13 +170,13 @@
 // SetMembers updates the table with the nodes that share the keys. The shell calls it
 // periodically.
 func (r *Runner) SetMembers(now time.Time) {
-	neighbours, known := r.peers.RegionMembers()
+	regionMembers, known := r.peers.RegionMembers()
 	if !known {
 		return
 	}
 	members := []idempotency.Member{memberOf(r.peers.Self())}
-	for _, neighbour := range neighbours {
-		members = append(members, memberOf(neighbour))
+	for _, member := range regionMembers {
+		members = append(members, memberOf(member))
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/routing/affinity/ledger.go
+++ b/routing/affinity/prefix_log.go
@@ -8,8 +8,8 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// PrefixLog collects the prompts that were sent to machines until they are reported to other routers.
-// If there are too many, it keeps the newest. The zero value holds at most one entry.
+// PrefixLog collects the prompts that were sent to machines until they are reported to other
+// routers. If there are too many, it keeps the newest. The zero value holds at most one entry.
 type PrefixLog struct {
 	limit int
 	// entries are ordered by age, the oldest first.
@@ -22,7 +22,7 @@
 	prefix  uint64
 }
 
-// NewPrefixLog returns an empty ledger of at most limit entries.
+// NewPrefixLog returns an empty log of at most limit entries.
 func NewPrefixLog(limit int) *PrefixLog { return &PrefixLog{limit: limit} }
 
 // Note adds the longest prefix of a prompt. A prefix that is already known becomes the newest.
--- a/routing/affinity/ledger_test.go
+++ b/routing/affinity/prefix_log_test.go
@@ -7,7 +7,7 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// TestFullPrefixLogKeepsNewestEntries checks that a full ledger drops the oldest entries, that a
+// TestFullPrefixLogKeepsNewestEntries checks that a full log drops the oldest entries, that a
 // repeated entry becomes the newest, and that entries from several routers keep their order.
 func TestFullPrefixLogKeepsNewestEntries(t *testing.T) {
 	router := NewPrefixLog(3)
@@ -29,8 +29,9 @@
 	}
 }
 
-// TestReportedPrefixIsFoundByLookup checks that a prefix reported by Longest is found by longer
-// prompts with the same beginning, since reporters and readers must use the same prefix lengths.
+// TestReportedPrefixIsFoundByLookup checks that a prefix returned by ReportedPrefix is found by
+// longer prompts with the same beginning, since reporters and readers must use the same prefix
+// lengths.
 func TestReportedPrefixIsFoundByLookup(t *testing.T) {
 	chain := []uint64{1, 2, 3, 4, 5, 6, 7}
 	if _, ok := ReportedPrefix(nil); ok {
--- a/routing/affinity/reported.go
+++ b/routing/affinity/reported.go
@@ -2,8 +2,8 @@
 
 import "github.com/valveslip/valveslip/cluster"
 
-// ReportedPrefix returns the prefix that is reported to other routers for a prompt: the longest one that
-// they look up. The next turn of a conversation is at least as long, so its lookup finds this
+// ReportedPrefix returns the prefix that is reported to other routers for a prompt: the longest one
+// that they look up. The next turn of a conversation is at least as long, so its lookup finds this
 // prefix before all shorter ones. It returns false for an empty prompt.
 func ReportedPrefix(prefixes []uint64) (uint64, bool) {
 	for i := len(prefixLengths) - 1; i >= 0; i-- {
@@ -14,8 +14,8 @@
 	return 0, false
 }
 
-// AddReported records a report that a machine's engine processed a prompt with this longest prefix some
-// seconds ago.
+// AddReported records a report that a machine's engine processed a prompt with this longest prefix
+// some seconds ago.
 func (x *Index) AddReported(nanos int64, machine cluster.MachineID, model cluster.ModelID, prefix uint64) {
 	x.addHolder(nanos, modelKey(model), prefix, x.machine(machine), 1)
 }
--- a/routing/demand.go
+++ b/routing/demand.go
@@ -50,8 +50,8 @@
 	return demands
 }
 
-// HasUnreportedDemand reports whether a model has waiting requests that the last report did not include,
-// so that a cold start need not wait for the next report.
+// HasUnreportedDemand reports whether a model has waiting requests that the last report did not
+// include, so that a cold start need not wait for the next report.
 func (r *Router) HasUnreportedDemand() bool {
 	for _, model := range r.demandChanged {
 		if model.reportedWaiting == 0 && model.queue.Len()+model.expectedCallers(r.nanos) > 0 {
--- a/routing/idempotency/handover.go
+++ b/routing/idempotency/handover.go
@@ -154,9 +154,9 @@
 	t.setState(e, into, max(e.expires, record.Expires.UnixNano()))
 }
 
-// RecordHeir records that a node left and that its heir, which has inherited its whole state, answers
-// in its place. Asking claims are restarted, because earlier answers of the heir did not cover the
-// other node's state.
+// RecordHeir records that a node left and that its heir, which has inherited its whole state,
+// answers in its place. Asking claims are restarted, because earlier answers of the heir did not
+// cover the other node's state.
 func (t *Table) RecordHeir(now time.Time, left, heir cluster.NodeID) {
 	nanos := now.UnixNano()
 	for node, known := range t.successors {
--- a/routing/poison/table.go
+++ b/routing/poison/table.go
@@ -208,7 +208,8 @@
 	}
 }
 
-// Completed records that the request was answered completely, which clears all ends attributed to it.
+// Completed records that the request was answered completely, which clears all ends attributed to
+// it.
 func (t *Table) Completed(now time.Time, content Fingerprint) {
 	if content.IsZero() {
 		return
--- a/routing/poison/table_test.go
+++ b/routing/poison/table_test.go
@@ -30,7 +30,7 @@
 }
 
 // TestThreeEndsBlockRequest checks that the ends of three different machines block a request for
-// DefaultConviction, whichever nodes counted them.
+// DefaultBlockDuration, whichever nodes counted them.
 func TestThreeEndsBlockRequest(t *testing.T) {
 	table := NewTable(Config{})
 	now := recordEnds(table, testStart, harmful, "a", "b", "b", "a")
--- a/routing/prefixes.go
+++ b/routing/prefixes.go
@@ -9,8 +9,8 @@
 // maxUnpublished bounds the prompts that are not yet sent to the other routers.
 const maxUnpublished = 128
 
-// PrefixesReceived carries which prompts other routers of the zone sent to which machines. It arrives
-// some seconds late and may be incomplete.
+// PrefixesReceived carries which prompts other routers of the zone sent to which machines. It
+// arrives some seconds late and may be incomplete.
 type PrefixesReceived struct{ Groups []wire.PrefixGroup }
 
 // CacheMoved reports that a model's prefix cache was copied from one machine to another.
@@ -34,8 +34,8 @@
 	}
 }
 
-// applyReportedPrefixes applies the prompts of other routers. Machines without a replica of the model are
-// skipped: they are gone, or their status has not arrived yet.
+// applyReportedPrefixes applies the prompts of other routers. Machines without a replica of the
+// model are skipped: they are gone, or their status has not arrived yet.
 func (r *Router) applyReportedPrefixes(groups []wire.PrefixGroup) {
 	for i := range groups {
 		group := &groups[i]
--- a/routing/queue/queue_test.go
+++ b/routing/queue/queue_test.go
@@ -162,8 +162,9 @@
 	})
 }
 
-// TestEstimateAheadMatchesPopOrder checks EstimateAhead against the order of Pop. With equal costs and one team
-// the estimate is exact; with more teams it is too high by at most one for each other team.
+// TestEstimateAheadMatchesPopOrder checks EstimateAhead against the order of Pop. With equal costs
+// and one team the estimate is exact; with more teams it is too high by at most one for each other
+// team.
 func TestEstimateAheadMatchesPopOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[string]
--- a/routing/work/config.go
+++ b/routing/work/config.go
@@ -34,8 +34,8 @@
 	defaultMaxModels  = 2048
 )
 
-// ReferenceTokensPerSecond converts prefill time to tokens where prefill work is reported as a token
-// count: it is the rate of an engine with a model of about 50 billion parameters.
+// ReferenceTokensPerSecond converts prefill time to tokens where prefill work is reported as a
+// token count: it is the rate of an engine with a model of about 50 billion parameters.
 const ReferenceTokensPerSecond = 35_000
 
 // withDefaults returns the configuration with zero fields set to their defaults.
--- a/routing/work/estimator.go
+++ b/routing/work/estimator.go
@@ -13,8 +13,8 @@
 	// Model is the base model; an adapter counts as its base.
 	Model  cluster.ModelID
 	Prompt Prompt
-	// PrefillAhead is the prefill time that was estimated to be queued on the engine at the send, at
-	// the engine's own speed.
+	// PrefillAhead is the prefill time that was estimated to be queued on the engine at the send,
+	// at the engine's own speed.
 	PrefillAhead time.Duration
 	// TimeToFirstEvent is the time from the send to the first event.
 	TimeToFirstEvent time.Duration
--- a/settings/layout.go
+++ b/settings/layout.go
@@ -154,8 +154,8 @@
 	return operations, nil
 }
 
-// DecodeTreePairs decodes the tree from all pairs below KeyPrefix, which must be read at one revision.
-// Without a head record it returns the empty tree and a zero stamp.
+// DecodeTreePairs decodes the tree from all pairs below KeyPrefix, which must be read at one
+// revision. Without a head record it returns the empty tree and a zero stamp.
 func DecodeTreePairs(pairs []keyvalue.KeyValue) (*Tree, Stamp, error) {
 	var levels []*Level
 	var record headRecord
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -119,8 +119,8 @@
 	return at
 }
 
-// TreeFromLevels builds a tree from some levels of another tree, for comparison. It does not validate
-// them.
+// TreeFromLevels builds a tree from some levels of another tree, for comparison. It does not
+// validate them.
 func TreeFromLevels(levels []*Level) *Tree { return treeFromLevels(levels) }
 
 // treeFromLevels builds a tree from levels with distinct paths, and adds a root if there is none.
