--- a/authority/explore/apportion_state.go
+++ b/authority/explore/apportion_state.go
@@ -12,17 +12,17 @@
 	"github.com/valveslip/valveslip/wire"
 )
 
-// EscrowScenario is the size of an exploration of apportioning: a few zones of one machine
+// ApportionScenario is the size of an exploration of apportioning: a few zones of one machine
 // each, one model, and apportioners that all act as the only one. A zone's controllers
 // follow the takeover protocol; their orders take effect at once.
-type EscrowScenario struct {
+type ApportionScenario struct {
 	Name         string
 	Apportioners int
 	Zones        int
 	// Settled scenarios start after the first edit was divided and read by everyone.
 	Settled bool
 	// Edits are the accepted settings, in order.
-	Edits []EscrowEdit
+	Edits []ApportionEdit
 	// Depth and States bound the exploration; zero States means no bound.
 	Depth, States int
 	// Takeovers of zones, zones that leave, expiries of the machine list's lag and
@@ -30,9 +30,9 @@
 	Takeovers, Leaves, Lapses, Restarts int
 }
 
-// EscrowEdit is one revision of the settings: the model's replica limit and the zones that
+// ApportionEdit is one revision of the settings: the model's replica limit and the zones that
 // may hold it.
-type EscrowEdit struct {
+type ApportionEdit struct {
 	Maximum int
 	Zones   []int
 }
@@ -59,7 +59,7 @@
 // apportionerState is what one apportioner has read.
 type apportionerState struct {
 	editIndex      int
-	presence       *authority.Presence
+	tracker        *authority.MachineTracker
 	hasReadRecords bool
 	records        []cluster.Allotment
 	guardRevision  int64
@@ -83,14 +83,14 @@
 
 // apportionSearch explores one scenario in one variant.
 type apportionSearch struct {
-	scenario  EscrowScenario
+	scenario  ApportionScenario
 	variant   Variant
 	snapshots []*settings.Snapshot
 }
 
-// Escrow explores a scenario of apportioning breadth first until a violation, the depth or
+// Apportioning explores a scenario of apportioning breadth first until a violation, the depth or
 // the bound on states.
-func Escrow(ctx context.Context, scenario EscrowScenario, variant Variant) (Result, error) {
+func Apportioning(ctx context.Context, scenario ApportionScenario, variant Variant) (Result, error) {
 	s := &apportionSearch{scenario: scenario, variant: variant}
 	for i, edit := range scenario.Edits {
 		policy := settings.Policy{MaxReplicas: edit.Maximum}
@@ -148,7 +148,7 @@
 
 func (s *apportionSearch) newApportioner(state *apportionState) apportionerState {
 	apportioner := apportionerState{
-		presence: authority.NewPresence(machineLag), editIndex: state.editIndex,
+		tracker: authority.NewMachineTracker(machineLag), editIndex: state.editIndex,
 		reports: make([]*wire.ZoneReport, s.scenario.Zones),
 	}
 	state.readMachineList(&apportioner)
@@ -162,7 +162,7 @@
 			list = append(list, cluster.Machine{ID: machineID(i), Zone: zoneID(i)})
 		}
 	}
-	apportioner.presence.Listed(s.now, list)
+	apportioner.tracker.RecordList(s.now, list)
 }
 
 func (s *apportionState) clone() *apportionState {
@@ -175,7 +175,7 @@
 	copied.apportioners = slices.Clone(s.apportioners)
 	for i := range copied.apportioners {
 		a := &copied.apportioners[i]
-		a.presence = a.presence.Clone()
+		a.tracker = a.tracker.Clone()
 		a.reports = slices.Clone(a.reports)
 	}
 	return &copied
@@ -207,7 +207,7 @@
 
 func (s *apportionState) appendApportioner(buffer []byte, a *apportionerState) []byte {
 	buffer = appendNumbers(buffer, uint64(a.editIndex), boolToNumber(a.hasReadRecords), uint64(a.guardRevision), boolToNumber(a.pendingWrite != nil))
-	buffer = a.presence.AppendState(buffer, s.now)
+	buffer = a.tracker.AppendState(buffer, s.now)
 	for z := range s.zones {
 		buffer = appendReport(buffer, a.reports[z])
 		if a.hasReadRecords {
--- a/fleet/controller.go
+++ b/fleet/controller.go
@@ -50,7 +50,7 @@
 	core   *Core
 	lease  *lease.Client
 	ledger *sequence.Ledger
-	demand *demand.Ledger
+	demand *demand.Aggregator
 	// planner is created anew for each term.
 	planner *placement.AdaptivePlanner
 	// allotment allows any number of replicas of each model.
@@ -109,7 +109,7 @@
 	case !c.resignedAt.IsZero():
 		c.finishResigning()
 		return
-	case !c.lease.Holding():
+	case !c.lease.IsHolder():
 		c.tryAcquire()
 		return
 	case !now.Before(c.renewAt):
@@ -131,12 +131,12 @@
 func (c *controller) due() time.Time {
 	now := c.core.now
 	if !c.resignedAt.IsZero() {
-		if c.lease.Holding() {
+		if c.lease.IsHolder() {
 			return c.resignedAt.Add(resignDelay)
 		}
 		return time.Time{}
 	}
-	if !c.lease.Holding() {
+	if !c.lease.IsHolder() {
 		if !c.holderKnown || c.vacantSince.IsZero() {
 			return time.Time{}
 		}
@@ -165,7 +165,7 @@
 // demandReceived records a node's demand while this node holds the lease.
 func (c *controller) demandReceived(received wire.Demand) {
 	if c.ledger.Holding() {
-		c.demand.Note(c.core.now, received)
+		c.demand.Record(c.core.now, received)
 	}
 }
 
@@ -237,7 +237,7 @@
 			return change.Model == wanted || change.Model == catalog.ModelID(service, name)
 		})
 	}
-	for _, id := range c.demand.Wanting(concerned) {
+	for _, id := range c.demand.RoutersNaming(concerned) {
 		if id != c.core.config.Self.ID {
 			c.core.send(c.core.nodes.live[id].Address, status)
 		}
--- a/fleet/gate.go
+++ b/fleet/gate.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// UnprovenBack is the Retry-After of a refusal for lack of a current key proof: within that
-	// time another node, or this one after a call to the store, may have one.
-	UnprovenBack = 300 * time.Millisecond
+	// UnprovenRetryAfter is the Retry-After of a refusal for lack of a current key proof: within
+	// that time another node, or this one after a call to the store, may have one.
+	UnprovenRetryAfter = 300 * time.Millisecond
 	// noLenderRetryAfter is the Retry-After of a refusal because no node lends the tenant's
 	// tokens: the successor of a lost lender takes over within that time.
 	noLenderRetryAfter = 500 * time.Millisecond
@@ -92,7 +92,7 @@
 func (g *gate) recordProof(at time.Time) {
 	if at.After(g.provenAt) {
 		g.provenAt = at
-		g.core.feedLending(lending.Proven{At: at})
+		g.core.feedLending(lending.SettingsProven{At: at})
 	}
 }
 
@@ -109,7 +109,7 @@
 func (g *gate) proofExpired(now time.Time) bool {
 	bound := g.core.config.KeyProof
 	age, proven := g.proofAge(now)
-	return bound > 0 && g.core.compiled.Keyed() && (!proven || age >= bound)
+	return bound > 0 && g.core.compiled.RequiresKeys() && (!proven || age >= bound)
 }
 
 // tick returns unused tokens, and logs when the key proof expires or is renewed.
@@ -128,10 +128,10 @@
 // Arrivals, dispatches and sends all use this check.
 func (g *gate) checkKey(now time.Time, request *gatedRequest) *verdict.Error {
 	compiled := g.core.compiled
-	if request.public || !compiled.Keyed() {
+	if request.public || !compiled.RequiresKeys() {
 		return nil
 	}
-	holder := compiled.Holder(request.credential)
+	holder := compiled.TenantByKeyHash(request.credential)
 	switch {
 	case request.credential == "":
 		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "a key is required")
@@ -142,14 +142,14 @@
 	case g.proofExpired(now):
 		age, _ := g.proofAge(now)
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable,
-			"this node can't tell whether the key holds: what it knows of keys is %s old", age.Round(time.Millisecond)).After(UnprovenBack)
+			"this node can't tell whether the key holds: what it knows of keys is %s old", age.Round(time.Millisecond)).After(UnprovenRetryAfter)
 	}
 	return nil
 }
 
 // admit passes a request on to the router or refuses it.
 func (g *gate) admit(request routing.Request) {
-	if request.Credential == "" && !g.core.compiled.Keyed() {
+	if request.Credential == "" && !g.core.compiled.RequiresKeys() {
 		g.core.feedRouter(routing.RequestArrived{Request: request})
 		return
 	}
--- a/fleet/peer_notifier.go
+++ b/fleet/peer_notifier.go
@@ -55,7 +55,7 @@
 	p.core.controller.rankCached = false
 	p.notifyRouter()
 	p.notifyPeerCores()
-	p.core.emit(PeersSettled{})
+	p.core.emit(PeersChanged{})
 }
 
 // notifyPeerCores passes the live nodes to the lending, pacing and dispatching cores.
@@ -65,7 +65,7 @@
 	for _, entry := range c.nodes.live {
 		peers = append(peers, entry.lendingPeer())
 	}
-	c.feedLending(lending.PeersChanged{Peers: peers, Succeeds: c.restarted})
+	c.feedLending(lending.PeersChanged{Peers: peers, HasPredecessor: c.restarted})
 	c.pacer.peersChanged()
 	if c.dispatchClient == nil {
 		return
--- a/fleet/shell/harness_test.go
+++ b/fleet/shell/harness_test.go
@@ -65,15 +65,15 @@
 
 func route(name, kind, service string, attempts int, resumable bool) platform.RouteDocument {
 	return platform.RouteDocument{
-		Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: 8000, AimMS: 400,
-		Priority: 1, Service: service, Attempts: attempts, Resumable: resumable, GapAimMS: 300,
+		Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, TimeoutMS: 8000, ObjectiveMS: 400,
+		Priority: 1, Service: service, Attempts: attempts, Resumable: resumable, GapObjectiveMS: 300,
 	}
 }
 
 // withoutLatencyObjective removes a route's latency objective, so that no attempt is abandoned
 // for being slow. Tests whose workers answer or fail at once need it because a busy machine may
 // delay a worker.
-func withoutLatencyObjective(route *platform.RouteDocument) { route.AimMS = 0 }
+func withoutLatencyObjective(route *platform.RouteDocument) { route.ObjectiveMS = 0 }
 
 // configure writes a version of the configuration with additional routes.
 func (d *deployment) configure(version int64, more ...platform.RouteDocument) {
@@ -161,9 +161,9 @@
 			Routing: routing.Config{ExpectedRouters: 1, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 40, FailurePenalty: time.Second},
 		},
 		Seed: 1, CallersAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-		MetricsAddress: "127.0.0.1:0", ReadyPath: platform.ReadyPath, Grace: 8 * time.Second,
+		MetricsAddress: "127.0.0.1:0", ReadyPath: platform.ReadyPath, StopTimeout: 8 * time.Second,
 		Store: platform.NewStoreClient(d.server.Address(), 2*time.Second), Engines: platform.NewEngineClient(),
-		Codec: platform.Codec{}, Dialect: platform.Dialect{}, Feed: feed.Config{Interval: 5 * time.Millisecond},
+		Codec: platform.Codec{}, Dialect: platform.Dialect{}, Feed: feed.Config{PollInterval: 5 * time.Millisecond},
 		Log: eventlog.New(io.Discard, eventlog.Options{}),
 	}
 	for _, change := range changes {
--- a/fleet/shell/keys.go
+++ b/fleet/shell/keys.go
@@ -51,7 +51,7 @@
 // callers' keys.
 func (f *follower) requestKeyProof(compiled *catalog.Compiled) {
 	key := ""
-	if compiled.Keyed() && f.options.Core.KeyProof > 0 {
+	if compiled.RequiresKeys() && f.options.Core.KeyProof > 0 {
 		key = f.options.Codec.ConfigurationKey()
 	}
 	if key != f.provenKey {
@@ -72,7 +72,7 @@
 func (n *Node) servesKeyedRoutes() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.core == nil || n.core.Serves(n.Now())
+	return n.core == nil || n.core.CanServe(n.Now())
 }
 
 // keyProofAge returns the age of the proof that the callers' keys are current; false if there is
@@ -83,7 +83,7 @@
 	if n.core == nil {
 		return 0, false
 	}
-	return n.core.KeysAge(n.Now())
+	return n.core.KeyProofAge(n.Now())
 }
 
 // checkSend is called right before a request is sent. It returns why the request must not be sent
@@ -99,11 +99,11 @@
 // that case.
 func (n *Node) findKey(ctx context.Context, hash string) (*catalog.Tenant, *verdict.Error) {
 	if n.options.Core.KeyProof <= 0 {
-		return n.compiled.Load().Holder(hash), nil
+		return n.compiled.Load().TenantByKeyHash(hash), nil
 	}
 	for deadline := n.Now().Add(findKeyTimeout); ; {
 		age, proven := n.keyProofAge()
-		if tenant := n.compiled.Load().Holder(hash); tenant != nil {
+		if tenant := n.compiled.Load().TenantByKeyHash(hash); tenant != nil {
 			return tenant, nil
 		}
 		if proven && age < min(rejectionProofAge, n.options.Core.KeyProof) {
@@ -112,7 +112,7 @@
 		if !n.Now().Before(deadline) {
 			n.options.Log.Write(eventlog.KeyUndecided{Age: age})
 			return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable,
-				"this node can't tell whether there is such a key: what it knows of keys is %s old", age.Round(time.Millisecond)).After(fleet.UnprovenBack)
+				"this node can't tell whether there is such a key: what it knows of keys is %s old", age.Round(time.Millisecond)).After(fleet.UnprovenRetryAfter)
 		}
 		select {
 		case <-ctx.Done():
--- a/fleet/shell/machinestarts_test.go
+++ b/fleet/shell/machinestarts_test.go
@@ -42,7 +42,7 @@
 
 func (c startTimeCodec) DecodeWorker(key string, value []byte) (catalog.Worker, error) {
 	born, err := strconv.ParseInt(string(value), 10, 64)
-	worker := catalog.Worker{ID: c.WorkerID(key), Born: born, Address: "a:1"}
+	worker := catalog.Worker{ID: c.WorkerID(key), StartMillis: born, Address: "a:1"}
 	if born != 0 {
 		worker.ID += cluster.MachineID("@" + string(value))
 	}
@@ -92,8 +92,8 @@
 				}
 				read := b.workersRead()
 				gone = append(gone, read.Gone...)
-				if f.starts.currentID("w") != test.machine || !slices.Equal(gone, test.gone) || together && len(read.Unread) != test.unread {
-					t.Errorf("together %t: current %q, removed %q, %d unreadable", together, f.starts.currentID("w"), gone, len(read.Unread))
+				if f.starts.currentID("w") != test.machine || !slices.Equal(gone, test.gone) || together && len(read.Undecodable) != test.unread {
+					t.Errorf("together %t: current %q, removed %q, %d unreadable", together, f.starts.currentID("w"), gone, len(read.Undecodable))
 				}
 				if together && (len(read.Workers) != 1 || read.Workers[0].ID != test.machine) {
 					t.Errorf("workers %+v", read.Workers)
@@ -134,7 +134,7 @@
 		news bool
 	}{{5, true}, {5, false}, {7, true}, {5, false}, {7, false}, {0, true}, {0, false}, {7, true}, {7, false}} {
 		change := entryOfStart(step.born, int64(i+1))
-		if got := filter.News(&change); got != step.news {
+		if got := filter.IsNews(&change); got != step.news {
 			t.Errorf("step %d, born at %d: news %t", i, step.born, got)
 		}
 	}
--- a/fleet/shell/slowcallers.go
+++ b/fleet/shell/slowcallers.go
@@ -14,12 +14,12 @@
 	"github.com/valveslip/valveslip/passthrough"
 )
 
-// Defaults of CallerBounds.
+// Defaults of CallerLimits.
 const (
-	// defaultStalledFor is shorter than the time after which machines cut off an answer that is
+	// defaultStallTimeout is shorter than the time after which machines cut off an answer that is
 	// not read. All that is known of that time is "some seconds". Machines start to count once
 	// the node's buffers are full.
-	defaultStalledFor = 3 * time.Second
+	defaultStallTimeout = 3 * time.Second
 	// defaultSocketBytes allows 32 KB for each round trip to a caller: 32 MB/s at 1 ms, 320 KB/s
 	// at 100 ms. An answer of text needs 10 KB/s.
 	defaultSocketBytes = 32 << 10
@@ -37,22 +37,22 @@
 	buffersPerStalledCaller = 4
 )
 
-// CallerBounds limits what is buffered for callers and machines that read slowly. Zero fields
+// CallerLimits limits what is buffered for callers and machines that read slowly. Zero fields
 // take defaults.
-type CallerBounds struct {
-	// StalledFor is how long a caller's connection may accept no byte before it is closed.
-	StalledFor time.Duration
+type CallerLimits struct {
+	// StallTimeout is how long a caller's connection may accept no byte before it is closed.
+	StallTimeout time.Duration
 	// SocketBytes limits the kernel buffer of a connection in each direction.
 	SocketBytes int
 	// RetainedBytes limits the bytes that the node buffers of all requests and answers.
 	RetainedBytes int64
-	// Requests limits the requests in flight; zero means no limit.
-	Requests int
+	// MaxRequestsInFlight limits the requests in flight; zero means no limit.
+	MaxRequestsInFlight int
 }
 
 // withDefaults returns the limits with defaults for zero fields.
-func (b CallerBounds) withDefaults() CallerBounds {
-	b.StalledFor = cmp.Or(b.StalledFor, defaultStalledFor)
+func (b CallerLimits) withDefaults() CallerLimits {
+	b.StallTimeout = cmp.Or(b.StallTimeout, defaultStallTimeout)
 	b.SocketBytes = cmp.Or(b.SocketBytes, defaultSocketBytes)
 	b.RetainedBytes = cmp.Or(b.RetainedBytes, defaultRetainedBytes)
 	return b
@@ -63,7 +63,7 @@
 // connection.
 func (n *Node) limitCallers(listener net.Listener) net.Listener {
 	if socket, ok := listener.(syscall.Conn); ok {
-		setSocketBuffers(socket, n.options.Callers.SocketBytes)
+		setSocketBuffers(socket, n.options.CallerLimits.SocketBytes)
 	}
 	return callerListener{silenceLimitListener{listener}, n}
 }
@@ -90,7 +90,7 @@
 // kernel: reading and rejecting their requests costs a fifth of a core at 1,400 connections a
 // second.
 func (l callerListener) Accept() (net.Conn, error) {
-	l.node.schedulingDelay.Hold(l.node.context)
+	l.node.schedulingDelay.WaitWhileLate(l.node.context)
 	connection, err := l.silenceLimitListener.Accept()
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	return &callerConn{Conn: connection, node: l.node}, nil
 }
 
-// callerConn is a caller's connection. A write fails if the caller reads nothing for StalledFor,
+// callerConn is a caller's connection. A write fails if the caller reads nothing for StallTimeout,
 // or if the node has no room to buffer while it waits for that.
 type callerConn struct {
 	net.Conn
@@ -130,7 +130,7 @@
 
 // attemptTimeout returns the duration of one write attempt.
 func (c *callerConn) attemptTimeout() time.Duration {
-	return c.node.options.Callers.StalledFor / attemptsPerStall
+	return c.node.options.CallerLimits.StallTimeout / attemptsPerStall
 }
 
 // extendDeadline extends the write deadline if less than half of an attempt is left.
@@ -145,7 +145,7 @@
 // first attempt wrote. Meanwhile the kernel buffers of the caller count towards the retained
 // bytes of the node.
 func (c *callerConn) retryWrite(data []byte, written int) (int, error) {
-	reserved := int64(buffersPerStalledCaller * c.node.options.Callers.SocketBytes)
+	reserved := int64(buffersPerStalledCaller * c.node.options.CallerLimits.SocketBytes)
 	lastProgress, failedAttempts, total := time.Now(), 1, 0
 	if written > 0 {
 		failedAttempts = 0
--- a/fleet/simulated_feed_test.go
+++ b/fleet/simulated_feed_test.go
@@ -35,8 +35,8 @@
 	tickAt      time.Time
 }
 
-// News implements feed.Filter. An unchanged entry only shows that the engine is alive.
-func (f *nodeFeed) News(change *wire.StoreChange) bool {
+// IsNews implements feed.Filter. An unchanged entry only shows that the engine is alive.
+func (f *nodeFeed) IsNews(change *wire.StoreChange) bool {
 	if !strings.HasPrefix(change.Key, keyEngineEntries) {
 		return true
 	}
@@ -105,9 +105,9 @@
 			func(err error) feed.Event { return feed.PollDone{Began: began, Err: err} })
 	case feed.Apply:
 		s.applyChanges(n, e.Changes, e.Revision)
-	case feed.Send:
+	case feed.SendUpdate:
 		s.sendToFeed(e.Address, feed.UpdateReceived{Update: e.Update})
-	case feed.Ask:
+	case feed.RequestChanges:
 		s.sendToFeed(e.Address, feed.ChangesRequested{Request: e.Request})
 	}
 }
@@ -178,9 +178,9 @@
 	case change.Deleted:
 		s.step(n, PoisonRead{Gone: []poison.Fingerprint{stored.Record.Content}})
 	case err != nil:
-		s.step(n, PoisonRead{Unread: []PoisonStored{stored}})
+		s.step(n, PoisonRead{Undecodable: []StoredPoisonRecord{stored}})
 	default:
-		s.step(n, PoisonRead{Records: []PoisonStored{stored}})
+		s.step(n, PoisonRead{Records: []StoredPoisonRecord{stored}})
 	}
 }
 
@@ -202,7 +202,7 @@
 		s.step(n, HolderRead{})
 	case change.Key == KeyHolder:
 		s.step(n, HolderRead{Node: entry, Token: cluster.FencingToken(change.Revision)})
-	case change.Key == KeyLast:
+	case change.Key == KeyLastHolder:
 		s.step(n, LastHolderRead{Node: entry, Revision: change.Revision})
 	case change.Deleted:
 		s.step(n, NodesRead{Gone: []cluster.NodeID{cluster.NodeID(strings.TrimPrefix(change.Key, KeyNodes))}})
--- a/node/prefixes.go
+++ b/node/prefixes.go
@@ -48,7 +48,7 @@
 	switch {
 	case message.Zone != c.self.Zone:
 	case message.Relayed:
-		c.stepRouter(routing.PrefixesTold{Groups: message.Groups})
+		c.stepRouter(routing.PrefixesReceived{Groups: message.Groups})
 	case c.cellRole.controller.Holding():
 		c.cellRole.prefixes.pending.NoteGroups(message.Groups)
 	}
@@ -56,12 +56,12 @@
 
 // prefixRelay collects the routers' reports in the controller.
 type prefixRelay struct {
-	pending   *affinity.Ledger
+	pending   *affinity.PrefixLog
 	nextRelay time.Time
 }
 
 func newPrefixRelay() prefixRelay {
-	return prefixRelay{pending: affinity.NewLedger(maxRelayedPrefixes)}
+	return prefixRelay{pending: affinity.NewPrefixLog(maxRelayedPrefixes)}
 }
 
 // relayPrefixes sends the prefixes collected since the last relay to the routers of
@@ -76,7 +76,7 @@
 	if len(groups) == 0 {
 		return
 	}
-	core.stepRouter(routing.PrefixesTold{Groups: groups})
+	core.stepRouter(routing.PrefixesReceived{Groups: groups})
 	r.sendToZone(wire.SentPrefixes{From: core.self.ID, Zone: core.self.Zone, Relayed: true, Groups: groups})
 }
 
--- a/node/shell/step.go
+++ b/node/shell/step.go
@@ -47,22 +47,22 @@
 		n.listMachines()
 	case node.ReadStoreStatus:
 		n.readStoreStatus()
-	case node.SettingsInForce:
+	case node.SettingsApplied:
 		n.applySettings(effect)
 	case node.SettingsRejected:
 		n.logger.Error("settings rejected", "history", effect.Stamp.History, "revision", effect.Stamp.Revision, "error", effect.Err)
 	case node.RecordUnreadable:
 		n.logger.Error("cannot decode stored record", "key", effect.Key, "error", effect.Err)
-	case node.Planned:
-		n.journal.Planned(now, effect.Zone, &effect.Plan)
+	case node.PlanMade:
+		n.journal.RecordPlan(now, effect.Zone, &effect.Plan)
 		n.logPlan(effect)
-	case node.Drained:
+	case node.DrainCompleted:
 		n.drainedOnce.Do(func() { close(n.drained) })
 	}
 }
 
 // applySettings makes a snapshot the settings that all requests are checked against.
-func (n *Node) applySettings(effect node.SettingsInForce) {
+func (n *Node) applySettings(effect node.SettingsApplied) {
 	n.settings.Store(effect.Snapshot)
 	stamp := effect.Snapshot.Stamp
 	n.metrics.settingsRevision.Set(float64(stamp.Revision))
@@ -73,7 +73,7 @@
 }
 
 // logPlan logs the orders of a plan and adds them to the event log.
-func (n *Node) logPlan(effect node.Planned) {
+func (n *Node) logPlan(effect node.PlanMade) {
 	for _, action := range effect.Plan.Actions {
 		n.backend.Append(admin.Event{
 			At: time.Now(), Kind: admin.EventOrder, Path: n.modelPath(action.Model), Model: action.Model, Zone: effect.Zone, Node: n.self.ID,
@@ -98,9 +98,9 @@
 func (n *Node) recordDecision(effect routing.Effect) {
 	switch effect := effect.(type) {
 	case routing.Dispatch:
-		n.journal.Dispatched(n.Now(), &effect)
+		n.journal.RecordDispatch(n.Now(), &effect)
 	case routing.Finish:
-		n.journal.Finished(n.Now(), &effect)
+		n.journal.RecordFinish(n.Now(), &effect)
 	}
 }
 
@@ -108,7 +108,7 @@
 func (n *Node) Submit(request routing.Request) *relay.Ticket {
 	ticket := relay.NewTicket(n.recordDecision)
 	now := n.Now()
-	n.journal.Arrived(now, &request)
+	n.journal.RecordArrival(now, &request)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.tickets[request.ID] = ticket
--- a/routing/placed.go
+++ b/routing/placed.go
@@ -47,7 +47,7 @@
 	if placed == nil || !placed.unsent || placed.attempt != event.Attempt {
 		return
 	}
-	if r.dispatchesHeld() {
+	if r.dispatchesPaused() {
 		// The knowledge of machines is too old to send anything.
 		r.takeBackUnsent(placed)
 		return
@@ -102,7 +102,7 @@
 		return
 	}
 	placed.prefillCounted = true
-	placed.model.arrivedTokens += int(read.Seconds()*work.UsualTokensPerSecond) - placed.PromptTokens
+	placed.model.arrivedTokens += int(read.Seconds()*work.ReferenceTokensPerSecond) - placed.PromptTokens
 }
 
 // usableReplicaOn returns the replica on a machine if it takes the request now, or nil.
@@ -129,7 +129,7 @@
 	to.machine.addDispatch(r.nanos)
 	placed.sendBy = to.machine.turns.use()
 	if len(placed.Prefixes) > 0 {
-		r.prefixes.Sent(r.nanos, to.machine.id, placed.Model, placed.Prefixes)
+		r.prefixes.AddSent(r.nanos, to.machine.id, placed.Model, placed.Prefixes)
 	}
 }
 
--- a/routing/poison/table.go
+++ b/routing/poison/table.go
@@ -17,9 +17,9 @@
 	// DefaultSuspicion is how long ends are remembered that don't block a request: longer than
 	// callers keep retrying one request.
 	DefaultSuspicion = 10 * time.Minute
-	// DefaultConviction is how long a request stays blocked: about the time until somebody has
+	// DefaultBlockDuration is how long a request stays blocked: about the time until somebody has
 	// fixed the machines' software or the request.
-	DefaultConviction = time.Hour
+	DefaultBlockDuration = time.Hour
 	// DefaultMaxRecords bounds the table: at about 300 bytes a record, it takes 1.2 MB.
 	DefaultMaxRecords = 4096
 )
@@ -53,16 +53,16 @@
 	// Ends is the number of machine ends that blocks a request. A negative value disables
 	// blocking.
 	Ends int
-	// Suspicion is how long a record is kept whose request is not blocked, and Conviction how
+	// Suspicion is how long a record is kept whose request is not blocked, and BlockDuration how
 	// long a request is blocked.
-	Suspicion, Conviction time.Duration
-	MaxRecords            int
+	Suspicion, BlockDuration time.Duration
+	MaxRecords               int
 }
 
 func (c Config) withDefaults() Config {
 	c.Ends = cmp.Or(c.Ends, DefaultEnds)
 	c.Suspicion = cmp.Or(c.Suspicion, DefaultSuspicion)
-	c.Conviction = cmp.Or(c.Conviction, DefaultConviction)
+	c.BlockDuration = cmp.Or(c.BlockDuration, DefaultBlockDuration)
 	c.MaxRecords = cmp.Or(c.MaxRecords, DefaultMaxRecords)
 	return c
 }
@@ -70,9 +70,9 @@
 // Off reports whether blocking is disabled.
 func (c Config) Off() bool { return c.Ends < 0 }
 
-// Convicts reports whether the record blocks its request.
-func (c Config) Convicts(record *Record) bool {
-	return !c.Off() && record.Standing() >= c.withDefaults().Ends
+// Blocks reports whether the record blocks its request.
+func (c Config) Blocks(record *Record) bool {
+	return !c.Off() && record.AttributedEndCount() >= c.withDefaults().Ends
 }
 
 // entry is a record with the local state of this node.
@@ -110,8 +110,8 @@
 	// full, completedNext is the index of the oldest.
 	completedOrder []Fingerprint
 	completedNext  int
-	// updated lists the requests whose records changed since the last call of News, and
-	// newlyBlocked those that were blocked since the last call of Verdicts.
+	// updated lists the requests whose records changed since the last call of TakeUpdated, and
+	// newlyBlocked those that were blocked since the last call of TakeNewlyBlocked.
 	updated, newlyBlocked []Fingerprint
 	// nextSweep is when expired records are removed next.
 	nextSweep time.Time
@@ -140,26 +140,26 @@
 // Suspected reports whether a machine's end is attributed to the request.
 func (t *Table) Suspected(content Fingerprint) bool {
 	known := t.entries[content]
-	return known != nil && known.Standing() > 0
+	return known != nil && known.AttributedEndCount() > 0
 }
 
-// Convicted reports whether the request is blocked, and for how much longer.
-func (t *Table) Convicted(now time.Time, content Fingerprint) (time.Duration, bool) {
+// Blocked reports whether the request is blocked, and for how much longer.
+func (t *Table) Blocked(now time.Time, content Fingerprint) (time.Duration, bool) {
 	known := t.entries[content]
 	if known == nil || known.blockedSince.IsZero() {
 		return 0, false
 	}
-	left := t.config.Conviction - now.Sub(known.blockedSince)
+	left := t.config.BlockDuration - now.Sub(known.blockedSince)
 	return left, left > 0
 }
 
-// Broke records that an attempt at the request on a machine failed without an answer.
-func (t *Table) Broke(now time.Time, content Fingerprint, machine cluster.MachineID) {
+// AttemptFailed records that an attempt at the request on a machine failed without an answer.
+func (t *Table) AttemptFailed(now time.Time, content Fingerprint, machine cluster.MachineID) {
 	t.awaitEnd(now, content, machine, failedAttemptWindow)
 }
 
-// Left records that this node cancelled an attempt at the request on a machine.
-func (t *Table) Left(now time.Time, content Fingerprint, machine cluster.MachineID) {
+// AttemptCancelled records that this node cancelled an attempt at the request on a machine.
+func (t *Table) AttemptCancelled(now time.Time, content Fingerprint, machine cluster.MachineID) {
 	t.awaitEnd(now, content, machine, abandonedAttemptWindow)
 }
 
@@ -208,13 +208,14 @@
 	}
 }
 
-// Whole records that the request was answered completely, which clears all ends attributed to it.
-func (t *Table) Whole(now time.Time, content Fingerprint) {
+// Completed records that the request was answered completely, which clears all ends attributed to
+// it.
+func (t *Table) Completed(now time.Time, content Fingerprint) {
 	if content.IsZero() {
 		return
 	}
 	t.noteCompleted(now, content)
-	if known := t.entries[content]; known != nil && known.Standing() > 0 {
+	if known := t.entries[content]; known != nil && known.AttributedEndCount() > 0 {
 		t.merge(now, &Record{Content: content, Cleared: known.Ends})
 	}
 }
@@ -249,24 +250,24 @@
 	return true
 }
 
-// TestDue reports whether a blocked request should be sent once more as a probe. A harmless but
+// ProbeDue reports whether a blocked request should be sent once more as a probe. A harmless but
 // frequent request may be running on several machines that end, and only an answer can show that it
 // is harmless.
-func (t *Table) TestDue(now time.Time, content Fingerprint) bool {
+func (t *Table) ProbeDue(now time.Time, content Fingerprint) bool {
 	known := t.entries[content]
 	return known != nil && !known.blockedSince.IsZero() && !known.probeGranted && now.Sub(known.blockedSince) >= probeDelay
 }
 
-// GrantTest permits this node to send a blocked request once as a probe. The caller must bound the
+// GrantProbe permits this node to send a blocked request once as a probe. The caller must bound the
 // number of probes over all nodes.
-func (t *Table) GrantTest(content Fingerprint) {
+func (t *Table) GrantProbe(content Fingerprint) {
 	if known := t.entries[content]; known != nil && !known.blockedSince.IsZero() {
 		known.probeGranted = true
 	}
 }
 
-// TakeTest uses the permission for a probe and reports whether there was one.
-func (t *Table) TakeTest(content Fingerprint) bool {
+// TakeProbe uses the permission for a probe and reports whether there was one.
+func (t *Table) TakeProbe(content Fingerprint) bool {
 	known := t.entries[content]
 	if known == nil || !known.probeGranted {
 		return false
@@ -327,7 +328,7 @@
 
 // updateBlocked blocks or unblocks a request by the ends attributed to it.
 func (t *Table) updateBlocked(now time.Time, known *entry) {
-	blocked := t.config.Convicts(&known.Record)
+	blocked := t.config.Blocks(&known.Record)
 	switch {
 	case blocked && known.blockedSince.IsZero():
 		known.blockedSince = now
@@ -354,7 +355,7 @@
 
 // evictsBefore orders entries for eviction by attributed ends, then by age, then by fingerprint.
 func (e *entry) evictsBefore(other *entry) bool {
-	if mine, others := e.Standing(), other.Standing(); mine != others {
+	if mine, others := e.AttributedEndCount(), other.AttributedEndCount(); mine != others {
 		return mine < others
 	}
 	if !e.changed.Equal(other.changed) {
@@ -363,8 +364,8 @@
 	return slices.Compare(e.Content[:], other.Content[:]) < 0
 }
 
-// News returns the records that changed since its last call.
-func (t *Table) News() []Record {
+// TakeUpdated returns the records that changed since its last call.
+func (t *Table) TakeUpdated() []Record {
 	if len(t.updated) == 0 {
 		return nil
 	}
@@ -378,8 +379,8 @@
 	return records
 }
 
-// Verdicts returns the requests that were blocked since its last call and still are.
-func (t *Table) Verdicts() []Fingerprint {
+// TakeNewlyBlocked returns the requests that were blocked since its last call and still are.
+func (t *Table) TakeNewlyBlocked() []Fingerprint {
 	blocked := t.newlyBlocked
 	t.newlyBlocked = nil
 	return slices.DeleteFunc(blocked, func(content Fingerprint) bool {
@@ -401,7 +402,7 @@
 	for content, known := range t.entries {
 		since, kept := known.changed, t.config.Suspicion
 		if !known.blockedSince.IsZero() {
-			since, kept = known.blockedSince, t.config.Conviction
+			since, kept = known.blockedSince, t.config.BlockDuration
 		}
 		if now.Sub(since) >= kept {
 			t.remove(content)
@@ -425,14 +426,14 @@
 }
 
 // Counts returns the number of suspected requests that are not blocked, and of blocked ones.
-func (t *Table) Counts() (suspected, convicted int) {
+func (t *Table) Counts() (suspected, blocked int) {
 	for _, known := range t.entries {
 		switch {
 		case !known.blockedSince.IsZero():
-			convicted++
-		case known.Standing() > 0:
+			blocked++
+		case known.AttributedEndCount() > 0:
 			suspected++
 		}
 	}
-	return suspected, convicted
+	return suspected, blocked
 }
--- a/routing/poisoned.go
+++ b/routing/poisoned.go
@@ -21,7 +21,7 @@
 		r.poison.Answered(r.now, m.id, time.Unix(0, ended.dispatched))
 	}
 	if event.Failure == nil {
-		r.poison.Whole(r.now, ended.Content)
+		r.poison.Completed(r.now, ended.Content)
 		r.suspectCallers.Answered(ended.Caller)
 	}
 	if m.leaving() {
@@ -31,7 +31,7 @@
 		r.poison.MachineEnded(r.now, m.id)
 	}
 	if event.Broken {
-		r.poison.Broke(r.now, ended.Content, m.id)
+		r.poison.AttemptFailed(r.now, ended.Content, m.id)
 	}
 	if event.Broken && event.MachineEnded {
 		r.suspectCallers.Ended(r.now, ended.Caller, time.Unix(0, ended.dispatched))
@@ -45,21 +45,21 @@
 	}
 }
 
-// returnUnusedTest returns the permission for a test that did not run.
-func (r *Router) returnUnusedTest(ended *request) {
-	if ended.test && !ended.mayHaveRun {
-		r.poison.GrantTest(ended.Content)
+// returnUnusedProbe returns the permission for a probe that did not run.
+func (r *Router) returnUnusedProbe(ended *request) {
+	if ended.probe && !ended.mayHaveRun {
+		r.poison.GrantProbe(ended.Content)
 	}
 }
 
-// convicted reports whether the content must not be sent.
-func (r *Router) convicted(content poison.Fingerprint) bool {
-	_, convicted := r.poison.Convicted(r.now, content)
-	return convicted
+// blocked reports whether the content must not be sent.
+func (r *Router) blocked(content poison.Fingerprint) bool {
+	_, blocked := r.poison.Blocked(r.now, content)
+	return blocked
 }
 
 // poisonRefusal returns why a request is refused because of machines that ended under it, or nil. A
-// convicted request may be retried when its conviction expires. Of a suspected content only one
+// blocked request may be retried when its block expires. Of a suspected content only one
 // request runs at a time, so that the end of a machine can be attributed to it.
 func (r *Router) poisonRefusal(m *model, arrived *Request) (*verdict.Error, Explanation) {
 	if r.poison.Empty() || r.config.Poison.Off() {
@@ -71,8 +71,8 @@
 	if arrived.Content.IsZero() {
 		return nil, Explanation{}
 	}
-	if left, convicted := r.poison.Convicted(r.now, arrived.Content); convicted {
-		if r.takeTest(arrived) {
+	if left, blocked := r.poison.Blocked(r.now, arrived.Content); blocked {
+		if r.takeProbe(arrived) {
 			return nil, Explanation{}
 		}
 		return r.poisonFailure(arrived.Content, left)
@@ -80,33 +80,33 @@
 	if r.poison.Suspected(arrived.Content) && r.contentInFlight(arrived.Content) {
 		record, _ := r.poison.Record(arrived.Content)
 		failure := verdict.New(verdict.NotRun, verdict.CodePoisonRequest,
-			"the same request is on its way, and %d machines have ended under it", record.Standing())
-		return failure.After(r.retryAfter(m)), Explanation{Setting: settingPoisonEnds, Value: float64(record.Standing())}
+			"the same request is on its way, and %d machines have ended under it", record.AttributedEndCount())
+		return failure.After(r.retryAfter(m)), Explanation{Setting: settingPoisonEnds, Value: float64(record.AttributedEndCount())}
 	}
 	return nil, Explanation{}
 }
 
-// takeTest makes the request a test of its content if this node has permission for one, and asks
-// for permission when a test is due. Tests run one at a time on this node, since the end of a
-// machine would count against all contents tested there.
-func (r *Router) takeTest(arrived *Request) bool {
-	if r.testInFlight() {
+// takeProbe makes the request a probe of its content if this node has permission for one, and asks
+// for permission when a probe is due. Probes run one at a time on this node, since the end of a
+// machine would count against all contents probed there.
+func (r *Router) takeProbe(arrived *Request) bool {
+	if r.probeInFlight() {
 		return false
 	}
-	if r.poison.TakeTest(arrived.Content) {
-		arrived.Attempts, arrived.test = 1, true
+	if r.poison.TakeProbe(arrived.Content) {
+		arrived.Attempts, arrived.probe = 1, true
 		return true
 	}
-	if r.poison.TestDue(r.now, arrived.Content) {
-		r.emit(PoisonTestWanted{Content: arrived.Content})
+	if r.poison.ProbeDue(r.now, arrived.Content) {
+		r.emit(PoisonProbeWanted{Content: arrived.Content})
 	}
 	return false
 }
 
-// testInFlight reports whether a test is running on this node.
-func (r *Router) testInFlight() bool {
+// probeInFlight reports whether a probe is running on this node.
+func (r *Router) probeInFlight() bool {
 	for _, other := range r.requests {
-		if other.test {
+		if other.probe {
 			return true
 		}
 	}
@@ -117,7 +117,7 @@
 // requests of its caller, or nil. After a wait one request at a time is admitted, which can clear
 // the caller.
 func (r *Router) callerRefusal(m *model, arrived *Request) (*verdict.Error, Explanation) {
-	wait, doubtful := r.suspectCallers.Doubtful(r.now, arrived.Caller)
+	wait, doubtful := r.suspectCallers.Throttled(r.now, arrived.Caller)
 	if !doubtful {
 		return nil, Explanation{}
 	}
@@ -138,11 +138,11 @@
 	return false
 }
 
-// poisonFailure returns the refusal of a convicted request, which names the machines that ended
+// poisonFailure returns the refusal of a blocked request, which names the machines that ended
 // under it.
 func (r *Router) poisonFailure(content poison.Fingerprint, left time.Duration) (*verdict.Error, Explanation) {
 	record, _ := r.poison.Record(content)
-	ends := record.StandingEnds()
+	ends := record.AttributedEnds()
 	names := make([]string, len(ends))
 	for i, machine := range ends {
 		names[i] = string(machine)
@@ -161,14 +161,14 @@
 	return false
 }
 
-// enforceConvictions ends the requests with newly convicted contents, since a request that waits at
+// enforceBlocks ends the requests with newly blocked contents, since a request that waits at
 // a machine would end it when it runs.
-func (r *Router) enforceConvictions() {
-	for _, content := range r.poison.Verdicts() {
-		left, _ := r.poison.Convicted(r.now, content)
-		for _, convicted := range r.requestsOf(content) {
+func (r *Router) enforceBlocks() {
+	for _, content := range r.poison.TakeNewlyBlocked() {
+		left, _ := r.poison.Blocked(r.now, content)
+		for _, blocked := range r.requestsOf(content) {
 			failure, reason := r.poisonFailure(content, left)
-			r.abandon(convicted, failure, reason)
+			r.abandon(blocked, failure, reason)
 		}
 	}
 }
@@ -186,13 +186,13 @@
 }
 
 // PoisonCounts returns how many contents are suspected of ending machines and how many are
-// convicted.
-func (r *Router) PoisonCounts() (suspected, convicted int) { return r.poison.Counts() }
+// blocked.
+func (r *Router) PoisonCounts() (suspected, blocked int) { return r.poison.Counts() }
 
 // PoisonRecord returns what is known of a content.
 func (r *Router) PoisonRecord(content poison.Fingerprint) (poison.Record, bool) {
 	return r.poison.Record(content)
 }
 
-// KnowsPoison reports whether the fingerprint of a request with this head is needed now.
-func (r *Router) KnowsPoison(head poison.Head) bool { return r.poison.KnowsHead(head) }
+// NeedsFingerprint reports whether the fingerprint of a request with this head is needed now.
+func (r *Router) NeedsFingerprint(head poison.Head) bool { return r.poison.KnowsHead(head) }
--- a/routing/prefixes.go
+++ b/routing/prefixes.go
@@ -9,9 +9,9 @@
 // maxUnpublished bounds the prompts that are not yet sent to the other routers.
 const maxUnpublished = 128
 
-// PrefixesTold carries which prompts other routers of the zone sent to which machines. It arrives
-// some seconds late and may be incomplete.
-type PrefixesTold struct{ Groups []wire.PrefixGroup }
+// PrefixesReceived carries which prompts other routers of the zone sent to which machines. It
+// arrives some seconds late and may be incomplete.
+type PrefixesReceived struct{ Groups []wire.PrefixGroup }
 
 // CacheMoved reports that a model's prefix cache was copied from one machine to another.
 type CacheMoved struct {
@@ -19,8 +19,8 @@
 	From, To cluster.MachineID
 }
 
-func (PrefixesTold) routingEvent() {}
-func (CacheMoved) routingEvent()   {}
+func (PrefixesReceived) routingEvent() {}
+func (CacheMoved) routingEvent()       {}
 
 // SentPrefixes returns the prompts of this router that engines have begun to answer since the last
 // call, at most maxUnpublished, for the other routers of the zone.
@@ -29,14 +29,14 @@
 // recordReadPrompt records a prompt for the other routers once the engine has read it. A prompt
 // that an engine refused is not in its cache and not published.
 func (r *Router) recordReadPrompt(read *request) {
-	if prefix, ok := affinity.Longest(read.Prefixes); ok {
+	if prefix, ok := affinity.ReportedPrefix(read.Prefixes); ok {
 		r.unpublishedPrefixes.Note(read.machine.id, read.Model, prefix)
 	}
 }
 
-// prefixesTold applies the prompts of other routers. Machines without a replica of the model are
-// skipped: they are gone, or their status has not arrived yet.
-func (r *Router) prefixesTold(groups []wire.PrefixGroup) {
+// applyReportedPrefixes applies the prompts of other routers. Machines without a replica of the
+// model are skipped: they are gone, or their status has not arrived yet.
+func (r *Router) applyReportedPrefixes(groups []wire.PrefixGroup) {
 	for i := range groups {
 		group := &groups[i]
 		machine, model := r.machines[group.Machine], r.models[group.Model]
@@ -44,7 +44,7 @@
 			continue
 		}
 		for _, prefix := range group.Hashes {
-			r.prefixes.Told(r.nanos, group.Machine, group.Model, prefix)
+			r.prefixes.AddReported(r.nanos, group.Machine, group.Model, prefix)
 		}
 	}
 }
@@ -53,6 +53,6 @@
 func (r *Router) cacheMoved(moved CacheMoved) {
 	machine, model := r.machines[moved.To], r.models[moved.Model]
 	if machine != nil && model != nil && machine.replica(model) != nil {
-		r.prefixes.Moved(r.nanos, moved.Model, moved.From, moved.To)
+		r.prefixes.CopyCache(r.nanos, moved.Model, moved.From, moved.To)
 	}
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -54,12 +54,12 @@
 	// prefixes estimates the engines' prefix caches; matches is the buffer of the current choice.
 	prefixes *affinity.Index
 	matches  []affinity.Match
-	// poison holds the requests that are suspected or convicted of ending machines.
+	// poison holds the requests that are suspected of ending machines, or blocked.
 	poison *poison.Table
 	// suspectCallers are the callers under whose requests several machines ended in succession.
 	suspectCallers *poison.Callers
 	// unpublishedPrefixes are the prompts that have not been sent to the other routers yet.
-	unpublishedPrefixes *affinity.Ledger
+	unpublishedPrefixes *affinity.PrefixLog
 	// routers is the number of routers that share the replicas and rank this router's position
 	// among them. Limits are divided by limitDivisor, which stays above routers until
 	// limitDivisorUntil after some routers disappeared.
@@ -100,7 +100,7 @@
 		prefixes:            affinity.New(config.Affinity),
 		poison:              poison.NewTable(config.Poison),
 		suspectCallers:      poison.NewCallers(),
-		unpublishedPrefixes: affinity.NewLedger(maxUnpublished),
+		unpublishedPrefixes: affinity.NewPrefixLog(maxUnpublished),
 	}
 	router.limits.Divide(limit.Division{Routers: config.ExpectedRouters})
 	return router
@@ -116,9 +116,9 @@
 	r.runDueTimers()
 	r.dispatchToFreed()
 	r.handle(event)
-	r.enforceConvictions()
+	r.enforceBlocks()
 	r.dispatchToFreed()
-	if found := r.poison.News(); len(found) > 0 {
+	if found := r.poison.TakeUpdated(); len(found) > 0 {
 		r.emit(PoisonFound{Records: found})
 	}
 	return r.effects
@@ -130,12 +130,12 @@
 		r.arrive(&event.Request)
 	case AttemptEnded:
 		r.attemptEnded(&event)
-	case MachineHeard:
-		r.machineHeard(&event)
+	case MachineNoticeReceived:
+		r.applyMachineNotice(&event)
 	case MachineRestarted:
 		r.machineRestarted(&event)
-	case MachineLimitTold:
-		r.limitTold(&event)
+	case MachineLimitReceived:
+		r.applyMachineLimit(&event)
 	case TurnDecided:
 		r.turnDecided(&event)
 	case RequestWithdrawn:
@@ -158,16 +158,16 @@
 		r.routersChanged(event)
 	case SettingsChanged:
 		r.settingsChanged(event.Snapshot)
-	case DispatchesHeld:
+	case DispatchesPaused:
 		r.hold(event)
-	case DispatchesReleased:
+	case DispatchesResumed:
 		r.endHold()
 	case MachineEnded:
 		r.machineEnded(event.Machine)
 	case PoisonLearned:
 		r.poison.Learn(r.now, event.Records)
-	case PoisonTestGranted:
-		r.poison.GrantTest(event.Content)
+	case PoisonProbeGranted:
+		r.poison.GrantProbe(event.Content)
 	case PoisonPardoned:
 		r.poison.Pardon(r.now, event.Content)
 	case Tick:
@@ -178,8 +178,8 @@
 		r.drain()
 	case CacheEventsArrived:
 		r.cacheEvents(event.Events)
-	case PrefixesTold:
-		r.prefixesTold(event.Groups)
+	case PrefixesReceived:
+		r.applyReportedPrefixes(event.Groups)
 	case CacheMoved:
 		r.cacheMoved(event)
 	}
