--- a/fleet/shell/catchup_test.go
+++ b/fleet/shell/catchup_test.go
@@ -90,12 +90,12 @@
 	node := d.startNode("n1", func(options *shell.Options) {
 		options.Store = platform.NewStoreClient(slow, 20*time.Millisecond)
 	})
-	d.store.SetSilent(true)
+	d.store.SetUnresponsive(true)
 	version := int64(2)
 	for ; version < 30; version++ {
 		d.configure(version, manyRoutes(version)...)
 	}
-	d.store.SetSilent(false)
+	d.store.SetUnresponsive(false)
 	missed := version - 1
 	d.eventually("a route that was added meanwhile is served", func() bool {
 		version++
--- a/fleet/shell/keys_test.go
+++ b/fleet/shell/keys_test.go
@@ -115,7 +115,7 @@
 	d := newKeyedDeployment(t)
 	d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1", withKeyProof)
-	d.store.SetMuted(true)
+	d.store.SuppressEvents(true)
 	d.tenants[1].Keys = nil
 	d.configure(3)
 	d.eventually("the key is rejected", func() bool {
@@ -134,7 +134,7 @@
 	if got := d.call(node, http.MethodGet, "/read/", "", withKey("school-1")); got.status != http.StatusOK {
 		t.Fatalf("answer %+v", got)
 	}
-	d.store.SetSilent(true)
+	d.store.SetUnresponsive(true)
 	var rejected reply
 	d.eventually("requests with a key are rejected", func() bool {
 		rejected = d.call(node, http.MethodGet, "/read/", "", withKey("school-1"))
@@ -156,7 +156,7 @@
 	if code := status(node.ReadyURL()); code != http.StatusServiceUnavailable {
 		t.Errorf("the node reports that it is ready: %d", code)
 	}
-	d.store.SetSilent(false)
+	d.store.SetUnresponsive(false)
 	d.eventually("requests with a key are served again", func() bool {
 		return d.call(node, http.MethodGet, "/read/", "", withKey("school-1")).status == http.StatusOK
 	})
--- a/fleet/shell/path_test.go
+++ b/fleet/shell/path_test.go
@@ -228,7 +228,7 @@
 	d := newDeployment(t)
 	d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1")
-	d.store.SetSilent(true)
+	d.store.SetUnresponsive(true)
 	for range 5 {
 		if got := d.call(node, http.MethodGet, "/read/", "", nil); got.status != http.StatusOK {
 			t.Fatalf("status %d during the outage", got.status)
@@ -236,7 +236,7 @@
 	}
 	d.configure(2, route("added", "idempotent", plainService, 2, false))
 	time.Sleep(50 * time.Millisecond)
-	d.store.SetSilent(false)
+	d.store.SetUnresponsive(false)
 	d.eventually("the change made meanwhile is in force", func() bool {
 		return d.call(node, http.MethodGet, "/added/", "", nil).status == http.StatusOK
 	})
@@ -249,7 +249,7 @@
 	d.addWorker("p1", plainService, nil)
 	node := d.startNode("n1")
 	d.configure(2, route("added", "idempotent", plainService, 2, false))
-	d.store.Forget()
+	d.store.Compact()
 	d.eventually("the change is in force although the history is dropped", func() bool {
 		return d.call(node, http.MethodGet, "/added/", "", nil).status == http.StatusOK
 	})
@@ -318,12 +318,12 @@
 	node := d.startNode("n1", func(options *shell.Options) {
 		options.Store = platform.NewStoreClient(d.server.Address(), 50*time.Millisecond)
 	})
-	d.store.SetMuted(true)
+	d.store.SuppressEvents(true)
 	d.configure(2, route("added", "idempotent", plainService, 2, false))
 	calls := d.store.Calls()
 	d.eventually("some watches returned no changes", func() bool { return d.store.Calls() > calls+4 })
-	d.store.Forget()
-	d.store.SetMuted(false)
+	d.store.Compact()
+	d.store.SuppressEvents(false)
 	d.eventually("the change is in force", func() bool {
 		return d.call(node, http.MethodGet, "/added/", "", nil).status == http.StatusOK
 	})
--- a/fleet/shell/restart_test.go
+++ b/fleet/shell/restart_test.go
@@ -22,7 +22,7 @@
 	d.t.Helper()
 	d.workers[id].Kill()
 	return d.addWorker(id, service, func(config *worker.Config) {
-		config.Born, config.Held = born, nil
+		config.StartMillis, config.Held = born, nil
 		if change != nil {
 			change(config)
 		}
@@ -30,7 +30,7 @@
 }
 
 func withStartTime(born int64) func(*worker.Config) {
-	return func(config *worker.Config) { config.Born = born }
+	return func(config *worker.Config) { config.StartMillis = born }
 }
 
 // TestRestartedEngineStartsWithoutState guards against requests for models that only the earlier
@@ -109,7 +109,7 @@
 // addCrashingStart adds a start of a worker that crashes when it begins to run poisonBody.
 func (d *deployment) addCrashingStart(id string, born int64) {
 	d.t.Helper()
-	w := worker.New(worker.Config{ID: id, Service: plainService, Zone: "z", Slots: 8, Born: born})
+	w := worker.New(worker.Config{ID: id, Service: plainService, Zone: "z", Slots: 8, StartMillis: born})
 	server, err := standin.Listen("127.0.0.1:0", w)
 	if err != nil {
 		d.t.Fatal(err)
--- a/fleet/shell/worker_answers_test.go
+++ b/fleet/shell/worker_answers_test.go
@@ -15,7 +15,7 @@
 	{"answer", plainService, "/read/", worker.Serve},
 	{"failure", plainService, "/read/", worker.FailWith500},
 	{"refusal", plainService, "/read/", worker.Reject},
-	{"answer of another request", plainService, "/read/", worker.Cross},
+	{"answer of another request", plainService, "/read/", worker.AnswerForOtherRequest},
 	{"answer that is cut", plainService, "/read/", worker.CutBody},
 	{"stream", engineService, "/stream/", worker.Serve},
 	{"stream that is cut", engineService, "/stream/", worker.CutStream},
--- a/fleet/shell/worker_limit_test.go
+++ b/fleet/shell/worker_limit_test.go
@@ -25,7 +25,7 @@
 			t.Parallel()
 			d := newDeployment(t, withoutLatencyObjective)
 			overloaded := d.addCountingWorker("w1", kind.service, kind.answers)
-			overloaded.SetLimit(1)
+			overloaded.SetAnnouncedLimit(1)
 			nodes := []*shell.Node{d.startNode("n1"), d.startNode("n2")}
 			for _, node := range nodes {
 				d.call(node, http.MethodPost, kind.path, "b", withShortDeadline)
--- a/fleet/shell/worker_rest_test.go
+++ b/fleet/shell/worker_rest_test.go
@@ -19,7 +19,7 @@
 	var sheds atomic.Bool
 	sheds.Store(true)
 	added := d.addWorker("w1", service, nil)
-	added.SetRest(rest)
+	added.SetShedRetryAfter(rest)
 	added.Behave = func(*http.Request) worker.Behaviour {
 		if sheds.Load() {
 			return worker.Shed
@@ -54,7 +54,7 @@
 					t.Errorf("answer %+v, want a rejection until the rest is over", got)
 				}
 			}
-			if turned := len(needy.Turned()); turned != 1 {
+			if turned := len(needy.ShedRequests()); turned != 1 {
 				t.Errorf("%d requests reached the worker within its rest, want only the first", turned)
 			}
 			d.addWorker("w2", c.service, nil)
@@ -66,7 +66,7 @@
 					t.Errorf("answer %+v with another worker", got)
 				}
 			}
-			if turned := len(needy.Turned()); turned != 1 {
+			if turned := len(needy.ShedRequests()); turned != 1 {
 				t.Errorf("%d requests reached the worker while there was another, want only the first", turned)
 			}
 		})
@@ -111,7 +111,7 @@
 			for range 6 {
 				d.call(node, http.MethodPost, c.path, "b", withModel("big"))
 			}
-			if turned := len(needy.Turned()); turned != 1 {
+			if turned := len(needy.ShedRequests()); turned != 1 {
 				t.Errorf("%d requests reached the worker within its rest, want only the first", turned)
 			}
 		})
--- a/soak/actions.go
+++ b/soak/actions.go
@@ -76,7 +76,7 @@
 
 // workerBehaviours maps kinds of worker faults to what the worker does with requests.
 var workerBehaviours = map[plan.Kind]worker.Behaviour{
-	plan.WorkerHang: worker.Hang, plan.WorkerCut: worker.CutBody, plan.WorkerCross: worker.Cross,
+	plan.WorkerHang: worker.Hang, plan.WorkerCut: worker.CutBody, plan.WorkerCross: worker.AnswerForOtherRequest,
 	plan.WorkerReject: worker.Reject, plan.WorkerFail: worker.FailWith500,
 }
 
@@ -113,11 +113,11 @@
 	restored := r.recorder.beginDisturbance(check.Disturbance{Node: check.AllNodes, Scope: check.ScopeStore, From: r.recorder.elapsed()})
 	switch f.Kind {
 	case plan.StoreForget:
-		r.metadata.Forget()
+		r.metadata.Compact()
 		restored()
 		return
 	case plan.StoreSilence:
-		r.metadata.SetSilent(true)
+		r.metadata.SetUnresponsive(true)
 	default:
 		order := storeFaults[f.Kind]
 		order.For, order.Delay = fault.Duration(f.For), fault.Duration(f.Delay)
@@ -125,7 +125,7 @@
 	}
 	r.undoAfter(f.For, func() {
 		if f.Kind == plan.StoreSilence {
-			r.metadata.SetSilent(false)
+			r.metadata.SetUnresponsive(false)
 		}
 		restored()
 	})
--- a/soak/gather.go
+++ b/soak/gather.go
@@ -64,13 +64,13 @@
 	for _, ran := range life.worker.Runs() {
 		h.Runs = append(h.Runs, check.Run{Request: ran.RequestID, Worker: life.id, Body: ran.Body, At: r.recorder.sinceStart(ran.At)})
 	}
-	for _, rejection := range life.worker.Turned() {
-		h.Rejections = append(h.Rejections, check.Rejection{Request: rejection.RequestID, Worker: life.id, Backoff: rejection.Rest, At: r.recorder.sinceStart(rejection.At)})
+	for _, rejection := range life.worker.ShedRequests() {
+		h.Rejections = append(h.Rejections, check.Rejection{Request: rejection.RequestID, Worker: life.id, Backoff: rejection.RetryAfter, At: r.recorder.sinceStart(rejection.At)})
 	}
-	for _, taken := range life.worker.TakenOrders() {
+	for _, taken := range life.worker.AcceptedOrders() {
 		h.Orders = append(h.Orders, check.Order{
 			Worker: life.id, Holder: taken.Holder, Fence: taken.Fence, At: r.recorder.sinceStart(taken.At),
-			Load: taken.Load, Overfills: taken.Overfills,
+			Load: taken.Load, Overfills: taken.ExceedsMemory,
 		})
 	}
 }
--- a/soak/workers.go
+++ b/soak/workers.go
@@ -137,8 +137,8 @@
 func (s *workerSlot) startCurrent(at *proxy.Proxy) error {
 	s.startedMillis = max(time.Now().UnixMilli(), s.startedMillis+1)
 	config := worker.Config{
-		Born: s.startedMillis,
-		ID:   s.id, Service: s.service(), Zone: zoneName(s.index % zoneCount(len(s.nodes))), Slots: plainSlots, RunTime: plainTime,
+		StartMillis: s.startedMillis,
+		ID:          s.id, Service: s.service(), Zone: zoneName(s.index % zoneCount(len(s.nodes))), Slots: plainSlots, RunTime: plainTime,
 		Unfenced: !s.options.Schedule.Fencing,
 	}
 	if s.service() == serviceEngine {
@@ -280,7 +280,7 @@
 	defer s.mu.Unlock()
 	s.endLimit()
 	name, limited := s.name, s.worker
-	limited.SetLimit(perSecond)
+	limited.SetAnnouncedLimit(perSecond)
 	index, from := 0, s.recorder.elapsed()
 	s.recorder.record(func(h *check.History) {
 		index = len(h.WorkerLimits)
@@ -293,7 +293,7 @@
 		}
 		ended = true
 		s.recorder.record(func(h *check.History) { h.WorkerLimits[index].To = s.recorder.elapsed() })
-		limited.SetLimit(0)
+		limited.SetAnnouncedLimit(0)
 	}
 	end := s.endLimit
 	s.undoAfter(length, func() {
@@ -307,7 +307,7 @@
 // Nodes learn of it from the answers, so this is no disturbance.
 func (s *workerSlot) shedRequests(rest, length time.Duration) {
 	_, shedding, _, conduct := s.current()
-	shedding.SetRest(rest)
+	shedding.SetShedRetryAfter(rest)
 	conduct.shed(time.Now().Add(length))
 }
 
--- a/standin/metadata/server.go
+++ b/standin/metadata/server.go
@@ -63,11 +63,11 @@
 	s.handler.ServeHTTP(w, r)
 }
 
-// SetSilent sets whether the store accepts requests without ever answering them.
-func (s *Server) SetSilent(silent bool) { s.unresponsive.Store(silent) }
+// SetUnresponsive sets whether the store accepts requests without ever answering them.
+func (s *Server) SetUnresponsive(silent bool) { s.unresponsive.Store(silent) }
 
-// SetMuted sets whether watches receive no events while the store changes.
-func (s *Server) SetMuted(muted bool) { s.eventsSuppressed.Store(muted) }
+// SuppressEvents sets whether watches receive no events while the store changes.
+func (s *Server) SuppressEvents(muted bool) { s.eventsSuppressed.Store(muted) }
 
 // Calls returns the number of requests received.
 func (s *Server) Calls() int64 { return s.calls.Load() }
@@ -97,8 +97,8 @@
 	})
 }
 
-// Forget compacts the history up to the current revision.
-func (s *Server) Forget() {
+// Compact compacts the history up to the current revision.
+func (s *Server) Compact() {
 	s.Do(func(_ time.Time, state *standin.State) { state.Compact(state.Revision()) })
 }
 
--- a/standin/worker/notices.go
+++ b/standin/worker/notices.go
@@ -9,31 +9,32 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// Turned is one request that the worker shed. Rest is the time for which it
+// ShedRequest is one request that the worker shed. RetryAfter is the time for which it
 // asked the sending node for no further requests.
-type Turned struct {
-	RequestID string
-	At        time.Time
-	Rest      time.Duration
+type ShedRequest struct {
+	RequestID  string
+	At         time.Time
+	RetryAfter time.Duration
 }
 
-// SetLimit sets the limit that the worker advertises in all its responses, in requests per second
-// from all nodes together; zero advertises none. The worker doesn't enforce it.
-func (w *Worker) SetLimit(perSecond float64) {
+// SetAnnouncedLimit sets the limit that the worker announces in all its responses, in requests
+// per second from all nodes together; zero announces none. The worker doesn't enforce it.
+func (w *Worker) SetAnnouncedLimit(perSecond float64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.advertisedLimit = perSecond
 }
 
-// SetRest sets for how long a node whose request was shed is asked to send no further requests.
-func (w *Worker) SetRest(rest time.Duration) {
+// SetShedRetryAfter sets for how long a node whose request was shed is asked to send no further
+// requests.
+func (w *Worker) SetShedRetryAfter(rest time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.shedPause = rest
 }
 
-// Turned returns the requests that were shed.
-func (w *Worker) Turned() []Turned {
+// ShedRequests returns the requests that were shed.
+func (w *Worker) ShedRequests() []ShedRequest {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.shedRequests)
@@ -43,7 +44,7 @@
 func (w *Worker) shedRequest(out http.ResponseWriter, id string) {
 	w.mutex.Lock()
 	rest := w.shedPause
-	w.shedRequests = append(w.shedRequests, Turned{RequestID: id, At: time.Now(), Rest: rest})
+	w.shedRequests = append(w.shedRequests, ShedRequest{RequestID: id, At: time.Now(), RetryAfter: rest})
 	w.mutex.Unlock()
 	out.Header().Set(platform.HeaderNotExecuted, "1")
 	out.Header().Set(platform.HeaderRest, strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
--- a/standin/worker/orders.go
+++ b/standin/worker/orders.go
@@ -9,13 +9,13 @@
 	"github.com/valveslip/valveslip/platform"
 )
 
-// TakenOrder is an order that the worker accepted at the time At.
-type TakenOrder struct {
+// AcceptedOrder is an order that the worker accepted at the time At.
+type AcceptedOrder struct {
 	platform.OrderDocument
 	At time.Time
-	// Load is set if the order loads a model rather than an adapter, Overfills if
+	// Load is set if the order loads a model rather than an adapter, ExceedsMemory if
 	// that load exceeds the worker's memory.
-	Load, Overfills bool
+	Load, ExceedsMemory bool
 }
 
 // Orders returns the accepted orders.
@@ -29,8 +29,8 @@
 	return orders
 }
 
-// TakenOrders returns the accepted orders with the time and effect of each.
-func (w *Worker) TakenOrders() []TakenOrder {
+// AcceptedOrders returns the accepted orders with the time and effect of each.
+func (w *Worker) AcceptedOrders() []AcceptedOrder {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.orders)
@@ -68,8 +68,8 @@
 	}
 	w.highestFence = max(w.highestFence, order.Fence)
 	w.sequence++
-	w.orders = append(w.orders, TakenOrder{
-		OrderDocument: order, At: time.Now(), Load: loadsModel(&order), Overfills: w.exceedsMemory(&order),
+	w.orders = append(w.orders, AcceptedOrder{
+		OrderDocument: order, At: time.Now(), Load: loadsModel(&order), ExceedsMemory: w.exceedsMemory(&order),
 	})
 	w.busy = order.Adapter == ""
 	out.WriteHeader(http.StatusAccepted)
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -36,11 +36,11 @@
 	// have seen.
 	Unfenced bool
 	// MemoryBytes is the memory for loaded models; zero means unlimited. Orders
-	// beyond it are recorded as TakenOrder.Overfills.
+	// beyond it are recorded as AcceptedOrder.ExceedsMemory.
 	MemoryBytes int64
-	// Born is the start time that the worker reports, in Unix milliseconds; zero
+	// StartMillis is the start time that the worker reports, in Unix milliseconds; zero
 	// reports none.
-	Born int64
+	StartMillis int64
 }
 
 // Behaviour selects how a worker handles one request.
@@ -61,15 +61,15 @@
 	CutStream
 	// Hang runs the request and sends no response until the caller disconnects.
 	Hang
-	// Cross runs the request and returns the answer of another request.
-	Cross
+	// AnswerForOtherRequest runs the request and returns the answer of another request.
+	AnswerForOtherRequest
 	// Shed does as Reject and asks the node for a pause in addition.
 	Shed
 	// CutBody runs the request and closes the connection after half of the body.
 	CutBody
 )
 
-// misroutedAnswerID is the request ID in the answers of Cross.
+// misroutedAnswerID is the request ID in the answers of AnswerForOtherRequest.
 const misroutedAnswerID = "another-request"
 
 // Run is one request that the worker started to run.
@@ -117,10 +117,10 @@
 	sequence          int64
 	highestFence      uint64
 	busy              bool
-	orders            []TakenOrder
+	orders            []AcceptedOrder
 	// shedPause is the time for which a node whose request was shed is asked to send nothing.
 	shedPause    time.Duration
-	shedRequests []Turned
+	shedRequests []ShedRequest
 	// advertisedLimit is sent in response headers, in requests per second; zero sends none.
 	advertisedLimit float64
 	// orderDelay is the time that an order waits before it is processed.
@@ -158,10 +158,10 @@
 // startTimeMillis returns the start time that the worker reports, in Unix
 // milliseconds, or nil if it reports none.
 func (w *Worker) startTimeMillis() *int64 {
-	if w.config.Born == 0 {
+	if w.config.StartMillis == 0 {
 		return nil
 	}
-	return &w.config.Born
+	return &w.config.StartMillis
 }
 
 // Draining reports whether the worker's entry says that it is draining.
@@ -270,7 +270,7 @@
 		return
 	}
 	out.Header().Set(platform.HeaderStamp, Stamp(w.config.ID))
-	if behaviour == Cross {
+	if behaviour == AnswerForOtherRequest {
 		id = misroutedAnswerID
 		out.Header().Set(platform.HeaderRequestID, id)
 	}
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -48,7 +48,7 @@
 	if err != nil || body != AnswerText("r1", "w1") {
 		t.Errorf("served %q, %v", body, err)
 	}
-	response, body, err := sendRequest(t, workerWithBehaviour(Cross), "/", "b")
+	response, body, err := sendRequest(t, workerWithBehaviour(AnswerForOtherRequest), "/", "b")
 	if err != nil || response.Header.Get(platform.HeaderRequestID) == "r1" || body == AnswerText("r1", "w1") {
 		t.Errorf("crossed %q, %v", body, err)
 	}
@@ -79,7 +79,7 @@
 func TestLoadBeyondMemoryIsRecordedAsOverfill(t *testing.T) {
 	w := New(Config{ID: "w1", MemoryBytes: 100, Held: []string{"a"}, Models: map[string]catalog.ModelSpec{"a": {Bytes: 60}, "b": {Bytes: 60}}})
 	sendRequest(t, w, platform.PathOrder, loadOrder(t, "b", 0))
-	if taken := w.TakenOrders(); len(taken) != 1 || !taken[0].Load || !taken[0].Overfills {
+	if taken := w.AcceptedOrders(); len(taken) != 1 || !taken[0].Load || !taken[0].ExceedsMemory {
 		t.Errorf("%+v", taken)
 	}
 }
@@ -91,7 +91,7 @@
 		w := New(Config{ID: "w1", Unfenced: unfenced, Models: map[string]catalog.ModelSpec{"a": {}}})
 		sendRequest(t, w, platform.PathOrder, encodeLoadOrder(t, platform.OrderDocument{Model: "a", Adapter: "a1", Holder: "h", Fence: 2}))
 		sendRequest(t, w, platform.PathOrder, encodeLoadOrder(t, platform.OrderDocument{Model: "a", Adapter: "a2", Holder: "g", Fence: 1, Expected: 1}))
-		if taken := w.TakenOrders(); len(taken) != want {
+		if taken := w.AcceptedOrders(); len(taken) != want {
 			t.Errorf("unfenced %t: %+v", unfenced, taken)
 		}
 	}
@@ -105,7 +105,7 @@
 	w.DelayOrders(delay)
 	sentAt := time.Now()
 	sendRequest(t, w, platform.PathOrder, loadOrder(t, "a", 0))
-	if taken := w.TakenOrders(); len(taken) != 1 || taken[0].At.Sub(sentAt) < delay {
+	if taken := w.AcceptedOrders(); len(taken) != 1 || taken[0].At.Sub(sentAt) < delay {
 		t.Errorf("%+v", taken)
 	}
 }
