--- a/cmd/valveslip/demo_platform.go
+++ b/cmd/valveslip/demo_platform.go
@@ -30,7 +30,7 @@
 		return err
 	}
 	defer running.Stop()
-	running.Announce(output)
+	running.PrintAddresses(output)
 	if !once {
 		<-ctx.Done()
 		return nil
--- a/demo/platform/platform.go
+++ b/demo/platform/platform.go
@@ -151,8 +151,8 @@
 	return eris.New("the nodes did not become ready with one lease holder in time")
 }
 
-// Announce prints the nodes' addresses and an example request.
-func (d *Demo) Announce(out io.Writer) {
+// PrintAddresses prints the nodes' addresses and an example request.
+func (d *Demo) PrintAddresses(out io.Writer) {
 	for _, node := range d.nodes {
 		fmt.Fprintf(out, "node %s, figures %s\n", node.Address(), node.MetricsURL())
 	}
--- a/demo/platform/platform_test.go
+++ b/demo/platform/platform_test.go
@@ -15,7 +15,7 @@
 	}
 	defer d.Stop()
 	var text strings.Builder
-	d.Announce(&text)
+	d.PrintAddresses(&text)
 	if !strings.Contains(text.String(), "/draft/") {
 		t.Errorf("announcement %q", text.String())
 	}
--- a/experiment/capacity.go
+++ b/experiment/capacity.go
@@ -335,7 +335,7 @@
 		before := heapBytes()
 		for _, member := range world.Nodes() {
 			if meter.role(member) == role {
-				member.Forget()
+				member.Discard()
 			}
 		}
 		if count := s.Roles[role].Nodes; count > 0 {
--- a/experiment/capacity_meter.go
+++ b/experiment/capacity_meter.go
@@ -72,8 +72,8 @@
 	return readClock(unix.CLOCK_THREAD_CPUTIME_ID)
 }
 
-// Stepped implements simulation.Meter. It adds the processor time of an event to the type of work that the event belongs to.
-func (m *capacityMeter) Stepped(member *simulation.Node, event node.Event, cpuTime time.Duration) {
+// RecordStep implements simulation.Meter. It adds the processor time of an event to the type of work that the event belongs to.
+func (m *capacityMeter) RecordStep(member *simulation.Node, event node.Event, cpuTime time.Duration) {
 	if !m.measuring {
 		return
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// Coded implements simulation.Meter. It adds the processor time of encoding or decoding.
-func (m *capacityMeter) Coded(member *simulation.Node, cpuTime time.Duration) {
+// RecordCodec implements simulation.Meter. It adds the processor time of encoding or decoding.
+func (m *capacityMeter) RecordCodec(member *simulation.Node, cpuTime time.Duration) {
 	if m.measuring {
 		m.cpuTimes[member]["codec"] += cpuTime
 	}
--- a/experiment/recovery/recovery.go
+++ b/experiment/recovery/recovery.go
@@ -126,7 +126,7 @@
 
 // measureCrashWithLostAnswers is measureControllerCrash while answers of the key-value service are lost.
 func measureCrashWithLostAnswers(t *trial) []interval {
-	t.world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueLost, Duration: observationDuration})
+	t.world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueAnswersLost, Duration: observationDuration})
 	return measureControllerCrash(t)
 }
 
--- a/experiment/recovery/service_run.go
+++ b/experiment/recovery/service_run.go
@@ -77,7 +77,7 @@
 	extended := *scenario
 	extended.Duration = run.duration()
 	run.world, err = experiment.NewWorld(&extended, policies[0], seed, experiment.WorldOptions{
-		EncodeMessages: true, Tamper: simulation.Tamper{Effect: run.observeEffect}, Finished: run.recordResult,
+		EncodeMessages: true, Tamper: simulation.DefectHooks{Effect: run.observeEffect}, Finished: run.recordResult,
 	})
 	if err != nil {
 		return run.times, err
@@ -122,7 +122,7 @@
 
 // sendRequest sends a request to a node of the zone other than targetNode.
 func (r *serviceRun) sendRequest(model cluster.ModelID) {
-	r.world.Ask(simulation.Arrival{
+	r.world.SendRequest(simulation.Arrival{
 		At: r.world.Kernel.Now(), Model: model, Zone: faultedZone, TokenPath: "/", Team: "/", Repeatable: true,
 		Deadline: requestDeadline, PromptTokens: 100, Tokens: 20,
 	}, r.targetNode)
@@ -217,7 +217,7 @@
 	case FaultReclaimSudden:
 		world.Inject(simulation.Fault{Machine: r.loadingMachine, Kind: simulation.FaultMachineReclaim})
 	case FaultZoneCut:
-		world.Inject(simulation.Fault{Kind: simulation.FaultZoneCut, Zone: faultedZone, Duration: zoneCutDuration})
+		world.Inject(simulation.Fault{Kind: simulation.FaultZoneIsolated, Zone: faultedZone, Duration: zoneCutDuration})
 	case FaultKeyValueDown:
 		world.Inject(simulation.Fault{Kind: simulation.FaultKeyValueDown, Duration: outageDuration})
 	case FaultKeyValueRestarts, FaultKeyValueControllers:
--- a/experiment/recovery/trial.go
+++ b/experiment/recovery/trial.go
@@ -45,7 +45,7 @@
 	}
 	t := &trial{seed: seed}
 	t.world, err = experiment.NewWorld(&scenario, policies[0], seed, experiment.WorldOptions{
-		Tamper: simulation.Tamper{Effect: t.observeEffect}, Finished: t.countRequest,
+		Tamper: simulation.DefectHooks{Effect: t.observeEffect}, Finished: t.countRequest,
 	})
 	return t, err
 }
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -23,7 +23,7 @@
 	// Meter measures the processor time of the processes; nil measures nothing.
 	Meter simulation.Meter
 	// Tamper injects defects for tests of the checkers.
-	Tamper simulation.Tamper
+	Tamper simulation.DefectHooks
 	// Finished is called for every request that has ended unless nil.
 	Finished func(simulation.Result)
 }
@@ -98,7 +98,7 @@
 	outcomes := world.Callers.Outcomes
 	return &WorldReport{
 		Seed: seed, Events: world.Kernel.Executed(), Hash: world.Kernel.Hash(),
-		Arrived: world.Callers.Arrived, Unreached: world.Callers.Unreached,
+		Arrived: world.Callers.Arrived, Unreached: world.Callers.Undelivered,
 		Served: outcomes[simulation.OutcomeServed], Refused: outcomes[simulation.OutcomeRefused],
 		Failed: outcomes[simulation.OutcomeFailed], Lost: outcomes[simulation.OutcomeConnectionLost],
 		Refusals: world.Callers.Refusals, Faults: world.Faults,
--- a/simulation/callers.go
+++ b/simulation/callers.go
@@ -26,9 +26,9 @@
 	// Outcomes counts the ended requests, Refusals the refused ones by code.
 	Outcomes map[Outcome]int
 	Refusals map[verdict.Code]int
-	// Arrived counts all requests, Unreached those for which no node accepted
+	// Arrived counts all requests, Undelivered those for which no node accepted
 	// connections.
-	Arrived, Unreached int
+	Arrived, Undelivered int
 }
 
 // request is one request that has not ended.
@@ -70,7 +70,7 @@
 	to := c.pickNode(arrival.Zone)
 	if to == nil {
 		c.Arrived++
-		c.Unreached++
+		c.Undelivered++
 		return
 	}
 	c.sendTo(to, arrival)
--- a/simulation/cell.go
+++ b/simulation/cell.go
@@ -145,7 +145,7 @@
 		scheduleArrivals(c.Kernel, c.config.Source, c.arrive)
 	}
 	c.Kernel.Run(until)
-	c.Usage.Settle()
+	c.Usage.IntegrateToNow()
 }
 
 // ReplicaChanged implements EngineObserver.
--- a/simulation/checkers_test.go
+++ b/simulation/checkers_test.go
@@ -12,7 +12,7 @@
 	"github.com/valveslip/valveslip/verdict"
 )
 
-// changeLoadOrders returns a Tamper effect that changes the load orders to engines.
+// changeLoadOrders returns a DefectHooks.Effect that changes the load orders to engines.
 func changeLoadOrders(change func(w *World, order *cluster.Order)) func(*World, *Node, node.Effect) node.Effect {
 	return func(w *World, _ *Node, effect node.Effect) node.Effect {
 		if call, ok := effect.(node.EngineCall); ok && call.Operation == node.EngineOrder && call.Order.Kind == cluster.OrderLoad {
@@ -23,7 +23,7 @@
 	}
 }
 
-// changeRoutingEffects returns a Tamper effect that changes the effects of routing
+// changeRoutingEffects returns a DefectHooks.Effect that changes the effects of routing
 // cores. If change returns nil, the effect is dropped.
 func changeRoutingEffects(change func(w *World, from *Node, effect routing.Effect) routing.Effect) func(*World, *Node, node.Effect) node.Effect {
 	return func(w *World, from *Node, effect node.Effect) node.Effect {
@@ -135,7 +135,7 @@
 
 // runWithFaults runs a small world with reclaimed machines, planned stops and
 // edits. It sets world before the run, so that tamper can use it.
-func runWithFaults(t *testing.T, tamper Tamper, world **World) *Checkers {
+func runWithFaults(t *testing.T, tamper DefectHooks, world **World) *Checkers {
 	t.Helper()
 	*world = newSmallWorld(t, 11, tamper)
 	w := *world
@@ -161,7 +161,7 @@
 // misses the violation of its promise, or that reports one without a defect.
 func TestCheckersDetectInjectedDefects(t *testing.T) {
 	var world *World
-	clean := runWithFaults(t, Tamper{}, &world)
+	clean := runWithFaults(t, DefectHooks{}, &world)
 	if clean.Total() != 0 {
 		t.Fatalf("violations without a defect: %v", clean.Violations)
 	}
@@ -172,7 +172,7 @@
 	}
 	for _, defect := range defects {
 		t.Run(defect.name, func(t *testing.T) {
-			tamper := Tamper{Answer: defect.answer, Event: defect.event}
+			tamper := DefectHooks{Answer: defect.answer, Event: defect.event}
 			if defect.effect != nil {
 				tamper.Effect = func(from *Node, effect node.Effect) node.Effect { return defect.effect(world, from, effect) }
 			}
@@ -187,7 +187,7 @@
 // Leases expire while the key-value service is down for 40 seconds. Guards against
 // controllers that don't act on edits after the outage, which here turn off a model.
 func TestControllersApplyEditsAfterKeyValueOutage(t *testing.T) {
-	world := newSmallWorld(t, 5, Tamper{})
+	world := newSmallWorld(t, 5, DefectHooks{})
 	world.Schedule([]Fault{{Kind: FaultKeyValueDown, After: 30 * time.Second, Duration: 40 * time.Second}})
 	world.Run(Epoch.Add(80 * time.Second))
 	served := world.Callers.Outcomes[OutcomeServed]
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -16,30 +16,30 @@
 
 // Kinds of faults.
 const (
-	FaultNodeCrash        FaultKind = "node-crash"
-	FaultNodePause        FaultKind = "node-pause"
-	FaultNodeStop         FaultKind = "node-stop"
-	FaultEngineCrash      FaultKind = "engine-crash"
-	FaultMachineReclaim   FaultKind = "machine-reclaim"
-	FaultStoreSlow        FaultKind = "store-slow"
-	FaultKeyValueDown     FaultKind = "key-value-down"
-	FaultKeyValueSlow     FaultKind = "key-value-slow"
-	FaultKeyValueLost     FaultKind = "key-value-lost-answers"
-	FaultEngineLost       FaultKind = "engine-lost-answers"
-	FaultMessageLoss      FaultKind = "message-loss"
-	FaultZoneCut          FaultKind = "zone-cut"
-	FaultRegionCut        FaultKind = "region-cut"
-	FaultZoneDown         FaultKind = "zone-down"
-	FaultEdit             FaultKind = "edit"
-	FaultMachineListStale FaultKind = "machine-list-stale"
+	FaultNodeCrash           FaultKind = "node-crash"
+	FaultNodePause           FaultKind = "node-pause"
+	FaultNodeStop            FaultKind = "node-stop"
+	FaultEngineCrash         FaultKind = "engine-crash"
+	FaultMachineReclaim      FaultKind = "machine-reclaim"
+	FaultStoreSlow           FaultKind = "store-slow"
+	FaultKeyValueDown        FaultKind = "key-value-down"
+	FaultKeyValueSlow        FaultKind = "key-value-slow"
+	FaultKeyValueAnswersLost FaultKind = "key-value-lost-answers"
+	FaultEngineLost          FaultKind = "engine-lost-answers"
+	FaultMessageLoss         FaultKind = "message-loss"
+	FaultZoneIsolated        FaultKind = "zone-cut"
+	FaultRegionCut           FaultKind = "region-cut"
+	FaultZoneDown            FaultKind = "zone-down"
+	FaultEdit                FaultKind = "edit"
+	FaultMachineListStale    FaultKind = "machine-list-stale"
 )
 
 // FaultKinds returns all kinds of faults.
 func FaultKinds() []FaultKind {
 	return []FaultKind{
 		FaultNodeCrash, FaultNodePause, FaultNodeStop, FaultEngineCrash, FaultMachineReclaim, FaultStoreSlow,
-		FaultKeyValueDown, FaultKeyValueSlow, FaultKeyValueLost, FaultEngineLost, FaultMessageLoss,
-		FaultZoneCut, FaultRegionCut, FaultZoneDown, FaultEdit, FaultMachineListStale,
+		FaultKeyValueDown, FaultKeyValueSlow, FaultKeyValueAnswersLost, FaultEngineLost, FaultMessageLoss,
+		FaultZoneIsolated, FaultRegionCut, FaultZoneDown, FaultEdit, FaultMachineListStale,
 	}
 }
 
@@ -117,7 +117,7 @@
 		w.injectNode(fault)
 	case FaultEngineCrash, FaultMachineReclaim:
 		w.injectMachine(fault)
-	case FaultZoneCut, FaultRegionCut, FaultZoneDown:
+	case FaultZoneIsolated, FaultRegionCut, FaultZoneDown:
 		w.injectZone(fault)
 	case FaultEdit:
 		w.injectEdit()
@@ -249,7 +249,7 @@
 	w.extendRecovery(fault.Duration)
 	w.trace("%s of zone %s, region %s", fault.Kind, fault.Zone, fault.Region)
 	switch fault.Kind {
-	case FaultZoneCut:
+	case FaultZoneIsolated:
 		w.Network.IsolateZone(fault.Zone, true)
 		w.Kernel.After(fault.Duration, LabelFault, func() { w.Network.IsolateZone(fault.Zone, false) })
 	case FaultRegionCut:
@@ -316,7 +316,7 @@
 	case FaultKeyValueSlow:
 		w.KeyValue.SlowFactor = slowKeyValueFactor
 		restore = func() { w.KeyValue.SlowFactor = 1 }
-	case FaultKeyValueLost:
+	case FaultKeyValueAnswersLost:
 		w.KeyValue.LostAnswers = lostAnswerProbability
 		restore = func() { w.KeyValue.LostAnswers = 0 }
 	case FaultEngineLost:
--- a/simulation/node.go
+++ b/simulation/node.go
@@ -17,12 +17,12 @@
 
 // Meter measures the time that cores and the codec take.
 type Meter interface {
-	// Now returns the reading of the clock for Stepped and Coded.
+	// Now returns the reading of the clock for RecordStep and RecordCodec.
 	Now() time.Duration
-	// Stepped is called after a core handled an event.
-	Stepped(on *Node, event node.Event, took time.Duration)
-	// Coded is called after a message was encoded or decoded on a node.
-	Coded(on *Node, took time.Duration)
+	// RecordStep is called after a core handled an event.
+	RecordStep(on *Node, event node.Event, took time.Duration)
+	// RecordCodec is called after a message was encoded or decoded on a node.
+	RecordCodec(on *Node, took time.Duration)
 }
 
 // Node is one process that runs a core on the virtual clock and the simulated
@@ -62,9 +62,9 @@
 // Core returns the running core, nil if the process is dead.
 func (n *Node) Core() Core { return n.core }
 
-// Forget drops the process without ending its requests, so that a caller can
+// Discard drops the process without ending its requests, so that a caller can
 // measure the memory that the core held.
-func (n *Node) Forget() { n.alive, n.core, n.backlog = false, nil, nil }
+func (n *Node) Discard() { n.alive, n.core, n.backlog = false, nil, nil }
 
 // start starts a new process with its ticks.
 func (n *Node) start() {
@@ -158,7 +158,7 @@
 	}
 	began := meter.Now()
 	effects := n.core.Step(n.world.Kernel.Now(), event)
-	meter.Stepped(n, event, meter.Now()-began)
+	meter.RecordStep(n, event, meter.Now()-began)
 	return effects
 }
 
@@ -256,7 +256,7 @@
 // meterCodec reports the time since began to the meter, if there is one.
 func (n *Node) meterCodec(began time.Duration) {
 	if meter := n.world.config.Meter; meter != nil {
-		meter.Coded(n, meter.Now()-began)
+		meter.RecordCodec(n, meter.Now()-began)
 	}
 }
 
--- a/simulation/roles.go
+++ b/simulation/roles.go
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// Ask sends a request to a live process of the zone other than avoid. If there is
+// SendRequest sends a request to a live process of the zone other than avoid. If there is
 // none, it sends the request like any other arrival.
-func (w *World) Ask(arrival Arrival, avoid *Node) {
+func (w *World) SendRequest(arrival Arrival, avoid *Node) {
 	for _, candidate := range w.nodes {
 		if candidate != avoid && candidate.Place.Zone == arrival.Zone && candidate.alive &&
 			!candidate.draining && !candidate.paused {
--- a/simulation/tamper.go
+++ b/simulation/tamper.go
@@ -5,9 +5,9 @@
 	"github.com/valveslip/valveslip/node"
 )
 
-// Tamper injects defects between the cores and the world, so that tests can show
-// that a checker detects them. Product code has no such hooks.
-type Tamper struct {
+// DefectHooks are hooks that inject defects between the cores and the world, so that tests
+// can show that a checker detects them. Product code has no such hooks.
+type DefectHooks struct {
 	// Effect may change an effect before it is applied, or drop it by returning
 	// nil.
 	Effect func(from *Node, effect node.Effect) node.Effect
--- a/simulation/usage.go
+++ b/simulation/usage.go
@@ -35,8 +35,8 @@
 	u.since = u.kernel.Now()
 }
 
-// Settle integrates up to the current virtual time.
-func (u *Usage) Settle() { u.advance() }
+// IntegrateToNow integrates up to the current virtual time.
+func (u *Usage) IntegrateToNow() { u.advance() }
 
 // Loaded returns how many replicas are loaded now.
 func (u *Usage) Loaded() int { return u.loadedTotal }
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -55,7 +55,7 @@
 	// Meter measures the time that cores and the codec take; nil measures nothing.
 	Meter Meter
 	// Tamper lets tests inject defects; the zero value changes nothing.
-	Tamper Tamper
+	Tamper DefectHooks
 }
 
 // World is a complete deployment on a virtual clock: nodes that run the product's
@@ -170,7 +170,7 @@
 		scheduleArrivals(w.Kernel, w.config.Source, w.Callers.send)
 	}
 	w.Kernel.Run(until)
-	w.Usage.Settle()
+	w.Usage.IntegrateToNow()
 }
 
 // Nodes returns all nodes, dead ones too, in a fixed order.
--- a/simulation/world_test.go
+++ b/simulation/world_test.go
@@ -78,7 +78,7 @@
 
 // newSmallWorld returns a world with four requests per second from the 10th second
 // to the end of the fourth minute.
-func newSmallWorld(t testing.TB, seed uint64, tamper Tamper) *World {
+func newSmallWorld(t testing.TB, seed uint64, tamper DefectHooks) *World {
 	t.Helper()
 	tree, err := settings.ParseYAML([]byte(smallTree))
 	if err != nil {
@@ -98,7 +98,7 @@
 // Guards against broken promises, requests that never end and needless refusals in
 // a deployment without faults.
 func TestWorldWithoutFaultsServesAndKeepsPromises(t *testing.T) {
-	world := newSmallWorld(t, 1, Tamper{})
+	world := newSmallWorld(t, 1, DefectHooks{})
 	world.Run(Epoch.Add(5 * time.Minute))
 	for _, violation := range world.Checkers.Violations {
 		t.Error(violation)
