--- a/fleet/feed/simulation_test.go
+++ b/fleet/feed/simulation_test.go
@@ -79,7 +79,7 @@
 type simulation struct {
 	rand     *rand.Rand
 	now      time.Time
-	agenda   agenda.Agenda
+	agenda   agenda.EventQueue
 	store    simulatedStore
 	peers    []*simulatedPeer
 	config   Config
@@ -131,7 +131,7 @@
 }
 
 func (s *simulation) after(d time.Duration, run func()) {
-	s.agenda.Add(s.now.Add(d), run)
+	s.agenda.Schedule(s.now.Add(d), run)
 }
 
 func (s *simulation) randomDuration(low, high time.Duration) time.Duration {
--- a/fleet/feed/start_test.go
+++ b/fleet/feed/start_test.go
@@ -68,7 +68,7 @@
 // startingFleet simulates the start of all nodes.
 type startingFleet struct {
 	now    time.Time
-	agenda agenda.Agenda
+	agenda agenda.EventQueue
 	// revision is that of the last record written.
 	revision  int64
 	nodes     []*startingNode
@@ -115,7 +115,7 @@
 
 func (f *startingFleet) after(d time.Duration, run func()) { f.at(f.now.Add(d), run) }
 
-func (f *startingFleet) at(at time.Time, run func()) { f.agenda.Add(at, run) }
+func (f *startingFleet) at(at time.Time, run func()) { f.agenda.Schedule(at, run) }
 
 func (f *startingFleet) runFor(d time.Duration) {
 	end := f.now.Add(d)
--- a/fleet/fleet_simulation_test.go
+++ b/fleet/fleet_simulation_test.go
@@ -37,7 +37,7 @@
 type simulation struct {
 	random    *rand.Rand
 	now       time.Time
-	scheduled agenda.Agenda
+	scheduled agenda.EventQueue
 
 	store     *standin.State
 	storeDown bool
@@ -118,7 +118,7 @@
 }
 
 func (s *simulation) after(d time.Duration, run func()) {
-	s.scheduled.Add(s.now.Add(d), run)
+	s.scheduled.Schedule(s.now.Add(d), run)
 }
 
 // runFor advances the virtual clock. It stops at the first violation.
--- a/fleet/lending/simulation_test.go
+++ b/fleet/lending/simulation_test.go
@@ -63,7 +63,7 @@
 type simulation struct {
 	rand    *rand.Rand
 	now     time.Time
-	agenda  agenda.Agenda
+	agenda  agenda.EventQueue
 	nodes   []*simNode
 	limits  map[string]Limit
 	tenants []string
@@ -143,7 +143,7 @@
 }
 
 func (p *simulation) after(d time.Duration, run func()) {
-	p.agenda.Add(p.now.Add(d), run)
+	p.agenda.Schedule(p.now.Add(d), run)
 }
 
 func (p *simulation) between(low, high time.Duration) time.Duration {
--- a/fleet/pacing/simulation_test.go
+++ b/fleet/pacing/simulation_test.go
@@ -14,7 +14,7 @@
 type simulation struct {
 	random     *rand.Rand
 	now        time.Time
-	scheduled  agenda.Agenda
+	scheduled  agenda.EventQueue
 	startCount int
 	nodes      []*simulatedNode
 	perSecond  float64
@@ -75,7 +75,7 @@
 }
 
 func (s *simulation) after(d time.Duration, run func()) {
-	s.scheduled.Add(s.now.Add(d), run)
+	s.scheduled.Schedule(s.now.Add(d), run)
 }
 
 func (s *simulation) runFor(d time.Duration) {
--- a/fleet/shell/silent_callers_test.go
+++ b/fleet/shell/silent_callers_test.go
@@ -256,7 +256,7 @@
 				t.Fatal(err)
 			}
 			d.eventually("the connection is open", func() bool { return open.Load() == 1 })
-			if err := blackhole.Silence(connection); err != nil {
+			if err := blackhole.DropIncoming(connection); err != nil {
 				t.Fatal(err)
 			}
 			close(release)
--- a/fleet/shell/silent_workers_test.go
+++ b/fleet/shell/silent_workers_test.go
@@ -50,7 +50,7 @@
 	close(release)
 	calls.Wait()
 	for _, proxy := range proxies {
-		if n, err := proxy.Silence(); n == 0 || err != nil {
+		if n, err := proxy.DropIncoming(); n == 0 || err != nil {
 			t.Fatalf("%d keep-alive connections are open: %v", n, err)
 		}
 	}
--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -6,9 +6,9 @@
 	"github.com/valveslip/valveslip/internal/binaryheap"
 )
 
-// Agenda is a queue of functions ordered by their scheduled times. Functions of the same time
-// are ordered as they were added. The zero value is an empty queue that is ready for use.
-type Agenda struct {
+// EventQueue is a queue of functions ordered by their scheduled times. Functions of the same time
+// are ordered as they were scheduled. The zero value is an empty queue that is ready for use.
+type EventQueue struct {
 	queue        binaryheap.Heap[*entry]
 	lastSequence int
 }
@@ -30,18 +30,18 @@
 // or removed by index.
 func (e *entry) Moved(int) {}
 
-// Add schedules a function to run at a time.
-func (a *Agenda) Add(at time.Time, run func()) {
+// Schedule adds a function that runs at a time.
+func (a *EventQueue) Schedule(at time.Time, run func()) {
 	a.lastSequence++
 	a.queue.Push(&entry{at: at, sequence: a.lastSequence, run: run})
 }
 
 // Len returns the number of scheduled functions.
-func (a *Agenda) Len() int { return a.queue.Len() }
+func (a *EventQueue) Len() int { return a.queue.Len() }
 
 // Next removes the first scheduled function and returns it with its time. It returns false if
 // no function is scheduled at or before end.
-func (a *Agenda) Next(end time.Time) (at time.Time, run func(), due bool) {
+func (a *EventQueue) Next(end time.Time) (at time.Time, run func(), due bool) {
 	if a.queue.Len() == 0 || a.queue.First().at.After(end) {
 		return time.Time{}, nil, false
 	}
--- a/internal/agenda/agenda_test.go
+++ b/internal/agenda/agenda_test.go
@@ -10,11 +10,11 @@
 // an earlier time, or before one of the same time that was added first, and against an entry
 // that runs although its time is after the end.
 func TestNextReturnsEntriesInTimeOrderUntilEnd(t *testing.T) {
-	var a Agenda
+	var a EventQueue
 	start := time.Unix(1000, 0)
 	var ran []int
 	for i, delay := range []time.Duration{3, 1, 2, 1, 5} {
-		a.Add(start.Add(delay*time.Second), func() { ran = append(ran, i) })
+		a.Schedule(start.Add(delay*time.Second), func() { ran = append(ran, i) })
 	}
 	end := start.Add(3 * time.Second)
 	for at, run, due := a.Next(end); due; at, run, due = a.Next(end) {
--- a/internal/blackhole/blackhole.go
+++ b/internal/blackhole/blackhole.go
@@ -16,9 +16,9 @@
 // dropAllFilter is a BPF program that drops every packet.
 var dropAllFilter = []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 
-// Silence makes the kernel drop every packet that arrives on a TCP connection from now on,
+// DropIncoming makes the kernel drop every packet that arrives on a TCP connection from now on,
 // before the packet is acknowledged. The local end of the connection sees no error either.
-func Silence(connection net.Conn) error {
+func DropIncoming(connection net.Conn) error {
 	raw, err := connection.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
@@ -31,7 +31,8 @@
 	return errors.Join(err, optionErr)
 }
 
-// Listener records the connections that it accepts, so that a test can silence them.
+// Listener records the connections that it accepts, so that a test can drop
+// their incoming packets.
 type Listener struct {
 	net.Listener
 	mutex    sync.Mutex
@@ -66,14 +67,15 @@
 	return len(l.accepted)
 }
 
-// Silence silences all connections accepted so far and returns their number.
-func (l *Listener) Silence() (int, error) {
+// DropIncoming makes the kernel drop the incoming packets of all connections accepted so far and
+// returns the number of these connections.
+func (l *Listener) DropIncoming() (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var errs []error
 	for _, connection := range l.accepted {
 		// A connection that is already closed receives nothing, so the error is ignored.
-		if err := Silence(connection); !errors.Is(err, net.ErrClosed) {
+		if err := DropIncoming(connection); !errors.Is(err, net.ErrClosed) {
 			errs = append(errs, err)
 		}
 	}
@@ -95,9 +97,9 @@
 type Proxy struct {
 	*Listener
 	targetAddress string
-	// Pause is the delay before each chunk of at most chunkBytes is forwarded to the
+	// ForwardDelay is the delay before each chunk of at most chunkBytes is forwarded to the
 	// target, which simulates a slow link. It must be set before the first connection.
-	Pause time.Duration
+	ForwardDelay time.Duration
 	// longestForward is the longest time that forwarding one chunk took. forwardStarts
 	// holds, for each connection with a chunk in progress, when forwarding it started.
 	// The mutex guards both.
@@ -114,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	proxy := &Proxy{Listener: listener, targetAddress: targetAddress, Pause: pause, forwardStarts: map[net.Conn]time.Time{}}
+	proxy := &Proxy{Listener: listener, targetAddress: targetAddress, ForwardDelay: pause, forwardStarts: map[net.Conn]time.Time{}}
 	go proxy.serve()
 	return proxy, nil
 }
@@ -122,9 +124,9 @@
 // Address returns the address on which the proxy listens, as host:port.
 func (p *Proxy) Address() string { return p.Addr().String() }
 
-// Longest returns the longest time that forwarding one chunk has taken so far, chunks in
-// progress included. It exceeds Pause by much only if this process was stalled.
-func (p *Proxy) Longest() time.Duration {
+// LongestForward returns the longest time that forwarding one chunk has taken so far, chunks in
+// progress included. It exceeds ForwardDelay by much only if this process was stalled.
+func (p *Proxy) LongestForward() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	longest := p.longestForward
@@ -147,7 +149,7 @@
 // forward copies the data of one connection in both directions until either end closes it.
 func (p *Proxy) forward(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
-	if p.Pause > 0 {
+	if p.ForwardDelay > 0 {
 		_ = connection.(*net.TCPConn).SetReadBuffer(chunkBytes)
 	}
 	targetConnection, err := net.Dial("tcp", p.targetAddress)
@@ -168,7 +170,7 @@
 		due = due.Add(time.Since(readStart))
 		if n > 0 {
 			p.recordForwardStart(connection)
-			due = due.Add(p.Pause)
+			due = due.Add(p.ForwardDelay)
 			time.Sleep(time.Until(due))
 			_, writeErr := targetConnection.Write(chunk[:n])
 			p.recordForwardEnd(connection)
@@ -200,9 +202,9 @@
 // dialFunc opens a network connection, like net.Dialer.DialContext.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NoticeClose wraps a dial function so that closing any of its connections on the local side
+// NotifyClose wraps a dial function so that closing any of its connections on the local side
 // sets closed to true.
-func NoticeClose(dial dialFunc, closed *atomic.Bool) dialFunc {
+func NotifyClose(dial dialFunc, closed *atomic.Bool) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dial(ctx, network, address)
 		if err != nil {
--- a/upstream/silent_test.go
+++ b/upstream/silent_test.go
@@ -58,7 +58,7 @@
 // silenceAll silences all connections that were accepted so far.
 func (m *testMachine) silenceAll() {
 	m.t.Helper()
-	if _, err := m.Silence(); err != nil {
+	if _, err := m.DropIncoming(); err != nil {
 		m.t.Fatal(err)
 	}
 }
--- a/wire/stall_timeout_test.go
+++ b/wire/stall_timeout_test.go
@@ -29,7 +29,7 @@
 // silenceConnection makes the proxy's only open connection drop all data.
 func silenceConnection(t *testing.T, proxy *blackhole.Proxy) {
 	t.Helper()
-	if n, err := proxy.Silence(); n != 1 || err != nil {
+	if n, err := proxy.DropIncoming(); n != 1 || err != nil {
 		t.Fatalf("silenced %d connections: %v", n, err)
 	}
 }
@@ -91,7 +91,7 @@
 	from := openTransport(t, func(Message) {}, withoutParallelDials)
 	var closed atomic.Bool
 	kept := from.client.Transport.(*http.Transport)
-	kept.DialContext = blackhole.NoticeClose(kept.DialContext, &closed)
+	kept.DialContext = blackhole.NotifyClose(kept.DialContext, &closed)
 	from.Send(proxy.Address(), Demand{Sequence: 1})
 	receiveMessage[Demand](t, received)
 	eventually(t, "the first request was answered", func() bool { return from.Statistics().Sent == 1 })
@@ -140,7 +140,7 @@
 	from.Send(proxy.Address(), ConfigurationSnapshot{From: "a", Stamp: settings.Stamp{}, Data: make([]byte, size)})
 	eventually(t, "the transfer ended", func() bool { s := from.Statistics(); return s.Sent+s.Failed == 1 })
 	if statistics := from.Statistics(); statistics.Sent != 1 {
-		if stalled := proxy.Longest(); stalled >= stallLimit/2 {
+		if stalled := proxy.LongestForward(); stalled >= stallLimit/2 {
 			return stalled
 		}
 		t.Fatalf("the transfer was cut off: %+v", statistics)
