--- a/cmd/valveslip/soak.go
+++ b/cmd/valveslip/soak.go
@@ -232,7 +232,7 @@
 	for _, finding := range report.Findings {
 		note := ""
 		if finding.NotJudged() {
-			note = fmt.Sprintf("not judged: less than %d", finding.Least)
+			note = fmt.Sprintf("not judged: less than %d", finding.MinCases)
 		}
 		rows = append(rows, []string{string(finding.Promise), strconv.Itoa(finding.Judged), strconv.Itoa(len(finding.Breaches)), note})
 	}
--- a/soak/check/judge.go
+++ b/soak/check/judge.go
@@ -70,16 +70,16 @@
 type Finding struct {
 	Promise Promise `json:"promise"`
 	// Judged is the number of observations that the check evaluated; those excused by a
-	// disturbance are not counted. Least is the number required for a meaningful result,
+	// disturbance are not counted. MinCases is the number required for a meaningful result,
 	// and zero if nothing in the run tested the promise.
 	Judged   int      `json:"judged"`
-	Least    int      `json:"least"`
+	MinCases int      `json:"least"`
 	Breaches []Breach `json:"breaches,omitempty"`
 }
 
 // NotJudged reports whether the promise was tested but too few observations could be
 // evaluated.
-func (f *Finding) NotJudged() bool { return f.Judged < f.Least }
+func (f *Finding) NotJudged() bool { return f.Judged < f.MinCases }
 
 // record counts an evaluated observation. A non-empty detail records it as a breach.
 func (f *Finding) record(subject string, at time.Duration, detail string) {
@@ -144,7 +144,7 @@
 		finding := Finding{Promise: entry.promise}
 		entry.check(h, &finding)
 		if entry.isTested == nil || entry.isTested(h) {
-			finding.Least = entry.minJudged
+			finding.MinCases = entry.minJudged
 		}
 		findings = append(findings, finding)
 	}
