--- a/cmd/valveslip/experiment_faults.go
+++ b/cmd/valveslip/experiment_faults.go
@@ -39,7 +39,7 @@
 				return &exitError{code: exitUsage, err: eris.Errorf("the scenario has %d zones", len(scenario.Zones))}
 			}
 			if *zones > 0 {
-				scenario = experiment.Scaled(scenario, *zones)
+				scenario = experiment.ScaleScenario(scenario, *zones)
 			}
 			campaign := experiment.Campaign{
 				Scenario: scenario, FirstSeed: *first, Seeds: *seeds, Workers: *workers,
--- a/cmd/valveslip/experiment_spread.go
+++ b/cmd/valveslip/experiment_spread.go
@@ -20,7 +20,7 @@
 	options := hollow.SpreadOptions{
 		BurstTime: 4 * time.Second, RestartInterval: 10 * time.Second,
 		PauseInterval: 15 * time.Second, PauseMean: 3 * time.Second,
-		OutageTime: time.Minute, CutTime: time.Minute,
+		OutageTime: time.Minute, PartitionTime: time.Minute,
 	}
 	flags.IntVar(&options.Nodes, "nodes", 340, "number of nodes")
 	flags.IntVar(&options.Regions, "regions", 5, "number of regions")
--- a/cmd/valveslip/load.go
+++ b/cmd/valveslip/load.go
@@ -24,7 +24,7 @@
 	var config load.Config
 	flags.Func("target", "base URL of the callers' API; may be repeated", appendValues(&config.Targets))
 	flags.Func("models", "names of models, separated by commas", appendValues(&config.Models))
-	flags.Func("warm", "names of models that are loaded already", appendValues(&config.Warm))
+	flags.Func("warm", "names of models that are loaded already", appendValues(&config.WarmModels))
 	flags.Float64Var(&config.Rate, "rate", 10, "requests a second")
 	flags.DurationVar(&config.Duration, "duration", 10*time.Second, "time over which requests start")
 	flags.StringVar(&config.Token, "token", "", "token of the callers' API")
@@ -89,7 +89,7 @@
 	for _, example := range report.Examples {
 		fmt.Fprintln(os.Stderr, example)
 	}
-	if broken := report.BrokenPromises(); len(broken) > 0 {
+	if broken := report.Violations(); len(broken) > 0 {
 		return &exitError{code: exitViolation, err: errors.New(strings.Join(broken, "; "))}
 	}
 	return nil
--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if broken := report.BrokenPromises(); len(broken) > 0 {
+	if broken := report.Violations(); len(broken) > 0 {
 		t.Errorf("broken without the key-value service: %v, %v", broken, report.Examples)
 	}
 	if loads := running.platform.counters().Loads; loads < 6 {
--- a/demo/once.go
+++ b/demo/once.go
@@ -59,7 +59,7 @@
 	outcome := Outcome{
 		Load: report, MostReplicas: most, Overcommitted: counted.Overcommitted, Loads: counted.Loads,
 		IdleSeconds: counted.IdleAcceleratorSeconds, BusySeconds: counted.BusyAcceleratorSeconds,
-		Broken: report.BrokenPromises(),
+		Broken: report.Violations(),
 	}
 	if most > maxReplicas {
 		outcome.Broken = append(outcome.Broken, fmt.Sprintf("%d replicas of one model, %d decided", most, maxReplicas))
--- a/demo/rolling.go
+++ b/demo/rolling.go
@@ -48,7 +48,7 @@
 // another node. Restarted nodes keep their addresses.
 func (d *Demo) RollingRestart(ctx context.Context, logger *slog.Logger, progress io.Writer) (RestartOutcome, error) {
 	config := d.onceConfig(progress)
-	config.Rate, config.Duration, config.CancelShare, config.MoveOn = rollingRate, rollingDuration, 0, true
+	config.Rate, config.Duration, config.CancelShare, config.RetryOnOtherTarget = rollingRate, rollingDuration, 0, true
 	var outcome RestartOutcome
 	watch := newRevisionWatch(d.nodes)
 	type ended struct {
@@ -72,7 +72,7 @@
 
 // listBroken sets Broken to the promises that the restart broke.
 func (o *RestartOutcome) listBroken() {
-	o.Broken = o.Load.BrokenPromises()
+	o.Broken = o.Load.Violations()
 	unserved := o.Load.Requests - o.Load.Served
 	if unserved > 0 {
 		o.Broken = append(o.Broken, fmt.Sprintf("%d of %d requests were not served: refused %v, failed %v, unreachable %d",
--- a/experiment/capacity.go
+++ b/experiment/capacity.go
@@ -104,9 +104,9 @@
 	Seed         uint64
 }
 
-// Scaled returns the scenario with the given number of its zones and everything else scaled in
-// proportion.
-func Scaled(scenario *Scenario, zones int) *Scenario {
+// ScaleScenario returns the scenario with the given number of its zones and everything else
+// scaled in proportion.
+func ScaleScenario(scenario *Scenario, zones int) *Scenario {
 	fraction := float64(zones) / float64(len(scenario.Zones))
 	scaleCount := func(count int) int { return max(1, int(float64(count)*fraction+0.5)) }
 	scaled := *scenario
@@ -136,7 +136,7 @@
 	if zones < 1 || zones > len(scenario.Zones) {
 		return nil, eris.Errorf("measure capacity with %d zones: the scenario has %d", zones, len(scenario.Zones))
 	}
-	scaled := Scaled(scenario, zones)
+	scaled := ScaleScenario(scenario, zones)
 	scaled.Warmup, scaled.Duration = options.Settle, options.Measure+time.Duration(options.Edits+10)*options.EditInterval
 	// Processor time is read for the locked thread, so other threads and processes do not count.
 	runtime.LockOSThread()
--- a/experiment/capacity_test.go
+++ b/experiment/capacity_test.go
@@ -18,11 +18,11 @@
 		t.Fatalf("the two-year scenario has %+v", whole)
 	}
 	options := CapacityOptions{Settle: 20 * time.Second, Measure: 5 * time.Second, Edits: 2, EditInterval: time.Second, Seed: 1}
-	first, err := MeasureCapacity(Scaled(scenario, 2), 1, options)
+	first, err := MeasureCapacity(ScaleScenario(scenario, 2), 1, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := MeasureCapacity(Scaled(scenario, 2), 1, options)
+	again, err := MeasureCapacity(ScaleScenario(scenario, 2), 1, options)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/experiment/hollow/deployment.go
+++ b/experiment/hollow/deployment.go
@@ -29,8 +29,9 @@
 	Loss        float64
 	Membership  membership.Config
 	Replication replication.Config
-	// OldVersion is the share of nodes that use the previous version of the message schemas.
-	OldVersion float64
+	// PreviousVersionShare is the share of nodes that use the previous version of the message
+	// schemas.
+	PreviousVersionShare float64
 	// WatchAll makes every node watch the key-value service. Nodes then do not replicate
 	// configuration to each other.
 	WatchAll bool
@@ -96,7 +97,7 @@
 		PeerAddress: host + ":7000", AdminAddress: host + ":7001", CallerAddress: host + ":7002",
 	}}
 	n.version = wire.VersionCurrent
-	if float64(index%10) < 10*d.options.OldVersion {
+	if float64(index%10) < 10*d.options.PreviousVersionShare {
 		n.version = wire.VersionPrevious
 	}
 	d.nodes = append(d.nodes, n)
--- a/experiment/hollow/hollow_test.go
+++ b/experiment/hollow/hollow_test.go
@@ -46,7 +46,7 @@
 		EditInterval: 15 * time.Second, BurstInterval: time.Minute, BurstTime: 4 * time.Second, BurstEdits: 10,
 		Models: 4, Adapters: 40, Faults: true, RestartInterval: 20 * time.Second,
 		PauseInterval: 15 * time.Second, PauseMean: 3 * time.Second,
-		OutageTime: 30 * time.Second, CutTime: 30 * time.Second, EventsPerSecond: 200,
+		OutageTime: 30 * time.Second, PartitionTime: 30 * time.Second, EventsPerSecond: 200,
 	}
 }
 
@@ -81,13 +81,13 @@
 // of two versions, as during an upgrade.
 func TestMixedSchemaVersionsInteroperate(t *testing.T) {
 	members := smallMembershipOptions()
-	members.OldVersion = 0.5
+	members.PreviousVersionShare = 0.5
 	if report := MeasureMembership(members); report.Crashes == 0 || report.Missed != 0 || report.FalseDeaths != 0 || report.StillWrong != 0 {
 		t.Errorf("%d crashes, %d missed, %d nodes falsely declared dead, %d wrong beliefs at the end",
 			report.Crashes, report.Missed, report.FalseDeaths, report.StillWrong)
 	}
 	spread := smallSpreadOptions(SchemeDelta)
-	spread.OldVersion = 0.5
+	spread.PreviousVersionShare = 0.5
 	report, err := MeasureSpread(spread)
 	if err != nil {
 		t.Fatal(err)
--- a/experiment/hollow/membership.go
+++ b/experiment/hollow/membership.go
@@ -13,9 +13,10 @@
 	Seed                  uint64
 	// Loss is the share of messages that are lost.
 	Loss float64
-	// OldVersion is the share of nodes that use the previous version of the message schemas.
-	OldVersion float64
-	Duration   time.Duration
+	// PreviousVersionShare is the share of nodes that use the previous version of the message
+	// schemas.
+	PreviousVersionShare float64
+	Duration             time.Duration
 	// CrashInterval is the mean time between crashes. A crashed node is down for DownTime, then a
 	// new process starts at its address.
 	CrashInterval, DownTime time.Duration
@@ -86,7 +87,7 @@
 	run := &membershipRun{
 		Deployment: NewDeployment(Options{
 			Nodes: options.Nodes, Regions: options.Regions, Zones: options.Zones,
-			Seed: options.Seed, Loss: options.Loss, OldVersion: options.OldVersion,
+			Seed: options.Seed, Loss: options.Loss, PreviousVersionShare: options.PreviousVersionShare,
 		}),
 		options:             options,
 		report:              MembershipReport{Nodes: options.Nodes},
--- a/experiment/hollow/spread.go
+++ b/experiment/hollow/spread.go
@@ -35,9 +35,10 @@
 	Nodes, Regions, Zones int
 	Seed                  uint64
 	Loss                  float64
-	// OldVersion is the share of nodes that use the previous version of the message schemas.
-	OldVersion float64
-	Duration   time.Duration
+	// PreviousVersionShare is the share of nodes that use the previous version of the message
+	// schemas.
+	PreviousVersionShare float64
+	Duration             time.Duration
 	// EditInterval is the mean time between single edits. Every BurstInterval, BurstEdits further
 	// edits follow within BurstTime.
 	EditInterval, BurstInterval, BurstTime time.Duration
@@ -48,9 +49,10 @@
 	// region.
 	Faults bool
 	// RestartInterval and PauseInterval are the mean times between these faults, PauseMean the mean
-	// length of a pause. OutageTime and CutTime are the lengths of the outage and of the partition.
+	// length of a pause. OutageTime and PartitionTime are the lengths of the outage and of the
+	// partition.
 	RestartInterval, PauseInterval, PauseMean time.Duration
-	OutageTime, CutTime                       time.Duration
+	OutageTime, PartitionTime                 time.Duration
 	// EventsPerSecond is the rate at which the key-value service sends watch events.
 	EventsPerSecond float64
 }
@@ -111,7 +113,7 @@
 	}
 	run.Deployment = NewDeployment(Options{
 		Nodes: options.Nodes, Regions: options.Regions, Zones: options.Zones,
-		Seed: options.Seed, Loss: options.Loss, OldVersion: options.OldVersion,
+		Seed: options.Seed, Loss: options.Loss, PreviousVersionShare: options.PreviousVersionShare,
 		Replication: options.Scheme.replicationConfig(), WatchAll: options.Scheme == SchemeWatch,
 	})
 	if err := run.service.initialize(run, options.Models, options.Adapters); err != nil {
@@ -291,11 +293,11 @@
 	})
 	r.clock.schedule(r.options.Duration/4, func() { r.service.startOutage(r.options.OutageTime) })
 	r.clock.schedule(r.options.Duration/2, func() {
-		r.partitionStart, r.partitionEnd = r.clock.now, r.clock.now.Add(r.options.CutTime)
+		r.partitionStart, r.partitionEnd = r.clock.now, r.clock.now.Add(r.options.PartitionTime)
 		r.network.isBlocked = func(from, to *node) bool {
 			return (from.region == r.partitionedRegion) != (to.region == r.partitionedRegion)
 		}
-		r.clock.schedule(r.options.CutTime, func() {
+		r.clock.schedule(r.options.PartitionTime, func() {
 			r.network.isBlocked = nil
 			r.service.reloadWatchers(func(n *node) bool { return n.region == r.partitionedRegion })
 		})
--- a/experiment/load/bench_test.go
+++ b/experiment/load/bench_test.go
@@ -29,7 +29,7 @@
 	for b.Loop() {
 		report, err := load.Run(b.Context(), load.Config{
 			Targets: []string{"http://" + address}, Rate: 4000, Duration: time.Second,
-			Models: []string{"m"}, Warm: []string{"m"}, MaxTokens: 8, StreamShare: 0.2, Seed: 1,
+			Models: []string{"m"}, WarmModels: []string{"m"}, MaxTokens: 8, StreamShare: 0.2, Seed: 1,
 		})
 		if err != nil {
 			b.Fatal(err)
--- a/experiment/load/config.go
+++ b/experiment/load/config.go
@@ -18,9 +18,9 @@
 	Duration time.Duration
 	// Models are chosen with equal probability.
 	Models []string
-	// Warm lists the models that are loaded at the start. Requests to other models count as cold
-	// starts until the first answer of their model begins.
-	Warm []string
+	// WarmModels lists the models that are loaded at the start. Requests to other models count as
+	// cold starts until the first answer of their model begins.
+	WarmModels []string
 	// Token is the bearer token for the client API; empty sends none.
 	Token string
 	// StreamShare, CancelShare and NotRepeatableShare are fractions of the requests, 0 to 1. The
@@ -32,9 +32,9 @@
 	// the same time, to two targets if there are two. They count as not repeatable: of the two
 	// requests at most one may run.
 	RepeatShare float64
-	// MoveOn retries a request on the next target until its time limit if a node refused it as
-	// draining, unavailable or overloaded, or was unreachable.
-	MoveOn bool
+	// RetryOnOtherTarget retries a request on the next target until its time limit if a node
+	// refused it as draining, unavailable or overloaded, or was unreachable.
+	RetryOnOtherTarget bool
 	// MaxTokens is the length of each answer, 16 by default. PromptBytes is the length of each
 	// prompt, 128 by default.
 	MaxTokens, PromptBytes int
--- a/experiment/load/load_test.go
+++ b/experiment/load/load_test.go
@@ -65,13 +65,13 @@
 	if report.Requests == 0 || report.Served != report.Requests || report.Served != ledger.Total() {
 		t.Fatalf("%+v; %d runs", report, ledger.Total())
 	}
-	if broken := report.BrokenPromises(); len(broken) != 0 {
+	if broken := report.Violations(); len(broken) != 0 {
 		t.Fatal(broken)
 	}
 	if report.Latency.Count != int64(report.Served) || report.ColdStart.Count == 0 || report.BetweenTokens.Count == 0 {
 		t.Fatalf("latency %+v, cold %+v, between tokens %+v", report.Latency, report.ColdStart, report.BetweenTokens)
 	}
-	settings.Warm, settings.StreamShare = settings.Models, 1
+	settings.WarmModels, settings.StreamShare = settings.Models, 1
 	settings.Seed++
 	if report := runLoad(t, settings); report.FirstToken.Count != int64(report.Served) || report.ColdStart.Count != 0 {
 		t.Fatalf("warm: first token %+v, cold %+v", report.FirstToken, report.ColdStart)
@@ -87,7 +87,7 @@
 func TestRunClassifiesFailures(t *testing.T) {
 	server, target := startEngine(t, standin.Config{Slots: 1000})
 	server.Inject(fault.Order{Kind: fault.KindCutStream, Count: 2, Tokens: 3})
-	if report := runLoad(t, baseConfig(target)); report.Broken != 2 || len(report.BrokenPromises()) != 1 {
+	if report := runLoad(t, baseConfig(target)); report.Broken != 2 || len(report.Violations()) != 1 {
 		t.Errorf("cut streams: %+v", report)
 	}
 	server.Inject(fault.Order{Kind: fault.KindDown, Count: 3})
--- a/experiment/load/report.go
+++ b/experiment/load/report.go
@@ -71,9 +71,9 @@
 	Examples []string `json:"examples,omitempty"`
 }
 
-// BrokenPromises lists the violated guarantees, or returns nil if all held. A broken connection is
+// Violations lists the violated guarantees, or returns nil if all held. A broken connection is
 // a violation because the load generator never kills a node.
-func (r *Report) BrokenPromises() []string {
+func (r *Report) Violations() []string {
 	var broken []string
 	for _, promise := range []struct {
 		count int
--- a/experiment/load/run.go
+++ b/experiment/load/run.go
@@ -71,7 +71,7 @@
 	}
 	runner := &runner{config: config, client: &http.Client{Transport: transport}, collector: newResultCollector(), answeredModels: map[string]bool{},
 		avoidedUntil: map[string]time.Time{}}
-	for _, model := range config.Warm {
+	for _, model := range config.WarmModels {
 		runner.answeredModels[model] = true
 	}
 	if config.Progress != nil {
@@ -141,8 +141,8 @@
 	r.answeredModels[model] = true
 }
 
-// send sends one request, retries it on other targets if Config.MoveOn is set, and returns its
-// result.
+// send sends one request, retries it on other targets if Config.RetryOnOtherTarget is set,
+// and returns its result.
 func (r *runner) send(ctx context.Context, request *request) *result {
 	result := &result{}
 	// Requests in progress may finish after the run is cancelled.
@@ -156,7 +156,7 @@
 	}
 	request.target = r.selectTarget(request.target)
 	r.sendOnce(callerCtx, request, result, disconnect)
-	for retries := 1; r.config.MoveOn && result.canRetryElsewhere() && callerCtx.Err() == nil; retries++ {
+	for retries := 1; r.config.RetryOnOtherTarget && result.canRetryElsewhere() && callerCtx.Err() == nil; retries++ {
 		r.avoidTarget(request.target)
 		if retries%len(r.config.Targets) == 0 && !sleep.For(callerCtx, avoidDuration) {
 			break
