--- a/cmd/valveslip/soak.go
+++ b/cmd/valveslip/soak.go
@@ -259,7 +259,7 @@
 
 // latencyRow returns a table row with the quantiles of a duration and the node with the
 // longest one.
-func latencyRow(name string, latencies *check.Spreads) []string {
+func latencyRow(name string, latencies *check.Distributions) []string {
 	slowest := ""
 	for _, node := range slices.Sorted(maps.Keys(latencies.Nodes)) {
 		if longest := latencies.Nodes[node].Max; longest > 0 && longest == latencies.All.Max {
--- a/soak/check/figures.go
+++ b/soak/check/figures.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Spread is the distribution of a set of measured durations.
-type Spread struct {
+// Distribution is the distribution of a set of measured durations.
+type Distribution struct {
 	Count int           `json:"count"`
 	P50   time.Duration `json:"p50"`
 	P99   time.Duration `json:"p99"`
@@ -14,24 +14,24 @@
 }
 
 // newSpread returns the distribution of durations.
-func newSpread(times []time.Duration) Spread {
+func newSpread(times []time.Duration) Distribution {
 	if len(times) == 0 {
-		return Spread{}
+		return Distribution{}
 	}
 	sorted := slices.Sorted(slices.Values(times))
 	at := func(share float64) time.Duration { return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)] }
-	return Spread{Count: len(sorted), P50: at(0.5), P99: at(0.99), Max: sorted[len(sorted)-1]}
+	return Distribution{Count: len(sorted), P50: at(0.5), P99: at(0.99), Max: sorted[len(sorted)-1]}
 }
 
-// Spreads are the distributions over all nodes together and for each node.
-type Spreads struct {
-	All   Spread         `json:"all"`
-	Nodes map[int]Spread `json:"nodes,omitempty"`
+// Distributions are the distributions over all nodes together and for each node.
+type Distributions struct {
+	All   Distribution         `json:"all"`
+	Nodes map[int]Distribution `json:"nodes,omitempty"`
 }
 
 // newSpreads returns the distributions of durations that are given by node.
-func newSpreads(byNode map[int][]time.Duration) Spreads {
-	spreads := Spreads{Nodes: map[int]Spread{}}
+func newSpreads(byNode map[int][]time.Duration) Distributions {
+	spreads := Distributions{Nodes: map[int]Distribution{}}
 	var all []time.Duration
 	for node, times := range byNode {
 		spreads.Nodes[node] = newSpread(times)
@@ -44,7 +44,7 @@
 // ConfigurationTook returns how long after the store accepted a version connected nodes first
 // served a route that this or a later version adds. The resolution is about 50 ms, the interval
 // at which nodes are probed for the newest version.
-func ConfigurationTook(h *History) Spreads {
+func ConfigurationTook(h *History) Distributions {
 	seen := map[int][]*Probe{}
 	for i := range h.Probes {
 		if probe := &h.Probes[i]; probe.InForce {
@@ -75,7 +75,7 @@
 
 // LeavingTook returns how long after a worker announced that it leaves connected nodes sent it
 // their last request.
-func LeavingTook(h *History) Spreads {
+func LeavingTook(h *History) Distributions {
 	type sender struct {
 		worker string
 		node   int
--- a/soak/report.go
+++ b/soak/report.go
@@ -34,9 +34,9 @@
 	// ConfigurationTook is how long after the store accepted a version connected nodes first
 	// served a route of it. LeavingTook is how long after a worker's announcement that it
 	// leaves they sent it their last request.
-	ConfigurationTook check.Spreads `json:"configuration_took"`
-	LeavingTook       check.Spreads `json:"leaving_took"`
-	LogDir            string        `json:"log_dir"`
+	ConfigurationTook check.Distributions `json:"configuration_took"`
+	LeavingTook       check.Distributions `json:"leaving_took"`
+	LogDir            string              `json:"log_dir"`
 }
 
 // Breaches returns the breaches of all promises.
