--- a/cmd/valveslip/soak.go
+++ b/cmd/valveslip/soak.go
@@ -232,7 +232,7 @@
 	for _, finding := range report.Findings {
 		note := ""
 		if finding.NotJudged() {
-			note = fmt.Sprintf("not judged: less than %d", finding.Least)
+			note = fmt.Sprintf("not judged: less than %d", finding.MinCases)
 		}
 		rows = append(rows, []string{string(finding.Promise), strconv.Itoa(finding.Judged), strconv.Itoa(len(finding.Breaches)), note})
 	}
@@ -259,7 +259,7 @@
 
 // latencyRow returns a table row with the quantiles of a duration and the node with the
 // longest one.
-func latencyRow(name string, latencies *check.Spreads) []string {
+func latencyRow(name string, latencies *check.Distributions) []string {
 	slowest := ""
 	for _, node := range slices.Sorted(maps.Keys(latencies.Nodes)) {
 		if longest := latencies.Nodes[node].Max; longest > 0 && longest == latencies.All.Max {
