--- a/catalog/tenants.go
+++ b/catalog/tenants.go
@@ -131,7 +131,7 @@
 	case !(t.Limit.Burst >= 0) || math.IsInf(t.Limit.Burst, 0):
 		return eris.Errorf("tenant %s: burst must be a non-negative finite number", t.Name)
 	case t.Limit.DefaultTokens < 0:
-		return eris.Errorf("tenant %s: plain_tokens must not be negative", t.Name)
+		return eris.Errorf("tenant %s: the tokens of a plain request must not be negative", t.Name)
 	}
 	return nil
 }
