--- a/cmd/valveslip/platform_node.go
+++ b/cmd/valveslip/platform_node.go
@@ -105,7 +105,7 @@
 		case <-ctx.Done():
 			node.Stop()
 			return nil
-		case err := <-node.Failed():
+		case err := <-node.ListenerErrors():
 			node.Kill()
 			return err
 		}
@@ -120,9 +120,9 @@
 // end. It returns a function that returns the configuration after the flags are parsed.
 func poisonFlags(flags *flag.FlagSet) func() poison.Config {
 	ends := flags.Int("poison-ends", poison.DefaultEnds, "machines that end under a request until all nodes refuse it; 0 refuses none")
-	duration := flags.Duration("poison-for", poison.DefaultConviction, "how long such a request is refused")
+	duration := flags.Duration("poison-for", poison.DefaultBlockDuration, "how long such a request is refused")
 	return func() poison.Config {
-		cfg := poison.Config{Ends: *ends, Conviction: *duration}
+		cfg := poison.Config{Ends: *ends, BlockDuration: *duration}
 		if cfg.Ends <= 0 {
 			cfg.Ends = -1
 		}
@@ -174,8 +174,8 @@
 			Subset: platformSubset, DrainRetryAfter: platformDrainRetryAfter,
 		},
 	}
-	core.Dispatching, core.Fetches = true, true
-	core.HeedShare = platformHeedShare
+	core.Dispatching, core.FetchesCachedPrefixes = true, true
+	core.MaxRetryAfterShare = platformHeedShare
 	core.Lending = lending.Config{
 		Window: platform.Seconds(settings.Bounds.QuotaWindowSeconds), Overrun: settings.Bounds.QuotaOverrun, Slack: settings.Bounds.QuotaSlack,
 	}
@@ -189,11 +189,11 @@
 		Core: core, Seed: randomSeed(), CallersAddress: settings.Listen.Callers, ReadyAddress: settings.Listen.Readiness,
 		PeerAddress:    net.JoinHostPort(settings.IP, strconv.Itoa(settings.InternalPorts[0])),
 		MetricsAddress: net.JoinHostPort(settings.IP, strconv.Itoa(metricsPort)), ReadyPath: platform.ReadyPath,
-		Grace: platform.Seconds(settings.Bounds.GraceSeconds),
-		Store: platform.NewStoreClient(settings.Store.Address, watchPollTime), Engines: platform.NewEngineClient(),
-		Feed: feed.Config{Within: platform.Milliseconds(min(settings.Bounds.DrainMillis, settings.Bounds.ConfigMillis))},
-		Callers: shell.CallerBounds{
-			RetainedBytes: int64(settings.Resources.MemoryMB * retainedMemoryShare * (1 << 20)), Requests: int(settings.Resources.MemoryMB * requestsPerMB),
+		StopTimeout: platform.Seconds(settings.Bounds.GraceSeconds),
+		Store:       platform.NewStoreClient(settings.Store.Address, watchPollTime), Engines: platform.NewEngineClient(),
+		Feed: feed.Config{MaxChangeDelay: platform.Milliseconds(min(settings.Bounds.DrainMillis, settings.Bounds.ConfigMillis))},
+		CallerLimits: shell.CallerLimits{
+			RetainedBytes: int64(settings.Resources.MemoryMB * retainedMemoryShare * (1 << 20)), MaxRequestsInFlight: int(settings.Resources.MemoryMB * requestsPerMB),
 		},
 		Codec: platform.Codec{}, Dialect: platform.Dialect{}, Log: log,
 		Logger:  slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})),
--- a/fleet/core.go
+++ b/fleet/core.go
@@ -58,7 +58,7 @@
 	core := &Core{config: config, nodes: newNodeSet()}
 	core.peerNotifier = &peerNotifier{core: core}
 	core.view = newMachineView(core)
-	config.Routing.LeastLoad = core.view.minLoadTime
+	config.Routing.MinLoadTime = core.view.minLoadTime
 	if config.Dispatching {
 		core.dispatchClient = newDispatchClient(core)
 		config.Routing.ListAlternatives = core.dispatchClient.targetsEngines
@@ -99,7 +99,7 @@
 		c.synced = true
 		c.releaseDispatches()
 	case Paused:
-		c.feedRouter(routing.DispatchesHeld{Until: now.Add(c.config.PauseHold)})
+		c.feedRouter(routing.DispatchesPaused{Until: now.Add(c.config.PauseHold)})
 		c.poison.peersQueried = false
 		c.poison.queryPeers()
 	case MessageReceived:
@@ -114,7 +114,7 @@
 	case ResignStarted:
 		c.controller.resign()
 		c.feedLending(lending.Stopping{})
-	case TicketTaken:
+	case TicketWritten:
 		c.feedLending(lending.TicketGranted{Shard: e.Shard, Number: e.Number})
 	case PoisonRead:
 		c.poison.recordsRead(e)
@@ -168,12 +168,12 @@
 // Ready reports whether the node has a configuration and has read the whole store.
 func (c *Core) Ready() bool { return c.compiled != nil && c.synced }
 
-// KnowsPoison reports whether a request with this head may match a known poison request, so that
-// its fingerprint must be computed.
-func (c *Core) KnowsPoison(head poison.Head) bool { return c.router.KnowsPoison(head) }
+// NeedsFingerprint reports whether a request with this head may match a known poison request, so
+// that its fingerprint must be computed.
+func (c *Core) NeedsFingerprint(head poison.Head) bool { return c.router.NeedsFingerprint(head) }
 
-// PoisonCounts returns the numbers of suspected and of convicted poison requests.
-func (c *Core) PoisonCounts() (suspected, convicted int) { return c.router.PoisonCounts() }
+// PoisonCounts returns the numbers of suspected and of blocked poison requests.
+func (c *Core) PoisonCounts() (suspected, blocked int) { return c.router.PoisonCounts() }
 
 // MaySend checks at the moment of a send whether the request may still be sent. It returns the
 // reason if it must not be, else nil.
@@ -181,9 +181,9 @@
 	return c.gate.maySend(now, id)
 }
 
-// KeysAge returns the age of the proof that the configured caller keys are current. It returns
+// KeyProofAge returns the age of the proof that the configured caller keys are current. It returns
 // false if there is no proof.
-func (c *Core) KeysAge(now time.Time) (time.Duration, bool) { return c.gate.proofAge(now) }
+func (c *Core) KeyProofAge(now time.Time) (time.Duration, bool) { return c.gate.proofAge(now) }
 
 // ShardsLent returns the number of tenant shards whose tokens this node lends.
 func (c *Core) ShardsLent() int { return c.lending.ShardsLent() }
@@ -194,9 +194,11 @@
 // TenantTallies returns the counts of requests of limited tenants that this node decided.
 func (c *Core) TenantTallies() []lending.Tally { return c.lending.Tallies() }
 
-// Serves reports whether callers who need a key can be served: the keys are proven to be current
+// CanServe reports whether callers who need a key can be served: the keys are proven to be current
 // and the lenders of tokens can be reached.
-func (c *Core) Serves(now time.Time) bool { return !c.gate.proofExpired(now) && !c.lending.Deaf() }
+func (c *Core) CanServe(now time.Time) bool {
+	return !c.gate.proofExpired(now) && !c.lending.Isolated()
+}
 
 // DispatchCounts returns how attempts at engines were placed so far.
 func (c *Core) DispatchCounts() DispatchCounts {
@@ -204,7 +206,7 @@
 		return DispatchCounts{}
 	}
 	counts := c.dispatchClient.counts
-	counts.Known = c.dispatchClient.dispatcher.Known()
+	counts.Known = c.dispatchClient.dispatcher.TrackedAttempts()
 	return counts
 }
 
@@ -215,8 +217,8 @@
 // learned by this node as the lease holder or read from the last holder's record.
 func (c *Core) StoreCapacity() int { return cmp.Or(c.controller.learnedStoreLoads, initialStoreLoads) }
 
-// Holding reports whether this node holds the order lease and its term has begun.
-func (c *Core) Holding() bool { return c.controller.ledger.Holding() }
+// HoldsOrderLease reports whether this node holds the order lease and its term has begun.
+func (c *Core) HoldsOrderLease() bool { return c.controller.ledger.Holding() }
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
@@ -234,10 +236,10 @@
 		switch e := effect.(type) {
 		case lending.Send:
 			c.send(e.Address, e.Message)
-		case lending.Answered:
+		case lending.TokensDecided:
 			c.gate.handleTokensAnswer(e)
-		case lending.TicketWanted:
-			c.emit(StoreTicket{Key: KeyTickets + strconv.Itoa(e.Shard), Lasts: e.Lasts, Shard: e.Shard, Number: e.Number})
+		case lending.TicketRequested:
+			c.emit(WriteTicket{Key: KeyTickets + strconv.Itoa(e.Shard), Lasts: e.Lasts, Shard: e.Shard, Number: e.Number})
 		case lending.LeaseChanged:
 			c.log(eventlog.LendingChanged{Shard: e.Shard, Held: e.Held, Settled: e.Settled})
 		}
@@ -255,14 +257,14 @@
 	case wire.PoisonReport:
 		c.poison.reportReceived(&m)
 	case wire.LenderClaim, wire.LenderVote, wire.TokensRequest, wire.TokensAnswer:
-		c.feedLending(lending.Received{Message: message})
+		c.feedLending(lending.MessageReceived{Message: message})
 	case wire.MachineLimit:
 		c.pacer.limitReceived(&m)
 	case wire.TurnRequest, wire.TurnAnswer:
 		c.pacer.step(pacing.MessageReceived{Message: message})
 	case wire.EngineRequest, wire.EngineAnswer, wire.EngineNews:
 		if c.dispatchClient != nil {
-			c.dispatchClient.step(dispatch.Received{Message: message})
+			c.dispatchClient.step(dispatch.MessageReceived{Message: message})
 		}
 	}
 }
@@ -271,10 +273,10 @@
 // had time to answer the query for poison requests.
 func (c *Core) releaseDispatches() {
 	if until := c.poison.holdUntil; c.now.Before(until) {
-		c.feedRouter(routing.DispatchesHeld{Until: until})
+		c.feedRouter(routing.DispatchesPaused{Until: until})
 		return
 	}
-	c.feedRouter(routing.DispatchesReleased{})
+	c.feedRouter(routing.DispatchesResumed{})
 }
 
 // leaseAnswered handles the answer to a call for one of the node's leases.
--- a/fleet/feed/isolation_test.go
+++ b/fleet/feed/isolation_test.go
@@ -73,7 +73,7 @@
 			peers = append(peers, Peer{ID: id, Address: string(id), Zone: cluster.ZoneID(fmt.Sprint(z)), Capacity: float64(group - i)})
 		}
 	}
-	c := New(Config{Self: peers[0], Within: minDelayWithRoot}, allNews{}, 1)
+	c := New(Config{Self: peers[0], MaxChangeDelay: minDelayWithRoot}, allNews{}, 1)
 	c.Step(began, PeersChanged{Peers: peers})
 	c.Step(began, ReadDone{Began: began, Revision: 10})
 	var sentAt []time.Time
@@ -86,7 +86,7 @@
 			now = now.Add(failedCallDuration)
 			c.lastMessageAt = now
 			for _, answer := range c.Step(now, PollDone{Began: now, Err: errors.New("no answer")}) {
-				if _, sends := answer.(Send); sends && (len(sentAt) == 0 || sentAt[len(sentAt)-1] != now) {
+				if _, sends := answer.(SendUpdate); sends && (len(sentAt) == 0 || sentAt[len(sentAt)-1] != now) {
 					sentAt = append(sentAt, now)
 				}
 			}
--- a/fleet/lending/tally.go
+++ b/fleet/lending/tally.go
@@ -19,8 +19,8 @@
 const (
 	Lent Outcome = iota
 	Refused
-	ReturnLent
-	ReturnRefused
+	LentToReturning
+	RefusedReturning
 	outcomeCount
 )
 
@@ -65,11 +65,11 @@
 func (t decision) outcome() Outcome {
 	switch {
 	case t.granted && t.fromReservation:
-		return ReturnLent
+		return LentToReturning
 	case t.granted:
 		return Lent
 	case t.fromReservation:
-		return ReturnRefused
+		return RefusedReturning
 	}
 	return Refused
 }
@@ -98,7 +98,7 @@
 type TenantState struct {
 	Tenant string
 	Limit  Limit
-	Standing
+	LimitState
 	// Reserved is the amount kept for callers that were told when to return.
 	Reserved float64
 }
@@ -113,7 +113,7 @@
 		for tenant, b := range s.buckets {
 			l := c.limits[tenant]
 			b.used.advance(c.now, c.cfg.Window)
-			list = append(list, TenantState{Tenant: tenant, Limit: l, Standing: s.standing(tenant), Reserved: b.reserved.sum()})
+			list = append(list, TenantState{Tenant: tenant, Limit: l, LimitState: s.standing(tenant), Reserved: b.reserved.sum()})
 		}
 	}
 	slices.SortFunc(list, func(a, b TenantState) int { return cmp.Compare(a.Tenant, b.Tenant) })
--- a/fleet/poison_record_test.go
+++ b/fleet/poison_record_test.go
@@ -12,9 +12,9 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// Guards against refusing an acquitted request again after a restart. The stored record could not
-// be deleted because the store was down at the acquittal.
-func TestAcquittalDuringStoreOutageSurvivesRestart(t *testing.T) {
+// Guards against refusing an unblocked request again after a restart. The stored record could not
+// be deleted because the store was down when the request was unblocked.
+func TestUnblockDuringStoreOutageSurvivesRestart(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newPoisonSimulation(seed, 4, 3)
 		tester := s.nodes[0]
@@ -24,7 +24,7 @@
 			t.Fatalf("seed %d: %d records are in the store", seed, len(pairs))
 		}
 		s.storeDown = true
-		s.step(tester, RoutingInput{Event: routing.PoisonTestGranted{Content: popularContent}})
+		s.step(tester, RoutingInput{Event: routing.PoisonProbeGranted{Content: popularContent}})
 		s.popular["tried"] = true
 		s.step(tester, RoutingInput{Event: routing.RequestArrived{Request: routing.Request{
 			ID: "tried", Model: catalog.ModelID("s", "a"), TokenPath: "/", Deadline: s.now.Add(8 * time.Second), Content: popularContent,
@@ -38,7 +38,7 @@
 			t.Errorf("seed %d: the record stayed in the store", seed)
 		}
 		for _, n := range s.nodes {
-			if record, _ := n.core.router.PoisonRecord(popularContent); !n.dead && n.core.poison.convicts(&record) {
+			if record, _ := n.core.router.PoisonRecord(popularContent); !n.dead && n.core.poison.blocks(&record) {
 				t.Errorf("seed %d: %s refuses the acquitted request again", seed, n.id)
 			}
 		}
@@ -46,7 +46,7 @@
 }
 
 // Guards against pardoning a request because its stored record can't be decoded. A node that
-// knows the conviction writes the record again.
+// knows the block writes the record again.
 func TestUndecodablePoisonRecordIsRewritten(t *testing.T) {
 	s := newPoisonSimulation(3, 4, 3)
 	s.step(s.nodes[0], RoutingInput{Event: routing.PoisonLearned{Records: []poison.Record{{Content: harmfulContent, Ends: []cluster.MachineID{"x", "y", "z"}}}}})
@@ -58,24 +58,24 @@
 	if len(pairs) != 1 {
 		t.Fatalf("%d records", len(pairs))
 	}
-	if stored, err := DecodePoison(key, pairs[0].Value); err != nil || stored.Record.Standing() != 3 {
+	if stored, err := DecodePoison(key, pairs[0].Value); err != nil || stored.Record.AttributedEndCount() != 3 {
 		t.Errorf("the record is %q: %v", pairs[0].Value, err)
 	}
 	for _, n := range s.nodes {
-		if record, _ := n.core.router.PoisonRecord(harmfulContent); !n.core.poison.convicts(&record) {
+		if record, _ := n.core.router.PoisonRecord(harmfulContent); !n.core.poison.blocks(&record) {
 			t.Errorf("%s accepts the convicted request", n.id)
 		}
 	}
 }
 
-// Guards against using up the test of a convicted request at machines that can't be reached or
-// reject it: only a run of the request uses the test.
-func TestUnrunPoisonTestRemainsAvailable(t *testing.T) {
+// Guards against using up the probe of a blocked request at machines that can't be reached or
+// reject it: only a run of the request uses the probe.
+func TestUnrunPoisonProbeRemainsAvailable(t *testing.T) {
 	s := newPoisonSimulation(5, 3, 2)
 	tester := s.nodes[0]
 	s.step(tester, RoutingInput{Event: routing.PoisonLearned{Records: []poison.Record{{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}}}})
 	s.runFor(2 * time.Second)
-	s.step(tester, RoutingInput{Event: routing.PoisonTestGranted{Content: popularContent}})
+	s.step(tester, RoutingInput{Event: routing.PoisonProbeGranted{Content: popularContent}})
 	ask := func() {
 		s.requestCount++
 		id := cluster.RequestID(fmt.Sprintf("r%d", s.requestCount))
@@ -97,19 +97,19 @@
 		ask()
 	}
 	s.runFor(time.Second)
-	if record, _ := tester.core.router.PoisonRecord(popularContent); tester.core.poison.convicts(&record) {
+	if record, _ := tester.core.router.PoisonRecord(popularContent); tester.core.poison.blocks(&record) {
 		t.Error("the request is still refused, although its test never ran")
 	}
 }
 
-// Guards against waiting for nodes that ended before they used their test. Another node tests the
-// request at once, but never beyond the allowed number of tests.
-func TestPoisonTestOfEndedNodeIsRepeated(t *testing.T) {
+// Guards against waiting for nodes that ended before they used their probe. Another node probes the
+// request at once, but never beyond the allowed number of probes.
+func TestPoisonProbeOfEndedNodeIsRepeated(t *testing.T) {
 	for tests, want := range map[int]bool{1: true, 2: true, 3: false} {
 		s := newPoisonSimulation(7, 4, 3)
 		s.runFor(2 * time.Second)
-		stored := PoisonStored{
-			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}, Tests: tests, Tester: "ended-1",
+		stored := StoredPoisonRecord{
+			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}}, Probes: tests, Prober: "ended-1",
 		}
 		s.writeStore(keyvalue.Operation{Key: KeyPoison + popularContent.String(), Value: encodePoison(&stored)})
 		s.runFor(2 * time.Second)
@@ -122,33 +122,32 @@
 			s.runFor(700 * time.Millisecond)
 		}
 		record, _ := s.nodes[0].core.router.PoisonRecord(popularContent)
-		if acquitted := !s.nodes[0].core.poison.convicts(&record); acquitted != want {
-			t.Errorf("after %d tests of nodes that ended: acquitted %v, want %v", tests, acquitted, want)
+		if unblocked := !s.nodes[0].core.poison.blocks(&record); unblocked != want {
+			t.Errorf("after %d tests of nodes that ended: acquitted %v, want %v", tests, unblocked, want)
 		}
 	}
 }
 
-// Guards against refusing a request for the hour of its conviction because the machine of its
-// last test did not answer, and against another test of a request under whose last test a machine
-// ended.
-func TestInconclusivePoisonTestIsRepeated(t *testing.T) {
+// Guards against refusing a request for the hour of its block because the machine of its last probe
+// did not answer, and against another probe of a request under whose last probe a machine ended.
+func TestInconclusivePoisonProbeIsRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		tests, endsBefore int
 		want              bool
 	}{
-		{"no machine ended under the last test", maxPoisonTests, 3, true},
-		{"a machine ended under the last test", maxPoisonTests, 2, false},
-		{"all tests used", maxPoisonTests + 1, 3, false},
+		{"no machine ended under the last test", maxPoisonProbes, 3, true},
+		{"a machine ended under the last test", maxPoisonProbes, 2, false},
+		{"all tests used", maxPoisonProbes + 1, 3, false},
 	} {
 		s := newPoisonSimulation(7, 4, 3)
 		s.runFor(2 * time.Second)
-		stored := PoisonStored{
+		stored := StoredPoisonRecord{
 			Record: poison.Record{Content: popularContent, Ends: []cluster.MachineID{"x", "y", "z"}},
-			Tests:  c.tests, Tester: s.nodes[1].id, EndsBefore: c.endsBefore,
+			Probes: c.tests, Prober: s.nodes[1].id, EndsBefore: c.endsBefore,
 		}
 		s.writeStore(keyvalue.Operation{Key: KeyPoison + popularContent.String(), Value: encodePoison(&stored)})
-		s.runFor(poisonTestSpacing + 2*time.Second)
+		s.runFor(poisonProbeSpacing + 2*time.Second)
 		for n := range 6 {
 			id := cluster.RequestID(fmt.Sprintf("r%d", n))
 			s.popular[id] = true
@@ -158,8 +157,8 @@
 			s.runFor(700 * time.Millisecond)
 		}
 		record, _ := s.nodes[0].core.router.PoisonRecord(popularContent)
-		if acquitted := !s.nodes[0].core.poison.convicts(&record); acquitted != c.want {
-			t.Errorf("%s: acquitted %v, want %v", c.name, acquitted, c.want)
+		if unblocked := !s.nodes[0].core.poison.blocks(&record); unblocked != c.want {
+			t.Errorf("%s: acquitted %v, want %v", c.name, unblocked, c.want)
 		}
 	}
 }
--- a/fleet/poison_store.go
+++ b/fleet/poison_store.go
@@ -11,7 +11,7 @@
 	"github.com/valveslip/valveslip/routing/poison"
 )
 
-// sendWrites writes the due convictions to the store, one call for each.
+// sendWrites writes the due blocks to the store, one call for each.
 func (s *poisonSync) sendWrites() {
 	if next := s.nextWriteAt(); next.IsZero() || next.After(s.core.now) {
 		return
@@ -20,7 +20,7 @@
 	for _, content := range sortedContents(s.writes) {
 		write := s.writes[content]
 		record, found := s.core.router.PoisonRecord(content)
-		if !found || !s.convicts(&record) {
+		if !found || !s.blocks(&record) {
 			delete(s.writes, content)
 			continue
 		}
@@ -28,7 +28,7 @@
 			continue
 		}
 		write.inFlight = true
-		s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&PoisonStored{Record: record}), Revision: write.revision})
+		s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&StoredPoisonRecord{Record: record}), Revision: write.revision})
 	}
 }
 
@@ -46,47 +46,47 @@
 	}
 }
 
-// claimTest claims one of the few tests of a convicted request; a write to the store grants it to
-// a single node. If that node ends before it uses the test, the request waits for the next test.
-func (s *poisonSync) claimTest(content poison.Fingerprint) {
+// claimProbe claims one of the few probes of a blocked request; a write to the store grants it to
+// a single node. If that node ends before it uses the probe, the request waits for the next probe.
+func (s *poisonSync) claimProbe(content poison.Fingerprint) {
 	stored := s.stored[content]
 	if stored == nil || s.core.now.Sub(stored.claimedAt) < minPoisonWriteRetry {
 		return
 	}
-	allowed, spacing := maxPoisonTests, poisonTestSpacing
+	allowed, spacing := maxPoisonProbes, poisonProbeSpacing
 	switch {
-	case s.testerEnded(stored):
-		allowed, spacing = maxPoisonTests+1, 0
-	case s.lastTestInconclusive(stored):
-		allowed = maxPoisonTests + 1
+	case s.proberEnded(stored):
+		allowed, spacing = maxPoisonProbes+1, 0
+	case s.lastProbeInconclusive(stored):
+		allowed = maxPoisonProbes + 1
 	}
-	if stored.Tests >= allowed || stored.Tests > 0 && s.core.now.Sub(stored.readAt) < spacing {
+	if stored.Probes >= allowed || stored.Probes > 0 && s.core.now.Sub(stored.readAt) < spacing {
 		return
 	}
 	stored.claimedAt = s.core.now
-	claim := PoisonStored{
-		Record: stored.Record, Tests: stored.Tests + 1, Tester: s.core.config.Self.ID, EndsBefore: s.standingEnds(content),
+	claim := StoredPoisonRecord{
+		Record: stored.Record, Probes: stored.Probes + 1, Prober: s.core.config.Self.ID, EndsBefore: s.attributedEnds(content),
 	}
 	s.core.emit(StoreWrite{Key: KeyPoison + content.String(), Value: encodePoison(&claim), Revision: stored.Revision})
 }
 
-// testerEnded reports whether the node of the last test is known to have ended: its record is
+// proberEnded reports whether the node of the last probe is known to have ended: its record is
 // gone or was replaced by that of another process of its machine.
-func (s *poisonSync) testerEnded(stored *storedPoison) bool {
-	_, lives := s.core.nodes.live[stored.Tester]
-	return stored.Tests > 0 && !lives && stored.Tester != s.core.config.Self.ID
+func (s *poisonSync) proberEnded(stored *storedPoison) bool {
+	_, lives := s.core.nodes.live[stored.Prober]
+	return stored.Probes > 0 && !lives && stored.Prober != s.core.config.Self.ID
 }
 
-// lastTestInconclusive reports whether no machine has ended under the request since its last
-// test, although the request was not acquitted either. The machine may not have answered.
-func (s *poisonSync) lastTestInconclusive(stored *storedPoison) bool {
-	return stored.EndsBefore > 0 && s.standingEnds(stored.Record.Content) <= stored.EndsBefore
+// lastProbeInconclusive reports whether no machine has ended under the request since its last
+// probe, although the request was not unblocked either. The machine may not have answered.
+func (s *poisonSync) lastProbeInconclusive(stored *storedPoison) bool {
+	return stored.EndsBefore > 0 && s.attributedEnds(stored.Record.Content) <= stored.EndsBefore
 }
 
-// standingEnds returns the number of machines that ended under a request, without acquittals.
-func (s *poisonSync) standingEnds(content poison.Fingerprint) int {
+// attributedEnds returns the number of machines whose end is attributed to a request.
+func (s *poisonSync) attributedEnds(content poison.Fingerprint) int {
 	record, _ := s.core.router.PoisonRecord(content)
-	return len(record.StandingEnds())
+	return len(record.AttributedEnds())
 }
 
 // writeAnswered handles the answer to a write. A record that another node has already written
@@ -96,7 +96,7 @@
 	if err != nil {
 		return
 	}
-	// A key in neither map belongs to the claim of a test, whose outcome is read from the record.
+	// A key in neither map belongs to the claim of a probe, whose outcome is read from the record.
 	for _, pending := range []map[poison.Fingerprint]*pendingWrite{s.writes, s.removals} {
 		write := pending[content]
 		switch {
@@ -110,11 +110,11 @@
 	}
 }
 
-// scheduleDelete schedules the deletion of the stored record of an acquitted request. Nodes that
+// scheduleDelete schedules the deletion of the stored record of an unblocked request. Nodes that
 // start later would otherwise refuse the request because of the record.
 func (s *poisonSync) scheduleDelete(content poison.Fingerprint) {
 	if s.stored[content] != nil && s.removals[content] == nil {
-		s.liftedConvictions[content] = true
+		s.liftedBlocks[content] = true
 		s.removals[content] = &pendingWrite{dueAt: s.core.now, retryDelay: minPoisonWriteRetry}
 	}
 }
@@ -149,14 +149,14 @@
 type poisonDocument struct {
 	Ends    []cluster.MachineID `json:"ends"`
 	Cleared []cluster.MachineID `json:"cleared,omitempty"`
-	Tests   int                 `json:"tests,omitempty"`
-	Tester  cluster.NodeID      `json:"tester,omitempty"`
+	Probes  int                 `json:"tests,omitempty"`
+	Prober  cluster.NodeID      `json:"tester,omitempty"`
 	Before  int                 `json:"ends_before,omitempty"`
 }
 
-func encodePoison(stored *PoisonStored) []byte {
+func encodePoison(stored *StoredPoisonRecord) []byte {
 	record := &stored.Record
-	data, err := json.Marshal(poisonDocument{Ends: record.Ends, Cleared: record.Cleared, Tests: stored.Tests, Tester: stored.Tester, Before: stored.EndsBefore})
+	data, err := json.Marshal(poisonDocument{Ends: record.Ends, Cleared: record.Cleared, Probes: stored.Probes, Prober: stored.Prober, Before: stored.EndsBefore})
 	if err != nil {
 		return nil
 	}
@@ -164,17 +164,17 @@
 }
 
 // DecodePoison decodes a stored record. The caller sets its revision.
-func DecodePoison(key string, value []byte) (PoisonStored, error) {
+func DecodePoison(key string, value []byte) (StoredPoisonRecord, error) {
 	content, err := poison.ParseFingerprint(strings.TrimPrefix(key, KeyPoison))
 	if err != nil {
-		return PoisonStored{}, err
+		return StoredPoisonRecord{}, err
 	}
-	stored := PoisonStored{Record: poison.Record{Content: content}}
+	stored := StoredPoisonRecord{Record: poison.Record{Content: content}}
 	var document poisonDocument
 	if err := json.Unmarshal(value, &document); err != nil {
 		return stored, eris.Wrap(err, "decode poison record")
 	}
 	record := poison.Record{Content: content, Ends: document.Ends, Cleared: document.Cleared}
-	stored.Record, stored.Tests, stored.Tester, stored.EndsBefore = record.Valid(), document.Tests, document.Tester, document.Before
+	stored.Record, stored.Probes, stored.Prober, stored.EndsBefore = record.Valid(), document.Probes, document.Prober, document.Before
 	return stored, nil
 }
--- a/fleet/shell/calls.go
+++ b/fleet/shell/calls.go
@@ -31,7 +31,7 @@
 // logNewFailure logs a failed call unless the previous call of this kind to the machine failed
 // for the same cause. Calls that were cancelled because the node ends are not logged.
 func (n *Node) logNewFailure(call string, machine cluster.MachineID, err error) {
-	if n.context.Err() == nil && n.failures.New(call+" "+string(machine), err) {
+	if n.context.Err() == nil && n.failures.IsNew(call+" "+string(machine), err) {
 		n.options.Log.Write(eventlog.CallFailed{Call: call, Machine: machine, Cause: err.Error()})
 	}
 }
@@ -86,7 +86,7 @@
 
 // callTicket writes a key that must be absent, under a lease of its own that is never renewed. If
 // the answer is lost, no node can take the ticket until the lease expires.
-func (n *Node) callTicket(effect fleet.StoreTicket) {
+func (n *Node) callTicket(effect fleet.WriteTicket) {
 	ctx, cancel := context.WithTimeout(n.context, leaseTimeout)
 	defer cancel()
 	id, err := n.options.Store.Grant(ctx, effect.Lasts)
@@ -102,7 +102,7 @@
 	n.countStoreCall(storeWrite, err)
 	n.logNewFailure(string(storeWrite), "", err)
 	if err == nil && result.Succeeded {
-		n.step(fleet.TicketTaken{Shard: effect.Shard, Number: effect.Number})
+		n.step(fleet.TicketWritten{Shard: effect.Shard, Number: effect.Number})
 	}
 }
 
@@ -114,7 +114,7 @@
 func (n *Node) callOrder(effect fleet.SendOrder, decided time.Time) {
 	if n.Now().Sub(decided) > orderTimeout {
 		n.step(fleet.OrderAnswered{
-			Answer: sequence.Answered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Err: errStaleOrder},
+			Answer: sequence.OrderAnswered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Err: errStaleOrder},
 			Order:  effect.Send.Order,
 		})
 		return
@@ -125,7 +125,7 @@
 	outcome, err := n.options.Engines.Order(ctx, effect.Send.Address, effect.Send.Order)
 	n.metrics.countCall("engine order", err)
 	n.step(fleet.OrderAnswered{
-		Answer: sequence.Answered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Outcome: outcome, Err: err},
+		Answer: sequence.OrderAnswered{Machine: effect.Send.Order.Machine, Number: effect.Send.Number, Outcome: outcome, Err: err},
 		Order:  effect.Send.Order, Took: n.Now().Sub(began),
 	})
 }
--- a/fleet/shell/node.go
+++ b/fleet/shell/node.go
@@ -106,7 +106,7 @@
 	now := options.Now()
 	n := &Node{
 		options: options, startTime: now, epoch: now.Round(0),
-		tickets: make(relay.Tickets), pool: upstream.NewPool(options.Upstream), retained: retained.NewAccount(options.Callers.RetainedBytes),
+		tickets: make(relay.Tickets), pool: upstream.NewPool(options.Upstream), retained: retained.NewAccount(options.CallerLimits.RetainedBytes),
 		registry: prometheus.NewRegistry(), listenerErrors: make(chan error, 3), stopped: make(chan struct{}),
 		becameReady: make(chan struct{}),
 	}
@@ -142,9 +142,9 @@
 	n.transport = transport
 	n.options.Core.Self.Address = transport.Address()
 	handler := passthrough.NewHandler(passthrough.Config{
-		Catalog: n.servingCatalog, Known: n.becameReady, Decider: n, Dialect: n.options.Dialect, Pool: n.pool, Log: n.options.Log,
+		Catalog: n.servingCatalog, CatalogReady: n.becameReady, Decider: n, Dialect: n.options.Dialect, Pool: n.pool, Log: n.options.Log,
 		Metrics: passthrough.NewMetrics(n.registry), NewID: n.newRequestID, Closing: n.closesConnections.Load, Admits: n.admits,
-		KnowsPoison: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayTake: n.admitRequest, MostUnderWay: n.options.Callers.Requests,
+		NeedsFingerprint: n.needsFingerprint, FindKey: n.findKey, MaySend: n.checkSend, Retained: n.retained, MayAccept: n.admitRequest, MaxActiveRequests: n.options.CallerLimits.MaxRequestsInFlight,
 	})
 	if n.callerServer, err = n.startServer(&n.options.CallersAddress, handler, n.limitCallers); err != nil {
 		return errors.Join(eris.Wrap(err, "open the listener for callers"), transport.Close(n.context))
@@ -184,8 +184,8 @@
 	return server, nil
 }
 
-// Failed returns a channel that delivers the error of a listener that failed.
-func (n *Node) Failed() <-chan error { return n.listenerErrors }
+// ListenerErrors returns a channel that delivers the error of a listener that failed.
+func (n *Node) ListenerErrors() <-chan error { return n.listenerErrors }
 
 // waitForTurn returns after the goroutines that are ready to run, such as those of the network,
 // and after those that wait for the core's mutex. The time that it takes is the scheduling delay
@@ -201,7 +201,7 @@
 func (n *Node) needsFingerprint(head poison.Head) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.core != nil && n.core.KnowsPoison(head)
+	return n.core != nil && n.core.NeedsFingerprint(head)
 }
 
 // serveReadiness answers the readiness probe.
@@ -227,7 +227,7 @@
 	case wire.StoreChanges:
 		n.forwardToFollower(feed.UpdateReceived{Update: m})
 	case wire.ClockTold:
-		n.forwardToFollower(feed.ClockHeard{Told: m})
+		n.forwardToFollower(feed.ClockReceived{Told: m})
 	case wire.StoreChangesRequest:
 		n.forwardToFollower(feed.ChangesRequested{Request: m})
 	case wire.StoreSnapshotRequest:
@@ -360,13 +360,13 @@
 		go n.callLease(effect)
 	case fleet.StoreWrite:
 		go n.callWrite(effect)
-	case fleet.StoreTicket:
+	case fleet.WriteTicket:
 		go n.callTicket(effect)
 	case fleet.SendOrder:
 		go n.callOrder(effect, n.Now())
 	case fleet.ReadReport:
 		go n.callReport(effect)
-	case fleet.PeersSettled:
+	case fleet.PeersChanged:
 		if f := n.follower.Load(); f != nil {
 			f.notifyPeersChanged()
 		}
@@ -406,9 +406,9 @@
 	return "http://" + n.options.MetricsAddress + MetricsPath
 }
 
-// Holding reports whether this node holds the lease for orders to the engines.
-func (n *Node) Holding() bool {
+// HoldsOrderLease reports whether this node holds the lease for orders to the engines.
+func (n *Node) HoldsOrderLease() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.core.Holding()
+	return n.core.HoldsOrderLease()
 }
--- a/fleet/shell/size_bench_test.go
+++ b/fleet/shell/size_bench_test.go
@@ -34,7 +34,7 @@
 		},
 		Codec: platform.Codec{}, Log: eventlog.New(io.Discard, eventlog.Options{}),
 	}
-	n.options.Feed.Within = 5 * time.Second
+	n.options.Feed.MaxChangeDelay = 5 * time.Second
 	n.options = n.options.withDefaults()
 	n.startTime = n.options.Now()
 	n.becameReady = make(chan struct{})
@@ -67,7 +67,7 @@
 	data, err := json.Marshal(platform.ConfigurationDocument{
 		Version: 1,
 		Routes: []platform.RouteDocument{{
-			Name: "stream", Host: "h", Prefix: "/stream/", Kind: "streaming", TimeoutMS: 8000, AimMS: 800, Priority: 1, Service: "engine", Attempts: 2, Resumable: true,
+			Name: "stream", Host: "h", Prefix: "/stream/", Kind: "streaming", TimeoutMS: 8000, ObjectiveMS: 800, Priority: 1, Service: "engine", Attempts: 2, Resumable: true,
 		}},
 		Services: []platform.ServiceDocument{{Name: "engine", HealthPath: "/healthz", MaxConnections: 100, Engine: engine}},
 		Limits:   platform.LimitsDocument{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderMS: 3000, IdleMS: 15000},
@@ -127,7 +127,7 @@
 				f := newSizedFollower(b, models)
 				b.StartTimer()
 				for i := range pairs {
-					f.filter.News(&pairs[i])
+					f.filter.IsNews(&pairs[i])
 				}
 				f.replace(int64(11*size+2), pairs)
 			}
--- a/fleet/shell/staleness.go
+++ b/fleet/shell/staleness.go
@@ -9,8 +9,8 @@
 	"github.com/valveslip/valveslip/fleet/feed"
 )
 
-// staleAfterShare is the share of the maximum delay of changes (feed.Config.Within) from which
-// the view of the store is logged as stale: the remaining half of the delay is left to find
+// staleAfterShare is the share of the maximum delay of changes (feed.Config.MaxChangeDelay) from
+// which the view of the store is logged as stale: the remaining half of the delay is left to find
 // the cause.
 const staleAfterShare = 0.5
 
@@ -20,7 +20,7 @@
 
 // staleAfter returns the age from which the node's view of the store counts as stale.
 func (n *Node) staleAfter() time.Duration {
-	if within := n.options.Feed.Within; within > 0 {
+	if within := n.options.Feed.MaxChangeDelay; within > 0 {
 		return time.Duration(float64(within) * staleAfterShare)
 	}
 	return defaultStaleAfter
@@ -39,7 +39,7 @@
 	case stale && f.staleSince.IsZero():
 		f.staleSince = knownAt
 		f.options.Log.Write(eventlog.KnowledgeOld{
-			Age: age, Source: f.source.Load().(string), Revision: f.feed.Revision(), Late: f.schedulingDelay.Late(), Lost: f.storeLostCause,
+			Age: age, Source: f.source.Load().(string), Revision: f.feed.Revision(), Late: f.schedulingDelay.Lateness(), Lost: f.storeLostCause,
 		})
 	case !stale && !f.staleSince.IsZero():
 		f.options.Log.Write(eventlog.KnowledgeNew{After: f.Now().Sub(f.staleSince), Source: f.source.Load().(string), Revision: f.feed.Revision()})
@@ -54,7 +54,7 @@
 // catching up takes. A node that is not overloaded but gets no updates goes on serving, since its
 // callers may have no other node.
 func (n *Node) admitRequest() (late time.Duration, admitted bool) {
-	if late, admitted = n.schedulingDelay.Take(); !admitted {
+	if late, admitted = n.schedulingDelay.Admit(); !admitted {
 		return late, false
 	}
 	age, staleLimit := n.storeViewAge(), n.staleAfter()
@@ -116,5 +116,5 @@
 	}
 	output <- prometheus.MustNewConstMetric(f.age, prometheus.GaugeValue, f.node.storeViewAge().Seconds())
 	output <- prometheus.MustNewConstMetric(f.source, prometheus.GaugeValue, 1, source)
-	output <- prometheus.MustNewConstMetric(f.late, prometheus.GaugeValue, f.node.schedulingDelay.Late().Seconds())
+	output <- prometheus.MustNewConstMetric(f.late, prometheus.GaugeValue, f.node.schedulingDelay.Lateness().Seconds())
 }
--- a/node/shell/node.go
+++ b/node/shell/node.go
@@ -196,16 +196,16 @@
 // serve starts the caller and administration HTTP servers.
 func (n *Node) serve(callers, admin net.Listener) {
 	handler := api.NewCallers(api.CallersConfig{
-		Node:         n.self.ID,
-		Runner:       n.keys,
-		Settings:     n.settings.Load,
-		MaxBodyBytes: n.config.MaxBodyBytes,
-		Logger:       n.logger,
-		Now:          n.Now,
-		Observe:      n.metrics.observeRequest,
-		Stopping:     n.admissionContext,
+		Node:            n.self.ID,
+		Runner:          n.keys,
+		Settings:        n.settings.Load,
+		MaxBodyBytes:    n.config.MaxBodyBytes,
+		Logger:          n.logger,
+		Now:             n.Now,
+		Observe:         n.metrics.observeRequest,
+		ShutdownContext: n.admissionContext,
 	})
-	n.callers = n.newServer(n.closeConnectionsOnDrain(api.Bounded(handler, n.latenessMeter.Take)))
+	n.callers = n.newServer(n.closeConnectionsOnDrain(api.AdmissionHandler(handler, n.latenessMeter.Admit)))
 	n.callers.ConnState = n.connections.connStateChanged
 	n.listener = n.connections.wrapListener(callers)
 	n.admin = n.newServer(n.adminHandler())
@@ -311,10 +311,10 @@
 // assumes that it is the only one of its region.
 const joinTimeout = 10 * time.Second
 
-// Neighbours implements keyed.Peers. It returns the other running nodes of the region,
+// RegionMembers implements keyed.Peers. It returns the other running nodes of the region,
 // among whose zones callers distribute their retries. known is false while the node
 // may still discover others.
-func (n *Node) Neighbours() (neighbours []cluster.Node, known bool) {
+func (n *Node) RegionMembers() (members []cluster.Node, known bool) {
 	composed := n.Inspect(func(core *node.Core) {
 		for _, member := range core.Members() {
 			if !member.Running() || member.Node.ID == n.self.ID {
@@ -322,10 +322,10 @@
 			}
 			known = true
 			if member.Node.Region == n.self.Region {
-				neighbours = append(neighbours, member.Node)
+				members = append(members, member.Node)
 			}
 		}
 	})
 	alone := !composed || len(n.config.Seeds) == 0 || n.Now().Sub(n.startedAt) > joinTimeout
-	return neighbours, known || alone
+	return members, known || alone
 }
--- a/passthrough/handler.go
+++ b/passthrough/handler.go
@@ -51,21 +51,21 @@
 type Config struct {
 	// Catalog returns the current configuration, nil before the first one.
 	Catalog func() *catalog.Compiled
-	// Known is closed once Catalog returns the first configuration. Callers that arrive earlier
-	// wait for it for a short time; if nil, none wait.
-	Known   <-chan struct{}
-	Decider Decider
-	Dialect Dialect
-	Pool    *upstream.Pool
-	Log     *eventlog.Log
-	Metrics *Metrics
+	// CatalogReady is closed once Catalog returns the first configuration. Callers that arrive
+	// earlier wait for it for a short time; if nil, none wait.
+	CatalogReady <-chan struct{}
+	Decider      Decider
+	Dialect      Dialect
+	Pool         *upstream.Pool
+	Log          *eventlog.Log
+	Metrics      *Metrics
 	// Closing reports whether callers should close their connections. If nil, they never should.
 	Closing func() bool
 	// Admits reports whether a request with the given deadline is still accepted. If nil, all are.
 	Admits func(deadline time.Time) bool
-	// KnowsPoison reports whether the fingerprint of a request with this head is needed. If nil,
-	// only short bodies are fingerprinted.
-	KnowsPoison func(head poison.Head) bool
+	// NeedsFingerprint reports whether the fingerprint of a request with this head is needed. If
+	// nil, only short bodies are fingerprinted.
+	NeedsFingerprint func(head poison.Head) bool
 	// FindKey returns the tenant of a key, by its hash, that the current configuration doesn't
 	// contain: the key may have been added a moment ago. It waits until the key store of this node
 	// is recent enough to rule the key out, and then returns nil. If FindKey is nil, unknown keys
@@ -76,11 +76,11 @@
 	MaySend func(id cluster.RequestID) *verdict.Error
 	// NewID returns an ID for a request without one.
 	NewID func() cluster.RequestID
-	// MayTake reports whether another request may be accepted and, if not, how late the process
+	// MayAccept reports whether another request may be accepted and, if not, how late the process
 	// runs tasks that are ready. If nil, all are accepted.
-	MayTake func() (late time.Duration, may bool)
-	// MostUnderWay bounds the number of active requests; zero means no bound.
-	MostUnderWay int
+	MayAccept func() (late time.Duration, may bool)
+	// MaxActiveRequests bounds the number of active requests; zero means no bound.
+	MaxActiveRequests int
 	// Retained bounds the bytes that are held for requests and answers; nil means no bound.
 	Retained *retained.Account
 }
@@ -148,11 +148,11 @@
 	}
 	current := h.newExchange(w, r, compiled, route, body, &attributes)
 	current.arrived, current.deadline = arrived, deadline
-	current.credential, current.keyed, current.reserved = caller, compiled.Keyed(), reserved
+	current.credential, current.keyed, current.reserved = caller, compiled.RequiresKeys(), reserved
 	current.recordFingerprint()
 	h.Log.Write(eventlog.RequestAccepted{
 		Request: current.id, Route: route.Name, Version: compiled.Version, Work: current.model,
-		Left: current.deadline.Sub(arrived), Attempts: route.Attempts, Unread: strings.Join(attributes.Unread, ","),
+		Left: current.deadline.Sub(arrived), Attempts: route.Attempts, Unread: strings.Join(attributes.InvalidFields, ","),
 		Content: current.content.String(), Tenant: current.tenantName(),
 		Tokens: attributes.PromptTokens + attributes.MaxTokens,
 		Prompt: attributes.PromptTokens, Longest: route.LongestPause,
@@ -209,7 +209,7 @@
 	if id == "" {
 		id = h.NewID()
 	}
-	service := route.Pick(h.splitPosition(route.Name))
+	service := route.PickService(h.splitPosition(route.Name))
 	return &exchange{
 		Handler: h, writer: w, request: r, route: route, attributes: *attributes, body: body, id: id,
 		header: endToEnd(r.Header), model: modelOf(compiled.Service(service), service, attributes),
--- a/relay/keyed/claims.go
+++ b/relay/keyed/claims.go
@@ -52,7 +52,7 @@
 	for decision.Kind == idempotency.DecisionAsk {
 		answer := r.ask(ctx, decision.Ask, decision.Question)
 		r.mutex.Lock()
-		decision = r.table.Answered(time.Now(), claim.Key, claim.Request, answer)
+		decision = r.table.ProcessAnswer(time.Now(), claim.Key, claim.Request, answer)
 		r.mutex.Unlock()
 	}
 	return decision
@@ -129,10 +129,10 @@
 
 // address returns the peer address of another node of the region.
 func (r *Runner) address(id cluster.NodeID) (string, bool) {
-	neighbours, _ := r.peers.Neighbours()
-	for _, neighbour := range neighbours {
-		if neighbour.ID == id {
-			return neighbour.PeerAddress, true
+	members, _ := r.peers.RegionMembers()
+	for _, member := range members {
+		if member.ID == id {
+			return member.PeerAddress, true
 		}
 	}
 	return "", false
--- a/routing/finish.go
+++ b/routing/finish.go
@@ -48,7 +48,7 @@
 	machine := abandoned.machine
 	if machine != nil && !abandoned.unsent {
 		abandoned.mayHaveRun = true
-		r.poison.Left(r.now, abandoned.Content, machine.id)
+		r.poison.AttemptCancelled(r.now, abandoned.Content, machine.id)
 		reason.Machine = machine.id
 		r.emit(CancelAttempt{
 			Request: abandoned.ID, Attempt: abandoned.attempt,
@@ -104,7 +104,7 @@
 	r.disarm(&ended.timer)
 	delete(r.requests, ended.ID)
 	if failure != nil {
-		r.returnUnusedTest(ended)
+		r.returnUnusedProbe(ended)
 		failure = ended.coverAttempts(failure)
 		reason.Code = failure.Code
 		r.expectReturn(model, ended.Priority, failure.RetryAfter)
